--- /dev/null
+++ b/audit/golden_test.go
@@ -0,0 +1,35 @@
+package audit
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+)
+
+// What stand-ins record on standard output, and what a day's report holds of the
+// rules, has exactly these JSON fields.
+func TestRecordsHaveGoldenJSON(t *testing.T) {
+	at := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+	for _, c := range []struct {
+		name   string
+		record any
+		golden string
+	}{
+		{"attempt seen by a server", Seen{Trace: "t", Server: "s", Rack: "r", Class: "c", Key: "k", At: at, End: at.Add(time.Second),
+			Away: true, Ran: true, Dropped: true, Answered: true},
+			`{"Trace":"t","Server":"s","Rack":"r","Class":"c","Key":"k","At":"2026-12-02T08:00:00Z","End":"2026-12-02T08:00:01Z",` +
+				`"Away":true,"Ran":true,"Dropped":true,"Answered":true}`},
+		{"server state told by discovery", Told{Node: 3, Server: "s", At: at, Down: true},
+			`{"Node":3,"Server":"s","At":"2026-12-02T08:00:00Z","Down":true}`},
+		{"server pushed over", Fell{Server: "s", At: at}, `{"Server":"s","At":"2026-12-02T08:00:00Z"}`},
+		{"zero values are written", Seen{}, `{"Trace":"","Server":"","Rack":"","Class":"","Key":"","At":"0001-01-01T00:00:00Z",` +
+			`"End":"0001-01-01T00:00:00Z","Away":false,"Ran":false,"Dropped":false,"Answered":false}`},
+		{"finding", Finding{Rule: 2, Name: "n", Checked: 7, Broken: []string{"b"}}, `{"rule":2,"name":"n","checked":7,"broken":["b"]}`},
+		{"margin", Margin{Rule: 2, Near: 0.5}, `{"rule":2,"near":0.5}`},
+		{"open attempts", Open{Customer: "c", Most: 3, Cap: 4}, `{"customer":"c","most":3,"cap":4}`},
+	} {
+		if b, err := json.Marshal(c.record); err != nil || string(b) != c.golden {
+			t.Errorf("%s: %s, %v; want %s", c.name, b, err, c.golden)
+		}
+	}
+}
--- a/audit/records.go
+++ b/audit/records.go
@@ -26,31 +26,31 @@
 
 // Seen is a server's record of one attempt that arrived whole.
 type Seen struct {
-	Trace    string
-	Server   string
-	Rack     string // the group that drops repeats
-	Class    string
-	Key      string
-	At       time.Time
-	End      time.Time // answered, or its connection ended
-	Away     bool      // turned away: the answer says that nothing ran
-	Ran      bool      // the work took effect
-	Dropped  bool      // a repeat that the rack dropped
-	Answered bool
+	Trace    string    `json:"Trace"`
+	Server   string    `json:"Server"`
+	Rack     string    `json:"Rack"` // the group that drops repeats
+	Class    string    `json:"Class"`
+	Key      string    `json:"Key"`
+	At       time.Time `json:"At"`
+	End      time.Time `json:"End"`     // answered, or its connection ended
+	Away     bool      `json:"Away"`    // turned away: the answer says that nothing ran
+	Ran      bool      `json:"Ran"`     // the work took effect
+	Dropped  bool      `json:"Dropped"` // a repeat that the rack dropped
+	Answered bool      `json:"Answered"`
 }
 
 // Told is discovery's record of what it told a node of a server.
 type Told struct {
-	Node   int
-	Server string
-	At     time.Time
-	Down   bool // draining or gone; false: running
+	Node   int       `json:"Node"`
+	Server string    `json:"Server"`
+	At     time.Time `json:"At"`
+	Down   bool      `json:"Down"` // draining or gone; false: running
 }
 
 // Fell is the record of a server that was pushed over while cold.
 type Fell struct {
-	Server string
-	At     time.Time
+	Server string    `json:"Server"`
+	At     time.Time `json:"At"`
 }
 
 // Down is a time in which a node did not run.
--- /dev/null
+++ b/member/golden_test.go
@@ -0,0 +1,33 @@
+package member
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// What outlives a process has exactly these JSON fields.
+func TestMemoryHasGoldenJSON(t *testing.T) {
+	const golden = `{"Epoch":41,"Over":true}`
+	want := Memory{Epoch: 41, Over: true}
+	var got Memory
+	if err := json.Unmarshal([]byte(golden), &got); err != nil || got != want {
+		t.Errorf("decoded to %+v, %v", got, err)
+	}
+	if b, err := json.Marshal(want); err != nil || string(b) != golden {
+		t.Errorf("encoded to %s, %v", b, err)
+	}
+}
+
+// Numbers that stand for names in messages keep their values.
+func TestCodesOnTheWireKeepTheirValues(t *testing.T) {
+	for want, phase := range []Phase{Starting, Ready, Serving, Draining, Gone} {
+		if int(phase) != want {
+			t.Errorf("phase %v is %d, want %d", phase, phase, want)
+		}
+	}
+	for want, stage := range []Stage{Read, Smaller, Over} {
+		if int(stage) != want {
+			t.Errorf("stage %d, want %d", stage, want)
+		}
+	}
+}
--- a/member/member.go
+++ b/member/member.go
@@ -188,8 +188,8 @@
 
 // Memory is what outlives a process.
 type Memory struct {
-	Epoch uint64 // taken; 0: none
-	Over  bool   // that change was over
+	Epoch uint64 `json:"Epoch"` // taken; 0: none
+	Over  bool   `json:"Over"`  // that change was over
 }
 
 // Settings is what a Member is told at its start.
--- /dev/null
+++ b/policy/golden_test.go
@@ -0,0 +1,102 @@
+package policy
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"reflect"
+	"testing"
+)
+
+// Each message between gateways has exactly these bytes, in both directions.
+func TestPeerMessagesHaveGoldenBytes(t *testing.T) {
+	for _, c := range []struct {
+		name, bytes string
+		message     any
+	}{
+		{"ask", "0300" + "0102030405060708" + "1112" + "2122" + "31" + "32" + "4142" + "5152" + "61626364" + "71" + "72" + "01",
+			ask{Customer: 0x0102030405060708, First: 0x1112, Spread: 0x2122, Plan: 0x31, Class: 0x32, Units: 0x4142, Left: 0x5152,
+				Tag: 0x61626364, Thin: 0x71, Fill: 0x72, Repeat: true}},
+		{"ask for a first try", "0300" + "0102030405060708" + "1112" + "2122" + "31" + "32" + "4142" + "5152" + "61626364" + "71" + "72" + "00",
+			ask{Customer: 0x0102030405060708, First: 0x1112, Spread: 0x2122, Plan: 0x31, Class: 0x32, Units: 0x4142, Left: 0x5152,
+				Tag: 0x61626364, Thin: 0x71, Fill: 0x72}},
+		{"answer", "0301" + "01020304" + "05" + "06" + "07" + "08", answer{Tag: 0x01020304, Verdict: 5, Fill: 6, Strain: 7, Part: 8}},
+		{"ended", "0302" + "0102030405060708" + "11121314" + "00", ended{Customer: 0x0102030405060708, Tag: 0x11121314}},
+		{"ended, unused", "0302" + "0102030405060708" + "11121314" + "01",
+			ended{Customer: 0x0102030405060708, Tag: 0x11121314, Unused: true}},
+		{"sight", "0303" + "01020304" + "05" + "06" + "0708", sight{Server: 0x01020304, Class: 5, Code: 6, Latency: 0x0708}},
+		{"verdict", "0304" + "01020304" + "05" + "06", verdict{Server: 0x01020304, Bad: 5, Pace: 6}},
+		{"report", "04" + "01020304" + "11121314" + "01" + "02" + // header, 2 servers
+			"2465" + "ffff" + // hashes of 11 bits, attempts out of 5 bits
+			"a1a2a3" + "4c" + "5152" + "61" + "fa" + // a customer
+			"b1b2b3" + "f0" + "0001" + "7f" + "ff",
+			report{inc: 0x01020304, seq: 0x11121314, complete: true, servers: []serverOut{{hash: 0x123, out: 5}, {hash: 0x7ff, out: 31}},
+				customers: []entry{{hash: 0xa1a2a3, out: 4, held: 12, passed: 0x5152, rate: 0x61, store: 250},
+					{hash: 0xb1b2b3, out: 15, held: 0, passed: 1, rate: maxRate, store: unknownStore}}}},
+		{"report, cut short by its size", "04" + "01020304" + "11121314" + "00" + "00",
+			report{inc: 0x01020304, seq: 0x11121314}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, err := hex.DecodeString(c.bytes)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if m := decode(b); !reflect.DeepEqual(m, c.message) {
+				t.Errorf("decoded to %#v, want %#v", m, c.message)
+			}
+			var out []byte
+			if r, ok := c.message.(report); ok {
+				out = r.encode()
+			} else {
+				out = encode(c.message)
+			}
+			if got := hex.EncodeToString(out); got != c.bytes {
+				t.Errorf("encoded to %s, want %s", got, c.bytes)
+			}
+		})
+	}
+}
+
+// Numbers that stand for names in messages and stored data keep their values.
+func TestCodesOnTheWireKeepTheirValues(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		got, want int
+	}{
+		{"verdict granted", int(granted), 0}, {"verdict refused", int(refused), 1}, {"verdict waits", int(waits), 2},
+		{"shift of the reason in a verdict", reasonShift, 2},
+		{"NoReason", int(NoReason), 0}, {"OverQuota", int(OverQuota), 1}, {"OverCap", int(OverCap), 2}, {"OverHard", int(OverHard), 3},
+		{"Shed", int(Shed), 4}, {"NoServer", int(NoServer), 5}, {"NoTime", int(NoTime), 6}, {"NoRoot", int(NoRoot), 7},
+		{"Attempted", int(Attempted), 8},
+		{"OK", int(OK), 0}, {"Error", int(Error), 1}, {"Full", int(Full), 2}, {"TimedOut", int(TimedOut), 3},
+		{"ConnectFailed", int(ConnectFailed), 4}, {"Reset", int(Reset), 5}, {"Cancelled", int(Cancelled), 6}, {"Moot", int(Moot), 7},
+		{"Running", int(Running), 0}, {"Draining", int(Draining), 1}, {"Removed", int(Removed), 2},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s is %d, want %d", c.name, c.got, c.want)
+		}
+	}
+}
+
+// Customers are named by the same hashes at all gateways, of whatever build.
+func TestCustomerHashesAreGolden(t *testing.T) {
+	key := keyOf("bibl-a")
+	if want := uint64(0x79ba5150b1712e5c); key != want {
+		t.Errorf("key %#x, want %#x", key, want)
+	}
+	if short, want := shortOf(key), uint32(0x79ba51); short != want {
+		t.Errorf("short %#x, want %#x", short, want)
+	}
+}
+
+// A customer's remembered store has exactly these JSON fields.
+func TestMemoryHasGoldenJSON(t *testing.T) {
+	const golden = `{"Key":17446744073709551557,"Plan":"basic","First":2,"Spread":5,"Store":12.5}`
+	want := Memory{Key: 17446744073709551557, Plan: "basic", First: 2, Spread: 5, Store: 12.5}
+	var got Memory
+	if err := json.Unmarshal([]byte(golden), &got); err != nil || got != want {
+		t.Errorf("decoded to %+v, %v", got, err)
+	}
+	if b, err := json.Marshal(want); err != nil || string(b) != golden {
+		t.Errorf("encoded to %s, %v", b, err)
+	}
+}
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -4,10 +4,11 @@
 
 // Memory is what outlives a process of a customer whose store is not full.
 type Memory struct {
-	Key           uint64
-	Plan          string
-	First, Spread int
-	Store         float64 // units
+	Key    uint64  `json:"Key"`
+	Plan   string  `json:"Plan"`
+	First  int     `json:"First"`
+	Spread int     `json:"Spread"`
+	Store  float64 `json:"Store"` // units
 }
 
 // Recall brings back what an earlier process of this gateway remembered, Age ago.
