--- /dev/null
+++ b/day/virtual/golden_test.go
@@ -0,0 +1,29 @@
+package virtual
+
+import (
+	"encoding/json"
+	"testing"
+
+	"yardcleat.example/yardcleat/day"
+)
+
+// What goes to a worker and comes back from it has exactly these JSON fields.
+func TestWorkerLinesHaveGoldenJSON(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		line   any
+		golden string
+	}{
+		{"job", Job{Source: []byte("x"), Seed: 7, NoStamps: true, Defect: "d", Way: "w"},
+			`{"source":"eA==","seed":7,"no_stamps":true,"defect":"d","way":"w"}`},
+		{"result", Result{Report: &day.Report{}, Features: []string{"f"}, Error: "e", Stacks: "s"},
+			`{"report":{"seconds":0,"tries":0,"goodput":0,"plans":null,"fronts":null,"classes":null,"attempts":0,` +
+				`"rules":null,"near":null,"open":null,"worth":0,"errors":null},"features":["f"],"error":"e","stacks":"s"}`},
+		{"empty job", Job{}, `{"source":null,"seed":0}`},
+		{"empty result", Result{}, `{}`},
+	} {
+		if b, err := json.Marshal(c.line); err != nil || string(b) != c.golden {
+			t.Errorf("%s: %s, %v; want %s", c.name, b, err, c.golden)
+		}
+	}
+}
