--- /dev/null
+++ b/fleet/golden_test.go
@@ -0,0 +1,60 @@
+package fleet
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"yardcleat.example/yardcleat/node"
+	"yardcleat.example/yardcleat/policy"
+)
+
+// The server list that an earlier build remembered comes back whole, and is written
+// with the same bytes again.
+func TestRememberedListOfAnEarlierBuild(t *testing.T) {
+	golden := filepath.Join("testdata", "servers")
+	got, err := Recall(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []node.Server{
+		{Address: "127.0.0.1:9001", Started: time.Date(2026, 12, 2, 7, 0, 0, 0, time.UTC),
+			Server: policy.Server{ID: ID("127.0.0.1:9001"), Zone: "a", Cell: 2, Weight: 1.5, State: policy.Running}},
+		{Address: "127.0.0.1:9002",
+			Server: policy.Server{ID: ID("127.0.0.1:9002"), Zone: "b", Cell: 1, Weight: 1, State: policy.Draining}},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("recalled %+v, want %+v", got, want)
+	}
+	again := filepath.Join(t.TempDir(), "servers")
+	if err := Remember(again, want); err != nil {
+		t.Fatal(err)
+	}
+	before, err := os.ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if after, err := os.ReadFile(again); err != nil || !bytes.Equal(after, before) {
+		t.Errorf("written as %s, %v; want %s", after, err, before)
+	}
+}
+
+// Servers have the same ID at all nodes, of whatever build.
+func TestServerIDIsGolden(t *testing.T) {
+	if got, want := ID("127.0.0.1:9001"), policy.ServerID(0x70657ca2); got != want {
+		t.Errorf("ID %#x, want %#x", uint32(got), uint32(want))
+	}
+}
+
+// Metadata of an endpoint, and the type asked for, have these names in discovery.
+func TestDiscoveryNamesAreGolden(t *testing.T) {
+	if Metadata != "yardcleat" {
+		t.Errorf("metadata %q", Metadata)
+	}
+	if want := "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"; TypeURL != want {
+		t.Errorf("type %q, want %q", TypeURL, want)
+	}
+}
--- /dev/null
+++ b/store/golden_test.go
@@ -0,0 +1,92 @@
+package store
+
+import (
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"go.etcd.io/bbolt"
+
+	"yardcleat.example/yardcleat/tally"
+)
+
+var goldenRegisters = []tally.Register{
+	{Key: tally.Key{Customer: "bibl-a", Window: 177}, Owner: tally.Owner{Node: 3, Incarnation: 9}, Units: 123456},
+	{Key: tally.Key{Customer: "bibl-b", Window: 178}, Owner: tally.Owner{Node: 3, Incarnation: 10}, Units: 1},
+}
+
+// The totals that an earlier build stored come back whole.
+func TestStoredTotalsOfAnEarlierBuild(t *testing.T) {
+	b, err := os.ReadFile(filepath.Join("testdata", "tally"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "tally")
+	if err := os.WriteFile(path, b, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, list, aside, err := Open(path, 3)
+	if err != nil || aside != nil {
+		t.Fatal(err, aside)
+	}
+	defer s.Close()
+	if !slices.Equal(list, goldenRegisters) {
+		t.Errorf("%+v, want %+v", list, goldenRegisters)
+	}
+}
+
+// Buckets, keys and values of the database are exactly these.
+func TestDatabaseHasGoldenKeysAndValues(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "tally")
+	s, _, _, err := Open(path, 3)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Save(goldenRegisters); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	want := []string{
+		"meta format 0000000000000001",
+		"meta node 0000000000000003",
+		"registers " + hex.EncodeToString([]byte("\x00\x00\x00\x00\x00\x00\x00\x03"+"\x00\x00\x00\x00\x00\x00\x00\x09"+
+			"\x00\x00\x00\x00\x00\x00\x00\xb1"+"bibl-a")) + " 000000000001e240",
+		"registers " + hex.EncodeToString([]byte("\x00\x00\x00\x00\x00\x00\x00\x03"+"\x00\x00\x00\x00\x00\x00\x00\x0a"+
+			"\x00\x00\x00\x00\x00\x00\x00\xb2"+"bibl-b")) + " 0000000000000001",
+	}
+	for name, file := range map[string]string{"written now": path, "written by an earlier build": filepath.Join("testdata", "tally")} {
+		if got := contents(t, file); !slices.Equal(got, want) {
+			t.Errorf("%s: %q, want %q", name, got, want)
+		}
+	}
+}
+
+// contents lists a database: bucket, key and value; keys of totals and all values in hex.
+func contents(t *testing.T, path string) (list []string) {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o400, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				key := string(k)
+				if string(bucket) != "meta" {
+					key = hex.EncodeToString(k)
+				}
+				list = append(list, string(bucket)+" "+key+" "+hex.EncodeToString(v))
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return list
+}
