--- /dev/null
+++ b/tally/counter/golden_test.go
@@ -0,0 +1,150 @@
+package counter
+
+import (
+	"bufio"
+	"cmp"
+	"io"
+	"net"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"yardcleat.example/yardcleat/internal/network"
+	"yardcleat.example/yardcleat/tally"
+)
+
+// Calls become exactly these commands, and answers are read from exactly these bytes.
+func TestCallsHaveGoldenCommandsAndAnswers(t *testing.T) {
+	const customer, window = "bibl-a", 177
+	total := tally.Key{Customer: customer, Window: window}
+	register := func(node int, incarnation uint64, units tally.Milli) tally.Register {
+		return tally.Register{Key: total, Owner: tally.Owner{Node: node, Incarnation: incarnation}, Units: units}
+	}
+	full := tally.Call{Key: total, Raise: []tally.Register{register(3, 1764662400000000000, 123456)},
+		Seed: []tally.Register{register(4, 35, 1)}, Level: tally.Level{Units: 12.5, At: time.UnixMilli(1764662400000)}, Expire: true, Epoch: true}
+	const stored = "*6\r\n$14\r\n3.denkm32f0u80\r\n$6\r\n123456\r\n$3\r\n4.z\r\n$1\r\n1\r\n$5\r\nlevel\r\n$20\r\n12.500@1764662400000\r\n"
+	for _, c := range []struct {
+		name        string
+		call        tally.Call
+		connections [][]exchange
+		want        tally.Answer
+	}{
+		{"a total that is read", tally.Call{Key: total}, [][]exchange{{{"hgetall yt:{bibl-a}:177", stored}}},
+			tally.Answer{Registers: []tally.Register{register(3, 1764662400000000000, 123456), register(4, 35, 1)}, Level: full.Level}},
+		{"a total that is raised, seeded and kept on", full, [][]exchange{{
+			{"get yt:epoch", "$5\r\n3w5e1\r\n"},
+			{"hgetall yt:{bibl-a}:177", "*0\r\n"},
+			{"hset yt:{bibl-a}:177 3.denkm32f0u80 123456 level 12.500@1764662400000", ":2\r\n"},
+			{"hsetnx yt:{bibl-a}:177 4.z 1", ":1\r\n"},
+			{"pexpire yt:{bibl-a}:177 86400000", ":1\r\n"},
+		}}, tally.Answer{Epoch: "3w5e1"}},
+		// The client has one pool of connections for pipelines, and another.
+		{"an epoch that is missing", tally.Call{Key: total, Epoch: true}, [][]exchange{
+			{{"get yt:epoch", "$-1\r\n"}, {"hgetall yt:{bibl-a}:177", "*0\r\n"}},
+			{{"set yt:epoch * nx", "+OK\r\n"}, {"get yt:epoch", "$5\r\n3w5e1\r\n"}},
+		}, tally.Answer{Epoch: "3w5e1"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				mem := network.NewMemory(time.Millisecond, 1)
+				l, err := mem.Host("counter").Listen("10.0.5.1:80")
+				if err != nil {
+					t.Fatal(err)
+				}
+				go func() {
+					for _, list := range c.connections {
+						conn, err := l.Accept()
+						if err != nil {
+							t.Error(err)
+							return
+						}
+						go serve(t, conn, append(slices.Clone(greeting), list...))
+					}
+				}()
+				client := New(Options{Network: mem.Host("node"), Addresses: []string{"10.0.5.1:80"}, Name: "node-3", Limit: time.Second,
+					Keep: 24 * time.Hour})
+				done := make(chan tally.Answer)
+				client.Do(c.call, func(a tally.Answer) { done <- a })
+				got := <-done
+				client.Close()
+				l.Close()
+				slices.SortFunc(got.Registers, func(a, b tally.Register) int { return cmp.Compare(a.Owner.Node, b.Owner.Node) })
+				if !reflect.DeepEqual(got, c.want) {
+					t.Errorf("answer %+v, want %+v", got, c.want)
+				}
+				time.Sleep(time.Minute) // timers of what was closed run out
+			})
+		})
+	}
+}
+
+// exchange is a command, as words, and the bytes of its answer; the word * stands for
+// a drawn one.
+type exchange struct{ command, answer string }
+
+// greeting begins every connection to a part that does not know HELLO.
+var greeting = []exchange{
+	{"hello 2 setname node-3", "-ERR unknown command 'HELLO'\r\n"},
+	{"client setname node-3", "+OK\r\n"},
+}
+
+// serve compares the bytes of each command on a connection and gives its answer.
+func serve(t *testing.T, conn net.Conn, list []exchange) {
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	for _, e := range list {
+		b, words, err := readCommand(in)
+		if err != nil {
+			t.Errorf("%v in place of %q", err, e.command)
+			return
+		}
+		want := strings.Fields(e.command)
+		for k := range want {
+			if want[k] == "*" && k < len(words) {
+				want[k] = words[k]
+			}
+		}
+		if b != resp(want) {
+			t.Errorf("sent %q, want %q", b, resp(want))
+		}
+		io.WriteString(conn, e.answer)
+	}
+	if b, err := in.ReadString('\n'); err == nil {
+		t.Errorf("sent more: %q", b)
+	}
+}
+
+// resp makes a command's bytes.
+func resp(words []string) string {
+	b := "*" + strconv.Itoa(len(words)) + "\r\n"
+	for _, w := range words {
+		b += "$" + strconv.Itoa(len(w)) + "\r\n" + w + "\r\n"
+	}
+	return b
+}
+
+// readCommand reads a command: its bytes, and its words.
+func readCommand(in *bufio.Reader) (bytes string, words []string, err error) {
+	line, err := in.ReadString('\n')
+	if err != nil {
+		return "", nil, err
+	}
+	bytes = line
+	n, err := strconv.Atoi(strings.Trim(line, "*\r\n"))
+	for range n {
+		var size, word string
+		if size, err = in.ReadString('\n'); err != nil {
+			break
+		}
+		if word, err = in.ReadString('\n'); err != nil {
+			break
+		}
+		bytes += size + word
+		words = append(words, strings.TrimSuffix(word, "\r\n"))
+	}
+	return bytes, words, err
+}
