--- /dev/null
+++ b/gateway/golden_test.go
@@ -0,0 +1,223 @@
+package gateway
+
+import (
+	"bytes"
+	"encoding/hex"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"yardcleat.example/yardcleat/config"
+	"yardcleat.example/yardcleat/internal/network"
+	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/policy"
+	"yardcleat.example/yardcleat/tally"
+)
+
+// storedAt is when an earlier build wrote testdata/stores.
+var storedAt = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+
+var storedStores = []policy.Memory{
+	{Key: 17446744073709551557, Plan: "basic", First: 2, Spread: 5, Store: 12.5},
+	{Key: 7, Plan: "extended", First: 0, Spread: 1, Store: 0},
+}
+
+// The customers' stores that an earlier build remembered come back, and are written
+// with the same bytes again.
+func TestStoresOfAnEarlierBuild(t *testing.T) {
+	got, err := readMemory("testdata", 3, storedAt.Add(5*time.Second))
+	if want := (policy.Recall{Age: 5 * time.Second, Customers: storedStores}); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, %v; want %+v", got, err, want)
+	}
+	dir := t.TempDir()
+	if err := writeMemory(dir, 3, storedAt, storedStores); err != nil {
+		t.Fatal(err)
+	}
+	sameFile(t, filepath.Join(dir, "stores"), filepath.Join("testdata", "stores"))
+}
+
+// The roster's epoch that an earlier build remembered comes back, and is written
+// with the same bytes again.
+func TestRosterEpochOfAnEarlierBuild(t *testing.T) {
+	want := member.Memory{Epoch: 41, Over: true}
+	if got, err := recallMember("testdata"); err != nil || got != want {
+		t.Errorf("%+v, %v; want %+v", got, err, want)
+	}
+	dir := t.TempDir()
+	if err := rememberMember(dir, want); err != nil {
+		t.Fatal(err)
+	}
+	sameFile(t, filepath.Join(dir, "roster-epoch"), filepath.Join("testdata", "roster-epoch"))
+}
+
+func sameFile(t *testing.T, got, want string) {
+	t.Helper()
+	a, err := os.ReadFile(got)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := os.ReadFile(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(a, b) {
+		t.Errorf("written as %s, want %s", a, b)
+	}
+}
+
+// stateFiles are the names of all files in state_dir.
+var stateFiles = []string{"incarnation", "roster-epoch", "servers", "stores", "tally"}
+
+const stateConfig = `
+node {
+  name = "n3"
+  state_dir = "DIR"
+}
+peers {
+  listen = "10.0.4.3:70"
+  key = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
+  roster = "DIR/../roster.hcl"
+}
+customer "bibl-a" {
+  plan = "basic"
+  keys = ["k-bibl-a"]
+}
+counter {
+  addresses = ["10.0.5.1:80"]
+  calls_per_second = 400
+  window = "1h"
+  keep = "24h"
+}
+`
+
+const stateRoster = `
+epoch = 41
+node "n0" { address = "10.0.4.0:70" }
+node "n1" { address = "10.0.4.1:70" }
+node "n2" { address = "10.0.4.2:70" }
+node "n3" { address = "10.0.4.3:70" }
+`
+
+// A node that starts on the files of an earlier build takes all of them from
+// state_dir, under their names, and leaves no others.
+func TestNodeTakesStateOfAnEarlierBuild(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		dir := filepath.Join(t.TempDir(), "state")
+		if err := os.Mkdir(dir, 0o700); err != nil {
+			t.Fatal(err)
+		}
+		for _, from := range []string{"testdata/stores", "testdata/roster-epoch", "../fleet/testdata/servers", "../store/testdata/tally"} {
+			b, err := os.ReadFile(from)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := os.WriteFile(filepath.Join(dir, filepath.Base(from)), b, 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if err := os.WriteFile(filepath.Join(dir, "..", "roster.hcl"), []byte(stateRoster), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		before, after, _ := strings.Cut(worldConfig, "  server \"a\"")
+		_, after, _ = strings.Cut(after, "  turned_away")
+		src := before + "  eds {\n    address = \"10.0.3.1:80\"\n    cluster = \"c\"\n  }\n  turned_away" + after + strings.ReplaceAll(stateConfig, "DIR", dir)
+		cfg, err := config.Parse([]byte(src), "test.hcl")
+		if err != nil {
+			t.Fatal(err)
+		}
+		begun := time.Now()
+		wall := func() time.Time { return storedAt.Add(time.Since(begun)) }
+		var log bytes.Buffer
+		g, err := Start(cfg, Options{Network: network.NewMemory(time.Millisecond, 1).Host("node"), Seed: 1, Wall: wall,
+			Log: slog.New(slog.NewTextHandler(&log, nil))})
+		if err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(5 * time.Second)
+		if !g.keep.m.Over() {
+			t.Error("the roster's change that was over is not")
+		}
+		g.Kill()
+		time.Sleep(time.Minute) // timers of what was closed run out
+		for _, want := range []string{`msg="stores remembered" customers=2`, `msg="server list remembered" servers=2`} {
+			if !strings.Contains(log.String(), want) {
+				t.Errorf("the log lacks %s", want)
+			}
+		}
+		if strings.Contains(log.String(), "left aside") {
+			t.Error("something was left aside")
+		}
+		entries, err := os.ReadDir(dir)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var names []string
+		for _, e := range entries {
+			names = append(names, e.Name())
+		}
+		if !slices.Equal(names, stateFiles) {
+			t.Errorf("files %q, want %q", names, stateFiles)
+		}
+		if t.Failed() {
+			t.Log(log.String())
+		}
+	})
+}
+
+// What a node says of itself has exactly these bytes, in both directions.
+func TestHelloHasGoldenBytes(t *testing.T) {
+	for _, c := range []struct {
+		bytes string
+		hello member.Hello
+	}{
+		{"4d" + "00" + "00" + "0000000000000001", member.Hello{Epoch: 1, Stage: member.Read, Phase: member.Starting}},
+		{"4d" + "02" + "01" + "0000000000000029", member.Hello{Epoch: 41, Stage: member.Smaller, Phase: member.Serving}},
+		{"4d" + "04" + "02" + "0102030405060708", member.Hello{Epoch: 0x0102030405060708, Stage: member.Over, Phase: member.Gone}},
+	} {
+		if got := hex.EncodeToString(encodeHello(c.hello)); got != c.bytes {
+			t.Errorf("%+v encoded to %s, want %s", c.hello, got, c.bytes)
+		}
+		b, err := hex.DecodeString(c.bytes)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, ok := decodeHello(b); !ok || got != c.hello {
+			t.Errorf("%s decoded to %+v, %v; want %+v", c.bytes, got, ok, c.hello)
+		}
+	}
+}
+
+// Totals told to a peer have exactly these bytes, in both directions; customers are
+// named by their hash.
+func TestTotalsHaveGoldenBytes(t *testing.T) {
+	const golden = "54" + "0102030405060708" + // mark, incarnation
+		"f41766e6b11eece4" + "000000b1" + "000000000001e240" + // customer, window, thousandths
+		"c2ddf84d17004149" + "000000b2" + "0000000000000001"
+	owner := tally.Owner{Node: 3, Incarnation: 0x0102030405060708}
+	list := []tally.Register{
+		{Key: tally.Key{Customer: "bibl-a", Window: 177}, Owner: owner, Units: 123456},
+		{Key: tally.Key{Customer: "bibl-b", Window: 178}, Owner: owner, Units: 1},
+	}
+	l := &ledger{inc: owner.Incarnation, names: map[uint64]string{}}
+	for _, name := range []string{"bibl-a", "bibl-b"} {
+		l.names[xxhash.Sum64String(name)] = name
+	}
+	if got := hex.EncodeToString(l.encode(list)); got != golden {
+		t.Errorf("encoded to %s, want %s", got, golden)
+	}
+	b, err := hex.DecodeString(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, ok := l.decode(owner.Node, b); !ok || !slices.Equal(got, list) {
+		t.Errorf("decoded to %+v, %v; want %+v", got, ok, list)
+	}
+}
--- a/gateway/member.go
+++ b/gateway/member.go
@@ -155,14 +155,21 @@
 	if len(b) == 0 || b[0] != memberMark {
 		return false
 	}
-	if len(b) != memberSize || b[1] > byte(member.Gone) || b[2] > byte(member.Over) {
-		return true // malformed: of a newer version
+	if h, ok := decodeHello(b); ok {
+		k.post(func() []member.Action { return k.m.Heard(time.Now(), from, h) })
 	}
-	h := member.Hello{Phase: member.Phase(b[1]), Stage: member.Stage(b[2]), Epoch: binary.BigEndian.Uint64(b[3:])}
-	k.post(func() []member.Action { return k.m.Heard(time.Now(), from, h) })
 	return true
 }
 
+// decodeHello reads a message that begins with memberMark; a malformed one, of a
+// newer version, is not ok.
+func decodeHello(b []byte) (h member.Hello, ok bool) {
+	if len(b) != memberSize || b[1] > byte(member.Gone) || b[2] > byte(member.Over) {
+		return h, false
+	}
+	return member.Hello{Phase: member.Phase(b[1]), Stage: member.Stage(b[2]), Epoch: binary.BigEndian.Uint64(b[3:])}, true
+}
+
 const memberFile = "roster-epoch"
 
 func recallMember(dir string) (m member.Memory, err error) {
--- a/gateway/tally.go
+++ b/gateway/tally.go
@@ -191,11 +191,19 @@
 	if len(b) == 0 || b[0] != tallyMark {
 		return false
 	}
+	if list, ok := l.decode(from, b); ok {
+		l.g.node.Do(func() { l.t.Heard(l.g.o.Wall(), from, list) })
+	}
+	return true
+}
+
+// decode reads a message that begins with tallyMark, and leaves out customers not
+// known here; a malformed one, of a newer version, is not ok.
+func (l *ledger) decode(from int, b []byte) (list []tally.Register, ok bool) {
 	if len(b) < 9 || (len(b)-9)%tallyEntry != 0 {
-		return true // malformed: of a newer version
+		return nil, false
 	}
 	owner := tally.Owner{Node: from, Incarnation: binary.BigEndian.Uint64(b[1:])}
-	var list []tally.Register
 	for b = b[9:]; len(b) > 0; b = b[tallyEntry:] {
 		name, known := l.names[binary.BigEndian.Uint64(b)]
 		if units := binary.BigEndian.Uint64(b[12:]); known && units < 1<<62 {
@@ -203,8 +211,7 @@
 				Owner: owner, Units: tally.Milli(units)})
 		}
 	}
-	l.g.node.Do(func() { l.t.Heard(l.g.o.Wall(), from, list) })
-	return true
+	return list, true
 }
 
 var _ node.Ledger = (*ledger)(nil)
