--- a/day/golden_test.go
+++ b/day/golden_test.go
@@ -1,10 +1,14 @@
 package day
 
 import (
+	"bytes"
 	"encoding/json"
+	"reflect"
+	"strings"
 	"testing"
 
 	"yardcleat.example/yardcleat/audit"
+	"yardcleat.example/yardcleat/config"
 )
 
 // The report that `day --json` prints has exactly these fields.
@@ -36,3 +40,131 @@
 		}
 	}
 }
+
+// A script with all fields set is read from, and written as, exactly this text.
+func TestScriptHasGoldenText(t *testing.T) {
+	const golden = `length          = "30s"
+seed            = 7
+nodes           = 4
+spares          = 1
+mail_per_second = 150
+
+servers {
+  count         = 10
+  cores         = 2
+  queue         = 16
+  racks         = 2
+  cold_share    = 0.21
+  warm_within   = "8s"
+  fall_multiple = 1.5
+  fall_time     = "1s"
+  drain_grace   = "250ms"
+  told_late     = "400ms"
+}
+
+clients {
+  retries = 2
+  wait    = "200ms"
+  proxied = 0.3
+  http2   = 0.2
+}
+
+counter {
+  parts            = 2
+  calls_per_second = 400
+}
+
+class "loan-change" {
+  method        = "POST"
+  path          = "/loans/"
+  effect        = "keyed"
+  group         = "cell"
+  window        = "2s"
+  aim           = "600ms"
+  deadline      = "2s"
+  work          = "40ms"
+  share         = 0.3
+  units         = 1.5
+  authorisation = "refuse"
+}
+
+plan "basic" {
+  rate       = 8
+  burst      = 16
+  open       = 6
+  hard_rate  = 14
+  hard_burst = 24
+}
+
+customers "town" {
+  plan  = "basic"
+  count = 5
+  use   = 0.8
+}
+
+fault "server-slow" {
+  at     = "5s"
+  for    = "2s"
+  target = 1
+  arg    = "3"
+}
+`
+	s, err := Parse([]byte(golden), "golden.hcl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkAllSet(t, "script", reflect.ValueOf(*s))
+	if got := string(s.Source()); got != golden {
+		t.Errorf("written as\n%s\nwant\n%s", got, golden)
+	}
+}
+
+// checkAllSet tells of exported fields that hold nothing, but for Extends: what it
+// names is taken in as the script is read.
+func checkAllSet(t *testing.T, path string, v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		checkAllSet(t, path, v.Elem())
+	case reflect.Slice:
+		for i := range v.Len() {
+			checkAllSet(t, path, v.Index(i))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() && f.Name != "Extends" {
+				checkAllSet(t, path+"."+f.Name, v.Field(i))
+			}
+		}
+	default:
+	}
+	if v.IsZero() {
+		t.Errorf("%s is not set", path)
+	}
+}
+
+// The template of nodes' configurations, which names fields of scripts, makes good
+// ones of every script.
+func TestNodeConfigurationsOfAllScripts(t *testing.T) {
+	for _, name := range Names() {
+		s, err := Load(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var b bytes.Buffer
+		err = nodeConfig.Execute(&b, map[string]any{"S": s, "Number": 0, "Zone": "room-0", "Dir": "/d", "HTTP": "10.0.0.1:80",
+			"HTTP2": "10.0.0.1:82", "ExtAuthz": "10.0.0.1:81", "Peer": "10.0.0.1:70", "Peers": map[int]string{1: "10.0.0.2:70"},
+			"Key": strings.Repeat("ab", 32), "Auth": "10.0.0.9:80", "EDS": "10.0.0.8:80", "Customers": customers(s),
+			"Counters": []string{"10.0.0.7:80"}, "Roster": false})
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		cfg, err := config.Parse(b.Bytes(), name)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		if len(cfg.Classes) != len(s.Classes) || len(cfg.Plans) != len(s.Plans) || len(cfg.Customers) != len(customers(s)) {
+			t.Errorf("%s: %d classes, %d plans, %d customers", name, len(cfg.Classes), len(cfg.Plans), len(cfg.Customers))
+		}
+	}
+}
