--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -142,7 +142,12 @@
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
-		if !g.keep.m.Over() {
+		over := make(chan bool, 1)
+		g.keep.post(func() []member.Action {
+			over <- g.keep.m.Over()
+			return nil
+		})
+		if !<-over {
 			t.Error("the roster's change that was over is not")
 		}
 		g.Kill()
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -42,7 +42,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer other.Close()
+		t.Cleanup(func() {
+			if err := other.Close(); err != nil {
+				t.Error(err)
+			}
+		})
 		var got []byte
 		b, err := ListenBare(BareOptions{Network: mem.Host("me"), Listen: addresses[0], Addresses: addresses,
 			Deliver: func(_ int, data []byte) { got = data }})
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/hex"
+	"io"
 	"os"
 	"path/filepath"
 	"slices"
@@ -31,7 +32,7 @@
 	if err != nil || aside != nil {
 		t.Fatal(err, aside)
 	}
-	defer s.Close()
+	defer closed(t, s)
 	if !slices.Equal(list, goldenRegisters) {
 		t.Errorf("%+v, want %+v", list, goldenRegisters)
 	}
@@ -47,9 +48,7 @@
 	if err := s.Save(goldenRegisters); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
-	}
+	closed(t, s)
 	want := []string{
 		"meta format 0000000000000001",
 		"meta node 0000000000000003",
@@ -65,6 +64,14 @@
 	}
 }
 
+// closed closes something that must close well.
+func closed(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
 // contents lists a database: bucket, key and value; keys of totals and all values in hex.
 func contents(t *testing.T, path string) (list []string) {
 	t.Helper()
@@ -72,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
+	defer closed(t, db)
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(k, v []byte) error {
--- a/tally/counter/golden_test.go
+++ b/tally/counter/golden_test.go
@@ -71,7 +71,9 @@
 				client.Do(c.call, func(a tally.Answer) { done <- a })
 				got := <-done
 				client.Close()
-				l.Close()
+				if err := l.Close(); err != nil {
+					t.Error(err)
+				}
 				slices.SortFunc(got.Registers, func(a, b tally.Register) int { return cmp.Compare(a.Owner.Node, b.Owner.Node) })
 				if !reflect.DeepEqual(got, c.want) {
 					t.Errorf("answer %+v, want %+v", got, c.want)
@@ -94,7 +96,11 @@
 
 // serve compares the bytes of each command on a connection and gives its answer.
 func serve(t *testing.T, conn net.Conn, list []exchange) {
-	defer conn.Close()
+	defer func() {
+		if err := conn.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	in := bufio.NewReader(conn)
 	for _, e := range list {
 		b, words, err := readCommand(in)
@@ -111,7 +117,10 @@
 		if b != resp(want) {
 			t.Errorf("sent %q, want %q", b, resp(want))
 		}
-		io.WriteString(conn, e.answer)
+		if _, err := io.WriteString(conn, e.answer); err != nil {
+			t.Error(err)
+			return
+		}
 	}
 	if b, err := in.ReadString('\n'); err == nil {
 		t.Errorf("sent more: %q", b)
