--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -67,7 +67,8 @@
 		s := g.servers[m.ID]
 		if s == nil {
 			h := uint32(m.ID) * 0x9e3779b1 >> (32 - serverBits)
-			s = &server{hash: uint16(h), slow: 1, pace: 1, verdicts: verdictKeep, verdictAt: g.now, by: make([]record, len(g.set.Classes)),
+			s = &server{hash: uint16(h), slow: 1, pace: 1, verdicts: verdictKeep, verdictAt: g.now,
+				by:     make([]record, len(g.set.Classes)),
 				fullAt: map[*quota]time.Duration{}, watchers: g.watchers(h)}
 			g.servers[m.ID] = s
 			g.fleet = append(g.fleet, s)
@@ -107,7 +108,8 @@
 	case ended:
 		g.onEnded(ev.From, m)
 	case sight:
-		if s := g.servers[ServerID(m.Server)]; s != nil && slices.Contains(s.watchers[:], g.set.Me) && int(m.Class) < len(s.by) {
+		s := g.servers[ServerID(m.Server)]
+		if s != nil && slices.Contains(s.watchers[:], g.set.Me) && int(m.Class) < len(s.by) {
 			g.gather(s, int(m.Class), Code(m.Code), time.Duration(m.Latency)*time.Millisecond)
 		}
 	case verdict:
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -28,7 +28,8 @@
 	for _, c := range g.ring[min(from, to):to] {
 		store := min(c.plan.Burst, c.store+c.plan.Rate*max(0, now-c.at).Seconds())
 		if c.plan.Rate > 0 && store < c.plan.Burst-1 {
-			out = append(out, Memory{Key: c.key, Plan: c.plan.Name, First: c.first, Spread: c.nodes, Store: store})
+			m := Memory{Key: c.key, Plan: c.plan.Name, First: c.first, Spread: c.nodes, Store: store}
+			out = append(out, m)
 		}
 	}
 	if to == len(g.ring) {
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -114,8 +114,9 @@
 	be := binary.BigEndian
 	switch kind {
 	case 0:
-		return ask{Customer: be.Uint64(b), First: be.Uint16(b[8:]), Spread: be.Uint16(b[10:]), Plan: b[12], Class: b[13],
-			Units: be.Uint16(b[14:]), Left: be.Uint16(b[16:]), Tag: be.Uint32(b[18:]), Thin: b[22], Fill: b[23], Repeat: b[24] != 0}
+		return ask{Customer: be.Uint64(b), First: be.Uint16(b[8:]), Spread: be.Uint16(b[10:]),
+			Plan: b[12], Class: b[13], Units: be.Uint16(b[14:]), Left: be.Uint16(b[16:]),
+			Tag: be.Uint32(b[18:]), Thin: b[22], Fill: b[23], Repeat: b[24] != 0}
 	case 1:
 		return answer{Tag: be.Uint32(b), Verdict: b[4], Fill: b[5], Strain: b[6], Part: b[7]}
 	case 2:
--- a/policy/report.go
+++ b/policy/report.go
@@ -110,7 +110,8 @@
 		if len(b) < entrySize {
 			return m, false
 		}
-		e := entry{hash: uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]), out: b[3] >> 4, held: b[3] & maxHeld,
+		e := entry{hash: uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]),
+			out: b[3] >> 4, held: b[3] & maxHeld,
 			passed: binary.BigEndian.Uint16(b[4:]), rate: b[6] & maxRate, store: b[7]}
 		b = b[entrySize:]
 		m.customers = append(m.customers, e)
--- a/policy/state.go
+++ b/policy/state.go
@@ -280,7 +280,8 @@
 
 // sameGroup tells whether a server drops repeats of what may have run.
 func (r *request) sameGroup(s *server) bool {
-	return (r.cl.Group != GroupZone || s.Zone == r.ranZone) && (r.cl.Group != GroupCell || s.Cell == r.ranCell)
+	return (r.cl.Group != GroupZone || s.Zone == r.ranZone) &&
+		(r.cl.Group != GroupCell || s.Cell == r.ranCell)
 }
 
 // measure takes each customer's mean of attempts out over a tick.
