--- a/config/config.go
+++ b/config/config.go
@@ -173,16 +173,16 @@
 // Settings makes the module's settings.
 func (c *Config) Settings() policy.Settings {
 	s := policy.Settings{
-		Me: c.Number, Gateways: len(c.Peers.Addresses) + 1, Zone: c.Zone, Plans: c.Plans,
+		SelfIndex: c.Number, Gateways: len(c.Peers.Addresses) + 1, Zone: c.Zone, Plans: c.Plans,
 		Resolution: time.Millisecond, MaxAttempts: c.Limits.MaxAttempts, CanCancel: true,
-		CanTell: len(c.Peers.Addresses) > 0 || c.Roster != nil, MailPerSecond: c.Peers.MailPerSecond,
-		MaxRetryAfter: c.Clients.MaxRetryAfter, SizeKnown: true,
-		ColdShare: c.Servers.ColdShare, WarmWithin: c.Servers.WarmWithin,
-		FallMultiple: c.Servers.FallMultiple, FallTime: c.Servers.FallTime,
+		CanMessagePeers: len(c.Peers.Addresses) > 0 || c.Roster != nil, PeerMessagesPerSecond: c.Peers.MailPerSecond,
+		MaxRetryAfter: c.Clients.MaxRetryAfter, WeightIsCapacity: true,
+		InitialCapacity: c.Servers.ColdShare, WarmupTime: c.Servers.WarmWithin,
+		ColdOverloadFactor: c.Servers.FallMultiple, ColdOverloadTime: c.Servers.FallTime,
 	}
 	for _, cl := range c.Classes {
 		s.Classes = append(s.Classes, cl.Class)
-		s.LargestUnits = max(s.LargestUnits, cl.Units)
+		s.MaxRequestUnits = max(s.MaxRequestUnits, cl.Units)
 	}
 	return s
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	s := cfg.Settings()
-	if s.Gateways != 2 || len(s.Classes) != 2 || len(s.Plans) != 2 || s.Plans[1].HardRate != 10 || !s.CanTell {
+	if s.Gateways != 2 || len(s.Classes) != 2 || len(s.Plans) != 2 || s.Plans[1].HardRate != 10 || !s.CanMessagePeers {
 		t.Errorf("%+v", s)
 	}
 }
--- a/config/load.go
+++ b/config/load.go
@@ -448,18 +448,18 @@
 	for _, b := range in {
 		l.unique(names, "class", b.Name, b.NameRange)
 		c := Class{Class: policy.Class{Name: b.Name}}
-		effects := map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-		c.Effect = effects[oneOf(l, b.Effect, "unsafe", "safe", "keyed", "unsafe")]
-		groups := map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
-		c.Group = groups[oneOf(l, b.Group, "all", "all", "zone", "cell")]
-		c.Window = l.duration(b.Window, 0, 0, 24*time.Hour)
-		if c.Effect == policy.Keyed && c.Window == 0 {
+		effects := map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentWithKey, "unsafe": policy.NonIdempotent}
+		c.Idempotency = effects[oneOf(l, b.Effect, "unsafe", "safe", "keyed", "unsafe")]
+		groups := map[string]policy.DedupScope{"all": policy.DedupAllServers, "zone": policy.DedupZone, "cell": policy.DedupCell}
+		c.DedupScope = groups[oneOf(l, b.Group, "all", "all", "zone", "cell")]
+		c.DedupWindow = l.duration(b.Window, 0, 0, 24*time.Hour)
+		if c.Idempotency == policy.IdempotentWithKey && c.DedupWindow == 0 {
 			l.wrong(b.NameRange, "No window", `A keyed class needs the time for which servers drop repeats, such as: window = "2s".`)
 		}
-		c.Aim = l.duration(b.Aim, time.Second, time.Millisecond, time.Hour)
+		c.LatencyObjective = l.duration(b.Aim, time.Second, time.Millisecond, time.Hour)
 		c.Deadline = l.duration(b.Deadline, time.Hour, time.Millisecond, time.Hour)
-		if c.Deadline < c.Aim {
-			l.wrong(b.Deadline.Range(), "Deadline before aim", "The deadline must be at least the aim, %v.", c.Aim)
+		if c.Deadline < c.LatencyObjective {
+			l.wrong(b.Deadline.Range(), "Deadline before aim", "The deadline must be at least the aim, %v.", c.LatencyObjective)
 		}
 		c.Units = l.number(b.Units, 1, 1, 1000)
 		c.Worth = l.number(b.Worth, 1, 0, 1e6)
@@ -520,8 +520,8 @@
 		l.unique(seen, "plan", b.Name, b.NameRange)
 		p := policy.Plan{Name: b.Name,
 			Rate: l.number(b.Rate, 0, 0, most), Burst: l.number(b.Burst, 0, 0, most),
-			Open:        l.whole0(b.Open, 0, 0, 1e6),
-			BeyondEarns: l.number(b.BeyondEarns, 0, 0, 1), BeyondCosts: l.number(b.BeyondCosts, 0, 0, 10),
+			MaxInFlight:    l.whole0(b.Open, 0, 0, 1e6),
+			OverQuotaValue: l.number(b.BeyondEarns, 0, 0, 1), OverQuotaCost: l.number(b.BeyondCosts, 0, 0, 10),
 			HardRate: l.number(b.HardRate, 0, 0, most), HardBurst: l.number(b.HardBurst, 0, 0, most)}
 		if (p.Rate > 0) != (p.Burst > 0) {
 			l.wrong(b.NameRange, "Rate without burst", "Give both rate (units a second) and burst (units that may be used at once), or neither.")
--- a/fleet/eds.go
+++ b/fleet/eds.go
@@ -37,7 +37,7 @@
 	NodeID  string
 	File    string // where the last good list is remembered; "": nowhere
 	Log     *slog.Logger
-	Deliver func(kind policy.MembersKind, list []node.Server)
+	Deliver func(kind policy.EndpointUpdateKind, list []node.Server)
 }
 
 // Watch delivers the remembered list, then every list that the management
@@ -50,7 +50,7 @@
 			o.Log.Warn("the remembered server list is left aside", "error", err)
 		} else if list != nil {
 			o.Log.Info("server list remembered", "servers", len(list))
-			o.Deliver(policy.Remembered, list)
+			o.Deliver(policy.CachedUpdate, list)
 		}
 	}
 	cc, err := grpc.NewClient("passthrough:///"+o.Address, grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -99,7 +99,7 @@
 			req.ErrorDetail = &rpc.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
 			continue
 		case found:
-			o.Deliver(policy.Whole, list)
+			o.Deliver(policy.SnapshotUpdate, list)
 			o.Log.Info("server list", "version", resp.GetVersionInfo(), "servers", len(list))
 			if o.File != "" {
 				if err := Remember(o.File, list); err != nil {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -65,12 +65,12 @@
 }
 
 type line struct {
-	Address string       `json:"address"`
-	Zone    string       `json:"zone,omitempty"`
-	Cell    int          `json:"cell,omitempty"`
-	Weight  float64      `json:"weight"`
-	State   policy.State `json:"state,omitempty"`
-	Started *time.Time   `json:"started,omitempty"`
+	Address string             `json:"address"`
+	Zone    string             `json:"zone,omitempty"`
+	Cell    int                `json:"cell,omitempty"`
+	Weight  float64            `json:"weight"`
+	State   policy.ServerState `json:"state,omitempty"`
+	Started *time.Time         `json:"started,omitempty"`
 }
 
 const memoryVersion = 1
--- a/front/extauthz/ends.go
+++ b/front/extauthz/ends.go
@@ -16,16 +16,16 @@
 // Moot: it says nothing of the server.
 var flags = []struct {
 	set  func(*datav3.ResponseFlags) bool
-	code policy.Code
+	code policy.ResultCode
 	what string
 }{
 	{(*datav3.ResponseFlags).GetUpstreamConnectionFailure, policy.ConnectFailed, "UF: not connected"},
-	{(*datav3.ResponseFlags).GetNoHealthyUpstream, policy.Moot, "UH: no healthy upstream"},
-	{(*datav3.ResponseFlags).GetUpstreamOverflow, policy.Moot, "UO: the proxy's circuit breaker"},
-	{(*datav3.ResponseFlags).GetNoRouteFound, policy.Moot, "NR: no route"},
-	{(*datav3.ResponseFlags).GetRateLimited, policy.Moot, "RL: the proxy's rate limit"},
-	{(*datav3.ResponseFlags).GetFailedLocalHealthcheck, policy.Moot, "LH: the proxy's health check"},
-	{(*datav3.ResponseFlags).GetFaultInjected, policy.Moot, "FI: a fault of the proxy's"},
+	{(*datav3.ResponseFlags).GetNoHealthyUpstream, policy.TooLate, "UH: no healthy upstream"},
+	{(*datav3.ResponseFlags).GetUpstreamOverflow, policy.TooLate, "UO: the proxy's circuit breaker"},
+	{(*datav3.ResponseFlags).GetNoRouteFound, policy.TooLate, "NR: no route"},
+	{(*datav3.ResponseFlags).GetRateLimited, policy.TooLate, "RL: the proxy's rate limit"},
+	{(*datav3.ResponseFlags).GetFailedLocalHealthcheck, policy.TooLate, "LH: the proxy's health check"},
+	{(*datav3.ResponseFlags).GetFaultInjected, policy.TooLate, "FI: a fault of the proxy's"},
 	{(*datav3.ResponseFlags).GetUpstreamRequestTimeout, policy.TimedOut, "UT: no answer in time"},
 	{(*datav3.ResponseFlags).GetStreamIdleTimeout, policy.TimedOut, "SI: idle for too long"},
 	{(*datav3.ResponseFlags).GetUpstreamConnectionTermination, policy.Reset, "UC: connection ended"},
@@ -53,7 +53,7 @@
 	case code == 0:
 		res.Code, res.Detail = policy.Cancelled, "no status"
 	case s.o.TurnedAway.Is(code, func(name string) bool { _, ok := e.GetResponse().GetResponseHeaders()[name]; return ok }):
-		res.Code = policy.Full
+		res.Code = policy.Rejected
 	case code >= 500:
 		res.Code = policy.Error
 	}
--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -150,7 +150,7 @@
 	}
 	if ctx.Err() != nil {
 		// The answer can't arrive: nothing will be sent.
-		s.o.Node.Ended(a.Go.ID, a.Go.Attempt, node.Result{Code: policy.Moot, Detail: "the proxy left"})
+		s.o.Node.Ended(a.Go.ID, a.Go.Attempt, node.Result{Code: policy.TooLate, Detail: "the proxy left"})
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
 	s.note(t.Trace, passed{a.Go.ID, a.Go.Attempt, time.Now().Add(a.Go.Timeout)})
--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -359,14 +359,14 @@
 	for _, c := range []struct {
 		name string
 		line *datav3.HTTPAccessLogEntry
-		code policy.Code
+		code policy.ResultCode
 	}{
 		{"200", line(200, nil), policy.OK}, {"404", line(404, nil), policy.OK}, {"500", line(500, nil), policy.Error},
-		{"503", line(503, nil), policy.Error}, {"turned away", line(503, nil, "x-not-run"), policy.Full},
+		{"503", line(503, nil), policy.Error}, {"turned away", line(503, nil, "x-not-run"), policy.Rejected},
 		{"UF", line(503, &datav3.ResponseFlags{UpstreamConnectionFailure: true}), policy.ConnectFailed},
 		{"UC", line(503, &datav3.ResponseFlags{UpstreamConnectionTermination: true}), policy.Reset},
 		{"UT", line(504, &datav3.ResponseFlags{UpstreamRequestTimeout: true}), policy.TimedOut},
-		{"UO", line(503, &datav3.ResponseFlags{UpstreamOverflow: true}), policy.Moot},
+		{"UO", line(503, &datav3.ResponseFlags{UpstreamOverflow: true}), policy.TooLate},
 		{"DC", line(0, &datav3.ResponseFlags{DownstreamConnectionTermination: true}), policy.Cancelled},
 		{"nothing", line(0, nil), policy.Cancelled},
 	} {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -211,7 +211,7 @@
 		if err != nil {
 			return err
 		}
-		g.members(policy.Whole, list)
+		g.members(policy.SnapshotUpdate, list)
 		return nil
 	}
 	o := fleet.Options{Network: g.o.Network, Address: s.EDSAddress, Cluster: s.EDSCluster,
@@ -228,7 +228,7 @@
 	return nil
 }
 
-func (g *Gateway) members(kind policy.MembersKind, list []node.Server) {
+func (g *Gateway) members(kind policy.EndpointUpdateKind, list []node.Server) {
 	if g.o.Deafen != nil {
 		list = g.o.Deafen(list)
 	}
@@ -248,7 +248,7 @@
 	s := authz.Settings{Classes: map[string]authz.Class{}, Plans: map[string]authz.Plan{}, Targets: len(a.Addresses),
 		Timeout: a.Timeout, Most: a.MostOut, Seed: seed}
 	for _, c := range cfg.Classes {
-		s.Classes[c.Name] = authz.Class{Mode: names[c.Authorisation], Aim: c.Aim, Worth: c.Worth, Remember: c.Remember}
+		s.Classes[c.Name] = authz.Class{Mode: names[c.Authorisation], Aim: c.LatencyObjective, Worth: c.Worth, Remember: c.Remember}
 	}
 	for _, p := range cfg.Plans {
 		s.Plans[p.Name] = authz.Plan{Rate: p.Rate, Burst: p.Burst}
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -25,16 +25,16 @@
 // storedAt is when an earlier build wrote testdata/stores.
 var storedAt = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-var storedStores = []policy.Memory{
-	{Key: 17446744073709551557, Plan: "basic", First: 2, Spread: 5, Store: 12.5},
-	{Key: 7, Plan: "extended", First: 0, Spread: 1, Store: 0},
+var storedStores = []policy.CustomerSnapshot{
+	{Key: 17446744073709551557, Plan: "basic", FirstGateway: 2, GatewaySpread: 5, Tokens: 12.5},
+	{Key: 7, Plan: "extended", FirstGateway: 0, GatewaySpread: 1, Tokens: 0},
 }
 
 // The customers' stores that an earlier build remembered come back, and are written
 // with the same bytes again.
 func TestStoresOfAnEarlierBuild(t *testing.T) {
 	got, err := readMemory("testdata", 3, storedAt.Add(5*time.Second))
-	if want := (policy.Recall{Age: 5 * time.Second, Customers: storedStores}); err != nil || !reflect.DeepEqual(got, want) {
+	if want := (policy.RestoreSnapshot{Age: 5 * time.Second, Customers: storedStores}); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
 	dir := t.TempDir()
--- a/gateway/hard_test.go
+++ b/gateway/hard_test.go
@@ -387,7 +387,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, err := node.New(node.Options{Settings: policy.Settings{Gateways: 1, Resolution: time.Millisecond,
 			Plans:   []policy.Plan{{Name: "p"}},
-			Classes: []policy.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}},
+			Classes: []policy.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second}}},
 			Log: slog.New(slog.NewTextHandler(&log, nil)), Most: 10, Tell: func(int, []byte) {}, Upstream: silent{}})
 		if err != nil {
 			t.Fatal(err)
@@ -395,7 +395,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() { n.Run(ctx); close(ended) }()
-		n.Members(policy.Whole, []node.Server{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
+		n.Members(policy.SnapshotUpdate, []node.Server{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
 		answers := make(chan node.Answer, 10)
 		try := func() *node.Try {
 			return &node.Try{Class: "c", Customer: "x", Plan: "p", Units: 1, Spread: 1, Patience: time.Second}
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -40,7 +40,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func writeMemory(dir string, node int, now time.Time, list []policy.Memory) error {
+func writeMemory(dir string, node int, now time.Time, list []policy.CustomerSnapshot) error {
 	stores, err := json.Marshal(list)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 
 // readMemory reads what an earlier process wrote; nothing where there is none or it
 // is too old.
-func readMemory(dir string, node int, now time.Time) (r policy.Recall, err error) {
+func readMemory(dir string, node int, now time.Time) (r policy.RestoreSnapshot, err error) {
 	b, err := os.ReadFile(filepath.Join(dir, memoryFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return r, nil
@@ -75,7 +75,7 @@
 	}
 	// A clock set back makes it no younger than just written.
 	if r.Age = max(0, now.Sub(m.Wrote)); r.Age > memoryKeep {
-		return policy.Recall{}, nil
+		return policy.RestoreSnapshot{}, nil
 	}
 	return r, json.Unmarshal(m.Stores, &r.Customers)
 }
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -45,7 +45,7 @@
 func TestTornMemory(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	list := []policy.Memory{{Key: 7, Plan: "p", Spread: 3, Store: 2.5}, {Key: 8, Plan: "q", Spread: 1, Store: 1}}
+	list := []policy.CustomerSnapshot{{Key: 7, Plan: "p", GatewaySpread: 3, Tokens: 2.5}, {Key: 8, Plan: "q", GatewaySpread: 1, Tokens: 1}}
 	if r, err := readMemory(dir, 3, now); err != nil || len(r.Customers) != 0 {
 		t.Errorf("of nothing: %+v, %v", r, err)
 	}
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -154,7 +154,7 @@
 		return t, refusal(node.NoRoute, "no class of requests has this method and path")
 	}
 	t.Class, t.Units = class.Name, class.Units
-	if class.Effect == policy.Keyed && c.Header.Get(fieldKey) == "" {
+	if class.Idempotency == policy.IdempotentWithKey && c.Header.Get(fieldKey) == "" {
 		return t, refusal(node.BadRequest, "requests of class %s need the field %s", class.Name, fieldKey)
 	}
 	t.Patience = class.Deadline
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -133,12 +133,12 @@
 	case "MEMBERSHIP":
 		kind, known := memberKinds[f.text()]
 		f.skip() // the list's version
-		m := policy.Members{Kind: kind}
+		m := policy.EndpointUpdate{Kind: kind}
 		page := f.text()
 		if f.err == nil && !known {
 			return it, false, d.fail("MEMBERSHIP: unknown kind")
 		}
-		if f.err == nil && kind != policy.AskFailed {
+		if f.err == nil && kind != policy.WatchFailed {
 			n, err := strconv.Atoi(page)
 			list, have := d.tables[n]
 			if err != nil || !have {
@@ -148,29 +148,29 @@
 		}
 		it.Event = m
 	case "INGRESS":
-		r := policy.Request{ID: f.id(), Spread: f.int(), Class: f.text(), First: f.int(), Remaining: f.ms()}
+		r := policy.Request{ID: f.id(), GatewaySpread: f.int(), Class: f.text(), FirstGateway: f.int(), Remaining: f.ms()}
 		r.Units = f.num()
-		r.Retry = f.int()&2 != 0
+		r.ClientRetry = f.int()&2 != 0
 		r.Customer = f.text()
 		r.Plan = f.text()
 		it.Event = r
 	case "ACCEPTED":
-		it.Event = policy.Started{ID: f.id(), Attempt: f.int(), Server: f.server()}
+		it.Event = policy.ResponseStarted{ID: f.id(), Attempt: f.int(), Server: f.server()}
 		f.skip() // latency
 	case "VERDICT":
-		o := policy.Outcome{ID: f.id(), Attempt: f.int()}
+		o := policy.AttemptResult{ID: f.id(), Attempt: f.int()}
 		f.skip() // the meter's figure: peers' totals are what counts here
 		o.Latency = f.ms()
 		o.Server = f.server()
-		o.Over = f.bool()
-		o.Actual = f.num()
+		o.Answered = f.bool()
+		o.ActualUnits = f.num()
 		o.Code = f.code()
-		o.Load = f.row()
+		o.LoadMetrics = f.row()
 		it.Event = o
 	case "LAPSED":
-		it.Event = policy.Gone{ID: f.id()}
+		it.Event = policy.ClientDisconnected{ID: f.id()}
 	case "ELAPSED":
-		it.Event = policy.Timer{Token: f.text()}
+		it.Event = policy.TimerFired{Token: f.text()}
 	case "WHISPER":
 		it.Event = policy.PeerMessage{From: f.int(), Data: f.bytes()}
 	case "PROBE_RESULT":
@@ -192,16 +192,16 @@
 	return it, true, nil
 }
 
-var memberKinds = map[string]policy.MembersKind{"changes": policy.Changes, "all": policy.Whole,
-	"remembered": policy.Remembered, "refused": policy.AskFailed}
+var memberKinds = map[string]policy.EndpointUpdateKind{"changes": policy.DeltaUpdate, "all": policy.SnapshotUpdate,
+	"remembered": policy.CachedUpdate, "refused": policy.WatchFailed}
 
-var states = map[string]policy.State{"Running": policy.Running, "Stopping": policy.Draining,
+var states = map[string]policy.ServerState{"Running": policy.Running, "Stopping": policy.Draining,
 	"Deleted": policy.Removed}
 
-var codes = map[string]policy.Code{"OK": policy.OK, "INTERNAL": policy.Error,
-	"RESOURCE_EXHAUSTED": policy.Full, "DEADLINE_EXCEEDED": policy.TimedOut,
+var codes = map[string]policy.ResultCode{"OK": policy.OK, "INTERNAL": policy.Error,
+	"RESOURCE_EXHAUSTED": policy.Rejected, "DEADLINE_EXCEEDED": policy.TimedOut,
 	"UNAVAILABLE": policy.ConnectFailed, "ABORTED": policy.Reset, "CANCELLED": policy.Cancelled,
-	"TOO_LATE": policy.Moot}
+	"TOO_LATE": policy.TooLate}
 
 func (d *Decoder) table(f *parser) error {
 	page, n := f.int(), f.int()
@@ -222,7 +222,7 @@
 			return d.fail("a list entry starts with M, not %q", clip(s))
 		}
 		start := e.num()
-		sv := policy.Server{HasStart: start > 0, Start: duration(start), Weight: e.num(), Zone: e.text()}
+		sv := policy.Server{HasStartTime: start > 0, StartedAt: duration(start), Weight: e.num(), Zone: e.text()}
 		sv.Cell = e.int()
 		state, known := states[e.text()]
 		e.skip() // the machine's kind
@@ -313,7 +313,7 @@
 
 func (p *parser) bool() bool { return p.text() == "1" }
 
-func (p *parser) code() policy.Code {
+func (p *parser) code() policy.ResultCode {
 	w := p.text()
 	c, known := codes[w]
 	if !known {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -18,18 +18,18 @@
 		b = append(b, node...)
 	}
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.StartAttempt:
 		start("SEND")
 		b = appendID(b, a.ID)
 		b = append(b, ' ')
 		b = strconv.AppendUint(b, uint64(a.Server), 10)
 		b = appendMS(b, a.Timeout)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		start("UNDO_SEND")
 		b = appendID(b, a.ID)
 		b = append(b, ' ')
 		b = strconv.AppendInt(b, int64(a.Attempt), 10)
-	case policy.Refuse:
+	case policy.Reject:
 		start("PUSH_BACK")
 		b = appendID(b, a.ID)
 		b = appendMS(b, a.RetryAfter)
@@ -41,7 +41,7 @@
 		b = append(b, ' ')
 		b = append(b, a.Token...)
 		b = appendMS(b, a.After)
-	case policy.Tell:
+	case policy.SendPeerMessage:
 		start("POST")
 		b = append(b, ' ')
 		b = strconv.AppendInt(b, int64(a.To), 10)
@@ -50,7 +50,7 @@
 			b = append(b, '-')
 		}
 		b = base64.StdEncoding.AppendEncode(b, a.Data)
-	case policy.Watch:
+	case policy.WatchEndpoints:
 		start("LISTEN")
 		b = append(b, " 1"...)
 	case policy.Log:
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -32,11 +32,11 @@
 func (f *facts) int(key string) int          { return int(f.num(key)) }
 func (f *facts) bool(key string) bool        { return f.m[key] == "true" || f.m[key] == "1" }
 
-var effects = map[string]policy.Effect{"repeatable": policy.Safe, "by_key": policy.Keyed,
-	"once": policy.Unsafe}
+var effects = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentWithKey,
+	"once": policy.NonIdempotent}
 
-var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll,
-	"zone": policy.GroupZone, "cell": policy.GroupCell}
+var groups = map[string]policy.DedupScope{"": policy.DedupAllServers, "all": policy.DedupAllServers,
+	"zone": policy.DedupZone, "cell": policy.DedupCell}
 
 // settings reads the pairs of a CONFIGURE line.
 func settings(pairs []string) (policy.Settings, error) {
@@ -59,22 +59,22 @@
 func Settings(m map[string]string) (policy.Settings, error) {
 	f := facts{m: m}
 	s := policy.Settings{
-		Me: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
+		SelfIndex: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
 		Resolution: f.ms("tick_ms"), MaxAttempts: f.int("caps.max_attempts"),
-		CanCancel: f.bool("caps.cancel"), CanTell: f.bool("caps.peers"),
-		MailPerSecond: f.num("family_info.mail_per_s"), LargestUnits: f.num("family_info.largest"),
-		MustAsk:       f.m["discovery"] == "ask",
-		SizeKnown:     f.m["weight_kind"] == "nominal" || f.m["weight_kind"] == "rough",
-		CrossZoneCost: f.num("charges.cross_zone"),
-		AnswerSlack:   f.ms("rules.answer_slack_ms"), ColdShare: f.num("rules.cold_share"),
-		WarmWithin: f.ms("rules.warm_within_ms"), FallMultiple: f.num("rules.fall_multiple"),
-		FallTime: f.ms("rules.fall_ms"),
+		CanCancel: f.bool("caps.cancel"), CanMessagePeers: f.bool("caps.peers"),
+		PeerMessagesPerSecond: f.num("family_info.mail_per_s"), MaxRequestUnits: f.num("family_info.largest"),
+		MustWatchEndpoints: f.m["discovery"] == "ask",
+		WeightIsCapacity:   f.m["weight_kind"] == "nominal" || f.m["weight_kind"] == "rough",
+		CrossZoneCost:      f.num("charges.cross_zone"),
+		ResponseGrace:      f.ms("rules.answer_slack_ms"), InitialCapacity: f.num("rules.cold_share"),
+		WarmupTime: f.ms("rules.warm_within_ms"), ColdOverloadFactor: f.num("rules.fall_multiple"),
+		ColdOverloadTime: f.ms("rules.fall_ms"),
 	}
 	if f.bool("caps.retry_after") {
 		s.MaxRetryAfter = f.ms("caps.max_retry_after_ms")
 	}
 	if names := f.m["report.names"]; names != "" {
-		s.ReportNames = strings.Split(names, ",")
+		s.LoadMetricNames = strings.Split(names, ",")
 	}
 	count := func(key string) int {
 		n := f.int(key)
@@ -91,15 +91,15 @@
 		if (!known || !grouped) && f.err == nil {
 			f.err = fmt.Errorf("%ssemantics or %sgroup: unknown", k, k)
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], Aim: f.ms(k + "aim_ms"),
-			Deadline: f.ms(k + "hard_limit_ms"), Effect: effect, Group: group,
-			Window: f.ms(k + "window_ms"), Stream: f.bool(k + "stream")})
+		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], LatencyObjective: f.ms(k + "aim_ms"),
+			Deadline: f.ms(k + "hard_limit_ms"), Idempotency: effect, DedupScope: group,
+			DedupWindow: f.ms(k + "window_ms"), Streaming: f.bool(k + "stream")})
 	}
 	for i := range count("plans.count") {
 		k := "plans." + strconv.Itoa(i) + "."
 		s.Plans = append(s.Plans, policy.Plan{Name: f.m[k+"name"], Rate: f.num(k + "rate"),
-			Burst: f.num(k + "store_size"), Open: f.int(k + "parallel"),
-			BeyondEarns: f.num(k + "beyond_earns"), BeyondCosts: f.num(k + "beyond_costs"),
+			Burst: f.num(k + "store_size"), MaxInFlight: f.int(k + "parallel"),
+			OverQuotaValue: f.num(k + "beyond_earns"), OverQuotaCost: f.num(k + "beyond_costs"),
 			HardRate: f.num(k + "hard_rate"), HardBurst: f.num(k + "hard_burst")})
 	}
 	return s, f.err
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,17 +33,17 @@
 `
 	const id = 0x365762575d3a91c4
 	servers := []policy.Server{{ID: 7, Zone: "room-a", Cell: 3, Weight: 1},
-		{ID: 8, Zone: "room-b", Cell: 4, State: policy.Draining, HasStart: true, Start: 6100 * ms, Weight: 1.5}}
+		{ID: 8, Zone: "room-b", Cell: 4, State: policy.Draining, HasStartTime: true, StartedAt: 6100 * ms, Weight: 1.5}}
 	want := []any{
-		policy.Members{Kind: policy.Remembered, Servers: servers},
-		policy.Members{Kind: policy.AskFailed},
-		policy.Request{ID: id, Spread: 3, Class: "lookup", First: 1, Remaining: 240 * ms, Units: 2,
-			Retry: true, Customer: "acct:k", Plan: "basic"},
-		policy.Outcome{ID: id, Latency: 18500 * time.Microsecond, Server: 7, Over: true, Actual: 3,
-			Load: []float64{1, 0.5}},
-		policy.Started{ID: id, Attempt: 1, Server: 7},
-		policy.Gone{ID: id},
-		policy.Timer{Token: "tick"},
+		policy.EndpointUpdate{Kind: policy.CachedUpdate, Servers: servers},
+		policy.EndpointUpdate{Kind: policy.WatchFailed},
+		policy.Request{ID: id, GatewaySpread: 3, Class: "lookup", FirstGateway: 1, Remaining: 240 * ms, Units: 2,
+			ClientRetry: true, Customer: "acct:k", Plan: "basic"},
+		policy.AttemptResult{ID: id, Latency: 18500 * time.Microsecond, Server: 7, Answered: true, ActualUnits: 3,
+			LoadMetrics: []float64{1, 0.5}},
+		policy.ResponseStarted{ID: id, Attempt: 1, Server: 7},
+		policy.ClientDisconnected{ID: id},
+		policy.TimerFired{Token: "tick"},
 		policy.PeerMessage{From: 2, Data: []byte("hi 7")},
 		nil, nil, Kill{},
 	}
@@ -99,23 +99,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Me != 1 || s.Gateways != 3 || s.Resolution != 2*ms || s.MaxRetryAfter != 500*ms || !s.MustAsk ||
-		!s.SizeKnown || len(s.ReportNames) != 2 || s.Classes[0].Aim != 80500*time.Microsecond ||
-		s.Classes[0].Effect != policy.Keyed || s.Classes[0].Group != policy.GroupCell ||
-		s.Plans[0].Rate != 0.7 || s.Plans[0].Open != 2 {
+	if s.SelfIndex != 1 || s.Gateways != 3 || s.Resolution != 2*ms || s.MaxRetryAfter != 500*ms || !s.MustWatchEndpoints ||
+		!s.WeightIsCapacity || len(s.LoadMetricNames) != 2 || s.Classes[0].LatencyObjective != 80500*time.Microsecond ||
+		s.Classes[0].Idempotency != policy.IdempotentWithKey || s.Classes[0].DedupScope != policy.DedupCell ||
+		s.Plans[0].Rate != 0.7 || s.Plans[0].MaxInFlight != 2 {
 		t.Errorf("%+v", s)
 	}
 }
 
 func TestAppend(t *testing.T) {
 	for want, a := range map[string]policy.Action{
-		"SEND n/1 00000000000000ff 7 80.500":   policy.Send{ID: 255, Server: 7, Timeout: 80500 * time.Microsecond},
-		"UNDO_SEND n/1 0000000000000001 2":     policy.Cancel{ID: 1, Attempt: 2},
-		"PUSH_BACK n/1 0000000000000001 5.000": policy.Refuse{ID: 1, RetryAfter: 5 * ms},
+		"SEND n/1 00000000000000ff 7 80.500":   policy.StartAttempt{ID: 255, Server: 7, Timeout: 80500 * time.Microsecond},
+		"UNDO_SEND n/1 0000000000000001 2":     policy.CancelAttempt{ID: 1, Attempt: 2},
+		"PUSH_BACK n/1 0000000000000001 5.000": policy.Reject{ID: 1, RetryAfter: 5 * ms},
 		"REPORT_FAILURE n/1 0000000000000001":  policy.Fail{ID: 1},
 		"SET_ALARM n/1 tick 5.000":             policy.SetTimer{Token: "tick", After: 5 * ms},
-		"POST n/1 2 aGkgNw==":                  policy.Tell{To: 2, Data: []byte("hi 7")},
-		"LISTEN n/1 1":                         policy.Watch{},
+		"POST n/1 2 aGkgNw==":                  policy.SendPeerMessage{To: 2, Data: []byte("hi 7")},
+		"LISTEN n/1 1":                         policy.WatchEndpoints{},
 		"SAY_LOG n/1 two lines":                policy.Log{Text: "two\nlines"},
 	} {
 		if got := string(Append(nil, "n/1", a)); got != want+"\n" {
--- a/lab/quota.go
+++ b/lab/quota.go
@@ -330,13 +330,13 @@
 	n.tries, n.sent, n.parts, n.tl = map[policy.RequestID]*customer{}, map[policy.RequestID]int{}, map[string]*bucket{}, nil
 	n.tokens, n.mailAt = mailRate/2, n.f.now
 	var err error
-	n.gw, err = policy.New(policy.Settings{Me: n.num, Gateways: n.size, Resolution: time.Millisecond, MaxAttempts: 2,
-		CanCancel: true, CanTell: n.size > 1, MailPerSecond: mailRate, LargestUnits: 1, Plans: []policy.Plan{plan},
-		Classes: []policy.Class{{Name: "lookup", Aim: 800 * time.Millisecond, Deadline: 3 * time.Second}}}, n.f.e.Seed*1000+uint64(n.num)+n.inc<<32)
+	n.gw, err = policy.New(policy.Settings{SelfIndex: n.num, Gateways: n.size, Resolution: time.Millisecond, MaxAttempts: 2,
+		CanCancel: true, CanMessagePeers: n.size > 1, PeerMessagesPerSecond: mailRate, MaxRequestUnits: 1, Plans: []policy.Plan{plan},
+		Classes: []policy.Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second}}}, n.f.e.Seed*1000+uint64(n.num)+n.inc<<32)
 	if err != nil {
 		return err
 	}
-	list := policy.Members{Kind: policy.Whole}
+	list := policy.EndpointUpdate{Kind: policy.SnapshotUpdate}
 	for i := range 20 * n.f.e.Nodes {
 		list.Servers = append(list.Servers, policy.Server{ID: policy.ServerID(i), Weight: 1})
 		if i == 100 {
@@ -392,7 +392,7 @@
 		f.nextID++
 		n.tries[f.nextID] = c
 		n.feed(policy.Request{ID: f.nextID, Customer: c.name, Plan: plan.Name, Class: "lookup", Units: 1,
-			Remaining: 2 * time.Second, First: c.first, Spread: len(c.weights)})
+			Remaining: 2 * time.Second, FirstGateway: c.first, GatewaySpread: len(c.weights)})
 	}
 }
 
@@ -419,15 +419,15 @@
 	}
 	for _, a := range n.gw.Handle(f.now, ev, nil) {
 		switch a := a.(type) {
-		case policy.Send:
+		case policy.StartAttempt:
 			c := n.tries[a.ID]
 			if n.sent[a.ID]++; n.sent[a.ID] == 1 && c != nil {
 				f.admit(n, c)
 			}
-			later(work, policy.Outcome{ID: a.ID, Attempt: n.sent[a.ID] - 1, Server: a.Server, Code: policy.OK, Latency: work, Over: true})
+			later(work, policy.AttemptResult{ID: a.ID, Attempt: n.sent[a.ID] - 1, Server: a.Server, Code: policy.OK, Latency: work, Answered: true})
 		case policy.SetTimer:
-			later(a.After, policy.Timer{Token: a.Token})
-		case policy.Tell:
+			later(a.After, policy.TimerFired{Token: a.Token})
+		case policy.SendPeerMessage:
 			if a.To >= 0 {
 				f.mail(n, a.To, func(to *instance) { to.feed(policy.PeerMessage{From: n.num, Data: a.Data}) })
 				break
@@ -486,7 +486,7 @@
 				}
 			})
 		case tally.Restore:
-			n.feed(policy.Level{Customer: a.Customer, Units: a.Units})
+			n.feed(policy.UsageLevel{Customer: a.Customer, Units: a.Units})
 		}
 	}
 }
@@ -604,7 +604,7 @@
 				}
 			case i >= old:
 				n.up(size)
-				n.feed(policy.Fleet{Gateways: size, Was: -1})
+				n.feed(policy.FleetResized{Gateways: size, PreviousSize: -1})
 			}
 		})
 		word := func() time.Duration { return time.Duration(f.rng.Int64N(int64(wording))) }
@@ -630,7 +630,7 @@
 // resized tells a running node of the fleet's size.
 func (n *instance) resized(size, was int) {
 	n.size = size
-	n.feed(policy.Fleet{Gateways: size, Was: was})
+	n.feed(policy.FleetResized{Gateways: size, PreviousSize: was})
 	if n.tl != nil {
 		n.tl.Share(callRate / float64(size))
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -73,8 +73,8 @@
 	gw      *policy.Gateway
 	seed    uint64
 	now     time.Duration
-	fleet   policy.Fleet // the last one, as a module made anew must hear it
-	gaps    int64        // that the loop knows of
+	fleet   policy.FleetResized // the last one, as a module made anew must hear it
+	gaps    int64               // that the loop knows of
 	barrier stall.Barrier
 	held    []item // what waits behind it
 	wheel   timers.Wheel
@@ -110,7 +110,7 @@
 	live      bool // an attempt is out
 	server    policy.ServerID
 	sentAt    time.Duration
-	last      policy.Code // how the last attempt ended
+	last      policy.ResultCode // how the last attempt ended
 	detail    string
 	check     int // the Check that is out
 	checkAt   time.Duration
@@ -312,16 +312,16 @@
 
 // Recall gives the module what an earlier process remembered; before any try is
 // taken.
-func (n *Node) Recall(r policy.Recall) { n.post(stall.Other, func() { n.feed(r) }) }
+func (n *Node) Recall(r policy.RestoreSnapshot) { n.post(stall.Other, func() { n.feed(r) }) }
 
 // Remember returns what is to outlive the process, looking at some customers in each
 // turn of the loop; false where the loop has ended.
-func (n *Node) Remember(ctx context.Context) (list []policy.Memory, ok bool) {
+func (n *Node) Remember(ctx context.Context) (list []policy.CustomerSnapshot, ok bool) {
 	const most = 2000
 	for from, first := 0, true; first || from > 0; first = false {
 		done := make(chan struct{})
 		n.post(stall.Other, func() {
-			list, from = n.gw.Remember(n.now, from, most, list)
+			list, from = n.gw.SaveSnapshot(n.now, from, most, list)
 			close(done)
 		})
 		select {
@@ -337,28 +337,28 @@
 // loop only.
 func (n *Node) Resize(gateways, was int) {
 	n.o.Settings.Gateways = gateways
-	if n.fleet = (policy.Fleet{Gateways: gateways, Was: was}); was != 0 {
-		n.fleet.Was = -1 // for a module made anew meanwhile, which holds nothing yet
+	if n.fleet = (policy.FleetResized{Gateways: gateways, PreviousSize: was}); was != 0 {
+		n.fleet.PreviousSize = -1 // for a module made anew meanwhile, which holds nothing yet
 	}
-	n.feed(policy.Fleet{Gateways: gateways, Was: was})
+	n.feed(policy.FleetResized{Gateways: gateways, PreviousSize: was})
 	n.settle()
 }
 
 // Level tells the module how full a customer's store is; from the loop only.
 func (n *Node) Level(customer string, units float64) {
-	n.feed(policy.Level{Customer: customer, Units: units})
+	n.feed(policy.UsageLevel{Customer: customer, Units: units})
 }
 
 // Members tells of the server list.
-func (n *Node) Members(kind policy.MembersKind, list []Server) {
+func (n *Node) Members(kind policy.EndpointUpdateKind, list []Server) {
 	n.post(stall.Listed, func() {
-		m := policy.Members{Kind: kind}
-		if kind == policy.Whole || kind == policy.Remembered {
+		m := policy.EndpointUpdate{Kind: kind}
+		if kind == policy.SnapshotUpdate || kind == policy.CachedUpdate {
 			clear(n.servers)
 		}
 		for _, s := range list {
 			if !s.Started.IsZero() {
-				s.HasStart, s.Start = true, s.Started.Sub(n.base)
+				s.HasStartTime, s.StartedAt = true, s.Started.Sub(n.base)
 			}
 			if n.servers[s.ID] = s; s.State == policy.Removed {
 				delete(n.servers, s.ID)
@@ -390,7 +390,7 @@
 }
 
 // Break makes the module panic at its next event; for tests.
-func (n *Node) Break() { n.post(stall.Other, func() { n.gw = nil; n.feed(policy.Timer{}) }) }
+func (n *Node) Break() { n.post(stall.Other, func() { n.gw = nil; n.feed(policy.TimerFired{}) }) }
 
 // Finish lets no more tries in, and gives what is not answered its final answer now: a
 // refusal where nothing was sent, so that a repeat is harmless.
@@ -408,7 +408,7 @@
 			if r.attempts == 0 {
 				a.Kind, a.RetryAfter = Refused, n.o.Settings.MaxRetryAfter
 			}
-			n.feed(policy.Gone{ID: r.id})
+			n.feed(policy.ClientDisconnected{ID: r.id})
 			n.answer(r, a)
 			if r.live {
 				n.attemptEnded(r, r.attempts-1, Result{Code: policy.Cancelled, Detail: "the node ends"})
@@ -569,7 +569,7 @@
 		n.o.Ledger.Seen(t)
 	}
 	n.feed(policy.Request{ID: r.id, Customer: t.Customer, Plan: t.Plan, Class: t.Class, Units: t.Units,
-		Remaining: r.deadline - n.now, First: t.First, Spread: t.Spread, Retry: t.Repeat})
+		Remaining: r.deadline - n.now, FirstGateway: t.First, GatewaySpread: t.Spread, ClientRetry: t.Repeat})
 }
 
 // feed queues an event for the module.
@@ -616,7 +616,7 @@
 	}
 	n.gw = gw
 	n.fifo, n.head = n.fifo[:0], 0
-	m := policy.Members{Kind: policy.Remembered}
+	m := policy.EndpointUpdate{Kind: policy.CachedUpdate}
 	for _, s := range n.servers {
 		m.Servers = append(m.Servers, s.Server)
 	}
@@ -639,13 +639,13 @@
 // act carries out one action of the module.
 func (n *Node) act(a policy.Action) {
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.StartAttempt:
 		n.send(a)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		if r := n.reqs[a.ID]; r != nil && r.live && a.Attempt == r.attempts-1 && !r.try.Proxied {
 			n.attemptEnded(r, a.Attempt, Result{Code: policy.Cancelled, Detail: "called back"})
 		}
-	case policy.Refuse:
+	case policy.Reject:
 		if r := n.reqs[a.ID]; r != nil {
 			n.answer(r, Answer{Kind: Refused, Reason: n.reason(r, a.Reason), RetryAfter: a.RetryAfter})
 			n.done(r)
@@ -656,14 +656,14 @@
 			n.done(r)
 		}
 	case policy.SetTimer:
-		n.wheel.Add(n.now+a.After, func() { n.feed(policy.Timer{Token: a.Token}) })
-	case policy.Tell:
+		n.wheel.Add(n.now+a.After, func() { n.feed(policy.TimerFired{Token: a.Token}) })
+	case policy.SendPeerMessage:
 		if a.To >= 0 || n.o.TellAll {
 			n.o.Tell(a.To, a.Data)
 			break
 		}
 		for i := range n.o.Settings.Gateways {
-			if i != n.o.Settings.Me {
+			if i != n.o.Settings.SelfIndex {
 				n.o.Tell(i, a.Data)
 			}
 		}
@@ -673,7 +673,7 @@
 }
 
 // send starts an attempt. What is too late, or over, is not sent.
-func (n *Node) send(a policy.Send) {
+func (n *Node) send(a policy.StartAttempt) {
 	r := n.reqs[a.ID]
 	if r == nil {
 		return
@@ -683,7 +683,7 @@
 	attempt := r.attempts - 1
 	left := r.deadline - n.now
 	if r.state == answered || left <= 0 {
-		n.attemptEnded(r, attempt, Result{Code: policy.Moot, Detail: "too late to send"})
+		n.attemptEnded(r, attempt, Result{Code: policy.TooLate, Detail: "too late to send"})
 		return
 	}
 	if a.Timeout > 0 {
@@ -739,7 +739,7 @@
 	if res.Latency == 0 {
 		res.Latency = n.o.Clock.Ran(r.sentAt, n.now)
 	}
-	n.feed(policy.Outcome{ID: r.id, Attempt: attempt, Server: r.server, Code: res.Code, Latency: res.Latency, Over: over})
+	n.feed(policy.AttemptResult{ID: r.id, Attempt: attempt, Server: r.server, Code: res.Code, Latency: res.Latency, Answered: over})
 	n.done(r)
 }
 
@@ -766,7 +766,7 @@
 		return
 	}
 	n.o.Log.Warn("the module gave no answer by the deadline", "trace", r.try.Trace, "class", r.try.Class)
-	n.feed(policy.Gone{ID: r.id})
+	n.feed(policy.ClientDisconnected{ID: r.id})
 	a := Answer{Kind: Failed, Reason: NoTime}
 	if r.attempts == 0 {
 		a.Kind = Refused // nothing ran
@@ -787,10 +787,10 @@
 		return
 	}
 	n.leaveCheck(r)
-	n.feed(policy.Gone{ID: r.id})
+	n.feed(policy.ClientDisconnected{ID: r.id})
 	n.answer(r, Answer{Kind: Failed, Reason: ClientGone})
 	if r.live && r.withdraw != nil && r.withdraw() {
-		n.attemptEnded(r, r.attempts-1, Result{Code: policy.Moot, Detail: "the client left before it was sent"})
+		n.attemptEnded(r, r.attempts-1, Result{Code: policy.TooLate, Detail: "the client left before it was sent"})
 	}
 	n.done(r)
 }
@@ -860,7 +860,7 @@
 
 // reason names the module's reason, or how the last attempt ended.
 func (n *Node) reason(r *request, why policy.Reason) Reason {
-	if why == policy.Attempted || r.attempts > 0 && why == policy.NoServer {
+	if why == policy.ReasonAttemptsExhausted || r.attempts > 0 && why == policy.ReasonNoServer {
 		switch r.last {
 		case policy.TimedOut, policy.Cancelled:
 			return ServerLate
@@ -868,24 +868,24 @@
 			return ServerGone
 		case policy.Error:
 			return ServerError
-		case policy.Full:
+		case policy.Rejected:
 			return ServerFull
-		case policy.Moot:
+		case policy.TooLate:
 			return NoTime
 		}
 	}
 	switch why {
-	case policy.OverQuota:
+	case policy.ReasonQuotaExceeded:
 		return Quota
-	case policy.OverCap:
+	case policy.ReasonInFlightLimit:
 		return OpenCap
-	case policy.OverHard:
+	case policy.ReasonCeilingExceeded:
 		return Ceiling
-	case policy.NoServer:
+	case policy.ReasonNoServer:
 		return NoServer
-	case policy.NoTime:
+	case policy.ReasonNoTime:
 		return NoTime
-	case policy.NoRoot:
+	case policy.ReasonNoQuotaLeader:
 		return QuotaUnknown
 	}
 	return Shed // also a reason that a newer root gave
--- a/node/types.go
+++ b/node/types.go
@@ -119,7 +119,7 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Code     policy.Code
+	Code     policy.ResultCode
 	Response *Response     // of OK, and of Error where there was one
 	Detail   string        // for logs
 	Latency  time.Duration // from Decided on, as measured where the attempt was made; 0: by the node
--- a/policy/api.go
+++ b/policy/api.go
@@ -8,74 +8,74 @@
 // ServerID names a server; it is the same at every gateway.
 type ServerID uint32
 
-// Effect says what a repeat of a request does.
-type Effect int
+// Idempotency says what a repeat of a request does.
+type Idempotency int
 
 // The kinds of effect.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are dropped inside a group of servers, for a time
-	Unsafe               // must not run twice
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // repeats are dropped inside a group of servers, for a time
+	NonIdempotent                        // must not run twice
 )
 
-// Group says which servers drop repeats of a keyed request.
-type Group int
+// DedupScope says which servers drop repeats of a keyed request.
+type DedupScope int
 
 // The groups.
 const (
-	GroupAll  Group = iota // all servers
-	GroupZone              // those of one zone
-	GroupCell              // those of one cell
+	DedupAllServers DedupScope = iota // all servers
+	DedupZone                         // those of one zone
+	DedupCell                         // those of one cell
 )
 
 // Class holds the settings of a class of request.
 type Class struct {
-	Name     string
-	Aim      time.Duration // an answer within it earns full worth
-	Deadline time.Duration // a client waits this long, over all its tries
-	Effect   Effect
-	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: how long repeats are remembered
-	Stream   bool          // the answer is a stream, announced by Started
+	Name             string
+	LatencyObjective time.Duration // an answer within it earns full worth
+	Deadline         time.Duration // a client waits this long, over all its tries
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // for Keyed
+	DedupWindow      time.Duration // for Keyed: how long repeats are remembered
+	Streaming        bool          // the answer is a stream, announced by Started
 }
 
 // Plan holds the quotas of each customer on a plan, over all gateways.
 type Plan struct {
-	Name        string
-	Rate        float64 // units a second; 0: no rate quota
-	Burst       float64 // most units the quota's store holds
-	Open        int     // most attempts out at once; 0: no such quota
-	BeyondEarns float64 // share of the worth earned beyond the quota
-	BeyondCosts float64 // share of the worth charged beyond the quota
-	HardRate    float64 // units a second of the hard ceiling; 0: none
-	HardBurst   float64 // most units the ceiling's store holds
+	Name           string
+	Rate           float64 // units a second; 0: no rate quota
+	Burst          float64 // most units the quota's store holds
+	MaxInFlight    int     // most attempts out at once; 0: no such quota
+	OverQuotaValue float64 // share of the worth earned beyond the quota
+	OverQuotaCost  float64 // share of the worth charged beyond the quota
+	HardRate       float64 // units a second of the hard ceiling; 0: none
+	HardBurst      float64 // most units the ceiling's store holds
 }
 
 // Settings is what a gateway is told at its start.
 type Settings struct {
-	Me       int // number of this gateway, from 0
-	Gateways int // how many gateways there are
-	Zone     string
-	Classes  []Class
-	Plans    []Plan
-
-	Resolution    time.Duration // least time between two events in sequence
-	MaxAttempts   int           // attempts allowed for one request; 0: any number
-	CanCancel     bool          // Cancel is permitted
-	CanTell       bool          // Tell is permitted
-	MailPerSecond float64       // peer messages a gateway takes in a second
-	LargestUnits  float64       // most units of one request
-	MaxRetryAfter time.Duration // longest advice clients heed; 0: no advice
-	MustAsk       bool          // server changes come only to those that Watch
-	SizeKnown     bool          // Server.Weight is the size of the machine
-	CrossZoneCost float64       // charge for an attempt that crosses zones
-	ReportNames   []string      // names of the values in Load
-
-	AnswerSlack  time.Duration // final answers are in time this long after a deadline
-	ColdShare    float64       // a starting server has at least this share of its capacity
-	WarmWithin   time.Duration // and all of it this long after its start
-	FallMultiple float64       // a cold server falls when sent this multiple of its capacity
-	FallTime     time.Duration // for this long
+	SelfIndex int // number of this gateway, from 0
+	Gateways  int // how many gateways there are
+	Zone      string
+	Classes   []Class
+	Plans     []Plan
+
+	Resolution            time.Duration // least time between two events in sequence
+	MaxAttempts           int           // attempts allowed for one request; 0: any number
+	CanCancel             bool          // Cancel is permitted
+	CanMessagePeers       bool          // Tell is permitted
+	PeerMessagesPerSecond float64       // peer messages a gateway takes in a second
+	MaxRequestUnits       float64       // most units of one request
+	MaxRetryAfter         time.Duration // longest advice clients heed; 0: no advice
+	MustWatchEndpoints    bool          // server changes come only to those that Watch
+	WeightIsCapacity      bool          // Server.Weight is the size of the machine
+	CrossZoneCost         float64       // charge for an attempt that crosses zones
+	LoadMetricNames       []string      // names of the values in Load
+
+	ResponseGrace      time.Duration // final answers are in time this long after a deadline
+	InitialCapacity    float64       // a starting server has at least this share of its capacity
+	WarmupTime         time.Duration // and all of it this long after its start
+	ColdOverloadFactor float64       // a cold server falls when sent this multiple of its capacity
+	ColdOverloadTime   time.Duration // for this long
 }
 
 // Names of load report values the module understands.
@@ -84,64 +84,64 @@
 	LoadWaiting = "waiting" // requests queued
 )
 
-// Code says how an attempt ended.
-type Code int
+// ResultCode says how an attempt ended.
+type ResultCode int
 
 // The ends of an attempt. NeverRan tells which prove that it never ran.
 const (
-	OK Code = iota
+	OK ResultCode = iota
 	Error
-	Full
+	Rejected
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	TooLate
 )
 
 // NeverRan reports whether the code proves that the attempt never ran.
-func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == Moot }
+func (c ResultCode) NeverRan() bool { return c == Rejected || c == ConnectFailed || c == TooLate }
 
 // Event is something a gateway is told.
 type Event interface{ event() }
 
 // Request is a client's try. Exactly one final answer is owed for it.
 type Request struct {
-	ID        RequestID
-	Customer  string
-	Plan      string
-	Class     string
-	Units     float64
-	Remaining time.Duration // until the client gives up this try
-	First     int           // the customer comes in through Spread gateways, at least
-	Spread    int           // one, counted round from First; this one is among them
-	Retry     bool          // the client marked it as a repeat
+	ID            RequestID
+	Customer      string
+	Plan          string
+	Class         string
+	Units         float64
+	Remaining     time.Duration // until the client gives up this try
+	FirstGateway  int           // the customer comes in through Spread gateways, at least
+	GatewaySpread int           // one, counted round from First; this one is among them
+	ClientRetry   bool          // the client marked it as a repeat
 }
 
-// Started tells that the answer of a streamed class has begun.
-type Started struct {
+// ResponseStarted tells that the answer of a streamed class has begun.
+type ResponseStarted struct {
 	ID      RequestID
 	Attempt int
 	Server  ServerID
 }
 
-// Outcome tells how an attempt ended; there is one for each Send.
-type Outcome struct {
-	ID      RequestID
-	Attempt int // attempts of a request count from 0
-	Server  ServerID
-	Code    Code
-	Latency time.Duration
-	Over    bool      // the request has its final answer
-	Actual  float64   // true units, where they are settled afterwards; else 0
-	Load    []float64 // load report, as Settings.ReportNames; or nil
+// AttemptResult tells how an attempt ended; there is one for each Send.
+type AttemptResult struct {
+	ID          RequestID
+	Attempt     int // attempts of a request count from 0
+	Server      ServerID
+	Code        ResultCode
+	Latency     time.Duration
+	Answered    bool      // the request has its final answer
+	ActualUnits float64   // true units, where they are settled afterwards; else 0
+	LoadMetrics []float64 // load report, as Settings.ReportNames; or nil
 }
 
-// Gone tells that the client left; nothing more is owed for the request.
-type Gone struct{ ID RequestID }
+// ClientDisconnected tells that the client left; nothing more is owed for the request.
+type ClientDisconnected struct{ ID RequestID }
 
-// Timer tells that a timer set by SetTimer has run out.
-type Timer struct{ Token string }
+// TimerFired tells that a timer set by SetTimer has run out.
+type TimerFired struct{ Token string }
 
 // PeerMessage is what another gateway sent with Tell.
 type PeerMessage struct {
@@ -149,69 +149,69 @@
 	Data []byte
 }
 
-// State is a server's state in the list.
-type State int
+// ServerState is a server's state in the list.
+type ServerState int
 
 // The states of a server.
 const (
-	Running State = iota
+	Running ServerState = iota
 	Draining
 	Removed
 )
 
 // Server is one line of the server list.
 type Server struct {
-	ID       ServerID
-	Zone     string
-	Cell     int
-	State    State
-	HasStart bool
-	Start    time.Duration // time of its last start, where HasStart
-	Weight   float64
+	ID           ServerID
+	Zone         string
+	Cell         int
+	State        ServerState
+	HasStartTime bool
+	StartedAt    time.Duration // time of its last start, where HasStart
+	Weight       float64
 }
 
-// MembersKind says what a Members event holds.
-type MembersKind int
+// EndpointUpdateKind says what a Members event holds.
+type EndpointUpdateKind int
 
 // The kinds of Members event.
 const (
-	Changes    MembersKind = iota // changed servers only
-	Whole                         // the whole list; a server not in it is gone
-	Remembered                    // a whole list, as last held; may be old
-	AskFailed                     // Watch failed; keep the list
+	DeltaUpdate    EndpointUpdateKind = iota // changed servers only
+	SnapshotUpdate                           // the whole list; a server not in it is gone
+	CachedUpdate                             // a whole list, as last held; may be old
+	WatchFailed                              // Watch failed; keep the list
 )
 
-// Members brings the server list or changes to it.
-type Members struct {
-	Kind    MembersKind
+// EndpointUpdate brings the server list or changes to it.
+type EndpointUpdate struct {
+	Kind    EndpointUpdateKind
 	Servers []Server
 }
 
-// Level tells how full a customer's store is, by a witness other than the
+// UsageLevel tells how full a customer's store is, by a witness other than the
 // peers' reports. It counts only where this gateway can't know yet.
-type Level struct {
+type UsageLevel struct {
 	Customer string
 	Units    float64
 }
 
-// Fleet tells that the number of gateways has changed from Was, or, where Was is
+// FleetResized tells that the number of gateways has changed from Was, or, where Was is
 // 0, that all have heard of the last change: from then on the new parts of
 // ceilings hold. Below 0 it held no part before, or can't know. A gateway whose
 // number is not below Gateways is leaving.
-type Fleet struct{ Gateways, Was int }
+type FleetResized struct{ Gateways, PreviousSize int }
 
 // Action is something a gateway wants done.
 type Action interface{ action() }
 
-// Send starts an attempt. Timeout 0 means until the client gives up.
-type Send struct {
+// StartAttempt starts an attempt. Timeout 0 means until the client gives up.
+type StartAttempt struct {
 	ID      RequestID
 	Server  ServerID
 	Timeout time.Duration
 }
 
-// Cancel stops waiting for an attempt; its Outcome still comes.
-type Cancel struct {
+// CancelAttempt stops waiting for an attempt; its Outcome still comes.
+type CancelAttempt struct {
 	ID      RequestID
 	Attempt int
 }
@@ -222,19 +222,19 @@
 
 // The reasons.
 const (
-	NoReason  Reason = iota
-	OverQuota        // the customer's rate quota has no room
-	OverCap          // its cap on attempts out at once was full for too long
-	OverHard         // its hard ceiling has no room
-	Shed             // the gate lets in only a part, or a repeat gives way to first tries
-	NoServer         // no server could take it in time
-	NoTime           // too little time was left
-	NoRoot           // who keeps the customer's counts did not answer
-	Attempted        // attempts were made and no further one may be
+	ReasonNone              Reason = iota
+	ReasonQuotaExceeded            // the customer's rate quota has no room
+	ReasonInFlightLimit            // its cap on attempts out at once was full for too long
+	ReasonCeilingExceeded          // its hard ceiling has no room
+	ReasonLoadShed                 // the gate lets in only a part, or a repeat gives way to first tries
+	ReasonNoServer                 // no server could take it in time
+	ReasonNoTime                   // too little time was left
+	ReasonNoQuotaLeader            // who keeps the customer's counts did not answer
+	ReasonAttemptsExhausted        // attempts were made and no further one may be
 )
 
-// Refuse is the final answer that says a retry is harmless.
-type Refuse struct {
+// Reject is the final answer that says a retry is harmless.
+type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration // advice to the client; 0: none
 	Reason     Reason
@@ -252,33 +252,33 @@
 	After time.Duration
 }
 
-// Tell sends at most 256 bytes to another gateway; it may be lost.
-type Tell struct {
+// SendPeerMessage sends at most 256 bytes to another gateway; it may be lost.
+type SendPeerMessage struct {
 	To   int
 	Data []byte
 }
 
-// Watch asks for the server list and its changes from now on.
-type Watch struct{}
+// WatchEndpoints asks for the server list and its changes from now on.
+type WatchEndpoints struct{}
 
 // Log writes a line for the operators.
 type Log struct{ Text string }
 
-func (Request) event()     {}
-func (Started) event()     {}
-func (Outcome) event()     {}
-func (Gone) event()        {}
-func (Timer) event()       {}
-func (PeerMessage) event() {}
-func (Members) event()     {}
-func (Level) event()       {}
-func (Fleet) event()       {}
-
-func (Send) action()     {}
-func (Cancel) action()   {}
-func (Refuse) action()   {}
-func (Fail) action()     {}
-func (SetTimer) action() {}
-func (Tell) action()     {}
-func (Watch) action()    {}
-func (Log) action()      {}
+func (Request) event()            {}
+func (ResponseStarted) event()    {}
+func (AttemptResult) event()      {}
+func (ClientDisconnected) event() {}
+func (TimerFired) event()         {}
+func (PeerMessage) event()        {}
+func (EndpointUpdate) event()     {}
+func (UsageLevel) event()         {}
+func (FleetResized) event()       {}
+
+func (StartAttempt) action()    {}
+func (CancelAttempt) action()   {}
+func (Reject) action()          {}
+func (Fail) action()            {}
+func (SetTimer) action()        {}
+func (SendPeerMessage) action() {}
+func (WatchEndpoints) action()  {}
+func (Log) action()             {}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -10,13 +10,13 @@
 
 func fleetOf(t *testing.T, me, n int, mail float64) *Gateway {
 	t.Helper()
-	g, err := New(Settings{Me: me, Gateways: n, Resolution: time.Millisecond, MaxAttempts: 2, CanCancel: true, CanTell: true,
-		MailPerSecond: mail, LargestUnits: 1, Plans: []Plan{{Name: "p", Rate: 5, Burst: 10, HardRate: 10, HardBurst: 20}},
-		Classes: []Class{{Name: "lookup", Aim: 800 * time.Millisecond, Deadline: 3 * time.Second}}}, uint64(me)+1)
+	g, err := New(Settings{SelfIndex: me, Gateways: n, Resolution: time.Millisecond, MaxAttempts: 2, CanCancel: true, CanMessagePeers: true,
+		PeerMessagesPerSecond: mail, MaxRequestUnits: 1, Plans: []Plan{{Name: "p", Rate: 5, Burst: 10, HardRate: 10, HardBurst: 20}},
+		Classes: []Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second}}}, uint64(me)+1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Handle(0, Members{Kind: Whole, Servers: []Server{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}}}, nil)
+	g.Handle(0, EndpointUpdate{Kind: SnapshotUpdate, Servers: []Server{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}}}, nil)
 	return g
 }
 
@@ -70,17 +70,17 @@
 			to := 1 + rng.IntN(14)
 			for i := n; i < to; i++ { // those that join start in the middle of the change
 				all[i] = fleetOf(t, i, to, mail)
-				all[i].Handle(0, Fleet{Gateways: to, Was: []int{n, -1}[rng.IntN(2)]}, nil)
+				all[i].Handle(0, FleetResized{Gateways: to, PreviousSize: []int{n, -1}[rng.IntN(2)]}, nil)
 			}
 			for _, i := range rng.Perm(n) {
-				all[i].Handle(time.Second, Fleet{Gateways: to, Was: n}, nil)
+				all[i].Handle(time.Second, FleetResized{Gateways: to, PreviousSize: n}, nil)
 				sums(false, fmt.Sprint("change ", change, " from ", n, " to ", to, ", hearing"))
 			}
 			for i := to; i < n; i++ {
 				delete(all, i)
 			}
 			for _, i := range rng.Perm(to) {
-				all[i].Handle(2*time.Second, Fleet{Gateways: to}, nil)
+				all[i].Handle(2*time.Second, FleetResized{Gateways: to}, nil)
 				sums(false, fmt.Sprint("change ", change, ", over at some"))
 			}
 			sums(true, fmt.Sprint("change ", change, " over"))
@@ -97,11 +97,11 @@
 	ask := func(now time.Duration) (sent, refused int) {
 		id++
 		for _, a := range g.Handle(now, Request{ID: id, Customer: "c", Plan: "p", Class: "lookup", Units: 1, Remaining: 2 * time.Second,
-			First: 0, Spread: 3}, nil) {
+			FirstGateway: 0, GatewaySpread: 3}, nil) {
 			switch a.(type) {
-			case Send:
+			case StartAttempt:
 				sent++
-			case Refuse:
+			case Reject:
 				refused++
 			}
 		}
@@ -114,7 +114,7 @@
 	}
 	c := g.customers[keyOf("c")]
 	store := c.store
-	g.Handle(10*time.Second+20*time.Millisecond, Fleet{Gateways: 4, Was: 3}, nil)
+	g.Handle(10*time.Second+20*time.Millisecond, FleetResized{Gateways: 4, PreviousSize: 3}, nil)
 	if c.store < store || c.store > store+1 || c.passed != uint16(passed) || len(c.set) != 2 {
 		t.Errorf("store %v, was %v; passed %d of %d; %d views", c.store, store, c.passed, passed, len(c.set))
 	}
@@ -127,10 +127,10 @@
 	carry := func(acts []Action) {
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Send:
+			case StartAttempt:
 				delete(owed, a.ID)
-				g.Handle(now, Outcome{ID: a.ID, Server: a.Server, Code: OK, Latency: time.Millisecond, Over: true}, nil)
-			case Refuse:
+				g.Handle(now, AttemptResult{ID: a.ID, Server: a.Server, Code: OK, Latency: time.Millisecond, Answered: true}, nil)
+			case Reject:
 				delete(owed, a.ID)
 			case Fail:
 				delete(owed, a.ID)
@@ -143,15 +143,15 @@
 			owed[id] = true
 			now += 5 * time.Millisecond
 			carry(g.Handle(now, Request{ID: id, Customer: fmt.Sprint("c", id%7), Plan: "p", Class: "lookup", Units: 1,
-				Remaining: 2 * time.Second, First: 2, Spread: 8}, nil))
+				Remaining: 2 * time.Second, FirstGateway: 2, GatewaySpread: 8}, nil))
 		}
-		carry(g.Handle(now, Fleet{Gateways: n, Was: g.set.Gateways}, nil))
+		carry(g.Handle(now, FleetResized{Gateways: n, PreviousSize: g.set.Gateways}, nil))
 		for range 100 {
 			now += 25 * time.Millisecond
-			carry(g.Handle(now, Timer{Token: "tick"}, nil))
-			carry(g.Handle(now, Timer{Token: "ask"}, nil))
+			carry(g.Handle(now, TimerFired{Token: "tick"}, nil))
+			carry(g.Handle(now, TimerFired{Token: "ask"}, nil))
 		}
-		carry(g.Handle(now, Fleet{Gateways: n}, nil))
+		carry(g.Handle(now, FleetResized{Gateways: n}, nil))
 		if len(owed) > 0 {
 			t.Fatalf("at %d gateways: %d requests without an answer", n, len(owed))
 		}
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -19,17 +19,17 @@
 	switch ev := ev.(type) {
 	case Request:
 		g.onRequest(g.arrive(ev))
-	case Outcome:
+	case AttemptResult:
 		g.onOutcome(ev)
-	case Started:
+	case ResponseStarted:
 		if r := g.reqs[ev.ID]; r != nil && r.attempts == ev.Attempt+1 && r.srv != nil {
 			r.stream = true
 		}
-	case Gone:
+	case ClientDisconnected:
 		if r := g.reqs[ev.ID]; r != nil {
 			g.close(r)
 		}
-	case Timer:
+	case TimerFired:
 		if ev.Token == "tick" && now > g.lastTick {
 			g.onTick()
 		}
@@ -38,13 +38,13 @@
 		}
 	case PeerMessage:
 		g.onPeer(ev)
-	case Members:
+	case EndpointUpdate:
 		g.onMembers(ev)
-	case Level:
+	case UsageLevel:
 		g.onLevel(ev)
-	case Recall:
+	case RestoreSnapshot:
 		g.onRecall(ev)
-	case Fleet:
+	case FleetResized:
 		if ev.Gateways > 0 {
 			g.onFleet(ev)
 		}
@@ -53,12 +53,12 @@
 	return out
 }
 
-func (g *Gateway) onMembers(ev Members) {
-	if ev.Kind == AskFailed {
+func (g *Gateway) onMembers(ev EndpointUpdate) {
+	if ev.Kind == WatchFailed {
 		g.asked = false
 		return
 	}
-	if ev.Kind != Changes {
+	if ev.Kind != DeltaUpdate {
 		for _, s := range g.fleet {
 			s.State = Removed
 		}
@@ -72,7 +72,7 @@
 				fullAt: map[*quota]time.Duration{}, watchers: g.watchers(h)}
 			g.servers[m.ID] = s
 			g.fleet = append(g.fleet, s)
-		} else if m.HasStart && m.Start != s.Start {
+		} else if m.HasStartTime && m.StartedAt != s.StartedAt {
 			s.slow, s.pace = 1, 1
 			clear(s.by)
 		}
@@ -95,7 +95,7 @@
 }
 
 func (g *Gateway) onPeer(ev PeerMessage) {
-	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.set.Me {
+	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.set.SelfIndex {
 		return
 	}
 	switch m := decode(ev.Data).(type) {
@@ -109,8 +109,8 @@
 		g.onEnded(ev.From, m)
 	case sight:
 		s := g.servers[ServerID(m.Server)]
-		if s != nil && slices.Contains(s.watchers[:], g.set.Me) && int(m.Class) < len(s.by) {
-			g.gather(s, int(m.Class), Code(m.Code), time.Duration(m.Latency)*time.Millisecond)
+		if s != nil && slices.Contains(s.watchers[:], g.set.SelfIndex) && int(m.Class) < len(s.by) {
+			g.gather(s, int(m.Class), ResultCode(m.Code), time.Duration(m.Latency)*time.Millisecond)
 		}
 	case verdict:
 		g.onVerdict(m)
@@ -129,9 +129,9 @@
 	}
 	delete(g.reqs, r.id)
 	delete(g.asks, r.tag)
-	if r.granted && (r.c.plan.Open > 0 || !r.counted) {
+	if r.granted && (r.c.plan.MaxInFlight > 0 || !r.counted) {
 		r.granted = false
-		g.do(Tell{To: r.root, Data: encode(ended{r.c.key, r.tag, !r.counted})})
+		g.do(SendPeerMessage{To: r.root, Data: encode(ended{r.c.key, r.tag, !r.counted})})
 	}
 }
 
@@ -163,7 +163,7 @@
 		case g.now+g.set.Resolution <= r.until: // a timer may come a rounding early
 			g.asking = append(g.asking, r)
 		case r.waits:
-			g.refuse(r, OverCap)
+			g.refuse(r, ReasonInFlightLimit)
 		default:
 			g.ask(r)
 		}
@@ -180,7 +180,7 @@
 	if plan == nil {
 		plan = &quota{Plan: Plan{Name: r.Plan}}
 	}
-	return g.account(key, plan, r.First, r.Spread)
+	return g.account(key, plan, r.FirstGateway, r.GatewaySpread)
 }
 
 // arrive enters a client's request. One of a class not in the settings is
@@ -188,10 +188,10 @@
 func (g *Gateway) arrive(ev Request) *request {
 	c, cl := g.customer(&ev), g.classes[ev.Class]
 	if cl == nil {
-		cl = &class{Class: Class{Aim: ev.Remaining, Effect: Unsafe}, mean: g.mean}
+		cl = &class{Class: Class{LatencyObjective: ev.Remaining, Idempotency: NonIdempotent}, mean: g.mean}
 	}
 	g.advance(c)
-	r := &request{id: ev.ID, c: c, cl: cl, units: ev.Units, arrived: g.now, repeat: ev.Retry,
+	r := &request{id: ev.ID, c: c, cl: cl, units: ev.Units, arrived: g.now, repeat: ev.ClientRetry,
 		deadline: g.now + ev.Remaining}
 	g.reqs[r.id], c.seen = r, g.now
 	return r
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -64,11 +64,11 @@
 	}{
 		{"verdict granted", int(granted), 0}, {"verdict refused", int(refused), 1}, {"verdict waits", int(waits), 2},
 		{"shift of the reason in a verdict", reasonShift, 2},
-		{"NoReason", int(NoReason), 0}, {"OverQuota", int(OverQuota), 1}, {"OverCap", int(OverCap), 2}, {"OverHard", int(OverHard), 3},
-		{"Shed", int(Shed), 4}, {"NoServer", int(NoServer), 5}, {"NoTime", int(NoTime), 6}, {"NoRoot", int(NoRoot), 7},
-		{"Attempted", int(Attempted), 8},
-		{"OK", int(OK), 0}, {"Error", int(Error), 1}, {"Full", int(Full), 2}, {"TimedOut", int(TimedOut), 3},
-		{"ConnectFailed", int(ConnectFailed), 4}, {"Reset", int(Reset), 5}, {"Cancelled", int(Cancelled), 6}, {"Moot", int(Moot), 7},
+		{"NoReason", int(ReasonNone), 0}, {"OverQuota", int(ReasonQuotaExceeded), 1}, {"OverCap", int(ReasonInFlightLimit), 2}, {"OverHard", int(ReasonCeilingExceeded), 3},
+		{"Shed", int(ReasonLoadShed), 4}, {"NoServer", int(ReasonNoServer), 5}, {"NoTime", int(ReasonNoTime), 6}, {"NoRoot", int(ReasonNoQuotaLeader), 7},
+		{"Attempted", int(ReasonAttemptsExhausted), 8},
+		{"OK", int(OK), 0}, {"Error", int(Error), 1}, {"Full", int(Rejected), 2}, {"TimedOut", int(TimedOut), 3},
+		{"ConnectFailed", int(ConnectFailed), 4}, {"Reset", int(Reset), 5}, {"Cancelled", int(Cancelled), 6}, {"Moot", int(TooLate), 7},
 		{"Running", int(Running), 0}, {"Draining", int(Draining), 1}, {"Removed", int(Removed), 2},
 	} {
 		if c.got != c.want {
@@ -91,8 +91,8 @@
 // A customer's remembered store has exactly these JSON fields.
 func TestMemoryHasGoldenJSON(t *testing.T) {
 	const golden = `{"Key":17446744073709551557,"Plan":"basic","First":2,"Spread":5,"Store":12.5}`
-	want := Memory{Key: 17446744073709551557, Plan: "basic", First: 2, Spread: 5, Store: 12.5}
-	var got Memory
+	want := CustomerSnapshot{Key: 17446744073709551557, Plan: "basic", FirstGateway: 2, GatewaySpread: 5, Tokens: 12.5}
+	var got CustomerSnapshot
 	if err := json.Unmarshal([]byte(golden), &got); err != nil || got != want {
 		t.Errorf("decoded to %+v, %v", got, err)
 	}
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -15,7 +15,7 @@
 	lose func(from, to int) bool
 
 	told   int // messages, by receiver
-	sends  []Send
+	sends  []StartAttempt
 	from   []int
 	sentAt []time.Duration
 	over   int // sends that have ended
@@ -33,13 +33,13 @@
 	c := &crowd{t: t, now: 10 * time.Second, lose: func(int, int) bool { return false }}
 	for i := range n {
 		s := base()
-		s.Me, s.Gateways = i, n
+		s.SelfIndex, s.Gateways = i, n
 		g, err := New(s, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.gs = append(c.gs, g)
-		c.do(i, Members{Kind: Remembered, Servers: servers})
+		c.do(i, EndpointUpdate{Kind: CachedUpdate, Servers: servers})
 	}
 	return c
 }
@@ -47,7 +47,7 @@
 func (c *crowd) do(i int, ev Event) {
 	for _, a := range c.gs[i].Handle(c.now, ev, nil) {
 		switch a := a.(type) {
-		case Tell:
+		case SendPeerMessage:
 			if len(a.Data) > 256 || a.To >= len(c.gs) || a.To == i {
 				c.t.Fatalf("gateway %d tells %d %d bytes", i, a.To, len(a.Data))
 			}
@@ -59,9 +59,9 @@
 					}
 				}
 			}
-		case Send:
+		case StartAttempt:
 			c.sends, c.from, c.sentAt = append(c.sends, a), append(c.from, i), append(c.sentAt, c.now)
-		case Refuse, Fail:
+		case Reject, Fail:
 			c.final++
 		}
 	}
@@ -79,14 +79,14 @@
 			c.do(l.to, PeerMessage{From: l.from, Data: l.data})
 		}
 		for i := range c.gs {
-			c.do(i, Timer{Token: "ask"})
+			c.do(i, TimerFired{Token: "ask"})
 			if (c.now/ms/10+time.Duration(i))%25 == 0 {
-				c.do(i, Timer{Token: "tick"})
+				c.do(i, TimerFired{Token: "tick"})
 			}
 		}
 		for ; c.over < len(c.sends) && c.sentAt[c.over]+50*ms <= c.now; c.over++ {
 			s := c.sends[c.over]
-			c.do(c.from[c.over], Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Over: true})
+			c.do(c.from[c.over], AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Answered: true})
 		}
 		if step != nil {
 			step(c.now)
@@ -96,7 +96,7 @@
 
 func (c *crowd) request(i int, id RequestID, customer, plan, class string, spread int) {
 	c.do(i, Request{ID: id, Customer: customer, Plan: plan, Class: class, Units: 1,
-		Remaining: 2 * time.Second, Spread: spread})
+		Remaining: 2 * time.Second, GatewaySpread: spread})
 }
 
 // Hundreds of gateways, each seeing few requests of a customer that asks five
@@ -159,7 +159,7 @@
 // over together.
 func TestColdShareIsBoundedOverTheFleet(t *testing.T) {
 	servers := fleet(20)
-	servers[0].HasStart, servers[0].Start = true, 10*time.Second
+	servers[0].HasStartTime, servers[0].StartedAt = true, 10*time.Second
 	w := newCrowd(t, 300, servers)
 	for _, g := range w.gs { // the warm ones are all slow
 		for _, s := range g.fleet[1:] {
@@ -237,7 +237,7 @@
 		w.gs[70].now, w.gs[70].acts = w.now, nil
 		w.gs[70].sight(w.gs[70].servers[3], cl, ConnectFailed, 250*ms)
 		acts := w.gs[70].acts
-		for _, a := range of[Tell](acts) {
+		for _, a := range of[SendPeerMessage](acts) {
 			if a.To == s.watchers[1] {
 				w.do(a.To, PeerMessage{From: 70, Data: a.Data})
 			}
@@ -268,7 +268,7 @@
 func TestNoTimeLeftIsRefused(t *testing.T) {
 	w := newCrowd(t, 100, fleet(10))
 	for i := range 20 {
-		w.do(i, Request{ID: RequestID(i + 1), Customer: "k", Plan: "rate", Class: "safe", Units: 1, Spread: 100})
+		w.do(i, Request{ID: RequestID(i + 1), Customer: "k", Plan: "rate", Class: "safe", Units: 1, GatewaySpread: 100})
 	}
 	if w.final != 20 || len(w.sends) > 0 {
 		t.Errorf("%d refused, %d sent", w.final, len(w.sends))
@@ -286,13 +286,13 @@
 		i++
 	}
 	acts := w.gs[i].Handle(w.now, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 1,
-		Remaining: time.Second, Spread: 50}, nil)
+		Remaining: time.Second, GatewaySpread: 50}, nil)
 	timers := of[SetTimer](acts)
 	if len(timers) != 1 {
 		t.Fatalf("got %v", acts)
 	}
-	acts = w.gs[i].Handle(w.now+timers[0].After-time.Microsecond/2, Timer{Token: "ask"}, nil)
-	if len(of[Tell](acts)) != 1 || len(of[SetTimer](acts)) != 1 {
+	acts = w.gs[i].Handle(w.now+timers[0].After-time.Microsecond/2, TimerFired{Token: "ask"}, nil)
+	if len(of[SendPeerMessage](acts)) != 1 || len(of[SetTimer](acts)) != 1 {
 		t.Errorf("not asked again: %v", acts)
 	}
 }
@@ -347,13 +347,13 @@
 		t.Error("the gate's threshold before anything is known")
 	}
 	for _, c := range g.classes {
-		c.seen, c.mean = idleSeen, 0.2*c.Aim.Seconds()
+		c.seen, c.mean = idleSeen, 0.2*c.LatencyObjective.Seconds()
 	}
 	if closes(0.3) || !closes(0.39) {
 		t.Error("the threshold with idle latencies of a fifth of the aims")
 	}
 	for _, c := range g.classes {
-		c.mean = 0.8 * c.Aim.Seconds()
+		c.mean = 0.8 * c.LatencyObjective.Seconds()
 	}
 	if closes(0.3) || !closes(0.39) {
 		t.Error("an overload passes for idleness")
@@ -364,7 +364,7 @@
 // one beyond that.
 func TestWatcherKnowsColdness(t *testing.T) {
 	servers := fleet(20)
-	servers[0].HasStart, servers[0].Start = true, 10*time.Second
+	servers[0].HasStartTime, servers[0].StartedAt = true, 10*time.Second
 	w := newCrowd(t, 60, servers)
 	g := w.gs[w.gs[0].servers[1].watchers[0]]
 	s := g.servers[1]
@@ -393,14 +393,14 @@
 		}
 		w.pass(4*time.Second, load)
 		start := w.now
-		list[0].HasStart, list[0].Start = true, start
+		list[0].HasStartTime, list[0].StartedAt = true, start
 		for i := range w.gs {
 			if i%3 == 2 {
 				s := base()
-				s.Me, s.Gateways = i, n
+				s.SelfIndex, s.Gateways = i, n
 				w.gs[i], _ = New(s, uint64(1000+i))
 			}
-			w.do(i, Members{Kind: Whole, Servers: list})
+			w.do(i, EndpointUpdate{Kind: SnapshotUpdate, Servers: list})
 		}
 		from := len(w.sends)
 		w.pass(8*time.Second, load)
@@ -413,11 +413,11 @@
 		}
 		worst, of := 0.0, 0.0
 		for i, j := 0, 0; j < len(times); j++ {
-			for times[j]-times[i] > set.FallTime {
+			for times[j]-times[i] > set.ColdOverloadTime {
 				i++
 			}
-			cold := set.ColdShare + (1-set.ColdShare)*(times[i]-start).Seconds()/set.WarmWithin.Seconds()
-			allowed := each * cold * set.FallMultiple * set.FallTime.Seconds()
+			cold := set.InitialCapacity + (1-set.InitialCapacity)*(times[i]-start).Seconds()/set.WarmupTime.Seconds()
+			allowed := each * cold * set.ColdOverloadFactor * set.ColdOverloadTime.Seconds()
 			allowed += 2*math.Sqrt(allowed) + 2
 			if got := float64(j - i + 1); got/allowed > worst {
 				worst, of = got/allowed, allowed
@@ -443,13 +443,13 @@
 		w := &crowd{t: t, now: 10 * time.Second, lose: func(int, int) bool { return false }}
 		for i := range n {
 			s := base()
-			s.Me, s.Gateways, s.CanTell, s.MailPerSecond, s.LargestUnits = i, n, false, 0, 1
+			s.SelfIndex, s.Gateways, s.CanMessagePeers, s.PeerMessagesPerSecond, s.MaxRequestUnits = i, n, false, 0, 1
 			g, err := New(s, uint64(i+1))
 			if err != nil {
 				t.Fatal(err)
 			}
 			w.gs = append(w.gs, g)
-			w.do(i, Members{Kind: Remembered, Servers: fleet(20)})
+			w.do(i, EndpointUpdate{Kind: CachedUpdate, Servers: fleet(20)})
 		}
 		next, step := RequestID(0), 0
 		w.pass(20*time.Second, func(time.Duration) {
@@ -470,17 +470,17 @@
 // A cap on attempts out leaves each gateway that hears none one attempt.
 func TestCapWhereNoneIsHeard(t *testing.T) {
 	s := base()
-	s.Gateways, s.CanTell, s.MailPerSecond = 60, false, 0
+	s.Gateways, s.CanMessagePeers, s.PeerMessagesPerSecond = 60, false, 0
 	g, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Handle(time.Second, Members{Kind: Whole, Servers: fleet(20)}, nil)
+	g.Handle(time.Second, EndpointUpdate{Kind: SnapshotUpdate, Servers: fleet(20)}, nil)
 	sends := 0
 	for id := range 3 {
 		for _, a := range g.Handle(time.Second, Request{ID: RequestID(id + 1), Customer: "k", Plan: "open", Class: "safe", Units: 1,
-			Remaining: time.Second, Spread: 60}, nil) {
-			if _, ok := a.(Send); ok {
+			Remaining: time.Second, GatewaySpread: 60}, nil) {
+			if _, ok := a.(StartAttempt); ok {
 				sends++
 			}
 		}
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -153,7 +153,7 @@
 	return &s.by[cl.no]
 }
 
-func (g *Gateway) sight(s *server, cl *class, code Code, latency time.Duration) {
+func (g *Gateway) sight(s *server, cl *class, code ResultCode, latency time.Duration) {
 	if cl.Name == "" {
 		return // not in the settings
 	}
@@ -161,12 +161,12 @@
 		if i > 0 && (code != ConnectFailed || !g.tree) {
 			break
 		}
-		if w == g.set.Me {
+		if w == g.set.SelfIndex {
 			g.gather(s, cl.no, code, latency)
 			continue
 		}
 		ms := uint16(min(max(0, latency.Milliseconds()), math.MaxUint16))
-		g.do(Tell{To: w, Data: encode(sight{uint32(s.ID), byte(cl.no), byte(code), ms})})
+		g.do(SendPeerMessage{To: w, Data: encode(sight{uint32(s.ID), byte(cl.no), byte(code), ms})})
 	}
 }
 
@@ -220,7 +220,7 @@
 // judges for itself.
 func (g *Gateway) watchers(h uint32) [2]int {
 	if !g.tree {
-		return [2]int{g.set.Me, g.set.Me}
+		return [2]int{g.set.SelfIndex, g.set.SelfIndex}
 	}
 	n := uint32(g.set.Gateways)
 	return [2]int{int(h % n), int((h + 1) % n)}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -99,8 +99,8 @@
 	g := newGateway(s, seed)
 	g.budget, g.minAim = retryCap, math.Inf(1)
 	for _, c := range g.classes {
-		c.mean = c.Aim.Seconds() / firstGuess
-		g.mean, g.minAim = max(g.mean, c.mean), min(g.minAim, c.Aim.Seconds())
+		c.mean = c.LatencyObjective.Seconds() / firstGuess
+		g.mean, g.minAim = max(g.mean, c.mean), min(g.minAim, c.LatencyObjective.Seconds())
 	}
 	g.gate, g.heard = 1, 1
 	g.nextTag, g.reply = g.rng.Uint32(), leastReply
@@ -110,10 +110,10 @@
 
 // fit sets what follows from how many gateways there are.
 func (g *Gateway) fit() {
-	mail := max(g.set.MailPerSecond*mailShare, 1)
+	mail := max(g.set.PeerMessagesPerSecond*mailShare, 1)
 	g.tick = time.Duration(float64(max(g.set.Gateways-1, 1)) / mail * float64(time.Second))
 	g.own = learn
-	if g.tree = g.tick > treeBeyond*maxTick && g.set.CanTell; g.tree {
+	if g.tree = g.tick > treeBeyond*maxTick && g.set.CanMessagePeers; g.tree {
 		g.own = 0 // what the watchers tell is more than what this gateway sees
 	} else {
 		g.allPeers()
@@ -123,11 +123,11 @@
 
 // onFleet takes a new number of gateways. Counts carry over; parts of ceilings are the smaller of the old
 // and the new until all are known to have heard: the old ones sum to the whole, and the new ones do.
-func (g *Gateway) onFleet(ev Fleet) {
-	if ev.Was == 0 {
+func (g *Gateway) onFleet(ev FleetResized) {
+	if ev.PreviousSize == 0 {
 		g.was = size{}
 	} else if g.was.gateways == 0 {
-		g.was = size{ev.Was, g.treeAt(ev.Was)}
+		g.was = size{ev.PreviousSize, g.treeAt(ev.PreviousSize)}
 	}
 	g.resize(ev.Gateways)
 	for _, c := range g.ring {
@@ -147,11 +147,11 @@
 	roots, deputy := g.roots(c)
 	g.set.Gateways, g.tree, c.spread = now.gateways, now.tree, spread
 	switch n := float64(len(roots)); {
-	case slices.Contains(roots, g.set.Me) && z.tree:
+	case slices.Contains(roots, g.set.SelfIndex) && z.tree:
 		return n / (1 - deputyPart)
-	case slices.Contains(roots, g.set.Me):
+	case slices.Contains(roots, g.set.SelfIndex):
 		return n
-	case z.tree && deputy == g.set.Me:
+	case z.tree && deputy == g.set.SelfIndex:
 		return 1 / deputyPart
 	}
 	return math.Inf(1)
@@ -181,10 +181,10 @@
 	c.spread = max(1, min(c.nodes, g.set.Gateways))
 	roots, deputy := g.roots(c)
 	c.n, c.ask = float64(c.spread), nil
-	if slices.Contains(roots, g.set.Me) || !g.tree {
+	if slices.Contains(roots, g.set.SelfIndex) || !g.tree {
 		g.views(c, roots)
-	} else if c.plan.Rate > 0 || c.plan.Open > 0 {
-		c.ask = []int{roots[g.set.Me%len(roots)], deputy}
+	} else if c.plan.Rate > 0 || c.plan.MaxInFlight > 0 {
+		c.ask = []int{roots[g.set.SelfIndex%len(roots)], deputy}
 	}
 	if g.tree {
 		// All ceiling parts are with those who grant.
@@ -205,11 +205,11 @@
 	k := c.spread
 	if g.tree {
 		asks := rootPeak * c.plan.Rate
-		if c.plan.Open > 0 {
+		if c.plan.MaxInFlight > 0 {
 			asks += c.plan.Rate // those that pass tell their ends too
 		}
-		asks /= max(1, g.set.LargestUnits/2)
-		k = min(max(1, int(math.Ceil(asks/max(1, g.set.MailPerSecond*rootMail)))), c.spread)
+		asks /= max(1, g.set.MaxRequestUnits/2)
+		k = min(max(1, int(math.Ceil(asks/max(1, g.set.PeerMessagesPerSecond*rootMail)))), c.spread)
 	}
 	base, step := int(c.key>>33)%c.spread, max(1, c.spread/(k+1))
 	for i := range k + 1 {
@@ -265,7 +265,7 @@
 	w := v.rate
 	if g.silent(v.p) {
 		fade := math.Exp(-(g.now - max(v.p.at, g.start)).Seconds() / forgetAfter.Seconds())
-		if !g.set.CanTell {
+		if !g.set.CanMessagePeers {
 			fade = 1 // its silence says nothing
 		}
 		w = max(w, c.rate) * (leastWeight + (1-leastWeight)*fade)
@@ -292,7 +292,7 @@
 func (g *Gateway) allowance(c *customer) float64 {
 	// Where none is heard nobody else uses its own part, which takes in whole requests.
 	if share := g.share(c); len(c.ask) == 0 && g.deaf(c) {
-		return max(c.store*share, c.store-c.plan.Burst+max(c.plan.Burst*share, g.set.LargestUnits))
+		return max(c.store*share, c.store-c.plan.Burst+max(c.plan.Burst*share, g.set.MaxRequestUnits))
 	}
 	blind := (g.tick + blindExtra).Seconds()
 	unseen := 0.0
@@ -311,7 +311,7 @@
 func (g *Gateway) others(c *customer) (out, held float64) {
 	for _, v := range c.set {
 		if g.silent(v.p) {
-			out += float64(c.plan.Open) * g.weight(c, v) / g.demand(c)
+			out += float64(c.plan.MaxInFlight) * g.weight(c, v) / g.demand(c)
 			continue
 		}
 		out += v.out
@@ -323,11 +323,11 @@
 // room tells whether one more attempt of the customer fits under its cap.
 // An arrival stays under its demand-split part, at least one.
 func (g *Gateway) room(c *customer, arrival bool) bool {
-	if c.plan.Open == 0 || c.out == 0 && g.deaf(c) {
+	if c.plan.MaxInFlight == 0 || c.out == 0 && g.deaf(c) {
 		return true
 	}
 	out, _ := g.others(c)
-	free := float64(c.plan.Open) - out
+	free := float64(c.plan.MaxInFlight) - out
 	next := float64(c.out + 1)
 	if arrival {
 		return next <= max(free*g.share(c), min(1, free+arriveSlack))
@@ -342,7 +342,7 @@
 	c.rate += r.units
 	// With no time left any wait is too long.
 	if late := r.deadline-g.now <= 2*g.set.Resolution; late || g.rng.Float64() > g.gate {
-		g.refuse(r, either(late, NoTime, Shed))
+		g.refuse(r, either(late, ReasonNoTime, ReasonLoadShed))
 		return
 	}
 	if len(c.ask) == 0 {
@@ -357,7 +357,7 @@
 		r.asks = min(1, c.part+(g.now-c.partAt).Seconds()/thinSpan.Seconds())
 	}
 	if g.rng.Float64() > r.asks {
-		g.refuse(r, OverQuota)
+		g.refuse(r, ReasonQuotaExceeded)
 		return
 	}
 	g.ask(r)
@@ -372,7 +372,7 @@
 	// where repeats come soon and aims are long.
 	scarce := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst
 	if within := g.within(r); !within || r.repeat && (scarce || !r.remote && g.pressed()) {
-		g.refuse(r, either(within, Shed, g.over(r)))
+		g.refuse(r, either(within, ReasonLoadShed, g.over(r)))
 		return
 	}
 	if len(c.held) == 0 && g.room(c, true) && g.try(r) {
@@ -434,10 +434,10 @@
 		g.sendRate++
 	}
 	var timeout time.Duration
-	if !g.set.CanCancel && r.cl.Effect == Safe && !r.cl.Stream {
-		timeout = max(r.cl.Aim*3/5, r.deadline-g.now-r.cl.Aim)
+	if !g.set.CanCancel && r.cl.Idempotency == Idempotent && !r.cl.Streaming {
+		timeout = max(r.cl.LatencyObjective*3/5, r.deadline-g.now-r.cl.LatencyObjective)
 	}
-	g.do(Send{ID: r.id, Server: s.ID, Timeout: timeout})
+	g.do(StartAttempt{ID: r.id, Server: s.ID, Timeout: timeout})
 	return true
 }
 
@@ -445,15 +445,16 @@
 func (g *Gateway) refuse(r *request, why Reason) {
 	if r.remote {
 		g.answer(r, refused+byte(why)<<reasonShift)
-	} else if r.ran && r.cl.Effect != Safe && !(r.cl.Effect == Keyed && r.cl.Group == GroupAll) {
+	} else if r.ran && r.cl.Idempotency != Idempotent &&
+		!(r.cl.Idempotency == IdempotentWithKey && r.cl.DedupScope == DedupAllServers) {
 		g.do(Fail{r.id, why})
 	} else {
-		g.do(Refuse{r.id, g.set.MaxRetryAfter, why})
+		g.do(Reject{r.id, g.set.MaxRetryAfter, why})
 	}
 	g.close(r)
 }
 
-func (g *Gateway) onOutcome(ev Outcome) {
+func (g *Gateway) onOutcome(ev AttemptResult) {
 	r := g.reqs[ev.ID]
 	if r == nil || r.srv == nil || ev.Attempt != r.attempts-1 {
 		return
@@ -463,14 +464,14 @@
 	c.fresh = repeatTicks
 	g.ended(r, ev.Code)
 	g.judge(s, r, ev)
-	if ev.Code == OK && ev.Actual > 0 && ev.Actual != r.units {
-		c.settle(ev.Actual - r.units)
+	if ev.Code == OK && ev.ActualUnits > 0 && ev.ActualUnits != r.units {
+		c.settle(ev.ActualUnits - r.units)
 	}
 	switch {
-	case r.over || ev.Over || ev.Code == OK:
+	case r.over || ev.Answered || ev.Code == OK:
 		g.close(r)
-	case ev.Code == Moot || g.now >= r.deadline || !g.again(r, ev.Code):
-		g.refuse(r, Attempted)
+	case ev.Code == TooLate || g.now >= r.deadline || !g.again(r, ev.Code):
+		g.refuse(r, ReasonAttemptsExhausted)
 	case !g.room(c, false) || !g.try(r):
 		g.hold(r)
 	}
@@ -479,13 +480,14 @@
 
 // again decides whether a request may have a further attempt. Where it may go
 // is usable's to say. The budget keeps retries from feeding an overload.
-func (g *Gateway) again(r *request, code Code) bool {
+func (g *Gateway) again(r *request, code ResultCode) bool {
 	if g.set.MaxAttempts > 0 && r.attempts >= g.set.MaxAttempts ||
-		r.ran && (r.cl.Effect == Unsafe || r.cl.Effect == Keyed && g.now-r.ranAt >= r.cl.Window) ||
+		r.ran && (r.cl.Idempotency == NonIdempotent ||
+			r.cl.Idempotency == IdempotentWithKey && g.now-r.ranAt >= r.cl.DedupWindow) ||
 		g.now+time.Duration(r.cl.mean/2*float64(time.Second)) > r.deadline {
 		return false
 	}
-	if !code.NeverRan() || code == Full {
+	if !code.NeverRan() || code == Rejected {
 		g.budget--
 	}
 	return g.budget >= 0
@@ -516,11 +518,11 @@
 
 // coldness is the least share of its capacity a server surely has.
 func (g *Gateway) coldness(s *server) float64 {
-	if !s.HasStart || g.set.WarmWithin <= 0 || g.set.ColdShare <= 0 {
+	if !s.HasStartTime || g.set.WarmupTime <= 0 || g.set.InitialCapacity <= 0 {
 		return 1
 	}
-	age := float64(g.now-s.Start) / float64(g.set.WarmWithin)
-	return min(1, g.set.ColdShare+(1-g.set.ColdShare)*max(age, 0))
+	age := float64(g.now-s.StartedAt) / float64(g.set.WarmupTime)
+	return min(1, g.set.InitialCapacity+(1-g.set.InitialCapacity)*max(age, 0))
 }
 
 // load is the attempts out at a server: own, and the peers' as last reported,
@@ -547,15 +549,18 @@
 // run, and inside the budget of a cold server.
 func (g *Gateway) usable(s *server, r *request) bool {
 	if s.State != Running || g.now < s.fullAt[r.c.plan] ||
-		r.ran && r.cl.Effect == Keyed && (g.now-r.ranAt >= r.cl.Window || !r.sameGroup(s)) {
+		r.ran && r.cl.Idempotency == IdempotentWithKey &&
+			(g.now-r.ranAt >= r.cl.DedupWindow || !r.sameGroup(s)) {
 		return false
 	}
 	if cold := g.coldness(s); cold < 1 {
 		// A budget for every window, shared by all gateways: what warm servers
 		// bear, times the share of capacity the server surely has.
-		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.set.FallTime })
+		s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool {
+			return g.now-t > g.set.ColdOverloadTime
+		})
 		warm := g.sendRate / max(1, float64(len(g.fleet)))
-		return float64(len(s.sends)) < max(1, warm*cold*g.set.FallMultiple*coldSafety)
+		return float64(len(s.sends)) < max(1, warm*cold*g.set.ColdOverloadFactor*coldSafety)
 	}
 	return true
 }
@@ -572,7 +577,8 @@
 		}
 		if v := g.record(s, r.cl); v != nil && v.bad && g.now < v.until {
 			// Its watcher alone tries a server that is out of use.
-			if s.watchers[0] == g.set.Me && g.now >= v.trial && r.attempts == 0 && r.cl.Effect != Unsafe {
+			if s.watchers[0] == g.set.SelfIndex && g.now >= v.trial && r.attempts == 0 &&
+				r.cl.Idempotency != NonIdempotent {
 				v.wait = min(2*v.wait+trialEvery, trialMost)
 				v.trial = g.now + v.wait
 				return s
@@ -628,19 +634,19 @@
 	for _, s := range ok {
 		if cold := g.coldness(s); cold < 1 {
 			s.weight = min(s.weight, cold*all/float64(len(ok)))
-			least = max(least, s.weight*float64(len(ok))/(cold*coldSafety*max(1, g.set.FallMultiple)))
+			least = max(least, s.weight*float64(len(ok))/(cold*coldSafety*max(1, g.set.ColdOverloadFactor)))
 		}
 	}
 	return g.byWeight(ok, least)
 }
 
 // judge learns from an outcome: latency, errors, load reports.
-func (g *Gateway) judge(s *server, r *request, ev Outcome) {
-	if ev.Code != Moot && ev.Code != Cancelled {
+func (g *Gateway) judge(s *server, r *request, ev AttemptResult) {
+	if ev.Code != TooLate && ev.Code != Cancelled {
 		g.sight(s, r.cl, ev.Code, ev.Latency)
 	}
 	if ev.Code == OK || ev.Code == TimedOut {
-		g.strain += strainOwn * (min(1, ev.Latency.Seconds()/r.cl.Aim.Seconds()) - g.strain)
+		g.strain += strainOwn * (min(1, ev.Latency.Seconds()/r.cl.LatencyObjective.Seconds()) - g.strain)
 	}
 	switch ev.Code {
 	case OK:
@@ -653,7 +659,7 @@
 		g.mean += learnMean * (r.cl.mean - g.mean)
 		r.cl.seen++ // the first outcomes count for more
 		r.cl.mean += max(learnMean, 1/(r.cl.seen+1)) * (min(lat, mostLatency*r.cl.mean) - r.cl.mean)
-	case Full:
+	case Rejected:
 		// It may turn away one plan only: this one goes elsewhere for a while.
 		s.fullAt[r.c.plan] = g.now + fullFor
 		g.strain += strainOwn * (1 - g.strain)
@@ -678,16 +684,17 @@
 // work and answer none; harms when all slow down at once, within the budget.
 func (g *Gateway) silence(s *server) {
 	for _, r := range slices.Clone(s.oldest) {
-		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.cl), leastLate*r.cl.Aim.Seconds())
+		expected := max(g.predict(s, r.cl), leastLate*r.cl.LatencyObjective.Seconds())
+		age := (g.now - r.sentAt).Seconds() / expected
 		v := g.record(s, r.cl)
 		if age < overdue || r.over || r.quit || r.stream || v != nil && v.okAt > r.sentAt {
 			continue
 		}
 		r.quit = true
 		g.sight(s, r.cl, TimedOut, g.now-r.sentAt)
-		if g.set.CanCancel && r.cl.Effect == Safe && g.budget >= 1 &&
+		if g.set.CanCancel && r.cl.Idempotency == Idempotent && g.budget >= 1 &&
 			(g.set.MaxAttempts == 0 || r.attempts < g.set.MaxAttempts) {
-			g.do(Cancel{ID: r.id, Attempt: r.attempts - 1})
+			g.do(CancelAttempt{ID: r.id, Attempt: r.attempts - 1})
 		}
 	}
 }
@@ -700,8 +707,8 @@
 		g.watch()
 		g.forget(g.now - idleAfter)
 	}
-	if g.set.FallTime > 0 {
-		g.sendRate *= math.Exp(-float64(dt) / float64(g.set.FallTime))
+	if g.set.ColdOverloadTime > 0 {
+		g.sendRate *= math.Exp(-float64(dt) / float64(g.set.ColdOverloadTime))
 	}
 	g.sumLoads()
 	g.adapt(dt)
@@ -709,7 +716,7 @@
 		// What is not tried is not learned: an old judgement wears off.
 		s.wear(min(1, dt.Seconds()/slowSpan.Seconds()))
 		g.silence(s)
-		if slices.Contains(s.watchers[:], g.set.Me) {
+		if slices.Contains(s.watchers[:], g.set.SelfIndex) {
 			g.tell(s)
 		}
 	}
@@ -721,14 +728,14 @@
 			continue
 		}
 		n := 1 << 30
-		if c.plan.Open > 0 {
+		if c.plan.MaxInFlight > 0 {
 			out, held := g.others(c)
-			part := (float64(c.plan.Open-c.out) - out) / (1 + held/float64(len(c.held)))
+			part := (float64(c.plan.MaxInFlight-c.out) - out) / (1 + held/float64(len(c.held)))
 			n = int(math.Floor(max(part, 0) + g.rng.Float64()))
 		}
 		g.drain(c, n)
 	}
-	if g.set.CanTell && (!g.tree || g.ticks%rootTicks == 0) {
+	if g.set.CanMessagePeers && (!g.tree || g.ticks%rootTicks == 0) {
 		g.report()
 	}
 }
@@ -737,7 +744,8 @@
 // can still help, and in any case before the deadline.
 func (g *Gateway) age(c *customer) {
 	for _, r := range slices.Clone(c.held) {
-		if g.now-r.arrived > time.Duration(holdAim*float64(r.cl.Aim)) || g.now+2*g.tick >= r.deadline {
+		longest := time.Duration(holdAim * float64(r.cl.LatencyObjective))
+		if g.now-r.arrived > longest || g.now+2*g.tick >= r.deadline {
 			g.refuse(r, g.lacking(r))
 		}
 	}
@@ -782,7 +790,7 @@
 // onLevel takes a customer's store from another witness while this gateway has run too shortly to know it,
 // or hears none of those who could tell. Guards against a quota granted twice after restarts, and without
 // mail; harms when the witness is behind, by what was passed since.
-func (g *Gateway) onLevel(ev Level) {
+func (g *Gateway) onLevel(ev UsageLevel) {
 	c := g.customers[keyOf(ev.Customer)]
 	if c == nil || c.known && !g.deaf(c) {
 		return
@@ -835,7 +843,7 @@
 		}
 		if r.waits || g.now >= r.deadline || g.rng.Float64() > pass || c.plan.HardRate > 0 ||
 			!g.within(r) || !g.try(r) {
-			g.refuse(r, either(r.waits, OverCap, NoRoot))
+			g.refuse(r, either(r.waits, ReasonInFlightLimit, ReasonNoQuotaLeader))
 		}
 		return
 	}
@@ -843,7 +851,7 @@
 	if r.asked == rootAsks {
 		to = c.ask[1]
 	}
-	if to == g.set.Me {
+	if to == g.set.SelfIndex {
 		g.admit(r)
 		return
 	}
@@ -860,7 +868,7 @@
 	r.until = min(g.now+wait, r.deadline-2*g.set.Resolution)
 	g.asks[r.tag] = r
 	g.asking = append(g.asking, r)
-	g.do(Tell{To: r.root, Data: encode(g.askOf(r))})
+	g.do(SendPeerMessage{To: r.root, Data: encode(g.askOf(r))})
 	g.do(SetTimer{Token: "ask", After: r.until - g.now})
 }
 
@@ -892,7 +900,7 @@
 func (g *Gateway) grant(r *request) {
 	c := r.c
 	c.take(r)
-	c.leases[lease{r.root, r.tag}] = leased{g.now + time.Duration(leaseAim*float64(r.cl.Aim)), r}
+	c.leases[lease{r.root, r.tag}] = leased{g.now + time.Duration(leaseAim*float64(r.cl.LatencyObjective)), r}
 	c.count(g.now, 1)
 	r.counted, r.over = true, true
 	g.answer(r, granted)
@@ -904,7 +912,8 @@
 	if r.c.store < retryReserve*r.c.plan.Burst {
 		part = min(1, r.c.plan.Rate*demandSpan.Seconds()/max(r.c.rate, 1))
 	}
-	g.do(Tell{To: r.root, Data: encode(answer{r.tag, v, fill, small(100 * g.strain), small(250 * part)})})
+	m := answer{r.tag, v, fill, small(100 * g.strain), small(250 * part)}
+	g.do(SendPeerMessage{To: r.root, Data: encode(m)})
 }
 
 func (g *Gateway) onAnswer(from int, m answer) {
@@ -922,7 +931,8 @@
 	c.part, c.partAt = float64(m.Part)/250, g.now
 	c.store, c.told = float64(m.Fill)/250*c.plan.Burst, g.ticks+1
 	if m.Verdict == waits {
-		r.waits, r.until = true, min(r.arrived+time.Duration(holdAim*float64(r.cl.Aim)), r.deadline-g.tick)
+		longest := time.Duration(holdAim * float64(r.cl.LatencyObjective))
+		r.waits, r.until = true, min(r.arrived+longest, r.deadline-g.tick)
 		g.do(SetTimer{Token: "ask", After: max(g.set.Resolution, r.until-g.now)})
 		return
 	}
@@ -944,7 +954,7 @@
 
 // gather adds an outcome to what the fleet knows of a server. One that turns
 // requests away is taken for very slow: it gets few more until it answers.
-func (g *Gateway) gather(s *server, class int, code Code, latency time.Duration) {
+func (g *Gateway) gather(s *server, class int, code ResultCode, latency time.Duration) {
 	v, mean := &s.by[class], g.classes[g.set.Classes[class].Name].mean
 	seen := min(latency.Seconds()/mean*g.coldness(s), mostPace)
 	switch code {
@@ -953,7 +963,7 @@
 		if v.bad {
 			v.errs, v.wait = v.errs*trialWorth, 0
 		}
-	case Full:
+	case Rejected:
 		seen = mostPace
 	case ConnectFailed:
 		for i := range s.by {
@@ -974,10 +984,10 @@
 // and again what still keeps it out of use. Each goes to every gateway, so all
 // watchers together keep to a part of the mail.
 func (g *Gateway) tell(s *server) {
-	each := g.set.MailPerSecond * verdictMail / float64(max(1, len(g.fleet)))
+	each := g.set.PeerMessagesPerSecond * verdictMail / float64(max(1, len(g.fleet)))
 	s.verdicts = min(verdictKeep, s.verdicts+each*(g.now-s.verdictAt).Seconds())
 	s.verdictAt = g.now
-	first := s.watchers[0] == g.set.Me
+	first := s.watchers[0] == g.set.SelfIndex
 	if !first || !g.tree {
 		s.pace = s.slow // the second knows only what it can't reach
 	}
@@ -993,6 +1003,6 @@
 	g.onVerdict(m)
 	if g.tree {
 		s.verdicts--
-		g.do(Tell{To: -1, Data: encode(m)})
+		g.do(SendPeerMessage{To: -1, Data: encode(m)})
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -24,25 +24,25 @@
 }
 
 func base() Settings {
-	return Settings{Me: 0, Gateways: 2, Zone: "a", Resolution: 2 * ms, MaxAttempts: 5, CanCancel: true,
-		CanTell: true, MailPerSecond: 60, LargestUnits: 4, MaxRetryAfter: 500 * ms,
+	return Settings{SelfIndex: 0, Gateways: 2, Zone: "a", Resolution: 2 * ms, MaxAttempts: 5, CanCancel: true,
+		CanMessagePeers: true, PeerMessagesPerSecond: 60, MaxRequestUnits: 4, MaxRetryAfter: 500 * ms,
 		Classes: []Class{
-			{Name: "safe", Aim: 800 * ms, Deadline: 3 * time.Second},
-			{Name: "cell", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Group: GroupCell,
-				Window: 2 * time.Second},
-			{Name: "all", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Window: 2 * time.Second},
-			{Name: "once", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Unsafe},
-			{Name: "stream", Aim: 800 * ms, Deadline: 3 * time.Second, Stream: true},
+			{Name: "safe", LatencyObjective: 800 * ms, Deadline: 3 * time.Second},
+			{Name: "cell", LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentWithKey, DedupScope: DedupCell,
+				DedupWindow: 2 * time.Second},
+			{Name: "all", LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentWithKey, DedupWindow: 2 * time.Second},
+			{Name: "once", LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: NonIdempotent},
+			{Name: "stream", LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Streaming: true},
 		},
 		Plans: []Plan{
 			{Name: "free"},
 			{Name: "rate", Rate: 10, Burst: 10},
-			{Name: "open", Open: 2},
+			{Name: "open", MaxInFlight: 2},
 			{Name: "hard", HardRate: 10, HardBurst: 20},
-			{Name: "both", Rate: 10, Burst: 10, Open: 2},
+			{Name: "both", Rate: 10, Burst: 10, MaxInFlight: 2},
 		},
-		AnswerSlack: 8 * ms, ColdShare: 0.2, WarmWithin: 10 * time.Second, FallMultiple: 2,
-		FallTime: time.Second}
+		ResponseGrace: 8 * ms, InitialCapacity: 0.2, WarmupTime: 10 * time.Second, ColdOverloadFactor: 2,
+		ColdOverloadTime: time.Second}
 }
 
 func fleet(n int) []Server {
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	w := &world{t: t, g: g, now: time.Second}
-	w.do(Members{Kind: Remembered, Servers: servers})
+	w.do(EndpointUpdate{Kind: CachedUpdate, Servers: servers})
 	return w
 }
 
@@ -70,7 +70,7 @@
 func (w *world) pass(d time.Duration) (acts []Action) {
 	for end := w.now + d; w.now < end; {
 		w.now += min(w.g.tick, end-w.now)
-		acts = append(acts, w.do(Timer{Token: "tick"})...)
+		acts = append(acts, w.do(TimerFired{Token: "tick"})...)
 	}
 	return acts
 }
@@ -78,7 +78,7 @@
 func (w *world) ask(class, plan, customer string, units float64) (RequestID, []Action) {
 	w.ids++
 	return w.ids, w.do(Request{ID: w.ids, Customer: customer, Plan: plan, Class: class, Units: units,
-		Remaining: 2 * time.Second, Spread: 2})
+		Remaining: 2 * time.Second, GatewaySpread: 2})
 }
 
 func of[T Action](acts []Action) (l []T) {
@@ -90,15 +90,15 @@
 	return l
 }
 
-func (w *world) end(s Send, attempt int, code Code) []Action {
-	return w.do(Outcome{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
-		Over: code == OK})
+func (w *world) end(s StartAttempt, attempt int, code ResultCode) []Action {
+	return w.do(AttemptResult{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
+		Answered: code == OK})
 }
 
-func (w *world) send(class, plan string) Send {
+func (w *world) send(class, plan string) StartAttempt {
 	w.t.Helper()
 	_, acts := w.ask(class, plan, "c", 1)
-	s := of[Send](acts)
+	s := of[StartAttempt](acts)
 	if len(s) != 1 {
 		w.t.Fatalf("want one Send, got %v", acts)
 	}
@@ -113,20 +113,20 @@
 	)
 	for _, c := range []struct {
 		class string
-		code  Code
+		code  ResultCode
 		want  int
 	}{
-		{"safe", Error, again}, {"safe", TimedOut, again}, {"safe", Moot, refused},
-		{"once", Error, failed}, {"once", TimedOut, failed}, {"once", Full, again},
-		{"once", ConnectFailed, again}, {"once", Reset, failed}, {"once", Moot, refused},
-		{"cell", Error, again}, {"cell", Full, again}, {"all", Reset, again},
+		{"safe", Error, again}, {"safe", TimedOut, again}, {"safe", TooLate, refused},
+		{"once", Error, failed}, {"once", TimedOut, failed}, {"once", Rejected, again},
+		{"once", ConnectFailed, again}, {"once", Reset, failed}, {"once", TooLate, refused},
+		{"cell", Error, again}, {"cell", Rejected, again}, {"all", Reset, again},
 	} {
 		t.Run(fmt.Sprint(c.class, c.code), func(t *testing.T) {
 			w := newWorld(t, base(), fleet(4))
 			s := w.send(c.class, "free")
 			w.now += 20 * ms
 			acts := w.end(s, 0, c.code)
-			sends, ref, fail := of[Send](acts), of[Refuse](acts), of[Fail](acts)
+			sends, ref, fail := of[StartAttempt](acts), of[Reject](acts), of[Fail](acts)
 			got := -1
 			switch {
 			case len(sends) == 1 && len(ref)+len(fail) == 0:
@@ -154,11 +154,11 @@
 	w := newWorld(t, base(), fleet(4))
 	w.ids++
 	acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "free", Class: "cell", Units: 1,
-		Remaining: 5 * time.Second, Spread: 2})
-	s := of[Send](acts)[0]
+		Remaining: 5 * time.Second, GatewaySpread: 2})
+	s := of[StartAttempt](acts)[0]
 	w.now += 2100 * ms
 	acts = w.end(s, 0, Error)
-	if len(of[Fail](acts)) != 1 || len(of[Send](acts))+len(of[Refuse](acts)) != 0 {
+	if len(of[Fail](acts)) != 1 || len(of[StartAttempt](acts))+len(of[Reject](acts)) != 0 {
 		t.Fatalf("a keyed request past its window was not failed: %v", acts)
 	}
 }
@@ -171,13 +171,13 @@
 			w := newWorld(t, base(), fleet(2))
 			w.pass(time.Second)
 			owed := map[RequestID]time.Duration{}
-			out := map[RequestID]Send{}
+			out := map[RequestID]StartAttempt{}
 			tries := map[RequestID]int{}
 			var note func(acts []Action)
 			note = func(acts []Action) {
 				for _, a := range acts {
 					switch a := a.(type) {
-					case Send:
+					case StartAttempt:
 						if _, ok := owed[a.ID]; !ok {
 							t.Fatalf("%v after its final answer", a)
 						}
@@ -186,11 +186,11 @@
 						}
 						out[a.ID] = a
 						tries[a.ID]++
-					case Cancel:
+					case CancelAttempt:
 						s := out[a.ID]
 						delete(out, a.ID)
-						note(w.do(Outcome{ID: a.ID, Attempt: a.Attempt, Server: s.Server, Code: Cancelled}))
-					case Refuse, Fail:
+						note(w.do(AttemptResult{ID: a.ID, Attempt: a.Attempt, Server: s.Server, Code: Cancelled}))
+					case Reject, Fail:
 						id := RequestID(reflect.ValueOf(a).FieldByName("ID").Uint())
 						if _, ok := owed[id]; !ok {
 							t.Fatalf("second answer: %v", a)
@@ -205,17 +205,17 @@
 					w.ids++
 					owed[w.ids] = w.now + remaining
 					note(w.do(Request{ID: w.ids, Customer: "c", Plan: plan, Class: "safe", Units: 1,
-						Remaining: remaining, Spread: 2}))
+						Remaining: remaining, GatewaySpread: 2}))
 				}
 				if w.now-w.g.lastTick >= w.g.tick {
-					note(w.do(Timer{Token: "tick"}))
+					note(w.do(TimerFired{Token: "tick"}))
 				}
 				for id := RequestID(1); id <= w.ids; id++ {
 					due, owes := owed[id]
 					s, sent := out[id]
 					if owes && sent && w.now >= due {
 						delete(out, id)
-						note(w.do(Outcome{ID: id, Attempt: tries[id] - 1, Server: s.Server, Code: TimedOut}))
+						note(w.do(AttemptResult{ID: id, Attempt: tries[id] - 1, Server: s.Server, Code: TimedOut}))
 					}
 					if _, still := owed[id]; still && w.now > due+8*ms {
 						t.Fatalf("%s, %v: request %d has no answer in its time", plan, remaining, id)
@@ -232,11 +232,11 @@
 func TestNothingNewToDrainingOrGone(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		ev   Members
+		ev   EndpointUpdate
 	}{
-		{"draining", Members{Kind: Changes, Servers: []Server{{ID: 1, State: Draining}}}},
-		{"removed", Members{Kind: Changes, Servers: []Server{{ID: 1, State: Removed}}}},
-		{"not in the whole list", Members{Kind: Whole, Servers: fleet(4)[1:]}},
+		{"draining", EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: 1, State: Draining}}}},
+		{"removed", EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: 1, State: Removed}}}},
+		{"not in the whole list", EndpointUpdate{Kind: SnapshotUpdate, Servers: fleet(4)[1:]}},
 	} {
 		w := newWorld(t, base(), fleet(4))
 		w.do(c.ev)
@@ -259,18 +259,18 @@
 	for i := range 1000 {
 		w.now += 50 * ms
 		old, next := ServerID(100+i), ServerID(101+i)
-		list := []Server{{ID: next, Zone: "a", Weight: 1, HasStart: true, Start: w.now}}
+		list := []Server{{ID: next, Zone: "a", Weight: 1, HasStartTime: true, StartedAt: w.now}}
 		if i%2 == 0 {
-			w.do(Members{Kind: Changes, Servers: append(list, Server{ID: old, State: Removed})})
+			w.do(EndpointUpdate{Kind: DeltaUpdate, Servers: append(list, Server{ID: old, State: Removed})})
 		} else {
-			w.do(Members{Kind: Whole, Servers: append(list, fleet(4)...)})
+			w.do(EndpointUpdate{Kind: SnapshotUpdate, Servers: append(list, fleet(4)...)})
 		}
 	}
-	w.do(Members{Kind: Whole, Servers: fleet(4)[:2]})
+	w.do(EndpointUpdate{Kind: SnapshotUpdate, Servers: fleet(4)[:2]})
 	if most := 3; len(w.g.fleet) > most || len(w.g.servers) != len(w.g.fleet) {
 		t.Errorf("%d servers known, %d listed", len(w.g.servers), len(w.g.fleet))
 	}
-	acts := w.do(Outcome{ID: held.ID, Server: held.Server, Code: Reset, Latency: w.now})
+	acts := w.do(AttemptResult{ID: held.ID, Server: held.Server, Code: Reset, Latency: w.now})
 	if len(acts) == 0 {
 		t.Error("an attempt at a server that has gone ended, and nothing was decided")
 	}
@@ -278,7 +278,7 @@
 
 func TestColdServerBudget(t *testing.T) {
 	servers := fleet(4)
-	servers[0].HasStart, servers[0].Start = true, time.Second
+	servers[0].HasStartTime, servers[0].StartedAt = true, time.Second
 	w := newWorld(t, base(), servers)
 	cold, warm := 0, 0
 	for range 100 {
@@ -302,7 +302,7 @@
 	level, worst := 20.0, 20.0
 	var gs [2]*world
 	for i := range gs {
-		s.Me = i
+		s.SelfIndex = i
 		gs[i] = newWorld(t, s, fleet(8))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -311,24 +311,24 @@
 		for k, w := range gs {
 			w.now += 4 * ms
 			if i == 1600+200*k || i == 2300+150*k {
-				s.Me = k
+				s.SelfIndex = k
 				n := newWorld(t, s, fleet(8))
 				n.now, n.ids = w.now, w.ids
 				g, _ := New(s, uint64(i))
 				n.g = g
-				n.do(Members{Kind: Remembered, Servers: fleet(8)})
+				n.do(EndpointUpdate{Kind: CachedUpdate, Servers: fleet(8)})
 				gs[k], w = n, n
 			}
 			var acts []Action
 			if i > 1000 && (rng.IntN(2) == k || i%1000 < 300) {
 				_, acts = w.ask("safe", "hard", "c", 1)
-				for _, x := range of[Send](acts) {
+				for _, x := range of[StartAttempt](acts) {
 					level--
 					w.end(x, 0, OK)
 				}
 			}
 			if w.now-w.g.lastTick >= w.g.tick {
-				for _, tell := range of[Tell](w.do(Timer{Token: "tick"})) {
+				for _, tell := range of[SendPeerMessage](w.do(TimerFired{Token: "tick"})) {
 					if rng.IntN(5) > 0 {
 						gs[tell.To].do(PeerMessage{From: k, Data: tell.Data})
 					}
@@ -357,19 +357,19 @@
 
 func TestHoldsBeyondTheCapInOrder(t *testing.T) {
 	w := newWorld(t, base(), fleet(8))
-	var sent []Send
+	var sent []StartAttempt
 	for range 4 {
 		_, acts := w.ask("safe", "open", "c", 1)
-		sent = append(sent, of[Send](acts)...)
+		sent = append(sent, of[StartAttempt](acts)...)
 		w.now += ms
 	}
 	w.hear(1, 1, 1, true)
-	sent = append(sent, of[Send](w.pass(60*ms))...)
+	sent = append(sent, of[StartAttempt](w.pass(60*ms))...)
 	if len(sent) != 2 {
 		t.Fatalf("%d attempts out under a cap of 2", len(sent))
 	}
 	w.hear(1, 1, 2, true)
-	next := of[Send](w.end(sent[0], 0, OK))
+	next := of[StartAttempt](w.end(sent[0], 0, OK))
 	if len(next) != 1 || next[0].ID != 3 {
 		t.Fatalf("the oldest held was not released: %v", next)
 	}
@@ -384,7 +384,7 @@
 		t.Fatalf("the peer has 2 out under a cap of 2, yet %v", acts)
 	}
 	w.hear(1, 1, 2, true)
-	if got := of[Send](w.pass(100 * ms)); len(got) != 1 {
+	if got := of[StartAttempt](w.pass(100 * ms)); len(got) != 1 {
 		t.Fatalf("the peer has none out, yet %v", got)
 	}
 }
@@ -394,7 +394,7 @@
 	passed := 0
 	for range n {
 		_, acts := w.ask("safe", plan, "c", 1)
-		for _, s := range of[Send](acts) {
+		for _, s := range of[StartAttempt](acts) {
 			passed++
 			w.end(s, 0, OK)
 		}
@@ -465,13 +465,13 @@
 	_, a := w.ask("safe", "open", "c", 1)
 	_, b := w.ask("safe", "open", "c", 1)
 	acts := append(append(a, b...), w.pass(100*ms)...)
-	if n := len(of[Send](acts)); n > 1 {
+	if n := len(of[StartAttempt](acts)); n > 1 {
 		t.Fatalf("a silent peer's room was freed: %d out", n)
 	}
 }
 
 func TestFailingServerIsEjectedAndTriedAgain(t *testing.T) {
-	for _, code := range []Code{Error, ConnectFailed, Reset} {
+	for _, code := range []ResultCode{Error, ConnectFailed, Reset} {
 		w := newWorld(t, base(), fleet(6))
 		to := func(bad bool, n int) (hits int) {
 			for range n {
@@ -486,7 +486,7 @@
 						w.end(s, k, OK)
 						break
 					}
-					again := of[Send](w.end(s, k, code))
+					again := of[StartAttempt](w.end(s, k, code))
 					if len(again) == 0 {
 						break
 					}
@@ -534,9 +534,9 @@
 			late++
 		}
 		for _, a := range w.pass(25 * ms) {
-			if c, ok := a.(Cancel); ok {
+			if c, ok := a.(CancelAttempt); ok {
 				called++
-				for _, s := range of[Send](w.do(Outcome{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
+				for _, s := range of[StartAttempt](w.do(AttemptResult{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
 					w.end(s, c.Attempt+1, OK)
 				}
 			}
@@ -554,8 +554,8 @@
 	}
 	w.ids++
 	acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "free", Class: "safe", Units: 1,
-		Remaining: 2 * time.Second, Spread: 2, Retry: true})
-	if r := of[Refuse](acts); len(r) != 1 || r[0].RetryAfter != 500*ms {
+		Remaining: 2 * time.Second, GatewaySpread: 2, ClientRetry: true})
+	if r := of[Reject](acts); len(r) != 1 || r[0].RetryAfter != 500*ms {
 		t.Fatalf("got %v", acts)
 	}
 }
@@ -564,10 +564,10 @@
 	w := newWorld(t, base(), fleet(3))
 	s := w.send("safe", "free")
 	for _, ev := range []Event{
-		Outcome{ID: 99, Server: 1, Code: OK}, Outcome{ID: s.ID, Attempt: 4, Server: s.Server, Code: Error},
-		Gone{ID: 98}, Timer{Token: "other"}, Started{ID: 97},
+		AttemptResult{ID: 99, Server: 1, Code: OK}, AttemptResult{ID: s.ID, Attempt: 4, Server: s.Server, Code: Error},
+		ClientDisconnected{ID: 98}, TimerFired{Token: "other"}, ResponseStarted{ID: 97},
 		PeerMessage{From: 1, Data: []byte("rubbish")}, PeerMessage{From: 1}, PeerMessage{From: -3},
-		PeerMessage{From: 55, Data: (&report{}).encode()}, Members{Kind: AskFailed},
+		PeerMessage{From: 55, Data: (&report{}).encode()}, EndpointUpdate{Kind: WatchFailed},
 	} {
 		if acts := w.do(ev); len(acts) != 0 {
 			t.Errorf("%#v led to %v", ev, acts)
@@ -583,7 +583,7 @@
 	w := newWorld(t, base(), fleet(8))
 	w.hear(1, 1, 1, true)
 	s := w.send("safe", "rate")
-	w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Over: true, Actual: 9})
+	w.do(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, ActualUnits: 9})
 	if n := w.spend(5, "rate"); n > 1 {
 		t.Fatalf("%d more passed after 9 of 10 units were settled", n)
 	}
@@ -592,34 +592,34 @@
 func TestStreamIsNotCalledBack(t *testing.T) {
 	w := newWorld(t, base(), fleet(1))
 	s := w.send("stream", "free")
-	w.do(Started{ID: s.ID, Server: s.Server})
-	if acts := w.pass(10 * time.Second); len(of[Cancel](acts))+len(of[Fail](acts))+len(of[Refuse](acts)) > 0 {
+	w.do(ResponseStarted{ID: s.ID, Server: s.Server})
+	if acts := w.pass(10 * time.Second); len(of[CancelAttempt](acts))+len(of[Fail](acts))+len(of[Reject](acts)) > 0 {
 		t.Fatal("a begun stream was ended")
 	}
 }
 
 func TestAsksForTheListWhereItMust(t *testing.T) {
 	s := base()
-	s.MustAsk = true
+	s.MustWatchEndpoints = true
 	g, _ := New(s, 1)
 	w := &world{t: t, g: g, now: time.Second}
-	if n := len(of[Watch](w.do(Members{Kind: Remembered}))); n != 1 {
+	if n := len(of[WatchEndpoints](w.do(EndpointUpdate{Kind: CachedUpdate}))); n != 1 {
 		t.Fatalf("%d asks at the start", n)
 	}
-	w.do(Members{Kind: AskFailed})
-	if n := len(of[Watch](w.pass(3 * time.Second))); n != 1 {
+	w.do(EndpointUpdate{Kind: WatchFailed})
+	if n := len(of[WatchEndpoints](w.pass(3 * time.Second))); n != 1 {
 		t.Fatalf("%d asks after a failed one", n)
 	}
 }
 
 func TestNewNamesTheKey(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
-		"Resolution":     func(s *Settings) { s.Resolution = 0 },
-		"Plans":          func(s *Settings) { s.Plans = nil },
-		"Plans[1].Name":  func(s *Settings) { s.Plans[1].Name = "" },
-		"Plans[1].Rate":  func(s *Settings) { s.Plans[1].Rate = -1 },
-		"Classes[0].Aim": func(s *Settings) { s.Classes[0].Aim = 0 },
-		"Me":             func(s *Settings) { s.Me = 2 },
+		"Resolution":                  func(s *Settings) { s.Resolution = 0 },
+		"Plans":                       func(s *Settings) { s.Plans = nil },
+		"Plans[1].Name":               func(s *Settings) { s.Plans[1].Name = "" },
+		"Plans[1].Rate":               func(s *Settings) { s.Plans[1].Rate = -1 },
+		"Classes[0].LatencyObjective": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"SelfIndex":                   func(s *Settings) { s.SelfIndex = 2 },
 	} {
 		s := base()
 		spoil(&s)
@@ -635,8 +635,8 @@
 		for i := range 300 {
 			_, acts := w.ask("safe", []string{"both", "rate", "free"}[i%3], fmt.Sprint(i%7), 1)
 			all = append(all, acts...)
-			for _, s := range of[Send](acts) {
-				all = append(all, w.end(s, 0, Code(i%3))...)
+			for _, s := range of[StartAttempt](acts) {
+				all = append(all, w.end(s, 0, ResultCode(i%3))...)
 			}
 			all = append(all, w.pass(20*ms)...)
 		}
@@ -745,8 +745,8 @@
 		for i := range 400 {
 			w.pass(25 * ms)
 			_, acts := w.ask("safe", "free", "c", 1)
-			for _, s := range of[Send](acts) {
-				w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Over: true, Latency: latency})
+			for _, s := range of[StartAttempt](acts) {
+				w.do(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, Latency: latency})
 				if i >= 200 {
 					n++
 				}
@@ -787,7 +787,7 @@
 		s := w.send("safe", "free")
 		if s.Server == 1 {
 			first++
-			next := of[Send](w.end(s, 0, Full))
+			next := of[StartAttempt](w.end(s, 0, Rejected))
 			w.end(next[0], 1, OK)
 		} else {
 			w.end(s, 0, OK)
@@ -797,7 +797,7 @@
 	others := 0
 	for range 20 {
 		_, acts := w.ask("safe", "rate", "d", 0)
-		for _, s := range of[Send](acts) {
+		for _, s := range of[StartAttempt](acts) {
 			if s.Server == 1 {
 				others++
 			}
@@ -817,8 +817,8 @@
 		w.spend(spent, "rate")
 		w.ids++
 		acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "rate", Class: "safe", Units: 1,
-			Remaining: 2 * time.Second, Spread: 2, Retry: true})
-		if n := len(of[Send](acts)); n != want {
+			Remaining: 2 * time.Second, GatewaySpread: 2, ClientRetry: true})
+		if n := len(of[StartAttempt](acts)); n != want {
 			t.Errorf("%d repeats passed after %d of 10 units, want %d", n, spent, want)
 		}
 	}
@@ -828,7 +828,7 @@
 	w := newWorld(t, base(), fleet(2))
 	for i := range 50 {
 		_, acts := w.ask("safe", "rate", fmt.Sprint(i), 1)
-		w.end(of[Send](acts)[0], 0, OK)
+		w.end(of[StartAttempt](acts)[0], 0, OK)
 		w.now += 20 * ms
 	}
 	w.pass(9 * time.Minute)
@@ -845,7 +845,7 @@
 // With the warm servers full, the cold one still gets no more than its budget.
 func TestColdBudgetHoldsUnderLoad(t *testing.T) {
 	servers := fleet(4)
-	servers[0].HasStart, servers[0].Start = true, time.Second
+	servers[0].HasStartTime, servers[0].StartedAt = true, time.Second
 	w := newWorld(t, base(), servers)
 	cold := 0
 	for range 60 {
@@ -853,7 +853,7 @@
 		_, acts := w.ask("once", "free", "c", 1)
 		for len(acts) > 0 {
 			s, more := acts[0], []Action(nil)
-			if s, ok := s.(Send); ok && s.Server == 1 {
+			if s, ok := s.(StartAttempt); ok && s.Server == 1 {
 				cold++
 				more = w.end(s, 0, OK)
 			}
--- a/policy/report.go
+++ b/policy/report.go
@@ -194,11 +194,11 @@
 	none := len(list.rest) == 0
 	list.heapify()
 	for _, p := range g.peers {
-		if p == nil || p.num == g.set.Me || g.tree && none {
+		if p == nil || p.num == g.set.SelfIndex || g.tree && none {
 			continue
 		}
 		if m := g.message(p, list); !g.tree || len(m.customers) > 0 {
-			g.do(Tell{To: p.num, Data: m.encode()})
+			g.do(SendPeerMessage{To: p.num, Data: m.encode()})
 		}
 	}
 	for _, c := range list.top {
--- a/policy/state.go
+++ b/policy/state.go
@@ -217,7 +217,7 @@
 // resize makes room for a number of gateways, and forgets those beyond.
 func (g *Gateway) resize(n int) {
 	g.set.Gateways = n
-	peers := make([]*peer, max(n, g.set.Me+1))
+	peers := make([]*peer, max(n, g.set.SelfIndex+1))
 	copy(peers, g.peers)
 	g.peers = peers
 	for _, p := range g.peers {
@@ -265,7 +265,7 @@
 	s.oldest = append(s.oldest, r)
 }
 
-func (g *Gateway) ended(r *request, code Code) {
+func (g *Gateway) ended(r *request, code ResultCode) {
 	s := r.srv
 	if !code.NeverRan() && !r.ran {
 		r.ran, r.ranZone, r.ranCell, r.ranAt = true, s.Zone, s.Cell, r.sentAt
@@ -280,8 +280,8 @@
 
 // sameGroup tells whether a server drops repeats of what may have run.
 func (r *request) sameGroup(s *server) bool {
-	return (r.cl.Group != GroupZone || s.Zone == r.ranZone) &&
-		(r.cl.Group != GroupCell || s.Cell == r.ranCell)
+	return (r.cl.DedupScope != DedupZone || s.Zone == r.ranZone) &&
+		(r.cl.DedupScope != DedupCell || s.Cell == r.ranCell)
 }
 
 // measure takes each customer's mean of attempts out over a tick.
@@ -310,7 +310,7 @@
 		if c.seen < idleSeen {
 			return
 		}
-		near += c.mean / c.Aim.Seconds() / float64(len(g.classes))
+		near += c.mean / c.LatencyObjective.Seconds() / float64(len(g.classes))
 	}
 	g.idle = min(near, cmp.Or(g.idle, near))
 }
@@ -358,7 +358,7 @@
 	old := c.set
 	c.set = nil
 	for _, num := range others {
-		if num != g.set.Me {
+		if num != g.set.SelfIndex {
 			v := &peerView{p: g.peer(num)}
 			if i := slices.IndexFunc(old, func(o *peerView) bool { return o.p == v.p }); i >= 0 {
 				v = old[i]
@@ -421,7 +421,7 @@
 
 // size is a server's size against the fleet's mean, where the list tells it.
 func (g *Gateway) sizeOf(s *server) float64 {
-	if g.set.SizeKnown && s.Weight > 0 && g.size > 0 {
+	if g.set.WeightIsCapacity && s.Weight > 0 && g.size > 0 {
 		return s.Weight / g.size
 	}
 	return 1
@@ -475,9 +475,9 @@
 
 // watch asks for the server list where it must be asked for, once.
 func (g *Gateway) watch() {
-	if g.set.MustAsk && !g.asked {
+	if g.set.MustWatchEndpoints && !g.asked {
 		g.asked = true
-		g.do(Watch{})
+		g.do(WatchEndpoints{})
 	}
 }
 
@@ -510,18 +510,18 @@
 // over names the quota that a request does not fit in.
 func (g *Gateway) over(r *request) Reason {
 	if c := r.c; c.plan.Rate > 0 && !r.granted && g.allowance(c) < r.units {
-		return OverQuota
+		return ReasonQuotaExceeded
 	}
-	return OverHard
+	return ReasonCeilingExceeded
 }
 
 // lacking says what a held request waited for: a place under its customer's
 // cap, or a server.
 func (g *Gateway) lacking(r *request) Reason {
 	if !g.room(r.c, false) {
-		return OverCap
+		return ReasonInFlightLimit
 	}
-	return either(r.ran, Attempted, NoServer)
+	return either(r.ran, ReasonAttemptsExhausted, ReasonNoServer)
 }
 
 func either(yes bool, a, b Reason) Reason {
--- a/upstream/ends.go
+++ b/upstream/ends.go
@@ -27,7 +27,7 @@
 // lost keep-alive race prove nothing. A cancel and a time-out are the node's
 // own: Cancelled and TimedOut.
 var ends = [...]struct {
-	code policy.Code
+	code policy.ResultCode
 	what string
 }{
 	notConnected: {policy.ConnectFailed, "not connected"},
@@ -36,10 +36,10 @@
 	noResponse:   {policy.Reset, "connection ended without a response"},
 	badResponse:  {policy.Reset, "response cut or malformed"},
 
-	refusedStream: {policy.Full, "the server did not take the stream"},
+	refusedStream: {policy.Rejected, "the server did not take the stream"},
 }
 
-func ended(p phase, err error) (policy.Code, string) {
+func ended(p phase, err error) (policy.ResultCode, string) {
 	return ends[p].code, fmt.Sprintf("%s: %v", ends[p].what, err)
 }
 
@@ -65,10 +65,10 @@
 
 // code is what a whole response says. A status below 500 is the answer to the
 // client's request, whatever it says; one above may come after work was done.
-func (t TurnedAway) code(res *http1.Response) policy.Code {
+func (t TurnedAway) code(res *http1.Response) policy.ResultCode {
 	switch {
 	case t.Is(res.Status, func(string) bool { return res.Header.Has(t.Header) }):
-		return policy.Full
+		return policy.Rejected
 	case t.Only != 0 && res.Status != t.Only, t.Only == 0 && res.Status >= 500:
 		return policy.Error
 	}
--- a/upstream/stood_test.go
+++ b/upstream/stood_test.go
@@ -44,7 +44,7 @@
 			ended := make(chan node.Result, 1)
 			p.Start(node.Attempt{Address: "10.0.0.2:80", Timeout: time.Second, Decided: time.Now(),
 				Try: &node.Try{Call: node.Call{Method: "POST", Target: "/secret", Host: "h"}}}, func(r node.Result) { ended <- r })
-			if r := <-ended; r.Code != policy.Moot || !r.Code.NeverRan() {
+			if r := <-ended; r.Code != policy.TooLate || !r.Code.NeverRan() {
 				t.Errorf("ended with %v: %s", r.Code, r.Detail)
 			}
 			time.Sleep(time.Second)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -230,11 +230,11 @@
 // moot is how an attempt ends that is not sent because too much time has passed,
 // or the process stood still, since it was decided: its client may have left, and
 // its server drain.
-var moot = node.Result{Code: policy.Moot, Detail: "too late to send"}
+var moot = node.Result{Code: policy.TooLate, Detail: "too late to send"}
 
 // full is how an attempt ends for want of a connection of this node's own; it says
 // nothing of the server.
-var full = node.Result{Code: policy.Moot, Detail: "no connection to spare"}
+var full = node.Result{Code: policy.TooLate, Detail: "no connection to spare"}
 
 var errMost = errors.New("upstream: all connections are in use")
 
