--- a/day/callers.go
+++ b/day/callers.go
@@ -161,7 +161,7 @@
 	t.Sent = time.Now()
 	t.GiveUp = t.Sent.Add(patience)
 	ended := make(chan node.Result, 1)
-	sending := pool.Start(node.Attempt{Address: address, Try: &node.Try{Call: call}}, func(r node.Result) { ended <- r })
+	sending := pool.Start(node.Attempt{Address: address, Request: &node.Request{Call: call}}, func(r node.Result) { ended <- r })
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
 	select {
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -131,7 +131,7 @@
 		{4, "cold servers are taken for warm", func(b *Bubble) {
 			b.Deafen = func(list []node.Server) []node.Server {
 				for i := range list {
-					list[i].Started = time.Time{}
+					list[i].StartTime = time.Time{}
 				}
 				return list
 			}
--- a/day/report.go
+++ b/day/report.go
@@ -58,7 +58,7 @@
 			switch {
 			case t.Answer == "served":
 				out.Served++
-			case t.Reason == string(node.NoTime) && t.GiveUp.Sub(t.Answered) > left:
+			case t.Reason == string(node.ReasonNoTime) && t.GiveUp.Sub(t.Answered) > left:
 				out.Needless++
 			}
 			break
--- a/day/virtual/defects.go
+++ b/day/virtual/defects.go
@@ -35,7 +35,7 @@
 	// Rule 3.
 	"drains-not-heard": deafen(func(s *node.Server) { s.State = policy.Running }),
 	// Rule 4.
-	"cold-taken-for-warm": deafen(func(s *node.Server) { s.Started = time.Time{} }),
+	"cold-taken-for-warm": deafen(func(s *node.Server) { s.StartTime = time.Time{} }),
 	// Rule 5.
 	// (A quota keeps a customer well below its ceiling as long as it holds.)
 	"ceiling-too-high": edit(quotas, "rate = 100\n  burst = 100\n  open = 0\n  hard_rate = 21\n  hard_burst = 36"),
@@ -45,11 +45,11 @@
 // sendsAll sends whatever it was given, whoever has left meanwhile.
 type sendsAll struct{ node.Upstream }
 
-func (u sendsAll) Start(a node.Attempt, done func(node.Result)) node.Sending {
+func (u sendsAll) Start(a node.Attempt, done func(node.Result)) node.OutgoingAttempt {
 	return goesOn{u.Upstream.Start(a, done)}
 }
 
-type goesOn struct{ node.Sending }
+type goesOn struct{ node.OutgoingAttempt }
 
 func (goesOn) Withdraw() bool { return false }
 
--- a/fleet/eds.go
+++ b/fleet/eds.go
@@ -162,7 +162,7 @@
 		s.Cell = int(v.GetNumberValue())
 	}
 	if v, ok := fields["started_ms"]; ok {
-		s.Started = time.UnixMilli(int64(v.GetNumberValue()))
+		s.StartTime = time.UnixMilli(int64(v.GetNumberValue()))
 	}
 	return s, nil
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -85,8 +85,8 @@
 	lines := make([]line, 0, len(list))
 	for _, s := range list {
 		l := line{Address: s.Address, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, State: s.State}
-		if !s.Started.IsZero() {
-			l.Started = &s.Started
+		if !s.StartTime.IsZero() {
+			l.Started = &s.StartTime
 		}
 		lines = append(lines, l)
 	}
@@ -130,7 +130,7 @@
 		s := node.Server{Address: l.Address, Server: policy.Server{ID: ID(l.Address), Zone: l.Zone, Cell: l.Cell,
 			Weight: l.Weight, State: l.State}}
 		if l.Started != nil {
-			s.Started = *l.Started
+			s.StartTime = *l.Started
 		}
 		list = append(list, s)
 	}
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	want := []node.Server{
-		{Address: "127.0.0.1:9001", Started: time.Date(2026, 12, 2, 7, 0, 0, 0, time.UTC),
+		{Address: "127.0.0.1:9001", StartTime: time.Date(2026, 12, 2, 7, 0, 0, 0, time.UTC),
 			Server: policy.Server{ID: ID("127.0.0.1:9001"), Zone: "a", Cell: 2, Weight: 1.5, State: policy.Running}},
 		{Address: "127.0.0.1:9002",
 			Server: policy.Server{ID: ID("127.0.0.1:9002"), Zone: "b", Cell: 1, Weight: 1, State: policy.Draining}},
--- a/front/extauthz/fuzz_test.go
+++ b/front/extauthz/fuzz_test.go
@@ -35,15 +35,15 @@
 `
 
 // passes lets every try go.
-type passes struct{ t *node.Try }
+type passes struct{ t *node.Request }
 
-func (p *passes) Take(t *node.Try, reply func(node.Answer)) func() {
+func (p *passes) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
 	p.t = t
-	reply(node.Answer{Kind: node.Served, Go: &node.Go{ID: 1, Server: "127.0.0.1:2"}})
+	reply(node.FinalResponse{Kind: node.Served, Permit: &node.ForwardPermit{ID: 1, Server: "127.0.0.1:2"}})
 	return func() {}
 }
 
-func (*passes) Ended(policy.RequestID, int, node.Result) {}
+func (*passes) FinishProxiedAttempt(policy.RequestID, int, node.Result) {}
 
 // Whatever attributes a proxy sends: one answer, and only requests with a known
 // key and an unambiguous path pass.
--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -44,15 +44,15 @@
 	FieldTimeout = "x-envoy-upstream-rq-timeout-ms"
 )
 
-// Node takes tries and is told of their attempts' ends; a *node.Node is one.
-type Node interface {
-	Take(t *node.Try, reply func(node.Answer)) (gone func())
-	Ended(id policy.RequestID, attempt int, res node.Result)
+// Handler takes tries and is told of their attempts' ends; a *node.Node is one.
+type Handler interface {
+	Submit(t *node.Request, reply func(node.FinalResponse)) (gone func())
+	FinishProxiedAttempt(id policy.RequestID, attempt int, res node.Result)
 }
 
 // Options is what a Server is made of.
 type Options struct {
-	Node       Node
+	Node       Handler
 	Intake     *intake.Intake
 	Log        *slog.Logger
 	Name       string // begins traces and attempt names; differs for every process
@@ -132,29 +132,29 @@
 	if by, ok := ctx.Deadline(); ok {
 		// It counts from when the call was read: what the proxy gave it is as much
 		// from when it arrived, and no more.
-		t.Patience = min(t.Patience, time.Until(by))
+		t.ClientTimeout = min(t.ClientTimeout, time.Until(by))
 	}
 	t.Proxied = true
-	t.Client, t.Local = address(req.GetAttributes().GetSource()), address(req.GetAttributes().GetDestination())
-	answers := make(chan node.Answer, 1)
-	gone := s.o.Node.Take(t, func(a node.Answer) { answers <- a })
-	var a node.Answer
+	t.ClientAddress, t.LocalAddress = address(req.GetAttributes().GetSource()), address(req.GetAttributes().GetDestination())
+	answers := make(chan node.FinalResponse, 1)
+	gone := s.o.Node.Submit(t, func(a node.FinalResponse) { answers <- a })
+	var a node.FinalResponse
 	select {
 	case a = <-answers:
 	case <-ctx.Done():
 		gone()
 		a = <-answers
 	}
-	if a.Go == nil {
+	if a.Permit == nil {
 		return s.denied(t, a), nil
 	}
 	if ctx.Err() != nil {
 		// The answer can't arrive: nothing will be sent.
-		s.o.Node.Ended(a.Go.ID, a.Go.Attempt, node.Result{Code: policy.TooLate, Detail: "the proxy left"})
+		s.o.Node.FinishProxiedAttempt(a.Permit.ID, a.Permit.Attempt, node.Result{Code: policy.TooLate, Detail: "the proxy left"})
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
-	s.note(t.Trace, passed{a.Go.ID, a.Go.Attempt, time.Now().Add(a.Go.Timeout)})
-	return s.allowed(t, a.Go), nil
+	s.note(t.Trace, passed{a.Permit.ID, a.Permit.Attempt, time.Now().Add(a.Permit.Timeout)})
+	return s.allowed(t, a.Permit), nil
 }
 
 func callOf(h *authv3.AttributeContext_HttpRequest) node.Call {
@@ -180,22 +180,22 @@
 	return net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue())))
 }
 
-func (s *Server) allowed(t *node.Try, g *node.Go) *authv3.CheckResponse {
-	by := &g.Allowed
-	ok := &authv3.OkHttpResponse{HeadersToRemove: append(slices.Clone(by.Remove), s.o.Intake.KeyField()),
-		QueryParametersToRemove: by.Unquery}
-	for _, f := range by.Set {
+func (s *Server) allowed(t *node.Request, g *node.ForwardPermit) *authv3.CheckResponse {
+	by := &g.Authorization
+	ok := &authv3.OkHttpResponse{HeadersToRemove: append(slices.Clone(by.RemoveHeaders), s.o.Intake.KeyField()),
+		QueryParametersToRemove: by.RemoveQuery}
+	for _, f := range by.SetHeaders {
 		ok.Headers = append(ok.Headers, option(f.Name, f.Value))
 	}
-	for _, f := range by.Append {
+	for _, f := range by.AppendHeaders {
 		o := option(f.Name, f.Value)
 		o.Append, o.AppendAction = wrapperspb.Bool(true), corev3.HeaderValueOption_APPEND_IF_EXISTS_OR_ADD
 		ok.Headers = append(ok.Headers, o)
 	}
-	for _, f := range by.Query {
+	for _, f := range by.SetQuery {
 		ok.QueryParametersToSet = append(ok.QueryParametersToSet, &corev3.QueryParameter{Key: f.Name, Value: f.Value})
 	}
-	for _, f := range by.Add {
+	for _, f := range by.ResponseHeaders {
 		ok.ResponseHeadersToAdd = append(ok.ResponseHeadersToAdd, option(f.Name, f.Value))
 	}
 	ok.Headers = append(ok.Headers, option(FieldServer, g.Server), option(FieldAttempt, s.token(g)),
@@ -205,7 +205,7 @@
 		HttpResponse: &authv3.CheckResponse_OkResponse{OkResponse: ok}}
 }
 
-func (s *Server) denied(t *node.Try, a node.Answer) *authv3.CheckResponse {
+func (s *Server) denied(t *node.Request, a node.FinalResponse) *authv3.CheckResponse {
 	res := s.o.Intake.Render(t, a)
 	d := &authv3.DeniedHttpResponse{Status: &typev3.HttpStatus{Code: typev3.StatusCode(res.Status)}, Body: string(res.Body)}
 	for _, f := range res.Header {
@@ -225,7 +225,9 @@
 }
 
 // token names an attempt of this process; parse reads it back.
-func (s *Server) token(g *node.Go) string { return fmt.Sprintf("%s/%d/%d", s.o.Name, g.ID, g.Attempt) }
+func (s *Server) token(g *node.ForwardPermit) string {
+	return fmt.Sprintf("%s/%d/%d", s.o.Name, g.ID, g.Attempt)
+}
 
 func (s *Server) parse(token string) (p passed, ok bool) {
 	rest, ok := strings.CutPrefix(token, s.o.Name+"/")
@@ -282,6 +284,6 @@
 	}
 	s.mu.Unlock()
 	if ok {
-		s.o.Node.Ended(p.id, p.attempt, s.result(e))
+		s.o.Node.FinishProxiedAttempt(p.id, p.attempt, s.result(e))
 	}
 }
--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -74,24 +74,24 @@
 
 // scripted is a node that gives one answer to every try, and notes the try.
 type scripted struct {
-	answer node.Answer
-	try    *node.Try
+	answer node.FinalResponse
+	try    *node.Request
 	ended  []node.Result
 }
 
-func (s *scripted) Take(t *node.Try, reply func(node.Answer)) func() {
+func (s *scripted) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
 	s.try = t
 	a := s.answer
 	if a.Kind == node.Served {
 		if t.Proxied {
-			a.Response, a.Go = nil, &node.Go{ID: 7, Server: "10.0.1.1:80", Timeout: time.Second}
+			a.Response, a.Permit = nil, &node.ForwardPermit{ID: 7, Server: "10.0.1.1:80", Timeout: time.Second}
 		}
 	}
 	reply(a)
 	return func() {}
 }
 
-func (s *scripted) Ended(id policy.RequestID, attempt int, res node.Result) {
+func (s *scripted) FinishProxiedAttempt(id policy.RequestID, attempt int, res node.Result) {
 	if id == 7 && attempt == 0 {
 		s.ended = append(s.ended, res)
 	}
@@ -242,38 +242,38 @@
 		}
 		return out
 	}
-	refused := func(r node.Reason) node.Answer {
-		return node.Answer{Kind: node.Refused, Reason: r, RetryAfter: 1500 * time.Millisecond}
+	refused := func(r node.Reason) node.FinalResponse {
+		return node.FinalResponse{Kind: node.Rejected, Reason: r, RetryAfter: 1500 * time.Millisecond}
 	}
-	failed := func(r node.Reason) node.Answer { return node.Answer{Kind: node.Failed, Reason: r} }
-	served := node.Answer{Kind: node.Served, Response: &node.Response{Status: 200}}
-	denied := node.Answer{Kind: node.Refused, Reason: node.AuthorisationDenied,
+	failed := func(r node.Reason) node.FinalResponse { return node.FinalResponse{Kind: node.Failed, Reason: r} }
+	served := node.FinalResponse{Kind: node.Served, Response: &node.Response{Status: 200}}
+	denied := node.FinalResponse{Kind: node.Rejected, Reason: node.ReasonAuthorizationDenied,
 		Response: &node.Response{Status: 451, Header: http1.Header{{Name: "X-Why", Value: "law"}}, Body: []byte("no")}}
 	for _, c := range []struct {
 		name   string
 		ask    ask
-		answer node.Answer
+		answer node.FinalResponse
 		status int
 		reason string
 		retry  string // Retry-After
 	}{
 		{"served", good, served, 200, "", ""},
-		{"quota", good, refused(node.Quota), 429, "quota", "2"},
-		{"open cap", good, refused(node.OpenCap), 429, "open-cap", "2"},
-		{"ceiling", good, refused(node.Ceiling), 429, "ceiling", "2"},
-		{"shed", good, refused(node.Shed), 503, "shed", "2"},
-		{"no server", good, refused(node.NoServer), 503, "no-server", "2"},
-		{"no time", good, refused(node.NoTime), 503, "no-time", "2"},
-		{"quota unknown", good, refused(node.QuotaUnknown), 503, "quota-unknown", "2"},
-		{"authorisation late", good, refused(node.AuthorisationLate), 503, "authorisation-late", "2"},
-		{"authoriser unreachable", good, refused(node.AuthorisationUnreachable), 503, "authorisation-unreachable", "2"},
+		{"quota", good, refused(node.ReasonQuota), 429, "quota", "2"},
+		{"open cap", good, refused(node.ReasonInFlightLimit), 429, "open-cap", "2"},
+		{"ceiling", good, refused(node.ReasonCeiling), 429, "ceiling", "2"},
+		{"shed", good, refused(node.ReasonLoadShed), 503, "shed", "2"},
+		{"no server", good, refused(node.ReasonNoServer), 503, "no-server", "2"},
+		{"no time", good, refused(node.ReasonNoTime), 503, "no-time", "2"},
+		{"quota unknown", good, refused(node.ReasonQuotaUnknown), 503, "quota-unknown", "2"},
+		{"authorisation late", good, refused(node.ReasonAuthorizationTimeout), 503, "authorisation-late", "2"},
+		{"authoriser unreachable", good, refused(node.ReasonAuthorizationUnreachable), 503, "authorisation-unreachable", "2"},
 		{"denied", good, denied, 451, "authorisation-denied", ""},
-		{"overload", good, refused(node.Overload), 503, "overload", "2"},
-		{"draining", good, refused(node.Draining), 503, "draining", "2"},
-		{"server gone", good, failed(node.ServerGone), 502, "server-gone", ""},
-		{"server late", good, failed(node.ServerLate), 504, "server-late", ""},
-		{"server error", good, failed(node.ServerError), 502, "server-error", ""},
-		{"internal", good, failed(node.Internal), 502, "internal", ""},
+		{"overload", good, refused(node.ReasonOverload), 503, "overload", "2"},
+		{"draining", good, refused(node.ReasonDraining), 503, "draining", "2"},
+		{"server gone", good, failed(node.ReasonServerGone), 502, "server-gone", ""},
+		{"server late", good, failed(node.ReasonServerTimeout), 504, "server-late", ""},
+		{"server error", good, failed(node.ReasonServerError), 502, "server-error", ""},
+		{"internal", good, failed(node.ReasonInternal), 502, "internal", ""},
 		{"unknown key", with(good, "GET", "/records/1", "X-Api-Key", "other"), served, 401, "unknown-key", ""},
 		{"no route", with(good, "GET", "/records"), served, 404, "no-route", ""},
 		{"no route below", with(good, "GET", "/records/1/2"), served, 404, "no-route", ""},
@@ -313,7 +313,7 @@
 				if hTry != nil {
 					a, b := *hTry, *f.node.try
 					a.Call, b.Call, a.Proxied, b.Proxied = node.Call{}, node.Call{}, false, false
-					if a.Class != b.Class || a.Customer != b.Customer || a.Plan != b.Plan || a.Trace != b.Trace || a.Patience != b.Patience || a.Repeat != b.Repeat {
+					if a.Class != b.Class || a.Customer != b.Customer || a.Plan != b.Plan || a.Trace != b.Trace || a.ClientTimeout != b.ClientTimeout || a.ClientRetry != b.ClientRetry {
 						t.Errorf("tries differ:\n%+v\n%+v", a, b)
 					}
 				}
@@ -373,7 +373,7 @@
 		for _, by := range []string{"token", "request id"} {
 			t.Run(c.name+" by "+by, func(t *testing.T) {
 				inFronts(t, func(f *fronts) {
-					f.node.answer = node.Answer{Kind: node.Served}
+					f.node.answer = node.FinalResponse{Kind: node.Served}
 					resp := f.check(ask{"GET", "/records/1", map[string]string{"X-Api-Key": "k", "X-Request-Id": "r1"}})
 					set := map[string]string{}
 					for _, h := range resp.GetOkResponse().GetHeaders() {
--- a/front/http1/close_test.go
+++ b/front/http1/close_test.go
@@ -39,15 +39,15 @@
 	gone  chan string
 }
 
-func (o *one) Take(t *node.Try, reply func(node.Answer)) func() {
+func (o *one) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
 	done := make(chan struct{})
 	go func() {
 		o.taken <- t.Trace
 		select {
 		case <-o.reply:
-			reply(node.Answer{Kind: node.Served, Response: &node.Response{Status: 200, Body: []byte(t.Trace)}})
+			reply(node.FinalResponse{Kind: node.Served, Response: &node.Response{Status: 200, Body: []byte(t.Trace)}})
 		case <-done:
-			reply(node.Answer{Kind: node.Failed, Reason: node.ClientGone})
+			reply(node.FinalResponse{Kind: node.Failed, Reason: node.ReasonClientDisconnected})
 		}
 	}()
 	return func() {
@@ -58,11 +58,11 @@
 
 type plainIntake struct{}
 
-func (plainIntake) Admit(c node.Call, _ string) (*node.Try, *node.Answer) {
-	return &node.Try{Trace: c.Target, Call: c}, nil
+func (plainIntake) Admit(c node.Call, _ string) (*node.Request, *node.FinalResponse) {
+	return &node.Request{Trace: c.Target, Call: c}, nil
 }
 
-func (plainIntake) Render(_ *node.Try, a node.Answer) *node.Response {
+func (plainIntake) Render(_ *node.Request, a node.FinalResponse) *node.Response {
 	if a.Response != nil {
 		return a.Response
 	}
--- a/front/http1/server.go
+++ b/front/http1/server.go
@@ -20,21 +20,21 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// Taker takes tries; a *node.Node is one.
-type Taker interface {
-	Take(t *node.Try, reply func(node.Answer)) (gone func())
+// Handler takes tries; a *node.Node is one.
+type Handler interface {
+	Submit(t *node.Request, reply func(node.FinalResponse)) (gone func())
 }
 
 // Intake turns calls into Tries and Answers into responses; an *intake.Intake is
 // one. Admit may give the answer at once.
 type Intake interface {
-	Admit(c node.Call, trace string) (*node.Try, *node.Answer)
-	Render(t *node.Try, a node.Answer) *node.Response
+	Admit(c node.Call, trace string) (*node.Request, *node.FinalResponse)
+	Render(t *node.Request, a node.FinalResponse) *node.Response
 }
 
 // Options is what a Server is made of.
 type Options struct {
-	Node   Taker
+	Node   Handler
 	Intake Intake
 	Log    *slog.Logger
 	Name   string // begins the traces of requests that bring none
@@ -77,7 +77,7 @@
 
 // ServeConn serves one connection until it ends.
 func (s *Server) ServeConn(nc net.Conn) {
-	c := &conn{s: s, nc: nc, r: http1.NewReader(nc, s.o.Limits), answers: make(chan node.Answer, 1)}
+	c := &conn{s: s, nc: nc, r: http1.NewReader(nc, s.o.Limits), answers: make(chan node.FinalResponse, 1)}
 	c.seat.conn = c
 	s.mu.Lock()
 	ok := false
@@ -179,7 +179,7 @@
 	ahead   bool      // its client sent more ahead than is held
 	gone    bool      // its client closed it, or can't be written to
 	buf     []byte
-	answers chan node.Answer
+	answers chan node.FinalResponse
 }
 
 // rests notes that no request is under way; false where the connection is to be closed.
@@ -330,13 +330,13 @@
 // answer puts a whole request to the node and writes the answer.
 func (c *conn) answer(req *http1.Request, call node.Call) bool {
 	t, early := c.s.o.Intake.Admit(call, c.s.o.Name+"-"+strconv.FormatUint(c.s.traces.Add(1), 36))
-	var a node.Answer
+	var a node.FinalResponse
 	if early != nil {
 		a = *early
 		c.s.o.Log.Info("answer", "answer", a.Kind.String(), "trace", t.Trace, "class", t.Class, "customer", t.Customer,
 			"reason", string(a.Reason), "detail", a.Detail)
 	} else {
-		t.Client, t.Local = c.nc.RemoteAddr().String(), c.nc.LocalAddr().String()
+		t.ClientAddress, t.LocalAddress = c.nc.RemoteAddr().String(), c.nc.LocalAddr().String()
 		if a = c.wait(t); c.gone {
 			return false
 		}
@@ -353,10 +353,10 @@
 
 // wait puts a try to the node and waits for its answer, or for the client to
 // leave; one that closes its sending side is taken to have left.
-func (c *conn) wait(t *node.Try) (a node.Answer) {
+func (c *conn) wait(t *node.Request) (a node.FinalResponse) {
 	c.nc.SetReadDeadline(time.Time{})
 	t.Arrived = c.began
-	gone := c.s.o.Node.Take(t, func(a node.Answer) { c.answers <- a })
+	gone := c.s.o.Node.Submit(t, func(a node.FinalResponse) { c.answers <- a })
 	watched := make(chan error, 1)
 	go func() { watched <- c.watch() }()
 	var err error
@@ -369,7 +369,7 @@
 		a = <-c.answers // the node has its last word in any case
 		if errors.Is(err, http1.ErrAhead) {
 			// Whether this client leaves could not be heard any more.
-			a = node.Answer{Kind: node.Failed, Reason: node.TooLarge, Detail: "requests sent ahead"}
+			a = node.FinalResponse{Kind: node.Failed, Reason: node.ReasonTooLarge, Detail: "requests sent ahead"}
 		}
 	}
 	c.ahead = errors.Is(err, http1.ErrAhead)
@@ -402,13 +402,13 @@
 		c.gone = true // it ended in the middle, or before the first byte
 		return false
 	}
-	why := node.BadRequest
+	why := node.ReasonBadRequest
 	if status == 413 {
-		why = node.TooLarge
+		why = node.ReasonTooLarge
 	}
-	c.s.o.Log.Info("answer", "answer", node.Refused.String(), "reason", string(why), "detail", err.Error(),
+	c.s.o.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(why), "detail", err.Error(),
 		"client", c.nc.RemoteAddr().String())
-	res := c.s.o.Intake.Render(nil, node.Answer{Kind: node.Refused, Reason: why, Detail: err.Error()})
+	res := c.s.o.Intake.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: err.Error()})
 	method := ""
 	if req != nil {
 		method = req.Method
--- a/front/http2/fuzz_test.go
+++ b/front/http2/fuzz_test.go
@@ -40,8 +40,8 @@
 // atOnce answers every try at once.
 type atOnce struct{}
 
-func (atOnce) Take(_ *node.Try, reply func(node.Answer)) func() {
-	reply(node.Answer{Kind: node.Served, Response: &node.Response{Status: 200, Body: []byte("hello")}})
+func (atOnce) Submit(_ *node.Request, reply func(node.FinalResponse)) func() {
+	reply(node.FinalResponse{Kind: node.Served, Response: &node.Response{Status: 200, Body: []byte("hello")}})
 	return func() {}
 }
 
--- a/front/http2/server.go
+++ b/front/http2/server.go
@@ -26,14 +26,14 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// Taker takes tries; a *node.Node is one.
-type Taker interface {
-	Take(t *node.Try, reply func(node.Answer)) (gone func())
+// Handler takes tries; a *node.Node is one.
+type Handler interface {
+	Submit(t *node.Request, reply func(node.FinalResponse)) (gone func())
 }
 
 // Options is what a Server is made of.
 type Options struct {
-	Node   Taker
+	Node   Handler
 	Intake *intake.Intake
 	Log    *slog.Logger
 	Name   string // begins the traces of requests that bring none
@@ -683,16 +683,16 @@
 func (c *conn) answer(st *stream) {
 	o := &c.s.o
 	t, early := o.Intake.Admit(st.call, o.Name+"-"+strconv.FormatUint(c.s.traces.Add(1), 36))
-	var a node.Answer
+	var a node.FinalResponse
 	if early != nil {
 		a = *early
 		o.Log.Info("answer", "answer", a.Kind.String(), "trace", t.Trace, "class", t.Class, "customer", t.Customer,
 			"reason", string(a.Reason), "detail", a.Detail)
 	} else {
-		t.Client, t.Local = c.nc.RemoteAddr().String(), c.nc.LocalAddr().String()
+		t.ClientAddress, t.LocalAddress = c.nc.RemoteAddr().String(), c.nc.LocalAddr().String()
 		t.Arrived = st.began
-		answers := make(chan node.Answer, 1)
-		gone := o.Node.Take(t, func(a node.Answer) { answers <- a })
+		answers := make(chan node.FinalResponse, 1)
+		gone := o.Node.Submit(t, func(a node.FinalResponse) { answers <- a })
 		select {
 		case a = <-answers:
 		case <-st.gone:
@@ -710,13 +710,13 @@
 // refuse answers what the node is not asked about.
 func (c *conn) refuse(st *stream, status int, why string) {
 	c.claim(st)
-	reason := node.BadRequest
+	reason := node.ReasonBadRequest
 	if status == 413 {
-		reason = node.TooLarge
+		reason = node.ReasonTooLarge
 	}
-	c.s.o.Log.Info("answer", "answer", node.Refused.String(), "reason", string(reason), "detail", why,
+	c.s.o.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(reason), "detail", why,
 		"client", c.nc.RemoteAddr().String())
-	res := c.s.o.Intake.Render(nil, node.Answer{Kind: node.Refused, Reason: reason, Detail: why})
+	res := c.s.o.Intake.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: reason, Detail: why})
 	res.Status = status
 	c.respond(st, res)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -57,8 +57,8 @@
 	cfg     *config.Config
 	o       Options
 	node    *node.Node
-	led     *ledger // nil: no counter
-	keep    *keeper // nil: no roster
+	led     *usageRecorder // nil: no counter
+	keep    *keeper        // nil: no roster
 	serving sync.WaitGroup
 	closes  []func() // in reverse order
 	fronts  []front
@@ -94,8 +94,8 @@
 	g.closes = append(g.closes, clock.Close)
 	g.o.Network = clock.Watched(o.Network)
 	o.Network = g.o.Network
-	opt := node.Options{Settings: cfg.Settings(), Seed: o.Seed, Log: o.Log, Margin: cfg.Limits.AnswerMargin,
-		Most: cfg.Limits.Requests, Base: base, Clock: clock, Stall: o.Stall, Tell: func(int, []byte) {}}
+	opt := node.Options{Settings: cfg.Settings(), Seed: o.Seed, Logger: o.Log, ResponseMargin: cfg.Limits.AnswerMargin,
+		MaxUnanswered: cfg.Limits.Requests, TimeOrigin: base, Clock: clock, Pause: o.Stall, SendToPeer: func(int, []byte) {}}
 	pool := upstream.New(upstream.Options{Network: o.Network, ConnectTime: cfg.Limits.ConnectTime, Idle: cfg.Limits.IdleUpstream,
 		Limits:     g.limits(cfg.Limits.AnswerBody),
 		TurnedAway: g.turnedAway(), HTTP2: cfg.Servers.HTTP2, Stood: clock.Stood})
@@ -109,13 +109,13 @@
 			return g, fmt.Errorf("authoriser: %w", err)
 		}
 		g.closes = append(g.closes, c.Close)
-		opt.Authoriser, opt.Authz = c, authz.New(authzSettings(cfg, o.Seed))
+		opt.Authorizer, opt.Authz = c, authz.New(authzSettings(cfg, o.Seed))
 	}
-	inc, err := peer.Incarnation(cfg.StateDir, opt.Base)
+	inc, err := peer.Incarnation(cfg.StateDir, opt.TimeOrigin)
 	if err != nil {
 		o.Log.Warn("incarnation", "error", err)
 	}
-	var led *ledger
+	var led *usageRecorder
 	// Messages that come before the node runs are lost, as any may be.
 	started := make(chan struct{})
 	deliver := func(from int, data []byte) {
@@ -125,7 +125,7 @@
 			return
 		}
 		if (led == nil || !led.heard(from, data)) && (g.keep == nil || !g.keep.heard(from, data)) {
-			g.node.Peer(from, data)
+			g.node.ReceivePeerMessage(from, data)
 		}
 	}
 	if cfg.Roster != nil {
@@ -139,19 +139,19 @@
 		if err != nil {
 			return g, err
 		}
-		opt.Tell = mail.Tell
+		opt.SendToPeer = mail.Tell
 		if g.keep != nil {
 			g.keep.mail = mail
 		}
 		g.closes = append(g.closes, mail.Close)
 	}
 	var db *store.Store
-	led, db, err = g.newLedger(inc, opt.Tell)
+	led, db, err = g.newLedger(inc, opt.SendToPeer)
 	if err != nil {
 		return g, err
 	}
 	if led != nil {
-		opt.Ledger, g.led = led, led
+		opt.UsageRecorder, g.led = led, led
 	}
 	if g.node, err = node.New(opt); err != nil {
 		return g, err
@@ -164,7 +164,7 @@
 			o.Log.Warn("the remembered stores are left aside", "error", err)
 		} else if len(r.Customers) > 0 {
 			o.Log.Info("stores remembered", "customers", len(r.Customers), "age", r.Age)
-			g.node.Recall(r)
+			g.node.RestoreSnapshot(r)
 		}
 		ctx, cancel := context.WithCancel(ctx)
 		g.start(ctx, cancel, g.remember)
@@ -232,7 +232,7 @@
 	if g.o.Deafen != nil {
 		list = g.o.Deafen(list)
 	}
-	g.node.Members(kind, list)
+	g.node.UpdateEndpoints(kind, list)
 	g.phase((*member.Member).Listed)
 }
 
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -211,7 +211,7 @@
 		{Key: tally.Key{Customer: "bibl-a", Window: 177}, Owner: owner, Units: 123456},
 		{Key: tally.Key{Customer: "bibl-b", Window: 178}, Owner: owner, Units: 1},
 	}
-	l := &ledger{inc: owner.Incarnation, names: map[uint64]string{}}
+	l := &usageRecorder{inc: owner.Incarnation, names: map[uint64]string{}}
 	for _, name := range []string{"bibl-a", "bibl-b"} {
 		l.names[xxhash.Sum64String(name)] = name
 	}
--- a/gateway/hard_test.go
+++ b/gateway/hard_test.go
@@ -269,7 +269,7 @@
 func (w *world) quiet() {
 	w.t.Helper()
 	time.Sleep(5 * time.Second)
-	if n := w.node.node.Open(); n != 0 {
+	if n := w.node.node.Unanswered(); n != 0 {
 		w.t.Errorf("%d requests are still open", n)
 	}
 }
@@ -388,27 +388,27 @@
 		n, err := node.New(node.Options{Settings: policy.Settings{Gateways: 1, Resolution: time.Millisecond,
 			Plans:   []policy.Plan{{Name: "p"}},
 			Classes: []policy.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second}}},
-			Log: slog.New(slog.NewTextHandler(&log, nil)), Most: 10, Tell: func(int, []byte) {}, Upstream: silent{}})
+			Logger: slog.New(slog.NewTextHandler(&log, nil)), MaxUnanswered: 10, SendToPeer: func(int, []byte) {}, Upstream: silent{}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() { n.Run(ctx); close(ended) }()
-		n.Members(policy.SnapshotUpdate, []node.Server{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
-		answers := make(chan node.Answer, 10)
-		try := func() *node.Try {
-			return &node.Try{Class: "c", Customer: "x", Plan: "p", Units: 1, Spread: 1, Patience: time.Second}
+		n.UpdateEndpoints(policy.SnapshotUpdate, []node.Server{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
+		answers := make(chan node.FinalResponse, 10)
+		try := func() *node.Request {
+			return &node.Request{Class: "c", Customer: "x", Plan: "p", Units: 1, GatewaySpread: 1, ClientTimeout: time.Second}
 		}
-		n.Take(try(), func(a node.Answer) { answers <- a })
+		n.Submit(try(), func(a node.FinalResponse) { answers <- a })
 		synctest.Wait()
-		n.Break()
-		if a := <-answers; a.Kind != node.Failed || a.Reason != node.Internal {
+		n.BreakPolicy()
+		if a := <-answers; a.Kind != node.Failed || a.Reason != node.ReasonInternal {
 			t.Errorf("%+v", a)
 		}
-		n.Take(try(), func(a node.Answer) { answers <- a })
+		n.Submit(try(), func(a node.FinalResponse) { answers <- a })
 		time.Sleep(100 * time.Millisecond)
-		if n.Open() != 1 {
+		if n.Unanswered() != 1 {
 			t.Error("the node does not go on")
 		}
 		cancel()
@@ -425,9 +425,9 @@
 // silent is an upstream that takes attempts and never ends them.
 type silent struct{}
 
-func (silent) Start(node.Attempt, func(node.Result)) node.Sending { return silent{} }
-func (silent) Cancel()                                            {}
-func (silent) Withdraw() bool                                     { return false }
+func (silent) Start(node.Attempt, func(node.Result)) node.OutgoingAttempt { return silent{} }
+func (silent) Cancel()                                                    {}
+func (silent) Withdraw() bool                                             { return false }
 
 // A node restarted with its last list, which is stale: three servers in it are
 // gone, one is draining. What it can't know costs attempts; each request has its
--- a/gateway/http2_test.go
+++ b/gateway/http2_test.go
@@ -140,7 +140,7 @@
 			time.Sleep(100 * time.Millisecond)
 			c.fr.WriteRSTStream(1, http2.ErrCodeCancel)
 			time.Sleep(100 * time.Millisecond)
-			if n := w.node.node.Open(); n != 0 {
+			if n := w.node.node.Unanswered(); n != 0 {
 				w.t.Errorf("%d requests are still open", n)
 			}
 			c.nc.Close()
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -85,7 +85,7 @@
 	tick := time.NewTicker(memoryEvery)
 	defer tick.Stop()
 	write := func(ctx context.Context) {
-		list, ok := g.node.Remember(ctx)
+		list, ok := g.node.SaveSnapshot(ctx)
 		if !ok {
 			return
 		}
--- a/gateway/proxied_test.go
+++ b/gateway/proxied_test.go
@@ -125,7 +125,7 @@
 		}
 		p.Kill()
 		w.quiet()
-		if got := fmt.Sprint(w.node.node.Open()); got != "0" {
+		if got := fmt.Sprint(w.node.node.Unanswered()); got != "0" {
 			t.Error(got)
 		}
 	})
--- a/gateway/tally.go
+++ b/gateway/tally.go
@@ -26,8 +26,8 @@
 	saveAtOnce = 2000 // accounts looked at in one turn of the loop
 )
 
-// ledger runs a Tally in the node's loop, and carries out what it says.
-type ledger struct {
+// usageRecorder runs a Tally in the node's loop, and carries out what it says.
+type usageRecorder struct {
 	g       *Gateway
 	t       *tally.Tally
 	client  *counter.Client
@@ -39,7 +39,7 @@
 }
 
 // newLedger opens what a tally needs. It is nil where no counter is configured.
-func (g *Gateway) newLedger(inc uint64, tell func(int, []byte)) (*ledger, *store.Store, error) {
+func (g *Gateway) newLedger(inc uint64, tell func(int, []byte)) (*usageRecorder, *store.Store, error) {
 	c := g.cfg.Counter
 	if c == nil {
 		return nil, nil, nil
@@ -51,7 +51,7 @@
 	for _, p := range g.cfg.Plans {
 		set.Rates[p.Name] = tally.Plan{Rate: p.Rate, Burst: p.Burst}
 	}
-	l := &ledger{g: g, t: tally.New(set), tell: tell, names: map[uint64]string{}, peers: map[string][]int{}, inc: inc}
+	l := &usageRecorder{g: g, t: tally.New(set), tell: tell, names: map[uint64]string{}, peers: map[string][]int{}, inc: inc}
 	for _, cu := range g.cfg.Customers {
 		l.names[xxhash.Sum64String(cu.Name)] = cu.Name
 	}
@@ -75,7 +75,7 @@
 }
 
 // place says which nodes customers come in through, in a fleet of a size.
-func (l *ledger) place(gateways int) {
+func (l *usageRecorder) place(gateways int) {
 	clear(l.peers)
 	for _, cu := range l.g.cfg.Customers {
 		for i := range min(cu.Nodes, gateways) {
@@ -85,22 +85,22 @@
 }
 
 // resize follows a change of the fleet, in the node's loop.
-func (l *ledger) resize(gateways int) {
+func (l *usageRecorder) resize(gateways int) {
 	l.place(gateways)
 	l.t.Share(l.g.cfg.Counter.Calls / float64(gateways))
 }
 
-// Seen and Passed are the node's words, in its loop.
-func (l *ledger) Seen(t *node.Try) {
+// RequestSeen and Passed are the node's words, in its loop.
+func (l *usageRecorder) RequestSeen(t *node.Request) {
 	l.carry(l.t.Seen(l.g.o.Wall(), t.Customer, t.Plan, l.peers[t.Customer]))
 }
 
-func (l *ledger) Passed(t *node.Try) {
+func (l *usageRecorder) RequestForwarded(t *node.Request) {
 	l.t.Passed(l.g.o.Wall(), t.Customer, t.Plan, l.peers[t.Customer], t.Units)
 }
 
 // run ticks, and saves in groups: it costs requests nothing but the copy.
-func (l *ledger) run(ctx context.Context, db *store.Store) {
+func (l *usageRecorder) run(ctx context.Context, db *store.Store) {
 	tick := time.NewTicker(tallyTick)
 	defer tick.Stop()
 	saved := time.Now()
@@ -123,7 +123,7 @@
 
 // save stores what has changed, some accounts at a time: each look takes the loop
 // well under a millisecond.
-func (l *ledger) save(ctx context.Context, db *store.Store) {
+func (l *usageRecorder) save(ctx context.Context, db *store.Store) {
 	for more := true; more; {
 		lists := make(chan []tally.Register, 1)
 		l.g.node.Do(func() {
@@ -153,7 +153,7 @@
 }
 
 // carry carries out actions, in the loop.
-func (l *ledger) carry(acts []tally.Action) {
+func (l *usageRecorder) carry(acts []tally.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case tally.Call:
@@ -163,7 +163,7 @@
 		case tally.Tell:
 			l.tell(a.To, l.encode(a.Registers))
 		case tally.Restore:
-			l.g.node.Level(a.Customer, a.Units)
+			l.g.node.SetUsageLevel(a.Customer, a.Units)
 		case tally.Note:
 			log := l.g.o.Log.Warn
 			if a.State == tally.Sound {
@@ -175,7 +175,7 @@
 }
 
 // encode makes a message of registers of this process.
-func (l *ledger) encode(list []tally.Register) []byte {
+func (l *usageRecorder) encode(list []tally.Register) []byte {
 	b := make([]byte, 0, 9+tallyEntry*len(list))
 	b = binary.BigEndian.AppendUint64(append(b, tallyMark), l.inc)
 	for _, r := range list {
@@ -187,7 +187,7 @@
 }
 
 // heard takes a message; false where it is not one of these.
-func (l *ledger) heard(from int, b []byte) bool {
+func (l *usageRecorder) heard(from int, b []byte) bool {
 	if len(b) == 0 || b[0] != tallyMark {
 		return false
 	}
@@ -199,7 +199,7 @@
 
 // decode reads a message that begins with tallyMark, and leaves out customers not
 // known here; a malformed one, of a newer version, is not ok.
-func (l *ledger) decode(from int, b []byte) (list []tally.Register, ok bool) {
+func (l *usageRecorder) decode(from int, b []byte) (list []tally.Register, ok bool) {
 	if len(b) < 9 || (len(b)-9)%tallyEntry != 0 {
 		return nil, false
 	}
@@ -214,4 +214,4 @@
 	return list, true
 }
 
-var _ node.Ledger = (*ledger)(nil)
+var _ node.UsageRecorder = (*usageRecorder)(nil)
--- a/intake/golden_test.go
+++ b/intake/golden_test.go
@@ -20,17 +20,17 @@
 		refused int
 		failed  int
 	}{
-		{node.BadRequest, "bad-request", 400, 502}, {node.TooLarge, "too-large", 413, 502}, {node.UnknownKey, "unknown-key", 401, 502},
-		{node.NoRoute, "no-route", 404, 502}, {node.Quota, "quota", 429, 502}, {node.OpenCap, "open-cap", 429, 502},
-		{node.Ceiling, "ceiling", 429, 502}, {node.Shed, "shed", 503, 502}, {node.NoServer, "no-server", 503, 502},
-		{node.NoTime, "no-time", 503, 504}, {node.QuotaUnknown, "quota-unknown", 503, 502}, {node.ServerGone, "server-gone", 503, 502},
-		{node.ServerError, "server-error", 503, 502}, {node.ServerFull, "server-full", 503, 502}, {node.ServerLate, "server-late", 503, 504},
-		{node.AuthorisationDenied, "authorisation-denied", 403, 502}, {node.AuthorisationLate, "authorisation-late", 503, 502},
-		{node.AuthorisationUnreachable, "authorisation-unreachable", 503, 502}, {node.Overload, "overload", 503, 502},
-		{node.Draining, "draining", 503, 502}, {node.Internal, "internal", 503, 502},
+		{node.ReasonBadRequest, "bad-request", 400, 502}, {node.ReasonTooLarge, "too-large", 413, 502}, {node.ReasonUnknownKey, "unknown-key", 401, 502},
+		{node.ReasonNoRoute, "no-route", 404, 502}, {node.ReasonQuota, "quota", 429, 502}, {node.ReasonInFlightLimit, "open-cap", 429, 502},
+		{node.ReasonCeiling, "ceiling", 429, 502}, {node.ReasonLoadShed, "shed", 503, 502}, {node.ReasonNoServer, "no-server", 503, 502},
+		{node.ReasonNoTime, "no-time", 503, 504}, {node.ReasonQuotaUnknown, "quota-unknown", 503, 502}, {node.ReasonServerGone, "server-gone", 503, 502},
+		{node.ReasonServerError, "server-error", 503, 502}, {node.ReasonServerRejected, "server-full", 503, 502}, {node.ReasonServerTimeout, "server-late", 503, 504},
+		{node.ReasonAuthorizationDenied, "authorisation-denied", 403, 502}, {node.ReasonAuthorizationTimeout, "authorisation-late", 503, 502},
+		{node.ReasonAuthorizationUnreachable, "authorisation-unreachable", 503, 502}, {node.ReasonOverload, "overload", 503, 502},
+		{node.ReasonDraining, "draining", 503, 502}, {node.ReasonInternal, "internal", 503, 502},
 	} {
-		refusal := in.Render(nil, node.Answer{Kind: node.Refused, Reason: c.reason})
-		failure := in.Render(nil, node.Answer{Kind: node.Failed, Reason: c.reason})
+		refusal := in.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: c.reason})
+		failure := in.Render(nil, node.FinalResponse{Kind: node.Failed, Reason: c.reason})
 		if string(c.reason) != c.text || refusal.Status != c.refused || failure.Status != c.failed {
 			t.Errorf("%q: %d refused, %d failed; want %q, %d, %d", c.reason, refusal.Status, failure.Status, c.text, c.refused, c.failed)
 		}
@@ -38,16 +38,16 @@
 			t.Errorf("%s: header %q", c.text, got)
 		}
 	}
-	if node.ClientGone != "client-gone" {
-		t.Errorf("client gone: %q", node.ClientGone)
+	if node.ReasonClientDisconnected != "client-gone" {
+		t.Errorf("client gone: %q", node.ReasonClientDisconnected)
 	}
 }
 
 // A problem has exactly these bytes and header fields.
 func TestProblemHasGoldenBytes(t *testing.T) {
 	in := New(&config.Config{Plans: []policy.Plan{{Name: "basic", Rate: 2, Burst: 8}}})
-	res := in.Render(&node.Try{Trace: "t-1", Plan: "basic"},
-		node.Answer{Kind: node.Refused, Reason: node.Quota, Detail: "d", RetryAfter: 1500 * time.Millisecond})
+	res := in.Render(&node.Request{Trace: "t-1", Plan: "basic"},
+		node.FinalResponse{Kind: node.Rejected, Reason: node.ReasonQuota, Detail: "d", RetryAfter: 1500 * time.Millisecond})
 	const body = `{"type":"urn:yardcleat:reason:quota","title":"The customer's quota is used up.","status":429,"detail":"d",` +
 		`"reason":"quota","retry_is_harmless":true}` + "\n"
 	if string(res.Body) != body {
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -115,14 +115,14 @@
 // KeyField is the field that names the customer.
 func (in *Intake) KeyField() string { return in.cfg.Clients.KeyHeader }
 
-func refusal(why node.Reason, detail string, args ...any) *node.Answer {
-	return &node.Answer{Kind: node.Refused, Reason: why, Detail: fmt.Sprintf(detail, args...)}
+func refusal(why node.Reason, detail string, args ...any) *node.FinalResponse {
+	return &node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: fmt.Sprintf(detail, args...)}
 }
 
 // Admit makes a Try of a call whose header holds end-to-end fields, or the
 // answer that it gets at once. trace names it where the client does not.
-func (in *Intake) Admit(c node.Call, trace string) (*node.Try, *node.Answer) {
-	t := &node.Try{Trace: trace}
+func (in *Intake) Admit(c node.Call, trace string) (*node.Request, *node.FinalResponse) {
+	t := &node.Request{Trace: trace}
 	if id := c.Header.Get(fieldTrace); id != "" {
 		t.Trace = clip(id, 128)
 	} else {
@@ -130,7 +130,7 @@
 	}
 	path, _, _ := strings.Cut(c.Target, "?")
 	if why := ambiguous(path); why != "" {
-		return t, refusal(node.BadRequest, "%s", why)
+		return t, refusal(node.ReasonBadRequest, "%s", why)
 	}
 	customer := in.keys[c.Header.Get(in.cfg.Clients.KeyHeader)]
 	for _, f := range []struct {
@@ -139,38 +139,38 @@
 	}{{in.cfg.Clients.KeyHeader, customer == nil}, {fieldKey, false}, {fieldTrace, false}, {fieldAttempt, true},
 		{in.cfg.Clients.PatienceHeader, true}} {
 		if differs(c.Header, f.name, f.joined) {
-			return t, refusal(node.BadRequest, "the field %s comes with values that differ", f.name)
+			return t, refusal(node.ReasonBadRequest, "the field %s comes with values that differ", f.name)
 		}
 	}
 	if customer == nil {
-		return t, refusal(node.UnknownKey, "the field %s names no customer", in.cfg.Clients.KeyHeader)
+		return t, refusal(node.ReasonUnknownKey, "the field %s names no customer", in.cfg.Clients.KeyHeader)
 	}
-	t.Customer, t.Plan, t.First, t.Spread = customer.Name, customer.Plan, customer.First, customer.Nodes
+	t.Customer, t.Plan, t.FirstGateway, t.GatewaySpread = customer.Name, customer.Plan, customer.First, customer.Nodes
 	var class *config.Class
 	if m := in.routes.plain[c.Method]; m != nil {
 		class = m.find(strings.TrimPrefix(path, "/"))
 	}
 	if class == nil {
-		return t, refusal(node.NoRoute, "no class of requests has this method and path")
+		return t, refusal(node.ReasonNoRoute, "no class of requests has this method and path")
 	}
 	t.Class, t.Units = class.Name, class.Units
 	if class.Idempotency == policy.IdempotentWithKey && c.Header.Get(fieldKey) == "" {
-		return t, refusal(node.BadRequest, "requests of class %s need the field %s", class.Name, fieldKey)
+		return t, refusal(node.ReasonBadRequest, "requests of class %s need the field %s", class.Name, fieldKey)
 	}
-	t.Patience = class.Deadline
+	t.ClientTimeout = class.Deadline
 	if v := c.Header.Get(in.cfg.Clients.PatienceHeader); v != "" {
 		ms, err := strconv.ParseUint(v, 10, 31)
 		if err != nil {
-			return t, refusal(node.BadRequest, "the field %s is not a number of milliseconds", in.cfg.Clients.PatienceHeader)
+			return t, refusal(node.ReasonBadRequest, "the field %s is not a number of milliseconds", in.cfg.Clients.PatienceHeader)
 		}
-		t.Patience = min(t.Patience, time.Duration(ms)*time.Millisecond)
+		t.ClientTimeout = min(t.ClientTimeout, time.Duration(ms)*time.Millisecond)
 	}
 	if v := c.Header.Get(fieldAttempt); v != "" {
 		n, err := strconv.ParseUint(v, 10, 31)
 		if err != nil {
-			return t, refusal(node.BadRequest, "the field %s is not a number", fieldAttempt)
+			return t, refusal(node.ReasonBadRequest, "the field %s is not a number", fieldAttempt)
 		}
-		t.Repeat = n > 1
+		t.ClientRetry = n > 1
 	}
 	c.Header = in.forwarded(c.Header)
 	t.Call = c
@@ -230,25 +230,25 @@
 
 // statuses of reasons, for refusals; a failure is 502, or 504 where time ran out.
 var statuses = map[node.Reason]int{
-	node.BadRequest: 400, node.UnknownKey: 401, node.AuthorisationDenied: 403, node.NoRoute: 404,
-	node.TooLarge: 413, node.Quota: 429, node.OpenCap: 429, node.Ceiling: 429,
+	node.ReasonBadRequest: 400, node.ReasonUnknownKey: 401, node.ReasonAuthorizationDenied: 403, node.ReasonNoRoute: 404,
+	node.ReasonTooLarge: 413, node.ReasonQuota: 429, node.ReasonInFlightLimit: 429, node.ReasonCeiling: 429,
 }
 
 // titles are what a person reads.
 var titles = map[node.Reason]string{
-	node.BadRequest: "The request is malformed.", node.TooLarge: "The request is too large.",
-	node.UnknownKey: "The key is not known.", node.NoRoute: "Nothing is served here.",
-	node.Quota: "The customer's quota is used up.", node.OpenCap: "The customer has too many requests open.",
-	node.Ceiling: "The customer's hard ceiling is reached.", node.Shed: "Requests of less worth are not taken at the moment.",
-	node.NoServer: "No server could take the request in time.", node.NoTime: "Too little time was left.",
-	node.QuotaUnknown: "The customer's quota could not be learned in time.",
-	node.ServerGone:   "The server went away.", node.ServerError: "The server failed.",
-	node.ServerFull: "The servers are full.", node.ServerLate: "The server gave no answer in time.",
-	node.AuthorisationDenied:      "The request is not authorised.",
-	node.AuthorisationLate:        "The authorisation service gave no answer in time.",
-	node.AuthorisationUnreachable: "The authorisation service can't be reached.",
-	node.Overload:                 "The gateway is overloaded.", node.Draining: "The gateway is going out of service.",
-	node.Internal: "The gateway failed.",
+	node.ReasonBadRequest: "The request is malformed.", node.ReasonTooLarge: "The request is too large.",
+	node.ReasonUnknownKey: "The key is not known.", node.ReasonNoRoute: "Nothing is served here.",
+	node.ReasonQuota: "The customer's quota is used up.", node.ReasonInFlightLimit: "The customer has too many requests open.",
+	node.ReasonCeiling: "The customer's hard ceiling is reached.", node.ReasonLoadShed: "Requests of less worth are not taken at the moment.",
+	node.ReasonNoServer: "No server could take the request in time.", node.ReasonNoTime: "Too little time was left.",
+	node.ReasonQuotaUnknown: "The customer's quota could not be learned in time.",
+	node.ReasonServerGone:   "The server went away.", node.ReasonServerError: "The server failed.",
+	node.ReasonServerRejected: "The servers are full.", node.ReasonServerTimeout: "The server gave no answer in time.",
+	node.ReasonAuthorizationDenied:      "The request is not authorised.",
+	node.ReasonAuthorizationTimeout:     "The authorisation service gave no answer in time.",
+	node.ReasonAuthorizationUnreachable: "The authorisation service can't be reached.",
+	node.ReasonOverload:                 "The gateway is overloaded.", node.ReasonDraining: "The gateway is going out of service.",
+	node.ReasonInternal: "The gateway failed.",
 }
 
 // problem is a body by RFC 9457.
@@ -263,33 +263,33 @@
 
 // Render makes of an answer the response that a client gets. t may be nil where
 // the call could not be read.
-func (in *Intake) Render(t *node.Try, a node.Answer) *node.Response {
+func (in *Intake) Render(t *node.Request, a node.FinalResponse) *node.Response {
 	if a.Response != nil {
 		if a.Kind == node.Served {
 			return a.Response
 		}
-		if a.Reason != node.None {
+		if a.Reason != node.ReasonNone {
 			a.Response.Header.Set(fieldReason, string(a.Reason))
 		}
 		return a.Response
 	}
 	p := problem{Type: "urn:yardcleat:reason:" + string(a.Reason), Title: titles[a.Reason], Detail: a.Detail,
-		Reason: string(a.Reason), Retry: a.Kind == node.Refused, Status: 502}
+		Reason: string(a.Reason), Retry: a.Kind == node.Rejected, Status: 502}
 	res := &node.Response{}
 	switch {
-	case a.Kind == node.Refused:
+	case a.Kind == node.Rejected:
 		if p.Status = statuses[a.Reason]; p.Status == 0 {
 			p.Status = 503
 		}
 		if a.RetryAfter > 0 && (p.Status == 429 || p.Status == 503) {
 			res.Header.Add("Retry-After", strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
 		}
-		if plan := in.planOf(t); a.Reason == node.Quota && plan.Rate > 0 {
+		if plan := in.planOf(t); a.Reason == node.ReasonQuota && plan.Rate > 0 {
 			window := int(math.Ceil(plan.Burst / plan.Rate))
 			res.Header.Add("RateLimit-Policy", fmt.Sprintf("%q;q=%d;w=%d", plan.Name, int(plan.Burst), window))
 			res.Header.Add("RateLimit", fmt.Sprintf("%q;r=0;t=%d", plan.Name, int(math.Ceil(a.RetryAfter.Seconds()))))
 		}
-	case a.Reason == node.ServerLate || a.Reason == node.NoTime:
+	case a.Reason == node.ReasonServerTimeout || a.Reason == node.ReasonNoTime:
 		p.Status = 504
 	}
 	res.Status = p.Status
@@ -306,7 +306,7 @@
 	return res
 }
 
-func (in *Intake) planOf(t *node.Try) policy.Plan {
+func (in *Intake) planOf(t *node.Request) policy.Plan {
 	if t == nil {
 		return policy.Plan{}
 	}
--- a/internal/pulse/pulse.go
+++ b/internal/pulse/pulse.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Gaps counts the gaps found.
-func (c *Clock) Gaps() int64 { return c.gaps.Load() }
+// Pauses counts the gaps found.
+func (c *Clock) Pauses() int64 { return c.gaps.Load() }
 
 // Stood tells whether the process stood still after a time.
 func (c *Clock) Stood(since time.Time) bool {
@@ -108,19 +108,19 @@
 	return c.end.Load() > int64(since.Sub(c.Base))
 }
 
-// Ran is how much of a time the process ran.
-func (c *Clock) Ran(from, to time.Duration) time.Duration {
+// ActiveTime is how much of a time the process ran.
+func (c *Clock) ActiveTime(from, to time.Duration) time.Duration {
 	if c.gaps.Load() == 0 {
 		return max(0, to-from)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.w.Ran(from, to)
+	return c.w.ActiveTime(from, to)
 }
 
-// Unread counts the sockets that may hold what came before the last gap's end, or
+// UnreadSockets counts the sockets that may hold what came before the last gap's end, or
 // whose readers have not come back for more since.
-func (c *Clock) Unread() int {
+func (c *Clock) UnreadSockets() int {
 	since := c.end.Load()
 	c.mu.Lock()
 	list := make([]*socket, 0, len(c.sockets))
--- a/node/node.go
+++ b/node/node.go
@@ -18,43 +18,43 @@
 
 // Options is what a node is made of.
 type Options struct {
-	Settings   policy.Settings
-	Seed       uint64
-	Log        *slog.Logger
-	Upstream   Upstream
-	Authoriser Authoriser // nil where no class is put to one
-	Authz      *authz.Decider
-	Tell       func(to int, data []byte) // to a peer; must not block
-	TellAll    bool                      // Tell takes a number below 0: all peers
-	Margin     time.Duration             // answers leave so long before the client gives up
-	Most       int                       // requests not answered yet
-	Base       time.Time                 // the node's time 0; zero: now
-	Ledger     Ledger                    // nil: none
-	Clock      Clock                     // nil: one that finds no gaps
-	Stall      stall.Settings            // zero: stall.Default
-	Forgotten  func(*Try)                // nothing more is done for a try; nil: nobody is told
+	Settings       policy.Settings
+	Seed           uint64
+	Logger         *slog.Logger
+	Upstream       Upstream
+	Authorizer     Authorizer // nil where no class is put to one
+	Authz          *authz.Decider
+	SendToPeer     func(to int, data []byte) // to a peer; must not block
+	SendToAllPeers bool                      // Tell takes a number below 0: all peers
+	ResponseMargin time.Duration             // answers leave so long before the client gives up
+	MaxUnanswered  int                       // requests not answered yet
+	TimeOrigin     time.Time                 // the node's time 0; zero: now
+	UsageRecorder  UsageRecorder             // nil: none
+	Clock          Clock                     // nil: one that finds no gaps
+	Pause          stall.Settings            // zero: stall.Default
+	OnRequestDone  func(*Request)            // nothing more is done for a try; nil: nobody is told
 }
 
 // Clock tells the time since Options.Base, and where the process did not run.
 type Clock interface {
 	Now() time.Duration
-	Gaps() int64                              // found so far
-	Ran(from, to time.Duration) time.Duration // how much of a time the process ran
-	Unread() int                              // sockets that may hold what came before the last gap's end
+	Pauses() int64                                   // found so far
+	ActiveTime(from, to time.Duration) time.Duration // how much of a time the process ran
+	UnreadSockets() int                              // sockets that may hold what came before the last gap's end
 }
 
-// steady is a Clock of a process that always runs.
-type steady struct{ base time.Time }
+// alwaysActiveClock is a Clock of a process that always runs.
+type alwaysActiveClock struct{ base time.Time }
 
-func (s steady) Now() time.Duration                     { return time.Since(s.base) }
-func (steady) Gaps() int64                              { return 0 }
-func (steady) Ran(from, to time.Duration) time.Duration { return max(0, to-from) }
-func (steady) Unread() int                              { return 0 }
+func (s alwaysActiveClock) Now() time.Duration                            { return time.Since(s.base) }
+func (alwaysActiveClock) Pauses() int64                                   { return 0 }
+func (alwaysActiveClock) ActiveTime(from, to time.Duration) time.Duration { return max(0, to-from) }
+func (alwaysActiveClock) UnreadSockets() int                              { return 0 }
 
-// Ledger is told of what is asked for and passed, in the loop.
-type Ledger interface {
-	Seen(t *Try)   // a request is given to the module
-	Passed(t *Try) // its first attempt goes out: its units count
+// UsageRecorder is told of what is asked for and passed, in the loop.
+type UsageRecorder interface {
+	RequestSeen(t *Request)      // a request is given to the module
+	RequestForwarded(t *Request) // its first attempt goes out: its units count
 }
 
 // Node is a running gateway. Its methods may be called from any goroutine.
@@ -98,8 +98,8 @@
 
 type request struct {
 	id        policy.RequestID
-	try       *Try
-	reply     func(Answer)
+	try       *Request
+	reply     func(FinalResponse)
 	state     state
 	deadline  time.Duration
 	timer     *timers.Timer // at the deadline
@@ -114,8 +114,8 @@
 	detail    string
 	check     int // the Check that is out
 	checkAt   time.Duration
-	checkedAs Checked
-	allowed   Checked // what the authoriser changes
+	checkedAs AuthorizationResult
+	allowed   AuthorizationResult // what the authoriser changes
 	taken     time.Duration
 	left      bool // its client left before it was begun
 }
@@ -132,16 +132,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.Base.IsZero() {
-		o.Base = time.Now()
+	if o.TimeOrigin.IsZero() {
+		o.TimeOrigin = time.Now()
 	}
 	if o.Clock == nil {
-		o.Clock = steady{o.Base}
+		o.Clock = alwaysActiveClock{o.TimeOrigin}
 	}
-	if o.Stall == (stall.Settings{}) {
-		o.Stall = stall.Default()
+	if o.Pause == (stall.Settings{}) {
+		o.Pause = stall.Default()
 	}
-	return &Node{o: o, base: o.Base, gw: gw, barrier: stall.NewBarrier(o.Stall), seed: o.Seed, wake: make(chan struct{}, 1), idle: make(chan struct{}, 1),
+	return &Node{o: o, base: o.TimeOrigin, gw: gw, barrier: stall.NewBarrier(o.Pause), seed: o.Seed, wake: make(chan struct{}, 1), idle: make(chan struct{}, 1),
 		reqs: map[policy.RequestID]*request{}, servers: map[policy.ServerID]Server{}}, nil
 }
 
@@ -179,7 +179,7 @@
 		var next time.Duration
 		if n.barrier.On() {
 			n.held = append(n.held, batch...)
-			if next = n.barrier.Look(n.now, n.o.Clock.Unread()); n.barrier.On() {
+			if next = n.barrier.Look(n.now, n.o.Clock.UnreadSockets()); n.barrier.On() {
 				timer.Reset(next)
 				select {
 				case <-timer.C:
@@ -231,9 +231,9 @@
 // the loop alone, which has not looked for too long.
 func (n *Node) look() {
 	now := n.o.Clock.Now()
-	gaps := n.o.Clock.Gaps()
-	if gaps != n.gaps || now-n.now > n.o.Stall.Least {
-		n.o.Log.Warn("the process did not run: what came in meanwhile is read first", "since", now-n.now)
+	gaps := n.o.Clock.Pauses()
+	if gaps != n.gaps || now-n.now > n.o.Pause.Least {
+		n.o.Logger.Warn("the process did not run: what came in meanwhile is read first", "since", now-n.now)
 		n.gaps = gaps
 		n.barrier.Raise(now)
 	}
@@ -270,17 +270,17 @@
 	n.carry(held[before:])
 }
 
-// Take takes a try; reply is called once with its final answer, from the loop
+// Submit takes a try; reply is called once with its final answer, from the loop
 // or at once, and must not block. The returned function says that the client
 // has left.
-func (n *Node) Take(t *Try, reply func(Answer)) (gone func()) {
+func (n *Node) Submit(t *Request, reply func(FinalResponse)) (gone func()) {
 	r := &request{try: t, reply: reply}
 	at := n.o.Clock.Now()
 	if !t.Arrived.IsZero() {
 		at = t.Arrived.Sub(n.base)
 	}
 	n.mu.Lock()
-	closing, full := n.closing, n.open >= n.o.Most
+	closing, full := n.closing, n.open >= n.o.MaxUnanswered
 	if !closing && !full {
 		// Under one lock with the look at closing: once that is set, the loop
 		// empties the queue a last time.
@@ -289,11 +289,11 @@
 	}
 	n.mu.Unlock()
 	if closing || full {
-		why := Overload
+		why := ReasonOverload
 		if closing {
-			why = Draining
+			why = ReasonDraining
 		}
-		a := Answer{Kind: Refused, Reason: why, RetryAfter: n.o.Settings.MaxRetryAfter}
+		a := FinalResponse{Kind: Rejected, Reason: why, RetryAfter: n.o.Settings.MaxRetryAfter}
 		n.line(t, a, 0, 0, "")
 		n.forgotten(t)
 		reply(a)
@@ -302,21 +302,21 @@
 	return func() { n.post(stall.Left, func() { n.clientGone(r) }) }
 }
 
-// Peer tells of a message from a peer.
-func (n *Node) Peer(from int, data []byte) {
+// ReceivePeerMessage tells of a message from a peer.
+func (n *Node) ReceivePeerMessage(from int, data []byte) {
 	n.post(stall.Heard, func() { n.feed(policy.PeerMessage{From: from, Data: data}) })
 }
 
 // Do runs f in the loop, in turn with all else that happens.
 func (n *Node) Do(f func()) { n.post(stall.Other, f) }
 
-// Recall gives the module what an earlier process remembered; before any try is
+// RestoreSnapshot gives the module what an earlier process remembered; before any try is
 // taken.
-func (n *Node) Recall(r policy.RestoreSnapshot) { n.post(stall.Other, func() { n.feed(r) }) }
+func (n *Node) RestoreSnapshot(r policy.RestoreSnapshot) { n.post(stall.Other, func() { n.feed(r) }) }
 
-// Remember returns what is to outlive the process, looking at some customers in each
+// SaveSnapshot returns what is to outlive the process, looking at some customers in each
 // turn of the loop; false where the loop has ended.
-func (n *Node) Remember(ctx context.Context) (list []policy.CustomerSnapshot, ok bool) {
+func (n *Node) SaveSnapshot(ctx context.Context) (list []policy.CustomerSnapshot, ok bool) {
 	const most = 2000
 	for from, first := 0, true; first || from > 0; first = false {
 		done := make(chan struct{})
@@ -344,21 +344,21 @@
 	n.settle()
 }
 
-// Level tells the module how full a customer's store is; from the loop only.
-func (n *Node) Level(customer string, units float64) {
+// SetUsageLevel tells the module how full a customer's store is; from the loop only.
+func (n *Node) SetUsageLevel(customer string, units float64) {
 	n.feed(policy.UsageLevel{Customer: customer, Units: units})
 }
 
-// Members tells of the server list.
-func (n *Node) Members(kind policy.EndpointUpdateKind, list []Server) {
+// UpdateEndpoints tells of the server list.
+func (n *Node) UpdateEndpoints(kind policy.EndpointUpdateKind, list []Server) {
 	n.post(stall.Listed, func() {
 		m := policy.EndpointUpdate{Kind: kind}
 		if kind == policy.SnapshotUpdate || kind == policy.CachedUpdate {
 			clear(n.servers)
 		}
 		for _, s := range list {
-			if !s.Started.IsZero() {
-				s.HasStartTime, s.StartedAt = true, s.Started.Sub(n.base)
+			if !s.StartTime.IsZero() {
+				s.HasStartTime, s.StartedAt = true, s.StartTime.Sub(n.base)
 			}
 			if n.servers[s.ID] = s; s.State == policy.Removed {
 				delete(n.servers, s.ID)
@@ -380,8 +380,8 @@
 	}
 }
 
-// Ended tells how the attempt that a Go let a proxy make has ended.
-func (n *Node) Ended(id policy.RequestID, attempt int, res Result) {
+// FinishProxiedAttempt tells how the attempt that a Go let a proxy make has ended.
+func (n *Node) FinishProxiedAttempt(id policy.RequestID, attempt int, res Result) {
 	n.post(stall.Ended, func() {
 		if r := n.reqs[id]; r != nil && r.live && r.try.Proxied && attempt == r.attempts-1 {
 			n.attemptEnded(r, attempt, res)
@@ -389,8 +389,8 @@
 	})
 }
 
-// Break makes the module panic at its next event; for tests.
-func (n *Node) Break() { n.post(stall.Other, func() { n.gw = nil; n.feed(policy.TimerFired{}) }) }
+// BreakPolicy makes the module panic at its next event; for tests.
+func (n *Node) BreakPolicy() { n.post(stall.Other, func() { n.gw = nil; n.feed(policy.TimerFired{}) }) }
 
 // Finish lets no more tries in, and gives what is not answered its final answer now: a
 // refusal where nothing was sent, so that a repeat is harmless.
@@ -404,9 +404,9 @@
 				continue
 			}
 			n.leaveCheck(r)
-			a := Answer{Kind: Failed, Reason: Draining}
+			a := FinalResponse{Kind: Failed, Reason: ReasonDraining}
 			if r.attempts == 0 {
-				a.Kind, a.RetryAfter = Refused, n.o.Settings.MaxRetryAfter
+				a.Kind, a.RetryAfter = Rejected, n.o.Settings.MaxRetryAfter
 			}
 			n.feed(policy.ClientDisconnected{ID: r.id})
 			n.answer(r, a)
@@ -437,8 +437,8 @@
 	}
 }
 
-// Open is the number of tries not answered yet.
-func (n *Node) Open() int {
+// Unanswered is the number of tries not answered yet.
+func (n *Node) Unanswered() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.open
@@ -448,13 +448,13 @@
 func (n *Node) begin(r *request, at time.Duration) {
 	n.nextID++
 	r.id, r.taken = n.nextID, at
-	r.deadline = at + max(r.try.Patience-n.o.Margin, r.try.Patience/2)
+	r.deadline = at + max(r.try.ClientTimeout-n.o.ResponseMargin, r.try.ClientTimeout/2)
 	n.reqs[r.id] = r
 	if r.left || r.deadline <= n.now {
 		// It waited for too long, or for nobody.
-		a := Answer{Kind: Refused, Reason: NoTime, RetryAfter: n.o.Settings.MaxRetryAfter}
+		a := FinalResponse{Kind: Rejected, Reason: ReasonNoTime, RetryAfter: n.o.Settings.MaxRetryAfter}
 		if r.left {
-			a = Answer{Kind: Failed, Reason: ClientGone}
+			a = FinalResponse{Kind: Failed, Reason: ReasonClientDisconnected}
 		}
 		n.answer(r, a)
 		n.forget(r)
@@ -483,8 +483,10 @@
 		case authz.Check:
 			r := n.reqs[policy.RequestID(a.ID)]
 			r.check, r.checkAt = a.Try, n.now
-			r.limit = n.wheel.Add(n.now+a.Budget, func() { n.checked(r, a.Try, Checked{Verdict: authz.Late, Detail: "authoriser: no answer in time"}) })
-			r.cancel = n.o.Authoriser.Check(a.Target, r.try, a.Budget, func(c Checked) {
+			r.limit = n.wheel.Add(n.now+a.Budget, func() {
+				n.checked(r, a.Try, AuthorizationResult{Verdict: authz.Late, Detail: "authoriser: no answer in time"})
+			})
+			r.cancel = n.o.Authorizer.Check(a.Target, r.try, a.Budget, func(c AuthorizationResult) {
 				n.post(stall.Ended, func() { n.checked(r, a.Try, c) })
 			})
 		case authz.Cancel:
@@ -495,7 +497,7 @@
 			if r := n.reqs[policy.RequestID(a.ID)]; r != nil && r.state == authorising {
 				c := r.checkedAs
 				if a.StoodIn {
-					c, _ = a.Kept.(Checked)
+					c, _ = a.Kept.(AuthorizationResult)
 					c.Detail = "authoriser gave no answer: an earlier one or the default stands in"
 				}
 				r.state = deciding
@@ -504,21 +506,21 @@
 		case authz.Wake:
 			n.wheel.Add(n.now+a.After, func() { n.authorise(n.o.Authz.Tick(n.wall())) })
 		case authz.Note:
-			n.o.Log.Warn(a.Text, "address", a.Target)
+			n.o.Logger.Warn(a.Text, "address", a.Target)
 		}
 	}
 }
 
 // checked takes in how a Check ended; only the first word counts.
-func (n *Node) checked(r *request, try int, c Checked) {
+func (n *Node) checked(r *request, try int, c AuthorizationResult) {
 	if r.state != authorising || r.limit == nil || r.check != try {
 		return
 	}
 	n.endWork(r)
 	r.checkedAs = c
-	n.authorise(n.o.Authz.Answered(n.wall(), uint64(r.id), try, authz.Answer{Verdict: c.Verdict, Latency: n.o.Clock.Ran(r.checkAt, n.now),
-		Stood: n.o.Clock.Ran(r.checkAt, n.now) < n.now-r.checkAt,
-		Life:  c.Life, Kept: c}))
+	n.authorise(n.o.Authz.Answered(n.wall(), uint64(r.id), try, authz.Answer{Verdict: c.Verdict, Latency: n.o.Clock.ActiveTime(r.checkAt, n.now),
+		Stood: n.o.Clock.ActiveTime(r.checkAt, n.now) < n.now-r.checkAt,
+		Life:  c.CacheTTL, Kept: c}))
 }
 
 // endWork ends the Check or the attempt that is out.
@@ -539,18 +541,18 @@
 	}
 }
 
-func (n *Node) authorised(r *request, step authz.Step, c Checked) {
+func (n *Node) authorised(r *request, step authz.Step, c AuthorizationResult) {
 	r.detail = c.Detail
-	a := Answer{Kind: Refused, RetryAfter: n.o.Settings.MaxRetryAfter}
+	a := FinalResponse{Kind: Rejected, RetryAfter: n.o.Settings.MaxRetryAfter}
 	switch step {
 	case authz.Deny:
-		a.Reason, a.Response, a.RetryAfter = AuthorisationDenied, c.Denial, 0
+		a.Reason, a.Response, a.RetryAfter = ReasonAuthorizationDenied, c.Denial, 0
 	case authz.RefuseLate:
-		a.Reason = AuthorisationLate
+		a.Reason = ReasonAuthorizationTimeout
 	case authz.RefuseError:
-		a.Reason = AuthorisationUnreachable
+		a.Reason = ReasonAuthorizationUnreachable
 	case authz.RefuseQuota:
-		a.Reason = Quota
+		a.Reason = ReasonQuota
 	default:
 		c.apply(&r.try.Call)
 		r.allowed = c
@@ -565,11 +567,11 @@
 func (n *Node) decide(r *request) {
 	r.state = deciding
 	t := r.try
-	if n.o.Ledger != nil {
-		n.o.Ledger.Seen(t)
+	if n.o.UsageRecorder != nil {
+		n.o.UsageRecorder.RequestSeen(t)
 	}
 	n.feed(policy.Request{ID: r.id, Customer: t.Customer, Plan: t.Plan, Class: t.Class, Units: t.Units,
-		Remaining: r.deadline - n.now, FirstGateway: t.First, GatewaySpread: t.Spread, ClientRetry: t.Repeat})
+		Remaining: r.deadline - n.now, FirstGateway: t.FirstGateway, GatewaySpread: t.GatewaySpread, ClientRetry: t.ClientRetry})
 }
 
 // feed queues an event for the module.
@@ -606,7 +608,7 @@
 // broken answers for a module that panicked: what it held is failed, and a new
 // one starts as after a restart.
 func (n *Node) broken(ev policy.Event, err error) {
-	n.o.Log.Error("panic in a decision; all requests are failed and the module starts anew",
+	n.o.Logger.Error("panic in a decision; all requests are failed and the module starts anew",
 		"event", fmt.Sprintf("%T", ev), "panic", err)
 	n.failAll("panic in a decision")
 	n.seed++
@@ -630,7 +632,7 @@
 func (n *Node) failAll(why string) {
 	for _, r := range n.reqs {
 		n.leaveCheck(r)
-		n.answer(r, Answer{Kind: Failed, Reason: Internal, Detail: why})
+		n.answer(r, FinalResponse{Kind: Failed, Reason: ReasonInternal, Detail: why})
 		n.endWork(r)
 		n.forget(r)
 	}
@@ -647,28 +649,28 @@
 		}
 	case policy.Reject:
 		if r := n.reqs[a.ID]; r != nil {
-			n.answer(r, Answer{Kind: Refused, Reason: n.reason(r, a.Reason), RetryAfter: a.RetryAfter})
+			n.answer(r, FinalResponse{Kind: Rejected, Reason: n.reason(r, a.Reason), RetryAfter: a.RetryAfter})
 			n.done(r)
 		}
 	case policy.Fail:
 		if r := n.reqs[a.ID]; r != nil {
-			n.answer(r, Answer{Kind: Failed, Reason: n.reason(r, a.Reason)})
+			n.answer(r, FinalResponse{Kind: Failed, Reason: n.reason(r, a.Reason)})
 			n.done(r)
 		}
 	case policy.SetTimer:
 		n.wheel.Add(n.now+a.After, func() { n.feed(policy.TimerFired{Token: a.Token}) })
 	case policy.SendPeerMessage:
-		if a.To >= 0 || n.o.TellAll {
-			n.o.Tell(a.To, a.Data)
+		if a.To >= 0 || n.o.SendToAllPeers {
+			n.o.SendToPeer(a.To, a.Data)
 			break
 		}
 		for i := range n.o.Settings.Gateways {
 			if i != n.o.Settings.SelfIndex {
-				n.o.Tell(i, a.Data)
+				n.o.SendToPeer(i, a.Data)
 			}
 		}
 	case policy.Log:
-		n.o.Log.Info(a.Text, "from", "policy")
+		n.o.Logger.Info(a.Text, "from", "policy")
 	}
 }
 
@@ -690,19 +692,19 @@
 		left = min(left, a.Timeout)
 	}
 	r.state = out
-	if attempt == 0 && n.o.Ledger != nil {
-		n.o.Ledger.Passed(r.try)
+	if attempt == 0 && n.o.UsageRecorder != nil {
+		n.o.UsageRecorder.RequestForwarded(r.try)
 	}
 	r.limit = n.wheel.Add(n.now+left, func() {
 		n.attemptEnded(r, attempt, Result{Code: policy.TimedOut, Detail: "no answer in time"})
 	})
 	to := n.servers[a.Server]
 	if r.try.Proxied {
-		n.answer(r, Answer{Kind: Served, Go: &Go{ID: r.id, Attempt: attempt, Server: to.Address, Timeout: left,
-			Allowed: r.allowed}})
+		n.answer(r, FinalResponse{Kind: Served, Permit: &ForwardPermit{ID: r.id, Attempt: attempt, Server: to.Address, Timeout: left,
+			Authorization: r.allowed}})
 		return
 	}
-	sending := n.o.Upstream.Start(Attempt{ID: r.id, Number: attempt, Address: to.Address, Key: to.Key, Timeout: left, Try: r.try, Decided: n.base.Add(n.now)},
+	sending := n.o.Upstream.Start(Attempt{ID: r.id, Number: attempt, Address: to.Address, ConnectionKey: to.ConnectionKey, Timeout: left, Request: r.try, DecidedAt: n.base.Add(n.now)},
 		func(res Result) {
 			n.post(stall.Ended, func() {
 				if r.live && attempt == r.attempts-1 {
@@ -726,18 +728,18 @@
 		r.detail = res.Detail
 	}
 	if res.Code == policy.OK && r.state != answered {
-		res.Response.Header = append(res.Response.Header, r.allowed.Add...)
-		n.answer(r, Answer{Kind: Served, Response: res.Response})
+		res.Response.Header = append(res.Response.Header, r.allowed.ResponseHeaders...)
+		n.answer(r, FinalResponse{Kind: Served, Response: res.Response})
 	}
 	if res.Code == policy.OK && n.o.Authz != nil {
-		n.o.Authz.Took(r.try.Class, cmp.Or(res.Latency, n.o.Clock.Ran(r.sentAt, n.now)))
+		n.o.Authz.Took(r.try.Class, cmp.Or(res.Latency, n.o.Clock.ActiveTime(r.sentAt, n.now)))
 	}
 	over := r.state == answered
 	if r.state == out {
 		r.state = deciding
 	}
 	if res.Latency == 0 {
-		res.Latency = n.o.Clock.Ran(r.sentAt, n.now)
+		res.Latency = n.o.Clock.ActiveTime(r.sentAt, n.now)
 	}
 	n.feed(policy.AttemptResult{ID: r.id, Attempt: attempt, Server: r.server, Code: res.Code, Latency: res.Latency, Answered: over})
 	n.done(r)
@@ -761,15 +763,15 @@
 	}
 	if r.state == authorising {
 		n.leaveCheck(r)
-		n.answer(r, Answer{Kind: Refused, Reason: AuthorisationLate, RetryAfter: n.o.Settings.MaxRetryAfter})
+		n.answer(r, FinalResponse{Kind: Rejected, Reason: ReasonAuthorizationTimeout, RetryAfter: n.o.Settings.MaxRetryAfter})
 		n.forget(r)
 		return
 	}
-	n.o.Log.Warn("the module gave no answer by the deadline", "trace", r.try.Trace, "class", r.try.Class)
+	n.o.Logger.Warn("the module gave no answer by the deadline", "trace", r.try.Trace, "class", r.try.Class)
 	n.feed(policy.ClientDisconnected{ID: r.id})
-	a := Answer{Kind: Failed, Reason: NoTime}
+	a := FinalResponse{Kind: Failed, Reason: ReasonNoTime}
 	if r.attempts == 0 {
-		a.Kind = Refused // nothing ran
+		a.Kind = Rejected // nothing ran
 	}
 	n.answer(r, a)
 	n.done(r)
@@ -788,7 +790,7 @@
 	}
 	n.leaveCheck(r)
 	n.feed(policy.ClientDisconnected{ID: r.id})
-	n.answer(r, Answer{Kind: Failed, Reason: ClientGone})
+	n.answer(r, FinalResponse{Kind: Failed, Reason: ReasonClientDisconnected})
 	if r.live && r.withdraw != nil && r.withdraw() {
 		n.attemptEnded(r, r.attempts-1, Result{Code: policy.TooLate, Detail: "the client left before it was sent"})
 	}
@@ -796,7 +798,7 @@
 }
 
 // answer gives the one final answer.
-func (n *Node) answer(r *request, a Answer) {
+func (n *Node) answer(r *request, a FinalResponse) {
 	if r.state == answered {
 		return
 	}
@@ -817,17 +819,17 @@
 }
 
 // line logs a final answer.
-func (n *Node) line(t *Try, a Answer, took time.Duration, attempts int, detail string) {
-	if !n.o.Log.Enabled(context.Background(), slog.LevelInfo) {
+func (n *Node) line(t *Request, a FinalResponse, took time.Duration, attempts int, detail string) {
+	if !n.o.Logger.Enabled(context.Background(), slog.LevelInfo) {
 		return
 	}
 	kind := a.Kind.String()
-	if a.Go != nil {
+	if a.Permit != nil {
 		kind = "let pass"
 	}
 	attrs := []slog.Attr{slog.String("answer", kind), slog.String("trace", t.Trace), slog.String("class", t.Class),
 		slog.String("customer", t.Customer), slog.Int("attempts", attempts), slog.Duration("took", took)}
-	if a.Reason != None {
+	if a.Reason != ReasonNone {
 		attrs = append(attrs, slog.String("reason", string(a.Reason)))
 	}
 	if a.Response != nil {
@@ -836,7 +838,7 @@
 	if detail != "" {
 		attrs = append(attrs, slog.String("detail", detail))
 	}
-	n.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "answer", attrs...)
+	n.o.Logger.LogAttrs(context.Background(), slog.LevelInfo, "answer", attrs...)
 }
 
 // done forgets a request that is answered and has no attempt out.
@@ -852,9 +854,9 @@
 	n.forgotten(r.try)
 }
 
-func (n *Node) forgotten(t *Try) {
-	if n.o.Forgotten != nil {
-		n.o.Forgotten(t)
+func (n *Node) forgotten(t *Request) {
+	if n.o.OnRequestDone != nil {
+		n.o.OnRequestDone(t)
 	}
 }
 
@@ -863,30 +865,30 @@
 	if why == policy.ReasonAttemptsExhausted || r.attempts > 0 && why == policy.ReasonNoServer {
 		switch r.last {
 		case policy.TimedOut, policy.Cancelled:
-			return ServerLate
+			return ReasonServerTimeout
 		case policy.ConnectFailed, policy.Reset:
-			return ServerGone
+			return ReasonServerGone
 		case policy.Error:
-			return ServerError
+			return ReasonServerError
 		case policy.Rejected:
-			return ServerFull
+			return ReasonServerRejected
 		case policy.TooLate:
-			return NoTime
+			return ReasonNoTime
 		}
 	}
 	switch why {
 	case policy.ReasonQuotaExceeded:
-		return Quota
+		return ReasonQuota
 	case policy.ReasonInFlightLimit:
-		return OpenCap
+		return ReasonInFlightLimit
 	case policy.ReasonCeilingExceeded:
-		return Ceiling
+		return ReasonCeiling
 	case policy.ReasonNoServer:
-		return NoServer
+		return ReasonNoServer
 	case policy.ReasonNoTime:
-		return NoTime
+		return ReasonNoTime
 	case policy.ReasonNoQuotaLeader:
-		return QuotaUnknown
+		return ReasonQuotaUnknown
 	}
-	return Shed // also a reason that a newer root gave
+	return ReasonLoadShed // also a reason that a newer root gave
 }
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -78,8 +78,8 @@
 	return len(w.gaps) > 0 && w.gaps[len(w.gaps)-1].To > at
 }
 
-// Ran is how much of a time the process ran, as far as is known; never negative.
-func (w *Watch) Ran(from, to time.Duration) time.Duration {
+// ActiveTime is how much of a time the process ran, as far as is known; never negative.
+func (w *Watch) ActiveTime(from, to time.Duration) time.Duration {
 	ran := to - from
 	for _, g := range w.gaps {
 		if over := min(g.To, to) - max(g.From, from); over > 0 {
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -28,10 +28,10 @@
 	if !w.Since(120*ms) || w.Since(121*ms) {
 		t.Error("Since is off")
 	}
-	if ran := w.Ran(60*ms, 131*ms); ran != 20*ms {
+	if ran := w.ActiveTime(60*ms, 131*ms); ran != 20*ms {
 		t.Errorf("ran %v", ran)
 	}
-	if ran := w.Ran(80*ms, 90*ms); ran != 0 {
+	if ran := w.ActiveTime(80*ms, 90*ms); ran != 0 {
 		t.Errorf("ran %v inside the gap", ran)
 	}
 	w.Seen(100 * time.Second)
@@ -108,7 +108,7 @@
 			if at := w.Arrival(r); at > r.At || at < r.Empty {
 				t.Fatalf("%+v: %v", r, at)
 			}
-			if ran := w.Ran(empty, now); ran < 0 || ran > now-empty {
+			if ran := w.ActiveTime(empty, now); ran < 0 || ran > now-empty {
 				t.Fatalf("ran %v of %v", ran, now-empty)
 			}
 		}
--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -166,7 +166,7 @@
 	start := time.Now()
 	ended := make(chan node.Result, 1)
 	sending := s.pool.Start(node.Attempt{Address: set[extauthz.FieldServer], Timeout: time.Duration(limit) * time.Millisecond,
-		Try: &node.Try{Call: call}}, func(res node.Result) { ended <- res })
+		Request: &node.Request{Call: call}}, func(res node.Result) { ended <- res })
 	timer := time.NewTimer(time.Duration(limit) * time.Millisecond)
 	defer timer.Stop()
 	var res node.Result
--- a/upstream/crossing_test.go
+++ b/upstream/crossing_test.go
@@ -16,8 +16,8 @@
 
 var testLimits = http1.Limits{Line: 1000, Fields: 10, Header: 1000, Body: 1000}
 
-func call(target string) *node.Try {
-	return &node.Try{Trace: target, Call: node.Call{Method: "GET", Target: target, Host: "h"}}
+func call(target string) *node.Request {
+	return &node.Request{Trace: target, Call: node.Call{Method: "GET", Target: target, Host: "h"}}
 }
 
 // server is a real listener whose connections a test plays by hand.
@@ -47,9 +47,9 @@
 	return nc, http1.NewReader(nc, testLimits)
 }
 
-func start(p *Pool, s *server, target string, timeout time.Duration) (node.Sending, chan node.Result) {
+func start(p *Pool, s *server, target string, timeout time.Duration) (node.OutgoingAttempt, chan node.Result) {
 	ended := make(chan node.Result, 1)
-	return p.Start(node.Attempt{Address: s.l.Addr().String(), Timeout: timeout, Try: call(target)},
+	return p.Start(node.Attempt{Address: s.l.Addr().String(), Timeout: timeout, Request: call(target)},
 		func(r node.Result) { ended <- r }), ended
 }
 
@@ -111,7 +111,7 @@
 	}
 	nc, _ := s.accept()
 	c := p.connection("key", dialled)
-	given := &attempt{p: p, Attempt: node.Attempt{Try: call("/")}, done: func(r node.Result) { t.Errorf("it ended with %v", r.Code) }}
+	given := &attempt{p: p, Attempt: node.Attempt{Request: call("/")}, done: func(r node.Result) { t.Errorf("it ended with %v", r.Code) }}
 	if !c.assign(given) {
 		t.Fatal("the connection ended by itself")
 	}
--- a/upstream/extauthz/client.go
+++ b/upstream/extauthz/client.go
@@ -85,7 +85,7 @@
 
 // Check asks for a try; see node.Authoriser. The budget goes on the wire as
 // grpc-timeout.
-func (c *Client) Check(num int, t *node.Try, budget time.Duration, done func(node.Checked)) (cancel func()) {
+func (c *Client) Check(num int, t *node.Request, budget time.Duration, done func(node.AuthorizationResult)) (cancel func()) {
 	ctx, stop := context.WithTimeout(context.Background(), budget)
 	req := c.request(t)
 	go func() {
@@ -99,7 +99,7 @@
 	return stop
 }
 
-func (c *Client) request(t *node.Try) *authv3.CheckRequest {
+func (c *Client) request(t *node.Request) *authv3.CheckRequest {
 	headers := make(map[string]string, len(t.Call.Header))
 	for _, f := range t.Call.Header {
 		if len(c.rules.Allowed) > 0 && !slices.Contains(c.rules.Allowed, f.Name) || slices.Contains(c.rules.Disallowed, f.Name) {
@@ -125,8 +125,8 @@
 		http.RawBody = body
 	}
 	return &authv3.CheckRequest{Attributes: &authv3.AttributeContext{
-		Source:      &authv3.AttributeContext_Peer{Principal: t.Customer, Address: address(t.Client)},
-		Destination: &authv3.AttributeContext_Peer{Address: address(t.Local)},
+		Source:      &authv3.AttributeContext_Peer{Principal: t.Customer, Address: address(t.ClientAddress)},
+		Destination: &authv3.AttributeContext_Peer{Address: address(t.LocalAddress)},
 		Request: &authv3.AttributeContext_Request{
 			Time: timestamppb.Now(),
 			Http: http,
@@ -151,9 +151,9 @@
 		PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(n)}}}}
 }
 
-func result(resp *authv3.CheckResponse, err error) node.Checked {
+func result(resp *authv3.CheckResponse, err error) node.AuthorizationResult {
 	if err != nil {
-		c := node.Checked{Verdict: authz.Unreachable, Detail: "authoriser: " + err.Error()}
+		c := node.AuthorizationResult{Verdict: authz.Unreachable, Detail: "authoriser: " + err.Error()}
 		if status.Code(err) == codes.DeadlineExceeded {
 			c.Verdict = authz.Late
 		}
@@ -161,20 +161,20 @@
 	}
 	if resp.GetStatus().GetCode() == int32(codes.OK) {
 		ok := resp.GetOkResponse()
-		c := node.Checked{Verdict: authz.Allowed, Life: life(resp)}
+		c := node.AuthorizationResult{Verdict: authz.Allowed, CacheTTL: life(resp)}
 		for _, h := range ok.GetHeaders() {
-			put(h, &c.Set, &c.Append)
+			put(h, &c.SetHeaders, &c.AppendHeaders)
 		}
 		for _, q := range ok.GetQueryParametersToSet() {
-			c.Query = append(c.Query, http1.Field{Name: q.GetKey(), Value: q.GetValue()})
+			c.SetQuery = append(c.SetQuery, http1.Field{Name: q.GetKey(), Value: q.GetValue()})
 		}
-		c.Unquery = ok.GetQueryParametersToRemove()
+		c.RemoveQuery = ok.GetQueryParametersToRemove()
 		for _, h := range ok.GetResponseHeadersToAdd() {
-			put(h, &c.Add, &c.Add)
+			put(h, &c.ResponseHeaders, &c.ResponseHeaders)
 		}
 		for _, name := range ok.GetHeadersToRemove() {
 			if f := (http1.Field{Name: name}); f.Settable() {
-				c.Remove = append(c.Remove, name)
+				c.RemoveHeaders = append(c.RemoveHeaders, name)
 			}
 		}
 		return c
@@ -187,7 +187,7 @@
 	for _, h := range denied.GetHeaders() {
 		put(h, &res.Header, &res.Header)
 	}
-	return node.Checked{Verdict: authz.Denied, Denial: res, Life: life(resp)}
+	return node.AuthorizationResult{Verdict: authz.Denied, Denial: res, CacheTTL: life(resp)}
 }
 
 func life(resp *authv3.CheckResponse) time.Duration {
--- a/upstream/http2.go
+++ b/upstream/http2.go
@@ -79,7 +79,7 @@
 	t.reset = func() { c.reset(s, http2.ErrCodeCancel) }
 	t.mu.Unlock()
 	if !over {
-		err = c.request(s, &t.Try.Call)
+		err = c.request(s, &t.Request.Call)
 	}
 	switch {
 	case over || errors.Is(err, errLate):
@@ -482,7 +482,7 @@
 // done hands over a whole response.
 func (c *h2conn) done(s *h2stream) {
 	if n, err := strconv.ParseInt(s.head.Header.Get("Content-Length"), 10, 64); err == nil && n != int64(len(s.body)) &&
-		s.t.Try.Call.Method != "HEAD" && s.head.Status != 204 && s.head.Status != 304 {
+		s.t.Request.Call.Method != "HEAD" && s.head.Status != 204 && s.head.Status != 304 {
 		c.fail(s, badResponse, fmt.Errorf("body of %d bytes, %d announced", len(s.body), n))
 		return
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -76,7 +76,7 @@
 }
 
 // Start makes an attempt; see node.Upstream.
-func (p *Pool) Start(a node.Attempt, done func(node.Result)) node.Sending {
+func (p *Pool) Start(a node.Attempt, done func(node.Result)) node.OutgoingAttempt {
 	ctx, stop := context.WithTimeout(context.Background(), p.o.ConnectTime)
 	t := &attempt{Attempt: a, p: p, done: done, dial: stop, start: time.Now()}
 	if p.o.HTTP2 {
@@ -218,7 +218,7 @@
 // request appends the attempt's bytes. The time that it states is what is left as it is
 // written: a dial may have taken some of it.
 func (t *attempt) request(b []byte) []byte {
-	call := &t.Try.Call
+	call := &t.Request.Call
 	header := call.Header
 	if t.p.o.Patience != "" {
 		left := max(0, t.Timeout-time.Since(t.start))
@@ -239,20 +239,20 @@
 var errMost = errors.New("upstream: all connections are in use")
 
 func (t *attempt) late() bool {
-	return t.Timeout > 0 && time.Since(t.start) >= t.Timeout || t.p.o.Stood != nil && t.p.o.Stood(t.Decided)
+	return t.Timeout > 0 && time.Since(t.start) >= t.Timeout || t.p.o.Stood != nil && t.p.o.Stood(t.DecidedAt)
 }
 
 // took is how long a response was on its way that a connection has just given.
 func (t *attempt) took(nc net.Conn) time.Duration {
 	at := pulse.Arrived(nc)
-	if at.IsZero() || t.Decided.IsZero() {
+	if at.IsZero() || t.DecidedAt.IsZero() {
 		return 0 // the node's to measure
 	}
-	return max(1, at.Sub(t.Decided))
+	return max(1, at.Sub(t.DecidedAt))
 }
 
 // key names the server that the attempt's connections belong to.
-func (t *attempt) key() string { return cmp.Or(t.Key, t.Address) }
+func (t *attempt) key() string { return cmp.Or(t.ConnectionKey, t.Address) }
 
 // connect takes a kept connection or makes one.
 func (t *attempt) connect(ctx context.Context) (c *conn, fresh bool, err error) {
@@ -523,7 +523,7 @@
 // response reads the response to an attempt. It tells whether the connection
 // may be used further.
 func (c *conn) response(t *attempt) bool {
-	head, err := c.r.Response(t.Try.Call.Method)
+	head, err := c.r.Response(t.Request.Call.Method)
 	if err != nil {
 		code, detail := ended(badResponse, err)
 		t.end(node.Result{Code: code, Detail: detail}, false)
