--- a/cmd/edge/main.go
+++ b/cmd/edge/main.go
@@ -7,11 +7,11 @@
 	"fmt"
 	"os"
 
-	"yardcleat.example/yardcleat/platform"
+	"yardcleat.example/yardcleat/edgenode"
 )
 
 func main() {
-	if err := platform.Run(context.Background(), os.Stderr); err != nil {
+	if err := edgenode.Run(context.Background(), os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "edge:", err)
 		os.Exit(1)
 	}
--- a/cmd/yardcleat/main.go
+++ b/cmd/yardcleat/main.go
@@ -16,9 +16,9 @@
 	"github.com/spf13/cobra"
 
 	"yardcleat.example/yardcleat/config"
+	"yardcleat.example/yardcleat/edgenode"
 	"yardcleat.example/yardcleat/gateway"
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/platform"
 )
 
 func main() {
@@ -88,7 +88,7 @@
 	return &cobra.Command{Use: "edge", Short: "Run a node as an edge node of the users' platform", Args: cobra.NoArgs,
 		Long: "Run a node by the platform's configuration, in the file that NODE_CONFIG names, until SIGTERM;\n" +
 			"SIGHUP has it read again. The command edge is this alone, for small machines.",
-		RunE: func(cmd *cobra.Command, _ []string) error { return platform.Run(cmd.Context(), cmd.ErrOrStderr()) }}
+		RunE: func(cmd *cobra.Command, _ []string) error { return edgenode.Run(cmd.Context(), cmd.ErrOrStderr()) }}
 }
 
 func serve(ctx context.Context, cfg *config.Config, drain time.Duration) error {
--- a/cmd/yardcleat/roster.go
+++ b/cmd/yardcleat/roster.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"yardcleat.example/yardcleat/config"
-	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/membership"
 )
 
 func rosterCommand() *cobra.Command {
@@ -53,8 +53,8 @@
 	return c
 }
 
-func nextRoster(path string, add, replace, remove, gone []string) (r member.Roster, err error) {
-	old := &member.Roster{}
+func nextRoster(path string, add, replace, remove, gone []string) (r membership.Roster, err error) {
+	old := &membership.Roster{}
 	if _, serr := os.Stat(path); serr == nil {
 		if old, err = config.LoadRoster(path); err != nil {
 			return r, err
@@ -62,7 +62,7 @@
 	}
 	list := slices.Clone(old.Nodes)
 	at := func(name string) (int, error) {
-		i := slices.IndexFunc(list, func(n member.Node) bool { return n.Name == name })
+		i := slices.IndexFunc(list, func(n membership.Node) bool { return n.Name == name })
 		if i < 0 {
 			return 0, fmt.Errorf("there is no node %q in the roster", name)
 		}
@@ -77,7 +77,7 @@
 		if err != nil {
 			return r, err
 		}
-		list[i] = member.Node{Name: parts[1], Address: parts[2]}
+		list[i] = membership.Node{Name: parts[1], Address: parts[2]}
 		gone = append(gone, parts[0])
 	}
 	for _, name := range remove {
@@ -92,7 +92,7 @@
 		if !ok {
 			return r, fmt.Errorf("--add %q: NAME=ADDRESS is needed", text)
 		}
-		list = append(list, member.Node{Name: name, Address: address})
+		list = append(list, membership.Node{Name: name, Address: address})
 	}
 	return old.Next(list, gone)
 }
--- a/config/config.go
+++ b/config/config.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"time"
 
-	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/policy"
 )
 
@@ -26,7 +26,7 @@
 	Plans      []policy.Plan
 	Customers  []Customer
 	Peers      Peers
-	Roster     *member.Roster // as it was at the start; nil: the fleet is what Peers says
+	Roster     *membership.Roster // as it was at the start; nil: the fleet is what Peers says
 	Servers    Servers
 	Authoriser *Authoriser
 	Counter    *Counter
--- a/config/load.go
+++ b/config/load.go
@@ -22,7 +22,7 @@
 	"github.com/zclconf/go-cty/cty"
 	"github.com/zclconf/go-cty/cty/convert"
 
-	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/policy"
 )
 
@@ -621,7 +621,7 @@
 		l.wrong(in.Roster.Range(), "Roster not usable", "%v", err)
 		return
 	}
-	l.cfg.Number = slices.IndexFunc(r.Nodes, func(n member.Node) bool { return n.Name == l.cfg.Name })
+	l.cfg.Number = slices.IndexFunc(r.Nodes, func(n membership.Node) bool { return n.Name == l.cfg.Name })
 	if l.cfg.Number < 0 {
 		l.wrong(in.Roster.Range(), "Not in the roster", "The roster of epoch %d has no node %q; it is known by name in the block node.",
 			r.Epoch, l.cfg.Name)
--- a/config/roster.go
+++ b/config/roster.go
@@ -12,11 +12,11 @@
 	"github.com/hashicorp/hcl/v2/hclwrite"
 	"github.com/zclconf/go-cty/cty"
 
-	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/membership"
 )
 
 // LoadRoster reads the roster of a fleet from a file.
-func LoadRoster(path string) (*member.Roster, error) {
+func LoadRoster(path string) (*membership.Roster, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -25,7 +25,7 @@
 }
 
 // ParseRoster reads a roster; the name is for messages, which name its lines.
-func ParseRoster(src []byte, name string) (*member.Roster, error) {
+func ParseRoster(src []byte, name string) (*membership.Roster, error) {
 	var in struct {
 		Epoch int      `hcl:"epoch"`
 		Gone  []string `hcl:"gone,optional"`
@@ -57,15 +57,15 @@
 		}
 		return nil
 	}
-	r := &member.Roster{Epoch: uint64(in.Epoch), Gone: in.Gone}
+	r := &membership.Roster{Epoch: uint64(in.Epoch), Gone: in.Gone}
 	var errs []error
 	for _, n := range in.Nodes {
 		errs = append(errs, address(n.Address, n.At))
-		r.Nodes = append(r.Nodes, member.Node{Name: n.Name, Address: n.Address})
+		r.Nodes = append(r.Nodes, membership.Node{Name: n.Name, Address: n.Address})
 	}
 	for _, l := range in.Leaving {
 		errs = append(errs, address(l.Address, l.At))
-		r.Leaving = append(r.Leaving, member.Leaver{Number: l.Number, Node: member.Node{Name: l.Name, Address: l.Address}})
+		r.Leaving = append(r.Leaving, membership.Leaver{Number: l.Number, Node: membership.Node{Name: l.Name, Address: l.Address}})
 	}
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 }
 
 // WriteRoster makes the file that ParseRoster reads back.
-func WriteRoster(r *member.Roster) []byte {
+func WriteRoster(r *membership.Roster) []byte {
 	f := hclwrite.NewEmptyFile()
 	body := f.Body()
 	body.SetAttributeValue("epoch", cty.NumberUIntVal(r.Epoch))
--- a/config/roster_test.go
+++ b/config/roster_test.go
@@ -5,12 +5,12 @@
 	"strings"
 	"testing"
 
-	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/membership"
 )
 
 func TestRosterFile(t *testing.T) {
-	r := &member.Roster{Epoch: 7, Nodes: []member.Node{{Name: "a", Address: "10.0.0.1:7000"}, {Name: "b", Address: "10.0.0.2:7000"}},
-		Leaving: []member.Leaver{{Number: 2, Node: member.Node{Name: "c", Address: "10.0.0.3:7000"}}}, Gone: []string{"d", "e"}}
+	r := &membership.Roster{Epoch: 7, Nodes: []membership.Node{{Name: "a", Address: "10.0.0.1:7000"}, {Name: "b", Address: "10.0.0.2:7000"}},
+		Leaving: []membership.Leaver{{Number: 2, Node: membership.Node{Name: "c", Address: "10.0.0.3:7000"}}}, Gone: []string{"d", "e"}}
 	back, err := ParseRoster(WriteRoster(r), "r.hcl")
 	if err != nil || !reflect.DeepEqual(back, r) {
 		t.Errorf("%+v, %v\n%s", back, err, WriteRoster(r))
--- a/day/env.go
+++ b/day/env.go
@@ -17,7 +17,7 @@
 	"yardcleat.example/yardcleat/gateway"
 	"yardcleat.example/yardcleat/internal/network"
 	"yardcleat.example/yardcleat/node"
-	"yardcleat.example/yardcleat/stall"
+	"yardcleat.example/yardcleat/pause"
 )
 
 // Env is where a day is played.
@@ -132,7 +132,7 @@
 	Edit   func([]byte) []byte
 	Deafen func([]node.Server) []node.Server
 	Carry  func(node.Upstream) node.Upstream
-	Stall  stall.Settings // zero: the default
+	Stall  pause.Settings // zero: the default
 }
 
 // Network is a host of the memory network.
--- a/day/run.go
+++ b/day/run.go
@@ -21,7 +21,7 @@
 
 	"yardcleat.example/yardcleat/audit"
 	"yardcleat.example/yardcleat/config"
-	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/standin/authoriser"
 	"yardcleat.example/yardcleat/standin/catalogue"
 	"yardcleat.example/yardcleat/standin/counter"
@@ -119,8 +119,8 @@
 	fronts    []*proxy.Server   // the proxies, by the node they ask
 
 	mu     sync.Mutex
-	nodes  []Node         // nil: a spare that does not run
-	roster *member.Roster // nil: the fleet does not change
+	nodes  []Node             // nil: a spare that does not run
+	roster *membership.Roster // nil: the fleet does not change
 	list   []discovery.Endpoint
 	colds  []*catalogue.Server // those that started cold
 	record audit.Record
@@ -238,9 +238,9 @@
 		return err
 	}
 	if s.Spares > 0 {
-		d.roster = &member.Roster{Epoch: 1}
+		d.roster = &membership.Roster{Epoch: 1}
 		for i := range s.Nodes {
-			d.roster.Nodes = append(d.roster.Nodes, member.Node{Name: nodeName(i), Address: nodeName(i) + ":1"})
+			d.roster.Nodes = append(d.roster.Nodes, membership.Node{Name: nodeName(i), Address: nodeName(i) + ":1"})
 		}
 	}
 	for i := range total {
@@ -520,7 +520,7 @@
 		list = list[:old-n]
 	} else {
 		for i := range n {
-			list = append(list, member.Node{Name: nodeName(old + i), Address: nodeName(old+i) + ":1"})
+			list = append(list, membership.Node{Name: nodeName(old + i), Address: nodeName(old+i) + ":1"})
 		}
 	}
 	// Who left by an earlier change has ended since: the day vouches for it.
--- a/day/virtual/defects.go
+++ b/day/virtual/defects.go
@@ -11,8 +11,8 @@
 
 	"yardcleat.example/yardcleat/day"
 	"yardcleat.example/yardcleat/node"
+	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/policy"
-	"yardcleat.example/yardcleat/stall"
 )
 
 // defects are builds with a defence taken out, to see whether it would be found.
@@ -59,14 +59,14 @@
 	"read first, age by stamps"}
 
 var ways = func() map[string]struct {
-	stall    stall.Settings
+	stall    pause.Settings
 	noStamps bool
 } {
 	type way = struct {
-		stall    stall.Settings
+		stall    pause.Settings
 		noStamps bool
 	}
-	none, read, age, both := stall.Default(), stall.Default(), stall.Default(), stall.Default()
+	none, read, age, both := pause.Default(), pause.Default(), pause.Default(), pause.Default()
 	none.Least, none.Ageless = time.Hour, true
 	read.Ageless = true
 	age.Most = 1
--- a/platform/bounds.go
+++ b/edgenode/bounds.go
@@ -1,4 +1,4 @@
-package platform
+package edgenode
 
 import (
 	"time"
--- a/platform/config.go
+++ b/edgenode/config.go
@@ -1,6 +1,6 @@
-// Package platform runs a node as an edge node of the users' platform: its
+// Package edgenode runs a node as an edge node of the users' platform: its
 // configuration, its life and its protocol, on the parts that every node has.
-package platform
+package edgenode
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
+	"yardcleat.example/yardcleat/edgenode/discovery"
 	"yardcleat.example/yardcleat/internal/wire"
-	"yardcleat.example/yardcleat/platform/discovery"
 	"yardcleat.example/yardcleat/policy"
 )
 
--- a/platform/edge.go
+++ b/edgenode/edge.go
@@ -1,4 +1,4 @@
-package platform
+package edgenode
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"sync/atomic"
 	"time"
 
+	"yardcleat.example/yardcleat/edgenode/discovery"
+	"yardcleat.example/yardcleat/edgenode/protocol"
 	fronthttp "yardcleat.example/yardcleat/front/http1"
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/internal/pulse"
+	"yardcleat.example/yardcleat/internal/pauseclock"
 	"yardcleat.example/yardcleat/node"
+	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/peer"
-	"yardcleat.example/yardcleat/platform/discovery"
-	"yardcleat.example/yardcleat/platform/intake"
 	"yardcleat.example/yardcleat/policy"
-	"yardcleat.example/yardcleat/stall"
 	"yardcleat.example/yardcleat/upstream"
 )
 
@@ -53,8 +53,8 @@
 		return nil, err
 	}
 	base := time.Now()
-	rules := stall.Default()
-	clock := pulse.New(base, n, rules)
+	rules := pause.Default()
+	clock := pauseclock.New(base, n, rules)
 	e = &Edge{net: clock.Watched(n), log: log, classes: cfg.Policy.Classes, open: map[string]bool{}, names: discovery.NewNames()}
 	e.closes = append(e.closes, clock.Close)
 	defer func() {
@@ -64,10 +64,10 @@
 	}()
 	b := share(cfg.Limits)
 	e.pool = upstream.New(upstream.Options{Network: e.net, ConnectTime: cfg.DialTimeout, Idle: b.servers, Most: b.servers,
-		IdleTime: time.Duration(idleShare * float64(cfg.ConnIdle)), Patience: intake.FieldPatience,
+		IdleTime: time.Duration(idleShare * float64(cfg.ConnIdle)), Patience: protocol.FieldPatience,
 		Limits:     limits(b.answer),
 		Held:       b.answers,
-		TurnedAway: upstream.TurnedAway{Status: 503, Also: 504, Header: intake.FieldTurnedAway, Only: 200}, Stood: clock.Stood})
+		TurnedAway: upstream.TurnedAway{Status: 503, Also: 504, Header: protocol.FieldTurnedAway, Only: 200}, Stood: clock.Stood})
 	e.closes = append(e.closes, e.pool.Close)
 	opt := node.Options{Settings: cfg.Policy, Seed: seed, Logger: log, Upstream: e.pool, ResponseMargin: margin, MaxUnanswered: b.clients, TimeOrigin: base,
 		Clock: clock, Pause: rules, SendToPeer: func(int, []byte) {}, OnRequestDone: e.forgotten}
@@ -106,7 +106,7 @@
 	if e.l, err = e.net.Listen(cfg.Listen); err != nil {
 		return e, err
 	}
-	e.front = fronthttp.New(fronthttp.Options{Node: e, Intake: intake.New(cfg.Policy, e.ready), Log: log,
+	e.front = fronthttp.New(fronthttp.Options{Node: e, Intake: protocol.New(cfg.Policy, e.ready), Log: log,
 		Limits:    limits(body),
 		FirstTime: firstTime, HeaderTime: headerTime, BodyTime: headerTime, IdleTime: idleTime, WriteTime: writeTime, Connections: b.clients,
 		Spare: b.idle, Lingers: b.lingers, Yield: yield})
--- a/platform/intake/intake.go
+++ b/edgenode/protocol/intake.go
@@ -1,7 +1,7 @@
-// Package intake turns the platform's requests into Tries and Answers into its
+// Package protocol turns the platform's requests into Tries and Answers into its
 // responses. It has no I/O; what is not the protocol is refused here and leaves
 // nothing behind in the module.
-package intake
+package protocol
 
 import (
 	"fmt"
--- a/platform/intake/intake_test.go
+++ b/edgenode/protocol/intake_test.go
@@ -1,4 +1,4 @@
-package intake
+package protocol
 
 import (
 	"strings"
--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -31,7 +31,7 @@
 
 	"yardcleat.example/yardcleat/intake"
 	"yardcleat.example/yardcleat/internal/http1"
-	"yardcleat.example/yardcleat/internal/pulse"
+	"yardcleat.example/yardcleat/internal/pauseclock"
 	"yardcleat.example/yardcleat/node"
 	"yardcleat.example/yardcleat/policy"
 	"yardcleat.example/yardcleat/upstream"
@@ -127,7 +127,7 @@
 		return s.denied(t, *early), nil
 	}
 	if p, ok := peer.FromContext(ctx); ok {
-		t.Arrived = pulse.ArrivedBy(p.Addr)
+		t.Arrived = pauseclock.ArrivedBy(p.Addr)
 	}
 	if by, ok := ctx.Deadline(); ok {
 		// It counts from when the call was read: what the proxy gave it is as much
--- a/front/http1/server.go
+++ b/front/http1/server.go
@@ -16,7 +16,7 @@
 
 	"yardcleat.example/yardcleat/internal/http1"
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/internal/pulse"
+	"yardcleat.example/yardcleat/internal/pauseclock"
 	"yardcleat.example/yardcleat/node"
 )
 
@@ -290,7 +290,7 @@
 		}
 		c.began, c.next = c.next, time.Time{}
 		if c.began.IsZero() {
-			c.began = pulse.Arrived(c.nc)
+			c.began = pauseclock.Arrived(c.nc)
 		}
 		if !c.reads() || !c.one() {
 			return
@@ -385,7 +385,7 @@
 			return err
 		}
 		if c.next.IsZero() {
-			c.next = pulse.Arrived(c.nc)
+			c.next = pauseclock.Arrived(c.nc)
 		}
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -22,13 +22,13 @@
 	"yardcleat.example/yardcleat/intake"
 	"yardcleat.example/yardcleat/internal/http1"
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/internal/pulse"
-	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/internal/pauseclock"
+	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/node"
+	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/peer"
 	"yardcleat.example/yardcleat/policy"
-	"yardcleat.example/yardcleat/stall"
-	"yardcleat.example/yardcleat/store"
+	"yardcleat.example/yardcleat/storage"
 	"yardcleat.example/yardcleat/upstream"
 	ask "yardcleat.example/yardcleat/upstream/extauthz"
 )
@@ -49,7 +49,7 @@
 	Wall func() time.Time
 	// Stall says what counts as a gap in which the process did not run; zero: the
 	// default.
-	Stall stall.Settings
+	Stall pause.Settings
 }
 
 // Gateway is a running node with all that is around it.
@@ -87,10 +87,10 @@
 		}
 	}()
 	base := time.Now()
-	if o.Stall == (stall.Settings{}) {
-		o.Stall = stall.Default()
+	if o.Stall == (pause.Settings{}) {
+		o.Stall = pause.Default()
 	}
-	clock := pulse.New(base, o.Network, o.Stall)
+	clock := pauseclock.New(base, o.Network, o.Stall)
 	g.closes = append(g.closes, clock.Close)
 	g.o.Network = clock.Watched(o.Network)
 	o.Network = g.o.Network
@@ -145,7 +145,7 @@
 		}
 		g.closes = append(g.closes, mail.Close)
 	}
-	var db *store.Store
+	var db *storage.Store
 	led, db, err = g.newLedger(inc, opt.SendToPeer)
 	if err != nil {
 		return g, err
@@ -186,7 +186,7 @@
 			return g, fmt.Errorf("listener %q: %w", l.Name, err)
 		}
 	}
-	g.phase((*member.Member).Serve)
+	g.phase((*membership.Member).Serve)
 	return g, nil
 }
 
@@ -233,7 +233,7 @@
 		list = g.o.Deafen(list)
 	}
 	g.node.UpdateEndpoints(kind, list)
-	g.phase((*member.Member).Listed)
+	g.phase((*membership.Member).Listed)
 }
 
 func (g *Gateway) limits(body int64) http1.Limits {
@@ -324,7 +324,7 @@
 // Drain stops in order: no new connections, what is held ends, the rest is
 // closed. When the context ends first, what is left is failed.
 func (g *Gateway) Drain(ctx context.Context) error {
-	g.phase((*member.Member).Drain)
+	g.phase((*membership.Member).Drain)
 	for _, f := range g.fronts {
 		f.l.Close()
 	}
@@ -342,9 +342,9 @@
 }
 
 // phase tells the member of a step in this node's life.
-func (g *Gateway) phase(step func(*member.Member) []member.Action) {
+func (g *Gateway) phase(step func(*membership.Member) []membership.Action) {
 	if g.keep != nil && !g.killed.Load() {
-		g.keep.post(func() []member.Action { return step(g.keep.m) })
+		g.keep.post(func() []membership.Action { return step(g.keep.m) })
 	}
 }
 
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -17,9 +17,9 @@
 
 	"yardcleat.example/yardcleat/config"
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/policy"
-	"yardcleat.example/yardcleat/tally"
+	"yardcleat.example/yardcleat/usage"
 )
 
 // storedAt is when an earlier build wrote testdata/stores.
@@ -47,7 +47,7 @@
 // The roster's epoch that an earlier build remembered comes back, and is written
 // with the same bytes again.
 func TestRosterEpochOfAnEarlierBuild(t *testing.T) {
-	want := member.Memory{Epoch: 41, Over: true}
+	want := membership.Memory{Epoch: 41, Over: true}
 	if got, err := recallMember("testdata"); err != nil || got != want {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
@@ -143,7 +143,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		over := make(chan bool, 1)
-		g.keep.post(func() []member.Action {
+		g.keep.post(func() []membership.Action {
 			over <- g.keep.m.Over()
 			return nil
 		})
@@ -181,11 +181,11 @@
 func TestHelloHasGoldenBytes(t *testing.T) {
 	for _, c := range []struct {
 		bytes string
-		hello member.Hello
+		hello membership.Hello
 	}{
-		{"4d" + "00" + "00" + "0000000000000001", member.Hello{Epoch: 1, Stage: member.Read, Phase: member.Starting}},
-		{"4d" + "02" + "01" + "0000000000000029", member.Hello{Epoch: 41, Stage: member.Smaller, Phase: member.Serving}},
-		{"4d" + "04" + "02" + "0102030405060708", member.Hello{Epoch: 0x0102030405060708, Stage: member.Over, Phase: member.Gone}},
+		{"4d" + "00" + "00" + "0000000000000001", membership.Hello{Epoch: 1, Stage: membership.Read, Phase: membership.Starting}},
+		{"4d" + "02" + "01" + "0000000000000029", membership.Hello{Epoch: 41, Stage: membership.Smaller, Phase: membership.Serving}},
+		{"4d" + "04" + "02" + "0102030405060708", membership.Hello{Epoch: 0x0102030405060708, Stage: membership.Over, Phase: membership.Gone}},
 	} {
 		if got := hex.EncodeToString(encodeHello(c.hello)); got != c.bytes {
 			t.Errorf("%+v encoded to %s, want %s", c.hello, got, c.bytes)
@@ -206,10 +206,10 @@
 	const golden = "54" + "0102030405060708" + // mark, incarnation
 		"f41766e6b11eece4" + "000000b1" + "000000000001e240" + // customer, window, thousandths
 		"c2ddf84d17004149" + "000000b2" + "0000000000000001"
-	owner := tally.Owner{Node: 3, Incarnation: 0x0102030405060708}
-	list := []tally.Register{
-		{Key: tally.Key{Customer: "bibl-a", Window: 177}, Owner: owner, Units: 123456},
-		{Key: tally.Key{Customer: "bibl-b", Window: 178}, Owner: owner, Units: 1},
+	owner := usage.Owner{Node: 3, Incarnation: 0x0102030405060708}
+	list := []usage.Register{
+		{Key: usage.Key{Customer: "bibl-a", Window: 177}, Owner: owner, Units: 123456},
+		{Key: usage.Key{Customer: "bibl-b", Window: 178}, Owner: owner, Units: 1},
 	}
 	l := &usageRecorder{inc: owner.Incarnation, names: map[uint64]string{}}
 	for _, name := range []string{"bibl-a", "bibl-b"} {
--- a/gateway/member.go
+++ b/gateway/member.go
@@ -13,7 +13,7 @@
 
 	"yardcleat.example/yardcleat/config"
 	"yardcleat.example/yardcleat/internal/files"
-	"yardcleat.example/yardcleat/member"
+	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/peer"
 )
 
@@ -29,9 +29,9 @@
 // what follows.
 type keeper struct {
 	g    *Gateway
-	m    *member.Member
+	m    *membership.Member
 	mail *peer.Mail
-	do   chan func() []member.Action
+	do   chan func() []membership.Action
 	file []byte // the roster's, as last read
 }
 
@@ -42,8 +42,8 @@
 		g.o.Log.Warn("what was remembered of the roster is left aside; this node holds no part of ceilings until a change is over",
 			"error", err)
 	}
-	return &keeper{g: g, m: member.New(member.Settings{Name: g.cfg.Name, Memory: mem}),
-		do: make(chan func() []member.Action, memberQueue)}
+	return &keeper{g: g, m: membership.New(membership.Settings{Name: g.cfg.Name, Memory: mem}),
+		do: make(chan func() []membership.Action, memberQueue)}
 }
 
 // run keeps the member until the context ends.
@@ -66,7 +66,7 @@
 
 // post has the member told of something; it may be lost where too much waits, as a
 // message may.
-func (k *keeper) post(f func() []member.Action) {
+func (k *keeper) post(f func() []membership.Action) {
 	select {
 	case k.do <- f:
 	default:
@@ -78,7 +78,7 @@
 func (k *keeper) end() {
 	const moment = time.Second
 	said := make(chan struct{})
-	k.post(func() []member.Action {
+	k.post(func() []membership.Action {
 		defer close(said)
 		return k.m.End()
 	})
@@ -105,15 +105,15 @@
 	k.carry(k.m.Roster(time.Now(), *r))
 }
 
-func (k *keeper) carry(acts []member.Action) {
+func (k *keeper) carry(acts []membership.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case member.Remember:
+		case membership.Remember:
 			if err := rememberMember(k.g.cfg.StateDir, a.Memory); err != nil {
 				k.g.o.Log.Error("the roster's epoch can't be remembered; after a restart this node holds no part of ceilings at first",
 					"error", err)
 			}
-		case member.Fleet:
+		case membership.Fleet:
 			taken := make(chan struct{})
 			k.g.node.Do(func() {
 				k.g.node.Resize(a.Gateways, a.Was)
@@ -127,15 +127,15 @@
 			case <-time.After(5 * time.Second):
 				return // the node ends
 			}
-		case member.Address:
+		case membership.Address:
 			if a.Number != k.m.Number() {
 				k.mail.Reach(a.Number, a.Address)
 			}
-		case member.Tell:
+		case membership.Tell:
 			k.mail.Tell(a.To, encodeHello(a.Hello))
-		case member.Changed:
+		case membership.Changed:
 			k.g.o.Log.Info("this node is "+a.Phase.String(), "from", "member")
-		case member.Note:
+		case membership.Note:
 			log := k.g.o.Log.Info
 			if a.Wrong {
 				log = k.g.o.Log.Warn
@@ -145,7 +145,7 @@
 	}
 }
 
-func encodeHello(h member.Hello) []byte {
+func encodeHello(h membership.Hello) []byte {
 	b := []byte{memberMark, byte(h.Phase), byte(h.Stage)}
 	return binary.BigEndian.AppendUint64(b, h.Epoch)
 }
@@ -156,23 +156,23 @@
 		return false
 	}
 	if h, ok := decodeHello(b); ok {
-		k.post(func() []member.Action { return k.m.Heard(time.Now(), from, h) })
+		k.post(func() []membership.Action { return k.m.Heard(time.Now(), from, h) })
 	}
 	return true
 }
 
 // decodeHello reads a message that begins with memberMark; a malformed one, of a
 // newer version, is not ok.
-func decodeHello(b []byte) (h member.Hello, ok bool) {
-	if len(b) != memberSize || b[1] > byte(member.Gone) || b[2] > byte(member.Over) {
+func decodeHello(b []byte) (h membership.Hello, ok bool) {
+	if len(b) != memberSize || b[1] > byte(membership.Gone) || b[2] > byte(membership.Over) {
 		return h, false
 	}
-	return member.Hello{Phase: member.Phase(b[1]), Stage: member.Stage(b[2]), Epoch: binary.BigEndian.Uint64(b[3:])}, true
+	return membership.Hello{Phase: membership.Phase(b[1]), Stage: membership.Stage(b[2]), Epoch: binary.BigEndian.Uint64(b[3:])}, true
 }
 
 const memberFile = "roster-epoch"
 
-func recallMember(dir string) (m member.Memory, err error) {
+func recallMember(dir string) (m membership.Memory, err error) {
 	if dir == "" {
 		return m, nil
 	}
@@ -184,13 +184,13 @@
 		err = json.Unmarshal(b, &m)
 	}
 	if err != nil {
-		return member.Memory{}, err
+		return membership.Memory{}, err
 	}
 	return m, nil
 }
 
 // rememberMember replaces the file in one step, and has it on the disk.
-func rememberMember(dir string, m member.Memory) error {
+func rememberMember(dir string, m membership.Memory) error {
 	if dir == "" {
 		return nil
 	}
--- a/gateway/tally.go
+++ b/gateway/tally.go
@@ -12,9 +12,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"yardcleat.example/yardcleat/node"
-	"yardcleat.example/yardcleat/store"
-	"yardcleat.example/yardcleat/tally"
-	"yardcleat.example/yardcleat/tally/counter"
+	"yardcleat.example/yardcleat/storage"
+	"yardcleat.example/yardcleat/usage"
+	"yardcleat.example/yardcleat/usage/rediscounter"
 )
 
 const (
@@ -29,40 +29,40 @@
 // usageRecorder runs a Tally in the node's loop, and carries out what it says.
 type usageRecorder struct {
 	g       *Gateway
-	t       *tally.Tally
-	client  *counter.Client
+	t       *usage.Tally
+	client  *rediscounter.Client
 	tell    func(to int, data []byte)
 	names   map[uint64]string // of customers, by hash
 	peers   map[string][]int
 	inc     uint64
-	unsaved []tally.Register // that storage could not take
+	unsaved []usage.Register // that storage could not take
 }
 
 // newLedger opens what a tally needs. It is nil where no counter is configured.
-func (g *Gateway) newLedger(inc uint64, tell func(int, []byte)) (*usageRecorder, *store.Store, error) {
+func (g *Gateway) newLedger(inc uint64, tell func(int, []byte)) (*usageRecorder, *storage.Store, error) {
 	c := g.cfg.Counter
 	if c == nil {
 		return nil, nil, nil
 	}
 	gateways := len(g.cfg.Peers.Addresses) + 1
-	set := tally.Settings{Me: tally.Owner{Node: g.cfg.Number, Incarnation: inc}, Parts: len(c.Addresses), Window: c.Window,
+	set := usage.Settings{Me: usage.Owner{Node: g.cfg.Number, Incarnation: inc}, Parts: len(c.Addresses), Window: c.Window,
 		Keep: int(c.Keep / c.Window), Calls: c.Calls / float64(gateways), Mail: g.cfg.Peers.MailPerSecond * tallyMail,
-		Rates: map[string]tally.Plan{}}
+		Rates: map[string]usage.Plan{}}
 	for _, p := range g.cfg.Plans {
-		set.Rates[p.Name] = tally.Plan{Rate: p.Rate, Burst: p.Burst}
+		set.Rates[p.Name] = usage.Plan{Rate: p.Rate, Burst: p.Burst}
 	}
-	l := &usageRecorder{g: g, t: tally.New(set), tell: tell, names: map[uint64]string{}, peers: map[string][]int{}, inc: inc}
+	l := &usageRecorder{g: g, t: usage.New(set), tell: tell, names: map[uint64]string{}, peers: map[string][]int{}, inc: inc}
 	for _, cu := range g.cfg.Customers {
 		l.names[xxhash.Sum64String(cu.Name)] = cu.Name
 	}
 	l.place(gateways)
-	l.client = counter.New(counter.Options{Network: g.o.Network, Addresses: c.Addresses,
+	l.client = rediscounter.New(rediscounter.Options{Network: g.o.Network, Addresses: c.Addresses,
 		Name: fmt.Sprintf("node-%d", g.cfg.Number), Limit: c.Limit, Keep: c.Keep})
 	g.closes = append(g.closes, l.client.Close)
 	if g.cfg.StateDir == "" {
 		return l, nil, nil
 	}
-	db, list, aside, err := store.Open(filepath.Join(g.cfg.StateDir, "tally"), g.cfg.Number)
+	db, list, aside, err := storage.Open(filepath.Join(g.cfg.StateDir, "tally"), g.cfg.Number)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -100,7 +100,7 @@
 }
 
 // run ticks, and saves in groups: it costs requests nothing but the copy.
-func (l *usageRecorder) run(ctx context.Context, db *store.Store) {
+func (l *usageRecorder) run(ctx context.Context, db *storage.Store) {
 	tick := time.NewTicker(tallyTick)
 	defer tick.Stop()
 	saved := time.Now()
@@ -123,11 +123,11 @@
 
 // save stores what has changed, some accounts at a time: each look takes the loop
 // well under a millisecond.
-func (l *usageRecorder) save(ctx context.Context, db *store.Store) {
+func (l *usageRecorder) save(ctx context.Context, db *storage.Store) {
 	for more := true; more; {
-		lists := make(chan []tally.Register, 1)
+		lists := make(chan []usage.Register, 1)
 		l.g.node.Do(func() {
-			var list []tally.Register
+			var list []usage.Register
 			list, more = l.t.Changes(l.g.o.Wall(), saveAtOnce)
 			lists <- list
 		})
@@ -137,7 +137,7 @@
 			if l.unsaved = append(l.unsaved, list...); len(l.unsaved) == 0 {
 				return
 			}
-			slices.SortStableFunc(l.unsaved, func(a, b tally.Register) int { // bbolt takes keys in order best
+			slices.SortStableFunc(l.unsaved, func(a, b usage.Register) int { // bbolt takes keys in order best
 				return cmp.Or(cmp.Compare(a.Owner.Incarnation, b.Owner.Incarnation), cmp.Compare(a.Key.Window, b.Key.Window),
 					cmp.Compare(a.Key.Customer, b.Key.Customer))
 			})
@@ -153,20 +153,20 @@
 }
 
 // carry carries out actions, in the loop.
-func (l *usageRecorder) carry(acts []tally.Action) {
+func (l *usageRecorder) carry(acts []usage.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case tally.Call:
-			l.client.Do(a, func(ans tally.Answer) {
+		case usage.Call:
+			l.client.Do(a, func(ans usage.Answer) {
 				l.g.node.Do(func() { l.carry(l.t.Answered(l.g.o.Wall(), a.ID, ans)) })
 			})
-		case tally.Tell:
+		case usage.Tell:
 			l.tell(a.To, l.encode(a.Registers))
-		case tally.Restore:
+		case usage.Restore:
 			l.g.node.SetUsageLevel(a.Customer, a.Units)
-		case tally.Note:
+		case usage.Note:
 			log := l.g.o.Log.Warn
-			if a.State == tally.Sound {
+			if a.State == usage.Sound {
 				log = l.g.o.Log.Info
 			}
 			log("counter is "+a.State.String(), "part", a.Part, "evidence", a.Text)
@@ -175,7 +175,7 @@
 }
 
 // encode makes a message of registers of this process.
-func (l *usageRecorder) encode(list []tally.Register) []byte {
+func (l *usageRecorder) encode(list []usage.Register) []byte {
 	b := make([]byte, 0, 9+tallyEntry*len(list))
 	b = binary.BigEndian.AppendUint64(append(b, tallyMark), l.inc)
 	for _, r := range list {
@@ -199,16 +199,16 @@
 
 // decode reads a message that begins with tallyMark, and leaves out customers not
 // known here; a malformed one, of a newer version, is not ok.
-func (l *usageRecorder) decode(from int, b []byte) (list []tally.Register, ok bool) {
+func (l *usageRecorder) decode(from int, b []byte) (list []usage.Register, ok bool) {
 	if len(b) < 9 || (len(b)-9)%tallyEntry != 0 {
 		return nil, false
 	}
-	owner := tally.Owner{Node: from, Incarnation: binary.BigEndian.Uint64(b[1:])}
+	owner := usage.Owner{Node: from, Incarnation: binary.BigEndian.Uint64(b[1:])}
 	for b = b[9:]; len(b) > 0; b = b[tallyEntry:] {
 		name, known := l.names[binary.BigEndian.Uint64(b)]
 		if units := binary.BigEndian.Uint64(b[12:]); known && units < 1<<62 {
-			list = append(list, tally.Register{Key: tally.Key{Customer: name, Window: int64(binary.BigEndian.Uint32(b[8:]))},
-				Owner: owner, Units: tally.Milli(units)})
+			list = append(list, usage.Register{Key: usage.Key{Customer: name, Window: int64(binary.BigEndian.Uint32(b[8:]))},
+				Owner: owner, Units: usage.Milli(units)})
 		}
 	}
 	return list, true
--- a/gateway/tally_test.go
+++ b/gateway/tally_test.go
@@ -11,8 +11,8 @@
 
 	"yardcleat.example/yardcleat/config"
 	"yardcleat.example/yardcleat/standin/counter"
-	"yardcleat.example/yardcleat/store"
-	"yardcleat.example/yardcleat/tally"
+	"yardcleat.example/yardcleat/storage"
+	"yardcleat.example/yardcleat/usage"
 )
 
 const counterBlock = `
@@ -171,13 +171,13 @@
 func TestTornStore(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "tally")
-	s, _, _, err := store.Open(path, 3)
+	s, _, _, err := storage.Open(path, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []tally.Register
+	var list []usage.Register
 	for i := range 50 {
-		list = append(list, tally.Register{Key: tally.Key{Customer: fmt.Sprint("c", i), Window: 7}, Owner: tally.Owner{Node: 3, Incarnation: 9}, Units: tally.Milli(i + 1)})
+		list = append(list, usage.Register{Key: usage.Key{Customer: fmt.Sprint("c", i), Window: 7}, Owner: usage.Owner{Node: 3, Incarnation: 9}, Units: usage.Milli(i + 1)})
 	}
 	extra := list[0]
 	extra.Key.Customer = "taken out again"
@@ -185,14 +185,14 @@
 		t.Fatal(err)
 	}
 	extra.Units = 0
-	if err := s.Save([]tally.Register{extra}); err != nil {
+	if err := s.Save([]usage.Register{extra}); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := store.Open(path, 3); err == nil {
+	if _, _, _, err := storage.Open(path, 3); err == nil {
 		t.Error("opened twice")
 	}
 	s.Close()
-	s, got, aside, err := store.Open(path, 3)
+	s, got, aside, err := storage.Open(path, 3)
 	if err != nil || aside != nil || len(got) != 50 {
 		t.Fatalf("%d totals, %v, %v", len(got), aside, err)
 	}
@@ -201,7 +201,7 @@
 	for cut := 0; cut < len(whole); cut += 1009 {
 		at := filepath.Join(dir, fmt.Sprint("cut-", cut))
 		os.WriteFile(at, whole[:cut], 0o600)
-		s, got, aside, err := store.Open(at, 3)
+		s, got, aside, err := storage.Open(at, 3)
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
@@ -213,7 +213,7 @@
 	for name, content := range map[string]string{"foreign": strings.Repeat("hello\n", 5000), "another node's": string(whole)} {
 		at := filepath.Join(dir, name)
 		os.WriteFile(at, []byte(content), 0o600)
-		s, got, aside, err := store.Open(at, 4)
+		s, got, aside, err := storage.Open(at, 4)
 		if err != nil || aside == nil || len(got) != 0 {
 			t.Errorf("%s: %d totals, %v, %v", name, len(got), aside, err)
 		}
--- a/internal/pure/pure_test.go
+++ b/internal/archtest/no_io_test.go
@@ -1,6 +1,6 @@
-// Package pure holds what decides to having no I/O: it checks the source of the
+// Package archtest holds what decides to having no I/O: it checks the source of the
 // packages and files that say so.
-package pure
+package archtest
 
 import (
 	"go/ast"
@@ -14,8 +14,8 @@
 )
 
 // decides lists what decides, from the root of the module.
-var decides = []string{"policy/*.go", "authz/*.go", "audit/*.go", "intake/*.go", "internal/timers/*.go", "tally/*.go", "lab/*.go", "lab/hunt/*.go", "peer/guard.go",
-	"stall/*.go", "member/*.go", "upstream/ends.go", "upstream/trust.go", "front/http1/room.go", "platform/intake/*.go", "platform/discovery/list.go", "platform/shutdown.go", "platform/bounds.go", "platform/discovery/times.go", "front/extauthz/ends.go"}
+var decides = []string{"policy/*.go", "authz/*.go", "audit/*.go", "intake/*.go", "internal/timers/*.go", "usage/*.go", "lab/*.go", "lab/hunt/*.go", "peer/guard.go",
+	"pause/*.go", "membership/*.go", "upstream/ends.go", "upstream/trust.go", "front/http1/room.go", "edgenode/protocol/*.go", "edgenode/discovery/list.go", "edgenode/shutdown.go", "edgenode/bounds.go", "edgenode/discovery/times.go", "front/extauthz/ends.go"}
 
 var banned = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "syscall": true, "io/fs": true,
 	"sync": true, "sync/atomic": true, "context": true, "log/slog": true, "math/rand": true}
--- a/internal/pulse/pulse.go
+++ b/internal/pauseclock/pulse.go
@@ -1,7 +1,7 @@
-// Package pulse is a process's clock and the sockets it reads: it finds the gaps
+// Package pauseclock is a process's clock and the sockets it reads: it finds the gaps
 // in which the process did not run, and tells which sockets still hold what came
 // in them. What follows from that is decided by package stall.
-package pulse
+package pauseclock
 
 import (
 	"sync"
@@ -9,7 +9,7 @@
 	"time"
 
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/stall"
+	"yardcleat.example/yardcleat/pause"
 )
 
 // Clock is one process's clock. All methods may be called from any goroutine.
@@ -22,7 +22,7 @@
 	end  atomic.Int64 // of the last gap
 
 	mu      sync.Mutex
-	w       *stall.Watch
+	w       *pause.Watch
 	sockets map[*socket]struct{}
 	least   int64
 
@@ -33,8 +33,8 @@
 
 // New starts a clock; Close ends it. A network that can pause is asked whether
 // the process runs.
-func New(base time.Time, n network.Network, s stall.Settings) *Clock {
-	c := &Clock{Base: base, wait: func() {}, w: stall.NewWatch(s), sockets: map[*socket]struct{}{}, least: int64(s.Least),
+func New(base time.Time, n network.Network, s pause.Settings) *Clock {
+	c := &Clock{Base: base, wait: func() {}, w: pause.NewWatch(s), sockets: map[*socket]struct{}{}, least: int64(s.Least),
 		stop: make(chan struct{}), done: make(chan struct{})}
 	if h, ok := n.(interface{ Running() }); ok {
 		c.wait = h.Running
@@ -140,7 +140,7 @@
 }
 
 // arrival is when what a socket gave arrived.
-func (c *Clock) arrival(r stall.Read, wall time.Time) time.Time {
+func (c *Clock) arrival(r pause.Read, wall time.Time) time.Time {
 	if !r.Known && c.gaps.Load() == 0 {
 		return c.Base.Add(r.At)
 	}
--- a/internal/pulse/sockets.go
+++ b/internal/pauseclock/sockets.go
@@ -1,4 +1,4 @@
-package pulse
+package pauseclock
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/stall"
+	"yardcleat.example/yardcleat/pause"
 )
 
 // socket is what is known of one socket's reading.
@@ -53,7 +53,7 @@
 // gave notes a read.
 func (s *socket) gave(now time.Duration, wall time.Time, known bool) {
 	s.read.Store(int64(now))
-	at := s.c.arrival(stall.Read{Empty: time.Duration(s.empty.Load()), At: now, Known: known}, wall)
+	at := s.c.arrival(pause.Read{Empty: time.Duration(s.empty.Load()), At: now, Known: known}, wall)
 	s.arrived.Store(int64(at.Sub(s.c.Base)))
 }
 
--- a/internal/pulse/sockets_linux.go
+++ b/internal/pauseclock/sockets_linux.go
@@ -1,4 +1,4 @@
-package pulse
+package pauseclock
 
 import (
 	"io"
--- a/lab/quota.go
+++ b/lab/quota.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"yardcleat.example/yardcleat/policy"
-	"yardcleat.example/yardcleat/tally"
+	"yardcleat.example/yardcleat/usage"
 )
 
 // Way is a way of keeping quotas over a fleet.
@@ -146,7 +146,7 @@
 	over, above float64
 	ideal       bucket  // what one counter without faults would let pass
 	inside, got float64 // units from the fault on: by the ideal, and admitted
-	passed      map[tally.Owner]tally.Milli
+	passed      map[usage.Owner]usage.Milli
 }
 
 type fleet struct {
@@ -171,7 +171,7 @@
 	inc    uint64
 	down   bool
 	gw     *policy.Gateway
-	tl     *tally.Tally
+	tl     *usage.Tally
 	size   int // of the fleet, as it was last told
 	tries  map[policy.RequestID]*customer
 	sent   map[policy.RequestID]int
@@ -190,14 +190,14 @@
 
 type holds struct {
 	epoch string
-	regs  map[tally.Key]map[tally.Owner]tally.Milli
-	level map[string]tally.Level
+	regs  map[usage.Key]map[usage.Owner]usage.Milli
+	level map[string]usage.Level
 	quota map[string]*bucket // for those that ask it for each request
 	hard  map[string]*bucket
 }
 
 func newHolds(epoch int) *holds {
-	return &holds{fmt.Sprint(epoch), map[tally.Key]map[tally.Owner]tally.Milli{}, map[string]tally.Level{},
+	return &holds{fmt.Sprint(epoch), map[usage.Key]map[usage.Owner]usage.Milli{}, map[string]usage.Level{},
 		map[string]*bucket{}, map[string]*bucket{}}
 }
 
@@ -205,7 +205,7 @@
 	c := newHolds(0)
 	c.epoch = h.epoch
 	for k, m := range h.regs {
-		c.regs[k] = map[tally.Owner]tally.Milli{}
+		c.regs[k] = map[usage.Owner]usage.Milli{}
 		for o, u := range m {
 			c.regs[k][o] = u
 		}
@@ -251,7 +251,7 @@
 	width := min(spread, e.Nodes)
 	for i := range max(6, e.Nodes*perNode/width) {
 		c := &customer{name: fmt.Sprint("library-", i), first: i % e.Nodes, weights: make([]float64, width),
-			quota: newBucket(plan.Rate, plan.Burst), ideal: newBucket(plan.Rate, plan.Burst), hard: newBucket(plan.HardRate, plan.HardBurst), passed: map[tally.Owner]tally.Milli{}}
+			quota: newBucket(plan.Rate, plan.Burst), ideal: newBucket(plan.Rate, plan.Burst), hard: newBucket(plan.HardRate, plan.HardBurst), passed: map[usage.Owner]usage.Milli{}}
 		c.use = []float64{0.5, 0.5, 0.5, 0.9, 0.9, 3}[i%6]
 		f.customers = append(f.customers, c)
 		f.shift(c)
@@ -312,7 +312,7 @@
 	}
 	c.quota.level, c.hard.level = max(0, c.quota.level-1), max(0, c.hard.level-1)
 	if n.tl != nil {
-		c.passed[tally.Owner{Node: n.num, Incarnation: n.inc}] += 1000
+		c.passed[usage.Owner{Node: n.num, Incarnation: n.inc}] += 1000
 		n.tl.Passed(f.wall(), c.name, plan.Name, n.peers(c), 1)
 	}
 }
@@ -345,9 +345,9 @@
 	}
 	n.feed(list)
 	if n.f.e.Way == WithTally {
-		n.tl = tally.New(tally.Settings{Me: tally.Owner{Node: n.num, Incarnation: n.inc}, Parts: 1, Window: time.Hour, Keep: 24,
+		n.tl = usage.New(usage.Settings{Me: usage.Owner{Node: n.num, Incarnation: n.inc}, Parts: 1, Window: time.Hour, Keep: 24,
 			Calls: callRate / float64(n.size), Mail: mailRate * 0.05,
-			Rates: map[string]tally.Plan{plan.Name: {Rate: plan.Rate, Burst: plan.Burst}}})
+			Rates: map[string]usage.Plan{plan.Name: {Rate: plan.Rate, Burst: plan.Burst}}})
 		n.tick(n.inc)
 	}
 	return nil
@@ -465,12 +465,12 @@
 }
 
 // carry carries out what a tally says.
-func (n *instance) carry(acts []tally.Action) {
+func (n *instance) carry(acts []usage.Action) {
 	f, inc := n.f, n.inc
 	for _, a := range acts {
 		switch a := a.(type) {
-		case tally.Call:
-			ans, wait := tally.Answer{Failed: true}, callLimit
+		case usage.Call:
+			ans, wait := usage.Answer{Failed: true}, callLimit
 			if !f.counter.silent {
 				ans, wait = f.counter.do(n.num, a), callDelay
 			}
@@ -479,33 +479,33 @@
 					n.carry(n.tl.Answered(f.wall(), a.ID, ans))
 				}
 			})
-		case tally.Tell:
+		case usage.Tell:
 			f.mail(n, a.To, func(to *instance) {
 				if to.tl != nil {
 					to.tl.Heard(f.wall(), n.num, a.Registers)
 				}
 			})
-		case tally.Restore:
+		case usage.Restore:
 			n.feed(policy.UsageLevel{Customer: a.Customer, Units: a.Units})
 		}
 	}
 }
 
-func (c *counter) do(node int, call tally.Call) tally.Answer {
+func (c *counter) do(node int, call usage.Call) usage.Answer {
 	h := c.side[node%2]
-	ans := tally.Answer{Level: h.level[call.Key.Customer]}
+	ans := usage.Answer{Level: h.level[call.Key.Customer]}
 	if call.Epoch {
 		ans.Epoch = h.epoch
 	}
 	m := h.regs[call.Key]
 	if m == nil {
-		m = map[tally.Owner]tally.Milli{}
+		m = map[usage.Owner]usage.Milli{}
 		h.regs[call.Key] = m
 	}
 	for o, u := range m {
-		ans.Registers = append(ans.Registers, tally.Register{Key: call.Key, Owner: o, Units: u})
+		ans.Registers = append(ans.Registers, usage.Register{Key: call.Key, Owner: o, Units: u})
 	}
-	slices.SortFunc(ans.Registers, func(a, b tally.Register) int {
+	slices.SortFunc(ans.Registers, func(a, b usage.Register) int {
 		if d := a.Owner.Node - b.Owner.Node; d != 0 {
 			return d
 		}
@@ -645,7 +645,7 @@
 	default:
 		for k, m := range c.side[1].regs {
 			if c.side[0].regs[k] == nil {
-				c.side[0].regs[k] = map[tally.Owner]tally.Milli{}
+				c.side[0].regs[k] = map[usage.Owner]usage.Milli{}
 			}
 			for o, u := range m {
 				c.side[0].regs[k][o] = max(c.side[0].regs[k][o], u)
@@ -682,7 +682,7 @@
 			if f.nodes[o.Node].inc != o.Incarnation {
 				continue
 			}
-			var have tally.Milli
+			var have usage.Milli
 			for k, m := range f.counter.side[0].regs {
 				if k.Customer == c.name {
 					have += m[o]
--- a/member/golden_test.go
+++ b/membership/golden_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"encoding/json"
--- a/member/member.go
+++ b/membership/member.go
@@ -1,4 +1,4 @@
-// Package member decides who is in the fleet, and what a node may do at each step
+// Package membership decides who is in the fleet, and what a node may do at each step
 // of its life. It has no I/O: rosters as they are read and peers' words come in,
 // and it says what to tell the module, the peers, the disk and the operators.
 //
@@ -8,7 +8,7 @@
 // are vouched for as gone, parts of ceilings shrink to the smaller of old and new; once
 // all have said that, the new ones hold (see policy.Fleet). Nothing rests on clocks but
 // how often things are said.
-package member
+package membership
 
 import (
 	"fmt"
--- a/node/node.go
+++ b/node/node.go
@@ -12,8 +12,8 @@
 
 	"yardcleat.example/yardcleat/authz"
 	"yardcleat.example/yardcleat/internal/timers"
+	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/policy"
-	"yardcleat.example/yardcleat/stall"
 )
 
 // Options is what a node is made of.
@@ -31,7 +31,7 @@
 	TimeOrigin     time.Time                 // the node's time 0; zero: now
 	UsageRecorder  UsageRecorder             // nil: none
 	Clock          Clock                     // nil: one that finds no gaps
-	Pause          stall.Settings            // zero: stall.Default
+	Pause          pause.Settings            // zero: stall.Default
 	OnRequestDone  func(*Request)            // nothing more is done for a try; nil: nobody is told
 }
 
@@ -75,7 +75,7 @@
 	now     time.Duration
 	fleet   policy.FleetResized // the last one, as a module made anew must hear it
 	gaps    int64               // that the loop knows of
-	barrier stall.Barrier
+	barrier pause.Barrier
 	held    []item // what waits behind it
 	wheel   timers.Wheel
 	reqs    map[policy.RequestID]*request
@@ -122,7 +122,7 @@
 
 // item is something for the loop to do.
 type item struct {
-	kind stall.Kind
+	kind pause.Kind
 	do   func()
 }
 
@@ -138,15 +138,15 @@
 	if o.Clock == nil {
 		o.Clock = alwaysActiveClock{o.TimeOrigin}
 	}
-	if o.Pause == (stall.Settings{}) {
-		o.Pause = stall.Default()
+	if o.Pause == (pause.Settings{}) {
+		o.Pause = pause.Default()
 	}
-	return &Node{o: o, base: o.TimeOrigin, gw: gw, barrier: stall.NewBarrier(o.Pause), seed: o.Seed, wake: make(chan struct{}, 1), idle: make(chan struct{}, 1),
+	return &Node{o: o, base: o.TimeOrigin, gw: gw, barrier: pause.NewBarrier(o.Pause), seed: o.Seed, wake: make(chan struct{}, 1), idle: make(chan struct{}, 1),
 		reqs: map[policy.RequestID]*request{}, servers: map[policy.ServerID]Server{}}, nil
 }
 
 // post gives the loop something to do.
-func (n *Node) post(kind stall.Kind, f func()) {
+func (n *Node) post(kind pause.Kind, f func()) {
 	n.mu.Lock()
 	n.enqueue(item{kind, f})
 	n.mu.Unlock()
@@ -259,7 +259,7 @@
 func (n *Node) after() {
 	held := n.held
 	n.held = nil
-	before := stall.Order(held, func(f item) stall.Kind { return f.kind })
+	before := pause.Order(held, func(f item) pause.Kind { return f.kind })
 	n.carry(held[:before])
 	if n.barrier.On() {
 		n.held = append(n.held, held[before:]...)
@@ -285,7 +285,7 @@
 		// Under one lock with the look at closing: once that is set, the loop
 		// empties the queue a last time.
 		n.open++
-		n.enqueue(item{stall.Asked, func() { n.begin(r, at) }})
+		n.enqueue(item{pause.Asked, func() { n.begin(r, at) }})
 	}
 	n.mu.Unlock()
 	if closing || full {
@@ -299,20 +299,20 @@
 		reply(a)
 		return func() {}
 	}
-	return func() { n.post(stall.Left, func() { n.clientGone(r) }) }
+	return func() { n.post(pause.Left, func() { n.clientGone(r) }) }
 }
 
 // ReceivePeerMessage tells of a message from a peer.
 func (n *Node) ReceivePeerMessage(from int, data []byte) {
-	n.post(stall.Heard, func() { n.feed(policy.PeerMessage{From: from, Data: data}) })
+	n.post(pause.Heard, func() { n.feed(policy.PeerMessage{From: from, Data: data}) })
 }
 
 // Do runs f in the loop, in turn with all else that happens.
-func (n *Node) Do(f func()) { n.post(stall.Other, f) }
+func (n *Node) Do(f func()) { n.post(pause.Other, f) }
 
 // RestoreSnapshot gives the module what an earlier process remembered; before any try is
 // taken.
-func (n *Node) RestoreSnapshot(r policy.RestoreSnapshot) { n.post(stall.Other, func() { n.feed(r) }) }
+func (n *Node) RestoreSnapshot(r policy.RestoreSnapshot) { n.post(pause.Other, func() { n.feed(r) }) }
 
 // SaveSnapshot returns what is to outlive the process, looking at some customers in each
 // turn of the loop; false where the loop has ended.
@@ -320,7 +320,7 @@
 	const most = 2000
 	for from, first := 0, true; first || from > 0; first = false {
 		done := make(chan struct{})
-		n.post(stall.Other, func() {
+		n.post(pause.Other, func() {
 			list, from = n.gw.SaveSnapshot(n.now, from, most, list)
 			close(done)
 		})
@@ -351,7 +351,7 @@
 
 // UpdateEndpoints tells of the server list.
 func (n *Node) UpdateEndpoints(kind policy.EndpointUpdateKind, list []Server) {
-	n.post(stall.Listed, func() {
+	n.post(pause.Listed, func() {
 		m := policy.EndpointUpdate{Kind: kind}
 		if kind == policy.SnapshotUpdate || kind == policy.CachedUpdate {
 			clear(n.servers)
@@ -382,7 +382,7 @@
 
 // FinishProxiedAttempt tells how the attempt that a Go let a proxy make has ended.
 func (n *Node) FinishProxiedAttempt(id policy.RequestID, attempt int, res Result) {
-	n.post(stall.Ended, func() {
+	n.post(pause.Ended, func() {
 		if r := n.reqs[id]; r != nil && r.live && r.try.Proxied && attempt == r.attempts-1 {
 			n.attemptEnded(r, attempt, res)
 		}
@@ -390,7 +390,7 @@
 }
 
 // BreakPolicy makes the module panic at its next event; for tests.
-func (n *Node) BreakPolicy() { n.post(stall.Other, func() { n.gw = nil; n.feed(policy.TimerFired{}) }) }
+func (n *Node) BreakPolicy() { n.post(pause.Other, func() { n.gw = nil; n.feed(policy.TimerFired{}) }) }
 
 // Finish lets no more tries in, and gives what is not answered its final answer now: a
 // refusal where nothing was sent, so that a repeat is harmless.
@@ -398,7 +398,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closing = true
-	n.enqueue(item{stall.Other, func() {
+	n.enqueue(item{pause.Other, func() {
 		for _, r := range n.reqs {
 			if r.state == answered {
 				continue
@@ -487,7 +487,7 @@
 				n.checked(r, a.Try, AuthorizationResult{Verdict: authz.Late, Detail: "authoriser: no answer in time"})
 			})
 			r.cancel = n.o.Authorizer.Check(a.Target, r.try, a.Budget, func(c AuthorizationResult) {
-				n.post(stall.Ended, func() { n.checked(r, a.Try, c) })
+				n.post(pause.Ended, func() { n.checked(r, a.Try, c) })
 			})
 		case authz.Cancel:
 			if r := n.reqs[policy.RequestID(a.ID)]; r != nil {
@@ -706,7 +706,7 @@
 	}
 	sending := n.o.Upstream.Start(Attempt{ID: r.id, Number: attempt, Address: to.Address, ConnectionKey: to.ConnectionKey, Timeout: left, Request: r.try, DecidedAt: n.base.Add(n.now)},
 		func(res Result) {
-			n.post(stall.Ended, func() {
+			n.post(pause.Ended, func() {
 				if r.live && attempt == r.attempts-1 {
 					r.cancel, r.withdraw = nil, nil // it has ended by itself
 					n.attemptEnded(r, attempt, res)
--- a/stall/stall.go
+++ b/pause/stall.go
@@ -1,4 +1,4 @@
-// Package stall decides what a process may believe after it did not run: stopped,
+// Package pause decides what a process may believe after it did not run: stopped,
 // suspended, or kept off its cores. It has no I/O: it is told when someone looked
 // at the clock, when a socket was read and found empty, and says where the gaps
 // were, when what was read can have arrived, how long the loop must wait for its
@@ -6,7 +6,7 @@
 //
 // Times are of one process's monotonic clock, from any base, unless said
 // otherwise.
-package stall
+package pause
 
 import (
 	"cmp"
--- a/stall/stall_test.go
+++ b/pause/stall_test.go
@@ -1,4 +1,4 @@
-package stall
+package pause
 
 import (
 	"math/rand/v2"
--- a/store/golden_test.go
+++ b/storage/golden_test.go
@@ -1,4 +1,4 @@
-package store
+package storage
 
 import (
 	"encoding/hex"
@@ -10,12 +10,12 @@
 
 	"go.etcd.io/bbolt"
 
-	"yardcleat.example/yardcleat/tally"
+	"yardcleat.example/yardcleat/usage"
 )
 
-var goldenRegisters = []tally.Register{
-	{Key: tally.Key{Customer: "bibl-a", Window: 177}, Owner: tally.Owner{Node: 3, Incarnation: 9}, Units: 123456},
-	{Key: tally.Key{Customer: "bibl-b", Window: 178}, Owner: tally.Owner{Node: 3, Incarnation: 10}, Units: 1},
+var goldenRegisters = []usage.Register{
+	{Key: usage.Key{Customer: "bibl-a", Window: 177}, Owner: usage.Owner{Node: 3, Incarnation: 9}, Units: 123456},
+	{Key: usage.Key{Customer: "bibl-b", Window: 178}, Owner: usage.Owner{Node: 3, Incarnation: 10}, Units: 1},
 }
 
 // The totals that an earlier build stored come back whole.
--- a/store/store.go
+++ b/storage/store.go
@@ -1,6 +1,6 @@
-// Package store keeps what must outlive a process, in an embedded database
+// Package storage keeps what must outlive a process, in an embedded database
 // (bbolt): the totals of tally that the counter may not hold yet.
-package store
+package storage
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"yardcleat.example/yardcleat/tally"
+	"yardcleat.example/yardcleat/usage"
 )
 
 const formatVersion = 1
@@ -33,7 +33,7 @@
 // Open opens a node's database and reads the totals in it. A file that is torn,
 // foreign, of another format or of another node is moved aside, and aside says
 // why and where to; the store then starts empty.
-func Open(path string, node int) (s *Store, list []tally.Register, aside error, err error) {
+func Open(path string, node int) (s *Store, list []usage.Register, aside error, err error) {
 	s, list, err = open(path, node)
 	if err == nil || errors.Is(err, ErrInUse) {
 		return s, list, nil, err
@@ -47,7 +47,7 @@
 	return s, list, aside, err
 }
 
-func open(path string, node int) (s *Store, list []tally.Register, err error) {
+func open(path string, node int) (s *Store, list []usage.Register, err error) {
 	var db *bbolt.DB
 	// The file is mapped: reading a page that a cut took away is a fault.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -125,24 +125,24 @@
 }
 
 // A register's key is node, incarnation, window and customer; its value units.
-func encode(r tally.Register) (k, v []byte) {
+func encode(r usage.Register) (k, v []byte) {
 	k = be(uint64(r.Owner.Node))
 	k = binary.BigEndian.AppendUint64(k, r.Owner.Incarnation)
 	k = binary.BigEndian.AppendUint64(k, uint64(r.Key.Window))
 	return append(k, r.Key.Customer...), be(uint64(r.Units))
 }
 
-func decode(k, v []byte) (tally.Register, error) {
+func decode(k, v []byte) (usage.Register, error) {
 	if len(k) < 25 || len(v) != 8 {
-		return tally.Register{}, fmt.Errorf("store: malformed total %x", k)
+		return usage.Register{}, fmt.Errorf("store: malformed total %x", k)
 	}
-	return tally.Register{Owner: tally.Owner{Node: int(number(k[:8])), Incarnation: number(k[8:16])},
-		Key: tally.Key{Window: int64(number(k[16:24])), Customer: string(k[24:])}, Units: tally.Milli(number(v))}, nil
+	return usage.Register{Owner: usage.Owner{Node: int(number(k[:8])), Incarnation: number(k[8:16])},
+		Key: usage.Key{Window: int64(number(k[16:24])), Customer: string(k[24:])}, Units: usage.Milli(number(v))}, nil
 }
 
 // Save puts totals, and takes out those of 0 units, in one transaction: after a
 // kill at any moment either all of it is done or none.
-func (s *Store) Save(changes []tally.Register) error {
+func (s *Store) Save(changes []usage.Register) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(regsBucket)
 		for _, r := range changes {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -15,7 +15,7 @@
 
 	"yardcleat.example/yardcleat/internal/http1"
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/internal/pulse"
+	"yardcleat.example/yardcleat/internal/pauseclock"
 	"yardcleat.example/yardcleat/node"
 	"yardcleat.example/yardcleat/policy"
 )
@@ -244,7 +244,7 @@
 
 // took is how long a response was on its way that a connection has just given.
 func (t *attempt) took(nc net.Conn) time.Duration {
-	at := pulse.Arrived(nc)
+	at := pauseclock.Arrived(nc)
 	if at.IsZero() || t.DecidedAt.IsZero() {
 		return 0 // the node's to measure
 	}
--- a/tally/counter/client.go
+++ b/usage/rediscounter/client.go
@@ -1,9 +1,9 @@
-// Package counter asks the shared counter over RESP, for tally.
+// Package rediscounter asks the shared counter over RESP, for tally.
 //
 // A total is a hash, yt:{customer}:WINDOW, with a field for each process that
 // passed units, which that process alone raises; it expires. yt:epoch is drawn
 // by whoever finds a part without it, so that an emptied part is known.
-package counter
+package rediscounter
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"github.com/redis/go-redis/v9/maintnotifications"
 
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/tally"
+	"yardcleat.example/yardcleat/usage"
 )
 
 // Options is what a Client is made of.
@@ -61,25 +61,25 @@
 
 // Do makes a call; done is called once, from another goroutine, with its answer
 // or a failed one after the limit at the latest.
-func (c *Client) Do(call tally.Call, done func(tally.Answer)) {
+func (c *Client) Do(call usage.Call, done func(usage.Answer)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), c.o.Limit)
 		defer cancel()
 		ans, err := c.do(ctx, c.parts[call.Part], call)
 		if err != nil {
-			ans = tally.Answer{Failed: true}
+			ans = usage.Answer{Failed: true}
 		}
 		done(ans)
 	}()
 }
 
-func field(o tally.Owner) string {
+func field(o usage.Owner) string {
 	return strconv.Itoa(o.Node) + "." + strconv.FormatUint(o.Incarnation, 36)
 }
 
 const levelField = "level"
 
-func (c *Client) do(ctx context.Context, part *redis.Client, call tally.Call) (ans tally.Answer, err error) {
+func (c *Client) do(ctx context.Context, part *redis.Client, call usage.Call) (ans usage.Answer, err error) {
 	key := fmt.Sprintf("yt:{%s}:%d", call.Key.Customer, call.Key.Window)
 	var epoch *redis.StringCmd
 	var all *redis.MapStringStringCmd
@@ -137,18 +137,18 @@
 		if err1 != nil || err2 != nil || err3 != nil || u < 0 {
 			return ans, fmt.Errorf("counter: %s holds %q = %q, which no node wrote", key, name, value)
 		}
-		ans.Registers = append(ans.Registers, tally.Register{Key: call.Key, Owner: tally.Owner{Node: n, Incarnation: i}, Units: tally.Milli(u)})
+		ans.Registers = append(ans.Registers, usage.Register{Key: call.Key, Owner: usage.Owner{Node: n, Incarnation: i}, Units: usage.Milli(u)})
 	}
 	return ans, nil
 }
 
 // level reads what was written beside the totals; a malformed one is none.
-func level(s string) tally.Level {
+func level(s string) usage.Level {
 	units, at, _ := strings.Cut(s, "@")
 	u, err := strconv.ParseFloat(units, 64)
 	ms, err2 := strconv.ParseInt(at, 10, 64)
 	if err != nil || err2 != nil {
-		return tally.Level{}
+		return usage.Level{}
 	}
-	return tally.Level{Units: u, At: time.UnixMilli(ms)}
+	return usage.Level{Units: u, At: time.UnixMilli(ms)}
 }
--- a/tally/tally_test.go
+++ b/usage/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package usage
 
 import (
 	"flag"
