--- /dev/null
+++ b/policy/golden_recording_test.go
@@ -0,0 +1,312 @@
+package policy_test
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math"
+	"os"
+	"path/filepath"
+	"strconv"
+	"testing"
+	"time"
+
+	"yardcleat.example/yardcleat/policy"
+)
+
+const (
+	blockActions      = 1000 // a running digest is kept after so many actions
+	blockDigestLength = 16   // hexadecimal digits of it that are kept
+)
+
+// recording is the text of a run, of which it keeps only digests and counts. Each event and each
+// action is one line. The encoding is written out field by field with fixed letters of its own, so
+// that no line depends on the name or the value of an identifier of package policy.
+type recording struct {
+	t       *testing.T
+	digest  hash.Hash
+	line    []byte
+	blocks  []string
+	actions int
+	events  int
+	counts  [len(actionKinds)]int
+	file    *os.File // where the text is asked for
+	text    *bufio.Writer
+}
+
+// actionKinds names the kinds of action in the golden file; a kind's number is its place here.
+var actionKinds = [...]string{"sends", "cancels", "refusals", "failures", "timers", "messages", "watches", "logs"}
+
+func newRecording(t *testing.T, name string) *recording {
+	t.Helper()
+	r := &recording{t: t, digest: sha256.New()}
+	if *decisionsDir != "" {
+		file, err := os.Create(filepath.Join(*decisionsDir, name+".txt"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.file, r.text = file, bufio.NewWriter(file)
+	}
+	return r
+}
+
+// close ends the text file, if there is one.
+func (r *recording) close() {
+	if r.file == nil {
+		return
+	}
+	if err := r.text.Flush(); err != nil {
+		r.t.Error(err)
+	}
+	if err := r.file.Close(); err != nil {
+		r.t.Error(err)
+	}
+}
+
+// summary gives the lines of the golden file: the blocks in order, the counts, the digest of all.
+func (r *recording) summary() []string {
+	lines := append([]string{}, r.blocks...)
+	lines = append(lines, fmt.Sprintf("events %d", r.events))
+	for kind, count := range r.counts {
+		lines = append(lines, fmt.Sprintf("%s %d", actionKinds[kind], count))
+	}
+	return append(lines, "digest "+hex.EncodeToString(r.digest.Sum(nil)))
+}
+
+// event records what gateway number is told.
+func (r *recording) event(now time.Duration, number int, event policy.Event) {
+	r.events++
+	r.begin('e').duration(now).integer(number)
+	switch e := event.(type) {
+	case policy.Request:
+		r.letter('q').unsigned(uint64(e.ID)).quote(e.Customer).quote(e.Plan).quote(e.Class).float(e.Units).
+			duration(e.Remaining).integer(e.First).integer(e.Spread).boolean(e.Retry)
+	case policy.Started:
+		r.letter('s').unsigned(uint64(e.ID)).integer(e.Attempt).unsigned(uint64(e.Server))
+	case policy.Outcome:
+		r.letter('o').unsigned(uint64(e.ID)).integer(e.Attempt).unsigned(uint64(e.Server)).letter(codeLetter(e.Code)).
+			duration(e.Latency).boolean(e.Over).float(e.Actual).floats(e.Load)
+	case policy.Gone:
+		r.letter('g').unsigned(uint64(e.ID))
+	case policy.Timer:
+		r.letter('t').quote(e.Token)
+	case policy.PeerMessage:
+		r.letter('p').integer(e.From).hex(e.Data)
+	case policy.Members:
+		r.letter('m').letter(membersLetter(e.Kind)).servers(e.Servers)
+	case policy.Level:
+		r.letter('l').quote(e.Customer).float(e.Units)
+	case policy.Recall:
+		r.letter('r').duration(e.Age).memories(e.Customers)
+	case policy.Fleet:
+		r.letter('f').integer(e.Gateways).integer(e.Was)
+	default:
+		r.t.Fatalf("no encoding of event %T", event)
+	}
+	r.end()
+}
+
+// action records what a gateway wants done.
+func (r *recording) action(action policy.Action) {
+	kind := 0
+	r.begin('a')
+	switch a := action.(type) {
+	case policy.Send:
+		kind = 0
+		r.letter('S').unsigned(uint64(a.ID)).unsigned(uint64(a.Server)).duration(a.Timeout)
+	case policy.Cancel:
+		kind = 1
+		r.letter('C').unsigned(uint64(a.ID)).integer(a.Attempt)
+	case policy.Refuse:
+		kind = 2
+		r.letter('R').unsigned(uint64(a.ID)).duration(a.RetryAfter).letter(reasonLetter(a.Reason))
+	case policy.Fail:
+		kind = 3
+		r.letter('F').unsigned(uint64(a.ID)).letter(reasonLetter(a.Reason))
+	case policy.SetTimer:
+		kind = 4
+		r.letter('T').quote(a.Token).duration(a.After)
+	case policy.Tell:
+		kind = 5
+		r.letter('M').integer(a.To).hex(a.Data)
+	case policy.Watch:
+		kind = 6
+		r.letter('W')
+	case policy.Log:
+		kind = 7
+		r.letter('L').quote(a.Text)
+	default:
+		r.t.Fatalf("no encoding of action %T", action)
+	}
+	r.end()
+	r.counts[kind]++
+	r.actions++
+	if r.actions%blockActions == 0 {
+		sum := hex.EncodeToString(r.digest.Sum(nil))[:blockDigestLength]
+		r.blocks = append(r.blocks, fmt.Sprintf("block %d %s", r.actions, sum))
+	}
+}
+
+// remembered records a page of what a gateway gives for keeping over a restart.
+func (r *recording) remembered(now time.Duration, number int, page []policy.Memory, next int) {
+	r.begin('k').duration(now).integer(number).integer(next).memories(page).end()
+}
+
+func (r *recording) begin(letter byte) *recording {
+	r.line = append(r.line[:0], letter)
+	return r
+}
+
+func (r *recording) end() {
+	r.line = append(r.line, '\n')
+	r.digest.Write(r.line)
+	if r.text == nil {
+		return
+	}
+	if _, err := r.text.Write(r.line); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+func (r *recording) letter(letter byte) *recording {
+	r.line = append(r.line, ' ', letter)
+	return r
+}
+
+func (r *recording) unsigned(value uint64) *recording {
+	r.line = strconv.AppendUint(append(r.line, ' '), value, 10)
+	return r
+}
+
+func (r *recording) integer(value int) *recording {
+	r.line = strconv.AppendInt(append(r.line, ' '), int64(value), 10)
+	return r
+}
+
+// duration is written in nanoseconds.
+func (r *recording) duration(value time.Duration) *recording {
+	r.line = strconv.AppendInt(append(r.line, ' '), value.Nanoseconds(), 10)
+	return r
+}
+
+// float is written as its bits: no rounding, no choice of format.
+func (r *recording) float(value float64) *recording {
+	r.line = strconv.AppendUint(append(r.line, ' '), math.Float64bits(value), 16)
+	return r
+}
+
+func (r *recording) floats(values []float64) *recording {
+	r.integer(len(values))
+	for _, value := range values {
+		r.float(value)
+	}
+	return r
+}
+
+func (r *recording) boolean(value bool) *recording {
+	if value {
+		return r.letter('1')
+	}
+	return r.letter('0')
+}
+
+func (r *recording) quote(value string) *recording {
+	r.line = strconv.AppendQuoteToASCII(append(r.line, ' '), value)
+	return r
+}
+
+func (r *recording) hex(value []byte) *recording {
+	r.line = hex.AppendEncode(append(r.line, ' ', 'x'), value)
+	return r
+}
+
+func (r *recording) servers(servers []policy.Server) *recording {
+	r.integer(len(servers))
+	for _, s := range servers {
+		r.unsigned(uint64(s.ID)).quote(s.Zone).integer(s.Cell).letter(stateLetter(s.State)).
+			boolean(s.HasStart).duration(s.Start).float(s.Weight)
+	}
+	return r
+}
+
+func (r *recording) memories(memories []policy.Memory) *recording {
+	r.integer(len(memories))
+	for _, m := range memories {
+		r.unsigned(m.Key).quote(m.Plan).integer(m.First).integer(m.Spread).float(m.Store)
+	}
+	return r
+}
+
+func codeLetter(code policy.Code) byte {
+	switch code {
+	case policy.OK:
+		return 'o'
+	case policy.Error:
+		return 'e'
+	case policy.Full:
+		return 'f'
+	case policy.TimedOut:
+		return 't'
+	case policy.ConnectFailed:
+		return 'n'
+	case policy.Reset:
+		return 'r'
+	case policy.Cancelled:
+		return 'c'
+	case policy.Moot:
+		return 'm'
+	}
+	return '?'
+}
+
+func reasonLetter(reason policy.Reason) byte {
+	switch reason {
+	case policy.NoReason:
+		return '-'
+	case policy.OverQuota:
+		return 'q'
+	case policy.OverCap:
+		return 'c'
+	case policy.OverHard:
+		return 'h'
+	case policy.Shed:
+		return 's'
+	case policy.NoServer:
+		return 'n'
+	case policy.NoTime:
+		return 't'
+	case policy.NoRoot:
+		return 'l'
+	case policy.Attempted:
+		return 'a'
+	}
+	return '?'
+}
+
+func membersLetter(kind policy.MembersKind) byte {
+	switch kind {
+	case policy.Changes:
+		return 'c'
+	case policy.Whole:
+		return 'w'
+	case policy.Remembered:
+		return 'r'
+	case policy.AskFailed:
+		return 'f'
+	}
+	return '?'
+}
+
+func stateLetter(state policy.State) byte {
+	switch state {
+	case policy.Running:
+		return 'r'
+	case policy.Draining:
+		return 'd'
+	case policy.Removed:
+		return 'x'
+	}
+	return '?'
+}
--- /dev/null
+++ b/policy/golden_scenarios_test.go
@@ -0,0 +1,252 @@
+package policy_test
+
+import (
+	"math"
+	"time"
+
+	"yardcleat.example/yardcleat/policy"
+)
+
+// scenario says what a run of a simulated fleet is made of.
+type scenario struct {
+	name          string
+	seed          uint64
+	gateways      int
+	servers       int
+	customers     int
+	length        time.Duration
+	requestRate   float64 // first tries a second, over all gateways
+	quietFrom     time.Duration
+	quietUntil    time.Duration // no requests come in between the two
+	healthy       float64       // share of the servers that behave well at a time
+	brokenServers int           // the first so many servers refuse all connections
+	serviceTime   time.Duration // mean latency of an idle server
+	messageLoss   float64       // share of the peer messages that are lost
+	fleetChanges  []fleetChange
+	restartEvery  time.Duration // a gateway restarts this often; 0: none does
+	levelEvery    time.Duration // a store level is told this often; 0: never
+	mutedGateways int           // the first so many gateways neither hear nor tell, for the middle third
+	settings      func(*policy.Settings)
+}
+
+// fleetChange sets a new number of gateways.
+type fleetChange struct {
+	at       time.Duration
+	gateways int
+}
+
+// scenarios lists the recorded runs. Fleets up to 12 gateways report from all to all where the mail
+// rate allows it; with fewer messages a second, or 120 gateways, quotas have a leader.
+func scenarios() []scenario {
+	return []scenario{
+		{name: "mesh-3", seed: 1, gateways: 3, servers: 8, customers: 40, length: 20 * time.Second, requestRate: 150,
+			healthy: 0.6, serviceTime: 60 * time.Millisecond, messageLoss: 0.02, restartEvery: 4 * time.Second},
+		{name: "mesh-12-overload", seed: 2, gateways: 12, servers: 6, customers: 60, length: 12 * time.Second, requestRate: 600,
+			healthy: 0.7, serviceTime: 120 * time.Millisecond, messageLoss: 0.05, settings: withoutCancel},
+		{name: "mesh-12-calm", seed: 3, gateways: 12, servers: 20, customers: 60, length: 10 * time.Second, requestRate: 300,
+			healthy: 1, serviceTime: 30 * time.Millisecond},
+		{name: "mesh-3-without-messages", seed: 4, gateways: 3, servers: 6, customers: 20, length: 12 * time.Second, requestRate: 150,
+			healthy: 0.8, serviceTime: 80 * time.Millisecond, levelEvery: 50 * time.Millisecond, settings: withoutMessages},
+		{name: "mesh-2-idle", seed: 5, gateways: 2, servers: 4, customers: 30, length: 665 * time.Second, requestRate: 40,
+			quietFrom: 8 * time.Second, quietUntil: 650 * time.Second, healthy: 0.8, serviceTime: 60 * time.Millisecond,
+			settings: func(s *policy.Settings) { s.MailPerSecond = 4 }},
+		{name: "mesh-2-outage", seed: 9, gateways: 2, servers: 6, customers: 14, length: 40 * time.Second, requestRate: 150,
+			healthy: 1, brokenServers: 2, serviceTime: 60 * time.Millisecond, messageLoss: 0.02},
+		{name: "leaders-12-slow", seed: 10, gateways: 12, servers: 30, customers: 30, length: 30 * time.Second, requestRate: 400,
+			healthy: 0.8, serviceTime: 110 * time.Millisecond, settings: func(s *policy.Settings) { s.MailPerSecond = 20 }},
+		{name: "leaders-12-changes", seed: 6, gateways: 12, servers: 10, customers: 40, length: 24 * time.Second, requestRate: 200,
+			healthy: 0.75, serviceTime: 60 * time.Millisecond, messageLoss: 0.03, restartEvery: 3 * time.Second,
+			fleetChanges: []fleetChange{{4 * time.Second, 15}, {8 * time.Second, 9}, {12 * time.Second, 3}, {16 * time.Second, 14},
+				{19 * time.Second, 1}, {21 * time.Second, 12}},
+			settings: func(s *policy.Settings) { s.MailPerSecond = 20 }},
+		{name: "leaders-120", seed: 7, gateways: 120, servers: 40, customers: 40, length: 10 * time.Second, requestRate: 500,
+			healthy: 0.75, serviceTime: 60 * time.Millisecond, messageLoss: 0.02, restartEvery: time.Second},
+		{name: "leaders-120-muted", seed: 8, gateways: 120, servers: 12, customers: 15, length: 12 * time.Second, requestRate: 400,
+			healthy: 0.6, serviceTime: 150 * time.Millisecond, messageLoss: 0.2, mutedGateways: 70,
+			levelEvery: 20 * time.Millisecond, settings: withoutCancel},
+	}
+}
+
+// withoutCancel takes away Cancel, and lets servers have sizes and crossing zones a price.
+func withoutCancel(s *policy.Settings) {
+	s.CanCancel, s.MustAsk, s.SizeKnown = false, true, true
+	s.CrossZoneCost, s.MaxAttempts, s.MaxRetryAfter = 0.01, 0, 0
+}
+
+func withoutMessages(s *policy.Settings) {
+	s.CanTell, s.MailPerSecond, s.FallTime, s.WarmWithin = false, 0, 0, 0
+}
+
+// gatewaySettings are those of one gateway of a scenario.
+func gatewaySettings(s scenario, number, gateways int) policy.Settings {
+	set := policy.Settings{Me: number, Gateways: gateways, Zone: zoneOf(number),
+		Classes: classes(), Plans: plans(),
+		Resolution: 2 * time.Millisecond, MaxAttempts: 4, CanCancel: true, CanTell: true, MailPerSecond: 60,
+		LargestUnits: 4, MaxRetryAfter: 400 * time.Millisecond, ReportNames: []string{policy.LoadActive, policy.LoadWaiting},
+		AnswerSlack: 8 * time.Millisecond, ColdShare: 0.2, WarmWithin: 5 * time.Second, FallMultiple: 2, FallTime: time.Second}
+	if s.settings != nil {
+		s.settings(&set)
+	}
+	return set
+}
+
+func zoneOf(number int) string { return []string{"a", "b"}[number%2] }
+
+func classes() []policy.Class {
+	const aim, deadline, window = 800 * time.Millisecond, 3 * time.Second, 2 * time.Second
+	return []policy.Class{
+		{Name: "safe", Aim: aim, Deadline: deadline},
+		{Name: "cell", Aim: aim, Deadline: deadline, Effect: policy.Keyed, Group: policy.GroupCell, Window: window},
+		{Name: "zone", Aim: aim / 2, Deadline: deadline, Effect: policy.Keyed, Group: policy.GroupZone, Window: window},
+		{Name: "all", Aim: aim, Deadline: deadline, Effect: policy.Keyed, Window: window / 4},
+		{Name: "once", Aim: aim * 2, Deadline: deadline, Effect: policy.Unsafe},
+		{Name: "stream", Aim: aim, Deadline: deadline, Stream: true},
+	}
+}
+
+func plans() []policy.Plan {
+	return []policy.Plan{
+		{Name: "free"},
+		{Name: "rate", Rate: 10, Burst: 12, BeyondEarns: 0.5, BeyondCosts: 0.5},
+		{Name: "open", Open: 3},
+		{Name: "hard", HardRate: 8, HardBurst: 16},
+		{Name: "both", Rate: 12, Burst: 20, Open: 2},
+		{Name: "every", Rate: 15, Burst: 20, Open: 4, HardRate: 20, HardBurst: 30},
+		{Name: "large", Rate: 400, Burst: 600, Open: 30},
+	}
+}
+
+// simulatedCustomer asks through spread gateways, counted round from first.
+type simulatedCustomer struct {
+	name, plan    string
+	first, spread int
+}
+
+// newCustomers gives customers of all plans in turn. Few ask much and many ask little: see drawCustomer.
+func (s *simulation) newCustomers() []simulatedCustomer {
+	list := plans()
+	var customers []simulatedCustomer
+	for i := range s.scenario.customers {
+		customers = append(customers, simulatedCustomer{
+			name: "customer-" + string(rune('a'+i%26)) + string(rune('a'+i/26)), plan: list[i%len(list)].Name,
+			first: s.random.IntN(s.scenario.gateways), spread: 1 + s.random.IntN(min(60, s.scenario.gateways))})
+	}
+	return customers
+}
+
+func (s *simulation) drawCustomer() simulatedCustomer {
+	rank := math.Floor(float64(len(s.customers)) * s.random.Float64() * s.random.Float64())
+	return s.customers[int(rank)]
+}
+
+// behaviour is how a simulated server answers for a time.
+type behaviour int
+
+const (
+	answers behaviour = iota
+	answersSlowly
+	fails
+	turnsAway
+	turnsAwayOnePlan
+	isSilent
+	refusesConnections
+	resetsConnections
+	behaviours // how many there are
+)
+
+// simulatedServer takes longer the more attempts it has, and turns away beyond its places.
+type simulatedServer struct {
+	policy.Server
+	behaviour behaviour
+	inUse     int
+}
+
+const (
+	serverPlaces   = 14
+	slowMultiple   = 6
+	coldMultiple   = 3
+	queueSlowdown  = 0.2 // part of the service time that each attempt adds
+	failureShare   = 0.7 // of the attempts at a server that fails or resets
+	connectTime    = 2 * time.Millisecond
+	coldFor        = 4 * time.Second
+	firstByteShare = 0.3 // of a stream's latency
+)
+
+func (s *simulation) newServer(id policy.ServerID, starts bool) *simulatedServer {
+	server := &simulatedServer{Server: policy.Server{ID: id, Zone: zoneOf(int(id)), Cell: int(id) / 3,
+		Weight: float64(1 + int(id)%3)}}
+	if starts {
+		server.HasStart, server.Start = true, s.now
+	}
+	return server
+}
+
+// answer draws how and when a server answers an attempt.
+func (s *simulation) answer(server *simulatedServer, plan string) (policy.Code, time.Duration) {
+	busy := time.Duration(float64(s.scenario.serviceTime) * (0.6 + 0.8*s.random.Float64()) * (1 + queueSlowdown*float64(server.inUse)))
+	if server.HasStart && s.now-server.Start < coldFor {
+		busy *= coldMultiple
+	}
+	switch {
+	case server.State == policy.Removed || server.behaviour == refusesConnections:
+		return policy.ConnectFailed, connectTime
+	case server.behaviour == turnsAway && s.chance(failureShare), server.inUse >= serverPlaces,
+		server.behaviour == turnsAwayOnePlan && plan == "large":
+		return policy.Full, connectTime
+	case server.behaviour == isSilent:
+		return policy.TimedOut, time.Hour
+	case server.behaviour == fails && s.chance(failureShare):
+		return policy.Error, busy / 4
+	case server.behaviour == resetsConnections && s.chance(failureShare):
+		return policy.Reset, busy / 2
+	case server.behaviour == answersSlowly:
+		busy *= slowMultiple
+	}
+	return policy.OK, busy
+}
+
+// changeBehaviours draws anew how each server behaves.
+func (s *simulation) changeBehaviours() {
+	for i, server := range s.servers {
+		server.behaviour = answers
+		if i < s.scenario.brokenServers {
+			server.behaviour = refusesConnections
+		} else if !s.chance(s.scenario.healthy) {
+			server.behaviour = behaviour(1 + s.random.IntN(int(behaviours)-1))
+		}
+	}
+	s.after(1500*time.Millisecond, s.changeBehaviours)
+}
+
+// changeServers drains a server, removes one that drains, restarts one or adds one, and tells all gateways.
+func (s *simulation) changeServers() {
+	server := s.servers[s.random.IntN(len(s.servers))]
+	switch draw := s.random.IntN(4); {
+	case server.State == policy.Draining:
+		server.State = policy.Removed
+	case server.State == policy.Removed:
+		server.State, server.HasStart, server.Start = policy.Running, true, s.now
+	case draw == 0:
+		server.State = policy.Draining
+	case draw == 1:
+		server.HasStart, server.Start = true, s.now
+	case draw == 2 && len(s.servers) < 2*s.scenario.servers:
+		server = s.newServer(policy.ServerID(len(s.servers)+1), true)
+		s.servers = append(s.servers, server)
+	}
+	change := policy.Members{Kind: policy.Changes, Servers: []policy.Server{server.Server}}
+	for _, process := range s.processes {
+		s.deliverAfter(s.delay(100*time.Millisecond), process, change)
+	}
+	s.after(700*time.Millisecond, s.changeServers)
+}
+
+func (s *simulation) serverList() []policy.Server {
+	var list []policy.Server
+	for _, server := range s.servers {
+		if server.State != policy.Removed {
+			list = append(list, server.Server)
+		}
+	}
+	return list
+}
--- /dev/null
+++ b/policy/golden_simulation_test.go
@@ -0,0 +1,452 @@
+package policy_test
+
+import (
+	"cmp"
+	"container/heap"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"yardcleat.example/yardcleat/policy"
+)
+
+// simulation plays a scenario in virtual time: a queue of events, the gateways, the servers and the
+// clients. All that it draws comes from one seeded source, in the order of the queue.
+type simulation struct {
+	t         *testing.T
+	scenario  scenario
+	random    *rand.Rand
+	recording *recording
+	now       time.Duration
+	queue     eventQueue
+	queued    int
+	gateways  int // in the current fleet
+	processes []*process
+	started   uint64 // processes so far, for their seeds
+	servers   []*simulatedServer
+	customers []simulatedCustomer
+	requests  map[policy.RequestID]*clientRequest
+	lastID    policy.RequestID
+	actions   []policy.Action // reused by deliver
+}
+
+// process is one run of a gateway. A restart makes another one of the same number.
+type process struct {
+	number  int
+	gateway *policy.Gateway
+	stopped bool
+}
+
+// clientRequest is one try of a client at a gateway.
+type clientRequest struct {
+	id        policy.RequestID
+	process   *process
+	customer  simulatedCustomer
+	class     policy.Class
+	units     float64
+	deadline  time.Duration // of this try
+	giveUp    time.Duration // of all tries
+	tries     int
+	finished  bool
+	attempts  int
+	attempted *attempt // the last one
+}
+
+type attempt struct {
+	number int
+	server *simulatedServer
+	sentAt time.Duration
+	ended  bool
+}
+
+const (
+	startOfRequests = 200 * time.Millisecond
+	mostTries       = 3
+	leaveShare      = 0.04 // of the clients leave before the answer
+	retryShare      = 0.6  // of the clients try again what was refused or failed
+	shortShare      = 0.2  // of the tries wait only a part of the time left
+	mootShare       = 0.01 // of the attempts are called off before they start
+	lateShare       = 0.02 // of the peer messages come late
+	damagedShare    = 0.01 // of them are cut short
+	twiceShare      = 0.02 // of them come twice
+)
+
+// play runs a scenario to its end and returns the recording.
+func play(t *testing.T, s scenario) *recording {
+	t.Helper()
+	sim := &simulation{t: t, scenario: s, random: rand.New(rand.NewPCG(s.seed, 0)), recording: newRecording(t, s.name),
+		gateways: s.gateways, requests: map[policy.RequestID]*clientRequest{}}
+	defer sim.recording.close()
+	for i := range s.servers {
+		sim.servers = append(sim.servers, sim.newServer(policy.ServerID(i+1), false))
+	}
+	sim.customers = sim.newCustomers()
+	for number := range s.gateways {
+		sim.start(number, s.gateways)
+	}
+	sim.after(startOfRequests, sim.nextRequest)
+	sim.after(time.Second, sim.changeBehaviours)
+	if s.healthy < 1 {
+		sim.after(time.Second, sim.changeServers)
+	}
+	sim.plan()
+	sim.run()
+	return sim.recording
+}
+
+// plan queues what a scenario has besides requests.
+func (s *simulation) plan() {
+	for _, change := range s.scenario.fleetChanges {
+		s.after(change.at, func() { s.changeFleet(change.gateways) })
+	}
+	if s.scenario.restartEvery > 0 {
+		s.after(s.scenario.restartEvery, s.restartOne)
+	}
+	if s.scenario.levelEvery > 0 {
+		s.after(s.scenario.levelEvery, s.tellLevel)
+	}
+}
+
+func (s *simulation) run() {
+	for len(s.queue) > 0 && s.queue[0].at <= s.scenario.length {
+		next := heap.Pop(&s.queue).(queuedEvent)
+		s.now = next.at
+		next.run()
+	}
+}
+
+func (s *simulation) chance(share float64) bool { return s.random.Float64() < share }
+
+// delay draws a time up to a limit.
+func (s *simulation) delay(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(limit)) + 1)
+}
+
+func (s *simulation) after(delay time.Duration, run func()) {
+	s.queued++
+	heap.Push(&s.queue, queuedEvent{s.now + delay, s.queued, run})
+}
+
+func (s *simulation) deliverAfter(delay time.Duration, to *process, event policy.Event) {
+	s.after(delay, func() { s.deliver(to, event) })
+}
+
+// deliver tells a gateway an event, records both and carries out the actions. These only queue
+// further events, so that the list of actions can be reused.
+func (s *simulation) deliver(to *process, event policy.Event) {
+	if to.stopped {
+		return
+	}
+	s.recording.event(s.now, to.number, event)
+	s.actions = to.gateway.Handle(s.now, event, s.actions[:0])
+	for _, action := range s.actions {
+		s.recording.action(action)
+		s.carryOut(to, action)
+	}
+}
+
+func (s *simulation) carryOut(from *process, action policy.Action) {
+	switch a := action.(type) {
+	case policy.Send:
+		s.send(a)
+	case policy.Cancel:
+		s.cancel(a)
+	case policy.Refuse:
+		s.finish(a.ID, a.RetryAfter)
+	case policy.Fail:
+		s.finish(a.ID, 0)
+	case policy.SetTimer:
+		s.deliverAfter(a.After, from, policy.Timer{Token: a.Token})
+	case policy.Tell:
+		s.carryMessage(from.number, a)
+	case policy.Watch:
+		s.answerWatch(from)
+	}
+}
+
+// answerWatch brings the server list; one time in four asking for it fails.
+func (s *simulation) answerWatch(to *process) {
+	if s.chance(0.25) {
+		s.deliverAfter(50*time.Millisecond, to, policy.Members{Kind: policy.AskFailed})
+		return
+	}
+	s.deliverAfter(20*time.Millisecond, to, policy.Members{Kind: policy.Whole, Servers: s.serverList()})
+}
+
+// Gateways.
+
+// start starts a process of a gateway, with the server list as an earlier one might have kept it.
+func (s *simulation) start(number, gateways int) *process {
+	s.started++
+	gateway, err := policy.New(gatewaySettings(s.scenario, number, gateways), s.scenario.seed<<32+s.started)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	to := &process{number: number, gateway: gateway}
+	for len(s.processes) <= number {
+		s.processes = append(s.processes, &process{number: len(s.processes), stopped: true})
+	}
+	s.processes[number] = to
+	s.deliver(to, policy.Members{Kind: policy.Remembered, Servers: s.serverList()})
+	return to
+}
+
+// restartOne stops a gateway and starts it again with what it remembered of its customers.
+func (s *simulation) restartOne() {
+	s.after(s.scenario.restartEvery, s.restartOne)
+	old := s.processes[s.random.IntN(s.gateways)]
+	if old.stopped {
+		return
+	}
+	var kept []policy.Memory
+	for from := 0; ; {
+		page, next := old.gateway.Remember(s.now, from, 16, nil)
+		s.recording.remembered(s.now, old.number, page, next)
+		kept = append(kept, page...)
+		if from = next; next == 0 {
+			break
+		}
+	}
+	old.stopped = true
+	s.after(300*time.Millisecond, func() {
+		if old.number < s.gateways && s.processes[old.number] == old {
+			s.deliver(s.start(old.number, s.gateways), policy.Recall{Age: 300 * time.Millisecond, Customers: kept})
+		}
+	})
+}
+
+// changeFleet sets another number of gateways. Each hears of it at its own time; then all hear that
+// all have heard, and those that leave stop.
+func (s *simulation) changeFleet(gateways int) {
+	was := s.gateways
+	s.gateways = gateways
+	for _, p := range s.processes[:was] {
+		s.deliverAfter(s.delay(300*time.Millisecond), p, policy.Fleet{Gateways: gateways, Was: was})
+	}
+	for number := was; number < gateways; number++ {
+		joins := policy.Fleet{Gateways: gateways, Was: was}
+		if number%2 == 1 {
+			joins.Was = -1
+		}
+		s.deliver(s.start(number, gateways), joins)
+	}
+	s.after(time.Second, func() { s.endFleetChange(gateways) })
+}
+
+func (s *simulation) endFleetChange(gateways int) {
+	for _, p := range s.processes {
+		s.deliver(p, policy.Fleet{Gateways: gateways})
+		if p.number >= gateways {
+			p.stopped = true
+		}
+	}
+}
+
+func (s *simulation) tellLevel() {
+	s.after(s.scenario.levelEvery, s.tellLevel)
+	customer := s.drawCustomer()
+	level := policy.Level{Customer: customer.name, Units: 25*s.random.Float64() - 1}
+	s.deliver(s.processes[s.gatewayOf(customer)], level)
+}
+
+// carryMessage brings a message to one gateway or to all others.
+func (s *simulation) carryMessage(from int, message policy.Tell) {
+	for _, to := range s.processes {
+		if to.number != message.To && (message.To >= 0 || to.number == from) {
+			continue
+		}
+		if s.chance(s.scenario.messageLoss) || s.muted(from) || s.muted(to.number) {
+			continue
+		}
+		event := policy.PeerMessage{From: from, Data: message.Data}
+		if s.scenario.messageLoss > 0 {
+			event = s.disturb(to, event)
+		}
+		s.deliverAfter(5*time.Millisecond+s.delay(20*time.Millisecond), to, event)
+	}
+}
+
+// disturb brings a message a second time, late, or returns one that is cut short.
+func (s *simulation) disturb(to *process, event policy.PeerMessage) policy.PeerMessage {
+	if s.chance(twiceShare) {
+		s.deliverAfter(30*time.Millisecond, to, event)
+	}
+	if s.chance(lateShare) {
+		s.deliverAfter(600*time.Millisecond, to, event)
+	}
+	if s.chance(damagedShare) {
+		event.Data = event.Data[:s.random.IntN(max(1, len(event.Data)))]
+	}
+	return event
+}
+
+// muted tells whether a gateway is cut off from the others.
+func (s *simulation) muted(number int) bool {
+	third := s.scenario.length / 3
+	return number < s.scenario.mutedGateways && s.now > third && s.now < 2*third
+}
+
+// Clients.
+
+// nextRequest makes a client's first try and queues the next one.
+func (s *simulation) nextRequest() {
+	mean := time.Duration(float64(time.Second) / s.scenario.requestRate)
+	wait := s.delay(2 * mean)
+	if s.now >= s.scenario.quietFrom && s.now < s.scenario.quietUntil {
+		wait = s.scenario.quietUntil - s.now
+	}
+	s.after(wait, s.nextRequest)
+	list := classes()
+	class := list[s.random.IntN(len(list))]
+	if s.chance(0.01) {
+		class.Name = "unlisted"
+	}
+	s.request(&clientRequest{customer: s.drawCustomer(), class: class, units: float64(1 + s.random.IntN(4)*s.random.IntN(2)),
+		giveUp: s.now + class.Deadline})
+}
+
+// gatewayOf draws one of the gateways that a customer comes in through.
+func (s *simulation) gatewayOf(c simulatedCustomer) int {
+	return (c.first + s.random.IntN(min(c.spread, s.gateways))) % s.gateways
+}
+
+// request makes a try; the client waits for it only part of its time now and then.
+func (s *simulation) request(r *clientRequest) {
+	r.process = s.processes[s.gatewayOf(r.customer)]
+	remaining := r.giveUp - s.now
+	if remaining <= 0 || r.process.stopped {
+		return
+	}
+	if s.chance(shortShare) {
+		remaining = s.delay(remaining)
+	}
+	s.lastID++
+	r.id, r.deadline = s.lastID, s.now+remaining
+	s.requests[r.id] = r
+	s.after(remaining, func() { s.leave(r) })
+	if s.chance(leaveShare) {
+		s.after(s.delay(remaining), func() { s.leave(r) })
+	}
+	s.deliver(r.process, policy.Request{ID: r.id, Customer: r.customer.name, Plan: r.customer.plan, Class: r.class.Name,
+		Units: r.units, Remaining: remaining, First: r.customer.first, Spread: r.customer.spread, Retry: r.tries > 0})
+}
+
+// leave makes the client go without an answer; what it waits for is called off.
+func (s *simulation) leave(r *clientRequest) {
+	if r.finished {
+		return
+	}
+	r.finished = true
+	s.deliver(r.process, policy.Gone{ID: r.id})
+	if r.attempted != nil && !r.attempted.ended {
+		s.after(time.Millisecond, func() { s.endAttempt(r, r.attempted, policy.Cancelled) })
+	}
+}
+
+// find gives the request of an action.
+func (s *simulation) find(id policy.RequestID) *clientRequest {
+	r := s.requests[id]
+	if r == nil {
+		s.t.Fatalf("scenario %s: an action for request %d, which was never made", s.scenario.name, id)
+	}
+	return r
+}
+
+// finish takes the final answer; the client may try again.
+func (s *simulation) finish(id policy.RequestID, retryAfter time.Duration) {
+	r := s.find(id)
+	if r.finished {
+		s.t.Fatalf("scenario %s: request %d has a second final answer, or one after its client left", s.scenario.name, id)
+	}
+	r.finished = true
+	if r.tries+1 >= mostTries || !s.chance(retryShare) {
+		return
+	}
+	next := &clientRequest{customer: r.customer, class: r.class, units: r.units, giveUp: r.giveUp, tries: r.tries + 1}
+	s.after(retryAfter+s.delay(200*time.Millisecond), func() { s.request(next) })
+}
+
+// send starts an attempt at a server.
+func (s *simulation) send(a policy.Send) {
+	r := s.find(a.ID)
+	if a.Server < 1 || int(a.Server) > len(s.servers) {
+		s.t.Fatalf("scenario %s: an attempt at server %d, which is in no list", s.scenario.name, a.Server)
+	}
+	server := s.servers[a.Server-1]
+	started := &attempt{number: r.attempts, server: server, sentAt: s.now}
+	r.attempts++
+	r.attempted = started
+	code, latency := s.answer(server, r.customer.plan)
+	server.inUse++
+	limit := cmp.Or(a.Timeout, r.deadline-s.now)
+	if latency > limit {
+		code, latency = policy.TimedOut, limit
+	}
+	if s.chance(mootShare) {
+		code, latency = policy.Moot, time.Millisecond
+	}
+	if r.class.Stream && code == policy.OK {
+		s.after(time.Duration(firstByteShare*float64(latency)), func() { s.beginStream(r, started) })
+	}
+	s.after(latency, func() { s.endAttempt(r, started, code) })
+}
+
+func (s *simulation) beginStream(r *clientRequest, a *attempt) {
+	if !a.ended {
+		s.deliver(r.process, policy.Started{ID: r.id, Attempt: a.number, Server: a.server.ID})
+	}
+}
+
+func (s *simulation) cancel(c policy.Cancel) {
+	r := s.find(c.ID)
+	if a := r.attempted; a != nil && a.number == c.Attempt {
+		s.after(time.Millisecond, func() { s.endAttempt(r, a, policy.Cancelled) })
+	}
+}
+
+// endAttempt tells how an attempt ended, once. An OK is the request's final answer.
+func (s *simulation) endAttempt(r *clientRequest, a *attempt, code policy.Code) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	a.server.inUse--
+	if code == policy.OK {
+		r.finished = true
+	}
+	outcome := policy.Outcome{ID: r.id, Attempt: a.number, Server: a.server.ID, Code: code, Latency: s.now - a.sentAt, Over: r.finished}
+	if code == policy.OK {
+		outcome.Load = []float64{float64(a.server.inUse), 0}
+		if s.chance(0.2) {
+			outcome.Actual = float64(1 + s.random.IntN(6))
+		}
+	}
+	s.deliver(r.process, outcome)
+}
+
+// queuedEvent is something that happens at a time; those of one time keep their order.
+type queuedEvent struct {
+	at    time.Duration
+	order int
+	run   func()
+}
+
+type eventQueue []queuedEvent
+
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+}
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *eventQueue) Push(event any) { *q = append(*q, event.(queuedEvent)) }
+
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	event := (*q)[last]
+	*q = slices.Delete(*q, last, last+1)
+	return event
+}
