--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -124,7 +124,7 @@
 		default:
 			return
 		}
-		if (led == nil || !led.heard(from, data)) && (g.keep == nil || !g.keep.heard(from, data)) {
+		if (led == nil || !led.receivePeerMessage(from, data)) && (g.keep == nil || !g.keep.heard(from, data)) {
 			g.node.ReceivePeerMessage(from, data)
 		}
 	}
@@ -146,7 +146,7 @@
 		g.closes = append(g.closes, mail.Close)
 	}
 	var db *storage.Store
-	led, db, err = g.newLedger(inc, opt.SendToPeer)
+	led, db, err = g.newUsageRecorder(inc, opt.SendToPeer)
 	if err != nil {
 		return g, err
 	}
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -206,14 +206,14 @@
 	const golden = "54" + "0102030405060708" + // mark, incarnation
 		"f41766e6b11eece4" + "000000b1" + "000000000001e240" + // customer, window, thousandths
 		"c2ddf84d17004149" + "000000b2" + "0000000000000001"
-	owner := usage.Owner{Node: 3, Incarnation: 0x0102030405060708}
-	list := []usage.Register{
-		{Key: usage.Key{Customer: "bibl-a", Window: 177}, Owner: owner, Units: 123456},
-		{Key: usage.Key{Customer: "bibl-b", Window: 178}, Owner: owner, Units: 1},
+	owner := usage.WriterID{Node: 3, Incarnation: 0x0102030405060708}
+	list := []usage.CounterEntry{
+		{Key: usage.TotalKey{Customer: "bibl-a", Window: 177}, Writer: owner, Units: 123456},
+		{Key: usage.TotalKey{Customer: "bibl-b", Window: 178}, Writer: owner, Units: 1},
 	}
-	l := &usageRecorder{inc: owner.Incarnation, names: map[uint64]string{}}
+	l := &usageRecorder{incarnation: owner.Incarnation, customerByHash: map[uint64]string{}}
 	for _, name := range []string{"bibl-a", "bibl-b"} {
-		l.names[xxhash.Sum64String(name)] = name
+		l.customerByHash[xxhash.Sum64String(name)] = name
 	}
 	if got := hex.EncodeToString(l.encode(list)); got != golden {
 		t.Errorf("encoded to %s, want %s", got, golden)
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -17,10 +17,10 @@
 func TestStoresOutliveAKill(t *testing.T) {
 	run := func(keep bool, away time.Duration) (again int) {
 		dir := t.TempDir()
-		withCounter(t, dir, func(w *world, c *counter.Server) {
+		withFakeCounter(t, dir, func(w *world, c *counter.Server) {
 			c.Do("refuse", "") // nothing else can tell
 			time.Sleep(21 * time.Second)
-			if first := w.pass(25, "k-slow"); first < 15 || first > 23 {
+			if first := w.countServed(25, "k-slow"); first < 15 || first > 23 {
 				t.Errorf("%d of a store of 20 passed", first)
 			}
 			time.Sleep(2 * time.Second)
@@ -29,8 +29,8 @@
 			}
 			w.node.Kill()
 			time.Sleep(away)
-			w.again()
-			again = w.pass(25, "k-slow")
+			w.restart()
+			again = w.countServed(25, "k-slow")
 		})
 		return again
 	}
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -18,46 +18,46 @@
 )
 
 const (
-	tallyTick  = 100 * time.Millisecond
-	saveEvery  = time.Second
-	tallyMail  = 0.05 // of the mail that a node takes in; the module's reports have 0.85
-	tallyMark  = 'T'  // first byte of its messages; the module's begin with their version
-	tallyEntry = 8 + 4 + 8
-	saveAtOnce = 2000 // accounts looked at in one turn of the loop
+	usageTickInterval     = 100 * time.Millisecond
+	usageSaveInterval     = time.Second
+	usageMessageShare     = 0.05 // of the mail that a node takes in; the module's reports have 0.85
+	usageMessageMark      = 'T'  // first byte of its messages; the module's begin with their version
+	usageMessageEntrySize = 8 + 4 + 8
+	maxTotalsPerSave      = 2000 // accounts looked at in one turn of the loop
 )
 
 // usageRecorder runs a Tally in the node's loop, and carries out what it says.
 type usageRecorder struct {
-	g       *Gateway
-	t       *usage.Tally
-	client  *rediscounter.Client
-	tell    func(to int, data []byte)
-	names   map[uint64]string // of customers, by hash
-	peers   map[string][]int
-	inc     uint64
-	unsaved []usage.Register // that storage could not take
+	gateway         *Gateway
+	tracker         *usage.Tracker
+	client          *rediscounter.Client
+	sendToPeer      func(to int, data []byte)
+	customerByHash  map[uint64]string // of customers, by hash
+	peersByCustomer map[string][]int
+	incarnation     uint64
+	unsaved         []usage.CounterEntry // that storage could not take
 }
 
-// newLedger opens what a tally needs. It is nil where no counter is configured.
-func (g *Gateway) newLedger(inc uint64, tell func(int, []byte)) (*usageRecorder, *storage.Store, error) {
+// newUsageRecorder opens what a tally needs. It is nil where no counter is configured.
+func (g *Gateway) newUsageRecorder(inc uint64, tell func(int, []byte)) (*usageRecorder, *storage.Store, error) {
 	c := g.cfg.Counter
 	if c == nil {
 		return nil, nil, nil
 	}
 	gateways := len(g.cfg.Peers.Addresses) + 1
-	set := usage.Settings{Me: usage.Owner{Node: g.cfg.Number, Incarnation: inc}, Parts: len(c.Addresses), Window: c.Window,
-		Keep: int(c.Keep / c.Window), Calls: c.Calls / float64(gateways), Mail: g.cfg.Peers.MailPerSecond * tallyMail,
-		Rates: map[string]usage.Plan{}}
+	set := usage.Settings{Self: usage.WriterID{Node: g.cfg.Number, Incarnation: inc}, Shards: len(c.Addresses), Window: c.Window,
+		RetainedWindows: int(c.Keep / c.Window), CallsPerSecond: c.Calls / float64(gateways), PeerMessagesPerSecond: g.cfg.Peers.MailPerSecond * usageMessageShare,
+		Plans: map[string]usage.Plan{}}
 	for _, p := range g.cfg.Plans {
-		set.Rates[p.Name] = usage.Plan{Rate: p.Rate, Burst: p.Burst}
+		set.Plans[p.Name] = usage.Plan{Rate: p.Rate, Burst: p.Burst}
 	}
-	l := &usageRecorder{g: g, t: usage.New(set), tell: tell, names: map[uint64]string{}, peers: map[string][]int{}, inc: inc}
+	l := &usageRecorder{gateway: g, tracker: usage.New(set), sendToPeer: tell, customerByHash: map[uint64]string{}, peersByCustomer: map[string][]int{}, incarnation: inc}
 	for _, cu := range g.cfg.Customers {
-		l.names[xxhash.Sum64String(cu.Name)] = cu.Name
+		l.customerByHash[xxhash.Sum64String(cu.Name)] = cu.Name
 	}
-	l.place(gateways)
+	l.assignPeers(gateways)
 	l.client = rediscounter.New(rediscounter.Options{Network: g.o.Network, Addresses: c.Addresses,
-		Name: fmt.Sprintf("node-%d", g.cfg.Number), Limit: c.Limit, Keep: c.Keep})
+		ClientName: fmt.Sprintf("node-%d", g.cfg.Number), Timeout: c.Limit, Retention: c.Keep})
 	g.closes = append(g.closes, l.client.Close)
 	if g.cfg.StateDir == "" {
 		return l, nil, nil
@@ -70,51 +70,51 @@
 		g.o.Log.Warn("the stored totals are left aside", "error", aside)
 	}
 	g.closes = append(g.closes, func() { db.Close() })
-	l.t.Recall(l.g.o.Wall(), list)
+	l.tracker.LoadStored(l.gateway.o.Wall(), list)
 	return l, db, nil
 }
 
-// place says which nodes customers come in through, in a fleet of a size.
-func (l *usageRecorder) place(gateways int) {
-	clear(l.peers)
-	for _, cu := range l.g.cfg.Customers {
+// assignPeers says which nodes customers come in through, in a fleet of a size.
+func (l *usageRecorder) assignPeers(gateways int) {
+	clear(l.peersByCustomer)
+	for _, cu := range l.gateway.cfg.Customers {
 		for i := range min(cu.Nodes, gateways) {
-			l.peers[cu.Name] = append(l.peers[cu.Name], (cu.First+i)%gateways)
+			l.peersByCustomer[cu.Name] = append(l.peersByCustomer[cu.Name], (cu.First+i)%gateways)
 		}
 	}
 }
 
 // resize follows a change of the fleet, in the node's loop.
 func (l *usageRecorder) resize(gateways int) {
-	l.place(gateways)
-	l.t.Share(l.g.cfg.Counter.Calls / float64(gateways))
+	l.assignPeers(gateways)
+	l.tracker.SetCallsPerSecond(l.gateway.cfg.Counter.Calls / float64(gateways))
 }
 
 // RequestSeen and Passed are the node's words, in its loop.
 func (l *usageRecorder) RequestSeen(t *node.Request) {
-	l.carry(l.t.Seen(l.g.o.Wall(), t.Customer, t.Plan, l.peers[t.Customer]))
+	l.perform(l.tracker.RecordRequest(l.gateway.o.Wall(), t.Customer, t.Plan, l.peersByCustomer[t.Customer]))
 }
 
 func (l *usageRecorder) RequestForwarded(t *node.Request) {
-	l.t.Passed(l.g.o.Wall(), t.Customer, t.Plan, l.peers[t.Customer], t.Units)
+	l.tracker.RecordForwarded(l.gateway.o.Wall(), t.Customer, t.Plan, l.peersByCustomer[t.Customer], t.Units)
 }
 
 // run ticks, and saves in groups: it costs requests nothing but the copy.
 func (l *usageRecorder) run(ctx context.Context, db *storage.Store) {
-	tick := time.NewTicker(tallyTick)
+	tick := time.NewTicker(usageTickInterval)
 	defer tick.Stop()
 	saved := time.Now()
 	for {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			if db != nil && !l.g.killed.Load() {
+			if db != nil && !l.gateway.killed.Load() {
 				l.save(context.Background(), db) // the node's loop ends after this
 			}
 			return
 		}
-		l.g.node.Do(func() { l.carry(l.t.Tick(l.g.o.Wall())) })
-		if db != nil && time.Since(saved) >= saveEvery {
+		l.gateway.node.Do(func() { l.perform(l.tracker.Tick(l.gateway.o.Wall())) })
+		if db != nil && time.Since(saved) >= usageSaveInterval {
 			saved = time.Now()
 			l.save(ctx, db)
 		}
@@ -125,10 +125,10 @@
 // well under a millisecond.
 func (l *usageRecorder) save(ctx context.Context, db *storage.Store) {
 	for more := true; more; {
-		lists := make(chan []usage.Register, 1)
-		l.g.node.Do(func() {
-			var list []usage.Register
-			list, more = l.t.Changes(l.g.o.Wall(), saveAtOnce)
+		lists := make(chan []usage.CounterEntry, 1)
+		l.gateway.node.Do(func() {
+			var list []usage.CounterEntry
+			list, more = l.tracker.StorageChanges(l.gateway.o.Wall(), maxTotalsPerSave)
 			lists <- list
 		})
 		select {
@@ -137,12 +137,12 @@
 			if l.unsaved = append(l.unsaved, list...); len(l.unsaved) == 0 {
 				return
 			}
-			slices.SortStableFunc(l.unsaved, func(a, b usage.Register) int { // bbolt takes keys in order best
-				return cmp.Or(cmp.Compare(a.Owner.Incarnation, b.Owner.Incarnation), cmp.Compare(a.Key.Window, b.Key.Window),
+			slices.SortStableFunc(l.unsaved, func(a, b usage.CounterEntry) int { // bbolt takes keys in order best
+				return cmp.Or(cmp.Compare(a.Writer.Incarnation, b.Writer.Incarnation), cmp.Compare(a.Key.Window, b.Key.Window),
 					cmp.Compare(a.Key.Customer, b.Key.Customer))
 			})
 			if err := db.Save(l.unsaved); err != nil {
-				l.g.o.Log.Error("totals can't be stored; the node serves on", "error", err)
+				l.gateway.o.Log.Error("totals can't be stored; the node serves on", "error", err)
 				return
 			}
 			l.unsaved = nil
@@ -152,32 +152,32 @@
 	}
 }
 
-// carry carries out actions, in the loop.
-func (l *usageRecorder) carry(acts []usage.Action) {
+// perform carries out actions, in the loop.
+func (l *usageRecorder) perform(acts []usage.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case usage.Call:
-			l.client.Do(a, func(ans usage.Answer) {
-				l.g.node.Do(func() { l.carry(l.t.Answered(l.g.o.Wall(), a.ID, ans)) })
+		case usage.CounterCall:
+			l.client.Do(a, func(ans usage.CounterResponse) {
+				l.gateway.node.Do(func() { l.perform(l.tracker.HandleResponse(l.gateway.o.Wall(), a.ID, ans)) })
 			})
-		case usage.Tell:
-			l.tell(a.To, l.encode(a.Registers))
-		case usage.Restore:
-			l.g.node.SetUsageLevel(a.Customer, a.Units)
-		case usage.Note:
-			log := l.g.o.Log.Warn
-			if a.State == usage.Sound {
-				log = l.g.o.Log.Info
+		case usage.PeerMessage:
+			l.sendToPeer(a.To, l.encode(a.Entries))
+		case usage.RestoreLevel:
+			l.gateway.node.SetUsageLevel(a.Customer, a.Units)
+		case usage.OperatorNote:
+			log := l.gateway.o.Log.Warn
+			if a.State == usage.Healthy {
+				log = l.gateway.o.Log.Info
 			}
-			log("counter is "+a.State.String(), "part", a.Part, "evidence", a.Text)
+			log("counter is "+a.State.String(), "part", a.Shard, "evidence", a.Evidence)
 		}
 	}
 }
 
 // encode makes a message of registers of this process.
-func (l *usageRecorder) encode(list []usage.Register) []byte {
-	b := make([]byte, 0, 9+tallyEntry*len(list))
-	b = binary.BigEndian.AppendUint64(append(b, tallyMark), l.inc)
+func (l *usageRecorder) encode(list []usage.CounterEntry) []byte {
+	b := make([]byte, 0, 9+usageMessageEntrySize*len(list))
+	b = binary.BigEndian.AppendUint64(append(b, usageMessageMark), l.incarnation)
 	for _, r := range list {
 		b = binary.BigEndian.AppendUint64(b, xxhash.Sum64String(r.Key.Customer))
 		b = binary.BigEndian.AppendUint32(b, uint32(r.Key.Window))
@@ -186,29 +186,29 @@
 	return b
 }
 
-// heard takes a message; false where it is not one of these.
-func (l *usageRecorder) heard(from int, b []byte) bool {
-	if len(b) == 0 || b[0] != tallyMark {
+// receivePeerMessage takes a message; false where it is not one of these.
+func (l *usageRecorder) receivePeerMessage(from int, b []byte) bool {
+	if len(b) == 0 || b[0] != usageMessageMark {
 		return false
 	}
 	if list, ok := l.decode(from, b); ok {
-		l.g.node.Do(func() { l.t.Heard(l.g.o.Wall(), from, list) })
+		l.gateway.node.Do(func() { l.tracker.MergeFromPeer(l.gateway.o.Wall(), from, list) })
 	}
 	return true
 }
 
 // decode reads a message that begins with tallyMark, and leaves out customers not
 // known here; a malformed one, of a newer version, is not ok.
-func (l *usageRecorder) decode(from int, b []byte) (list []usage.Register, ok bool) {
-	if len(b) < 9 || (len(b)-9)%tallyEntry != 0 {
+func (l *usageRecorder) decode(from int, b []byte) (list []usage.CounterEntry, ok bool) {
+	if len(b) < 9 || (len(b)-9)%usageMessageEntrySize != 0 {
 		return nil, false
 	}
-	owner := usage.Owner{Node: from, Incarnation: binary.BigEndian.Uint64(b[1:])}
-	for b = b[9:]; len(b) > 0; b = b[tallyEntry:] {
-		name, known := l.names[binary.BigEndian.Uint64(b)]
+	owner := usage.WriterID{Node: from, Incarnation: binary.BigEndian.Uint64(b[1:])}
+	for b = b[9:]; len(b) > 0; b = b[usageMessageEntrySize:] {
+		name, known := l.customerByHash[binary.BigEndian.Uint64(b)]
 		if units := binary.BigEndian.Uint64(b[12:]); known && units < 1<<62 {
-			list = append(list, usage.Register{Key: usage.Key{Customer: name, Window: int64(binary.BigEndian.Uint32(b[8:]))},
-				Owner: owner, Units: usage.Milli(units)})
+			list = append(list, usage.CounterEntry{Key: usage.TotalKey{Customer: name, Window: int64(binary.BigEndian.Uint32(b[8:]))},
+				Writer: owner, Units: usage.MilliUnits(units)})
 		}
 	}
 	return list, true
--- a/gateway/usage_test.go
+++ b/gateway/usage_test.go
@@ -27,8 +27,8 @@
 }
 `
 
-// withCounter runs a test in a world with a counter; dir is the node's memory.
-func withCounter(t *testing.T, dir string, f func(w *world, c *counter.Server)) {
+// withFakeCounter runs a test in a world with a counter; dir is the node's memory.
+func withFakeCounter(t *testing.T, dir string, f func(w *world, c *counter.Server)) {
 	extra := counterBlock
 	if dir != "" {
 		extra += fmt.Sprintf("node { state_dir = %q }\n", dir)
@@ -42,8 +42,8 @@
 	})
 }
 
-// again starts the node anew, as after a kill.
-func (w *world) again() {
+// restart starts the node anew, as after a kill.
+func (w *world) restart() {
 	w.t.Helper()
 	w.node.Kill()
 	w.client.CloseIdleConnections()
@@ -57,8 +57,8 @@
 	}
 }
 
-// pass sends requests and returns how many were served.
-func (w *world) pass(n int, key string) int {
+// countServed sends requests and returns how many were served.
+func (w *world) countServed(n int, key string) int {
 	served := 0
 	for i := range n {
 		if g := w.do("GET", fmt.Sprint("/records/", i), key); g.status == 200 {
@@ -77,7 +77,7 @@
 }
 
 // The counter holds what was passed, over faults of its own.
-func TestCounterFaults(t *testing.T) {
+func TestCounterHoldsWhatWasForwardedAfterFaults(t *testing.T) {
 	for name, c := range map[string]func(c *counter.Server, during func()){
 		"sound":   func(c *counter.Server, during func()) { during() },
 		"silent":  func(c *counter.Server, during func()) { c.Do("silent", ""); during(); c.Do("ok", "") },
@@ -96,12 +96,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withCounter(t, "", func(w *world, s *counter.Server) {
-				passed := w.pass(5, "k-school")
+			withFakeCounter(t, "", func(w *world, s *counter.Server) {
+				passed := w.countServed(5, "k-school")
 				time.Sleep(time.Second)
 				c(s, func() {
 					start := time.Now()
-					passed += w.pass(8, "k-school")
+					passed += w.countServed(8, "k-school")
 					if took := time.Since(start); took > 8*100*time.Millisecond {
 						t.Errorf("requests waited for the counter: %v", took)
 					}
@@ -118,17 +118,17 @@
 
 // A node killed with adds that were not confirmed makes them good from its disk;
 // without its disk only what the counter had is left.
-func TestCounterKill(t *testing.T) {
+func TestKilledNodeRestoresUnconfirmedUsageFromStorage(t *testing.T) {
 	dir := t.TempDir()
-	withCounter(t, dir, func(w *world, c *counter.Server) {
-		passed := w.pass(5, "k-school")
+	withFakeCounter(t, dir, func(w *world, c *counter.Server) {
+		passed := w.countServed(5, "k-school")
 		time.Sleep(2 * time.Second)
 		c.Do("silent", "")
-		passed += w.pass(6, "k-school")
+		passed += w.countServed(6, "k-school")
 		time.Sleep(2 * time.Second) // saved, not added
-		w.again()
+		w.restart()
 		c.Do("ok", "")
-		passed += w.pass(3, "k-school")
+		passed += w.countServed(3, "k-school")
 		time.Sleep(15 * time.Second)
 		if got, want := total(c, "school"), int64(1000*passed); got != want {
 			t.Errorf("the counter holds %d, %d passed", got, want)
@@ -138,19 +138,19 @@
 
 // A restarted node knows what a customer has used: without the counter it would
 // let most of a store pass a second time.
-func TestRestartKnows(t *testing.T) {
+func TestRestartedNodeKnowsUsedQuota(t *testing.T) {
 	run := func(withIt bool) (second int) {
-		withCounter(t, "", func(w *world, c *counter.Server) {
+		withFakeCounter(t, "", func(w *world, c *counter.Server) {
 			if !withIt {
 				c.Do("refuse", "")
 			}
 			time.Sleep(21 * time.Second) // the first process knows its stores
-			if first := w.pass(25, "k-slow"); first < 15 || first > 23 {
+			if first := w.countServed(25, "k-slow"); first < 15 || first > 23 {
 				t.Errorf("%d of a store of 20 passed", first)
 			}
 			time.Sleep(time.Second)
-			w.again()
-			second = w.pass(25, "k-slow")
+			w.restart()
+			second = w.countServed(25, "k-slow")
 		})
 		return second
 	}
--- a/lab/quota.go
+++ b/lab/quota.go
@@ -146,7 +146,7 @@
 	over, above float64
 	ideal       bucket  // what one counter without faults would let pass
 	inside, got float64 // units from the fault on: by the ideal, and admitted
-	passed      map[usage.Owner]usage.Milli
+	passed      map[usage.WriterID]usage.MilliUnits
 }
 
 type fleet struct {
@@ -171,7 +171,7 @@
 	inc    uint64
 	down   bool
 	gw     *policy.Gateway
-	tl     *usage.Tally
+	tl     *usage.Tracker
 	size   int // of the fleet, as it was last told
 	tries  map[policy.RequestID]*customer
 	sent   map[policy.RequestID]int
@@ -190,14 +190,14 @@
 
 type holds struct {
 	epoch string
-	regs  map[usage.Key]map[usage.Owner]usage.Milli
+	regs  map[usage.TotalKey]map[usage.WriterID]usage.MilliUnits
 	level map[string]usage.Level
 	quota map[string]*bucket // for those that ask it for each request
 	hard  map[string]*bucket
 }
 
 func newHolds(epoch int) *holds {
-	return &holds{fmt.Sprint(epoch), map[usage.Key]map[usage.Owner]usage.Milli{}, map[string]usage.Level{},
+	return &holds{fmt.Sprint(epoch), map[usage.TotalKey]map[usage.WriterID]usage.MilliUnits{}, map[string]usage.Level{},
 		map[string]*bucket{}, map[string]*bucket{}}
 }
 
@@ -205,7 +205,7 @@
 	c := newHolds(0)
 	c.epoch = h.epoch
 	for k, m := range h.regs {
-		c.regs[k] = map[usage.Owner]usage.Milli{}
+		c.regs[k] = map[usage.WriterID]usage.MilliUnits{}
 		for o, u := range m {
 			c.regs[k][o] = u
 		}
@@ -251,7 +251,7 @@
 	width := min(spread, e.Nodes)
 	for i := range max(6, e.Nodes*perNode/width) {
 		c := &customer{name: fmt.Sprint("library-", i), first: i % e.Nodes, weights: make([]float64, width),
-			quota: newBucket(plan.Rate, plan.Burst), ideal: newBucket(plan.Rate, plan.Burst), hard: newBucket(plan.HardRate, plan.HardBurst), passed: map[usage.Owner]usage.Milli{}}
+			quota: newBucket(plan.Rate, plan.Burst), ideal: newBucket(plan.Rate, plan.Burst), hard: newBucket(plan.HardRate, plan.HardBurst), passed: map[usage.WriterID]usage.MilliUnits{}}
 		c.use = []float64{0.5, 0.5, 0.5, 0.9, 0.9, 3}[i%6]
 		f.customers = append(f.customers, c)
 		f.shift(c)
@@ -312,8 +312,8 @@
 	}
 	c.quota.level, c.hard.level = max(0, c.quota.level-1), max(0, c.hard.level-1)
 	if n.tl != nil {
-		c.passed[usage.Owner{Node: n.num, Incarnation: n.inc}] += 1000
-		n.tl.Passed(f.wall(), c.name, plan.Name, n.peers(c), 1)
+		c.passed[usage.WriterID{Node: n.num, Incarnation: n.inc}] += 1000
+		n.tl.RecordForwarded(f.wall(), c.name, plan.Name, n.peers(c), 1)
 	}
 }
 
@@ -345,9 +345,9 @@
 	}
 	n.feed(list)
 	if n.f.e.Way == WithTally {
-		n.tl = usage.New(usage.Settings{Me: usage.Owner{Node: n.num, Incarnation: n.inc}, Parts: 1, Window: time.Hour, Keep: 24,
-			Calls: callRate / float64(n.size), Mail: mailRate * 0.05,
-			Rates: map[string]usage.Plan{plan.Name: {Rate: plan.Rate, Burst: plan.Burst}}})
+		n.tl = usage.New(usage.Settings{Self: usage.WriterID{Node: n.num, Incarnation: n.inc}, Shards: 1, Window: time.Hour, RetainedWindows: 24,
+			CallsPerSecond: callRate / float64(n.size), PeerMessagesPerSecond: mailRate * 0.05,
+			Plans: map[string]usage.Plan{plan.Name: {Rate: plan.Rate, Burst: plan.Burst}}})
 		n.tick(n.inc)
 	}
 	return nil
@@ -387,7 +387,7 @@
 		}
 	default:
 		if n.tl != nil {
-			n.carry(n.tl.Seen(f.wall(), c.name, plan.Name, n.peers(c)))
+			n.carry(n.tl.RecordRequest(f.wall(), c.name, plan.Name, n.peers(c)))
 		}
 		f.nextID++
 		n.tries[f.nextID] = c
@@ -469,54 +469,54 @@
 	f, inc := n.f, n.inc
 	for _, a := range acts {
 		switch a := a.(type) {
-		case usage.Call:
-			ans, wait := usage.Answer{Failed: true}, callLimit
+		case usage.CounterCall:
+			ans, wait := usage.CounterResponse{Failed: true}, callLimit
 			if !f.counter.silent {
 				ans, wait = f.counter.do(n.num, a), callDelay
 			}
 			f.after(wait, func() {
 				if !n.down && n.inc == inc {
-					n.carry(n.tl.Answered(f.wall(), a.ID, ans))
+					n.carry(n.tl.HandleResponse(f.wall(), a.ID, ans))
 				}
 			})
-		case usage.Tell:
+		case usage.PeerMessage:
 			f.mail(n, a.To, func(to *instance) {
 				if to.tl != nil {
-					to.tl.Heard(f.wall(), n.num, a.Registers)
+					to.tl.MergeFromPeer(f.wall(), n.num, a.Entries)
 				}
 			})
-		case usage.Restore:
+		case usage.RestoreLevel:
 			n.feed(policy.UsageLevel{Customer: a.Customer, Units: a.Units})
 		}
 	}
 }
 
-func (c *counter) do(node int, call usage.Call) usage.Answer {
+func (c *counter) do(node int, call usage.CounterCall) usage.CounterResponse {
 	h := c.side[node%2]
-	ans := usage.Answer{Level: h.level[call.Key.Customer]}
-	if call.Epoch {
+	ans := usage.CounterResponse{Level: h.level[call.Key.Customer]}
+	if call.ReadEpoch {
 		ans.Epoch = h.epoch
 	}
 	m := h.regs[call.Key]
 	if m == nil {
-		m = map[usage.Owner]usage.Milli{}
+		m = map[usage.WriterID]usage.MilliUnits{}
 		h.regs[call.Key] = m
 	}
 	for o, u := range m {
-		ans.Registers = append(ans.Registers, usage.Register{Key: call.Key, Owner: o, Units: u})
+		ans.Entries = append(ans.Entries, usage.CounterEntry{Key: call.Key, Writer: o, Units: u})
 	}
-	slices.SortFunc(ans.Registers, func(a, b usage.Register) int {
-		if d := a.Owner.Node - b.Owner.Node; d != 0 {
+	slices.SortFunc(ans.Entries, func(a, b usage.CounterEntry) int {
+		if d := a.Writer.Node - b.Writer.Node; d != 0 {
 			return d
 		}
-		return int(int64(a.Owner.Incarnation) - int64(b.Owner.Incarnation))
+		return int(int64(a.Writer.Incarnation) - int64(b.Writer.Incarnation))
 	})
 	for _, r := range call.Raise {
-		m[r.Owner] = r.Units
+		m[r.Writer] = r.Units
 	}
-	for _, r := range call.Seed {
-		if _, have := m[r.Owner]; !have {
-			m[r.Owner] = r.Units
+	for _, r := range call.AddIfMissing {
+		if _, have := m[r.Writer]; !have {
+			m[r.Writer] = r.Units
 		}
 	}
 	if !call.Level.At.IsZero() {
@@ -632,7 +632,7 @@
 	n.size = size
 	n.feed(policy.FleetResized{Gateways: size, PreviousSize: was})
 	if n.tl != nil {
-		n.tl.Share(callRate / float64(size))
+		n.tl.SetCallsPerSecond(callRate / float64(size))
 	}
 }
 
@@ -645,7 +645,7 @@
 	default:
 		for k, m := range c.side[1].regs {
 			if c.side[0].regs[k] == nil {
-				c.side[0].regs[k] = map[usage.Owner]usage.Milli{}
+				c.side[0].regs[k] = map[usage.WriterID]usage.MilliUnits{}
 			}
 			for o, u := range m {
 				c.side[0].regs[k][o] = max(c.side[0].regs[k][o], u)
@@ -682,7 +682,7 @@
 			if f.nodes[o.Node].inc != o.Incarnation {
 				continue
 			}
-			var have usage.Milli
+			var have usage.MilliUnits
 			for k, m := range f.counter.side[0].regs {
 				if k.Customer == c.name {
 					have += m[o]
--- a/storage/golden_test.go
+++ b/storage/golden_test.go
@@ -13,9 +13,9 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-var goldenRegisters = []usage.Register{
-	{Key: usage.Key{Customer: "bibl-a", Window: 177}, Owner: usage.Owner{Node: 3, Incarnation: 9}, Units: 123456},
-	{Key: usage.Key{Customer: "bibl-b", Window: 178}, Owner: usage.Owner{Node: 3, Incarnation: 10}, Units: 1},
+var goldenEntries = []usage.CounterEntry{
+	{Key: usage.TotalKey{Customer: "bibl-a", Window: 177}, Writer: usage.WriterID{Node: 3, Incarnation: 9}, Units: 123456},
+	{Key: usage.TotalKey{Customer: "bibl-b", Window: 178}, Writer: usage.WriterID{Node: 3, Incarnation: 10}, Units: 1},
 }
 
 // The totals that an earlier build stored come back whole.
@@ -32,9 +32,9 @@
 	if err != nil || aside != nil {
 		t.Fatal(err, aside)
 	}
-	defer closed(t, s)
-	if !slices.Equal(list, goldenRegisters) {
-		t.Errorf("%+v, want %+v", list, goldenRegisters)
+	defer closeOrFail(t, s)
+	if !slices.Equal(list, goldenEntries) {
+		t.Errorf("%+v, want %+v", list, goldenEntries)
 	}
 }
 
@@ -45,10 +45,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Save(goldenRegisters); err != nil {
+	if err := s.Save(goldenEntries); err != nil {
 		t.Fatal(err)
 	}
-	closed(t, s)
+	closeOrFail(t, s)
 	want := []string{
 		"meta format 0000000000000001",
 		"meta node 0000000000000003",
@@ -64,8 +64,8 @@
 	}
 }
 
-// closed closes something that must close well.
-func closed(t *testing.T, c io.Closer) {
+// closeOrFail closes something that must close well.
+func closeOrFail(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
 		t.Error(err)
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closed(t, db)
+	defer closeOrFail(t, db)
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(k, v []byte) error {
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -18,10 +18,10 @@
 const formatVersion = 1
 
 var (
-	metaBucket = []byte("meta")
-	regsBucket = []byte("registers")
-	formatKey  = []byte("format")
-	nodeKey    = []byte("node")
+	metaBucket    = []byte("meta")
+	entriesBucket = []byte("registers")
+	formatKey     = []byte("format")
+	nodeKey       = []byte("node")
 )
 
 // Store is one node's database.
@@ -33,7 +33,7 @@
 // Open opens a node's database and reads the totals in it. A file that is torn,
 // foreign, of another format or of another node is moved aside, and aside says
 // why and where to; the store then starts empty.
-func Open(path string, node int) (s *Store, list []usage.Register, aside error, err error) {
+func Open(path string, node int) (s *Store, list []usage.CounterEntry, aside error, err error) {
 	s, list, err = open(path, node)
 	if err == nil || errors.Is(err, ErrInUse) {
 		return s, list, nil, err
@@ -47,7 +47,7 @@
 	return s, list, aside, err
 }
 
-func open(path string, node int) (s *Store, list []usage.Register, err error) {
+func open(path string, node int) (s *Store, list []usage.CounterEntry, err error) {
 	var db *bbolt.DB
 	// The file is mapped: reading a page that a cut took away is a fault.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -80,23 +80,23 @@
 			if name, _ := tx.Cursor().First(); name != nil {
 				return fmt.Errorf("store: %s is a database of something else", path)
 			}
-			return s.begin(tx, node)
+			return s.initialize(tx, node)
 		}
-		if v := number(meta.Get(formatKey)); v != formatVersion {
+		if v := parseUint64(meta.Get(formatKey)); v != formatVersion {
 			return fmt.Errorf("store: %s is of format %d, not %d", path, v, formatVersion)
 		}
-		if n := number(meta.Get(nodeKey)); n != uint64(node) {
+		if n := parseUint64(meta.Get(nodeKey)); n != uint64(node) {
 			return fmt.Errorf("store: %s is of node %d, not %d", path, n, node)
 		}
 		for err := range tx.Check() {
 			return fmt.Errorf("store: %s is torn: %w", path, err)
 		}
-		regs := tx.Bucket(regsBucket)
+		regs := tx.Bucket(entriesBucket)
 		if regs == nil {
 			return fmt.Errorf("store: %s lacks its totals", path)
 		}
 		return regs.ForEach(func(k, v []byte) error {
-			r, err := decode(k, v)
+			r, err := decodeEntry(k, v)
 			list = append(list, r)
 			return err
 		})
@@ -104,20 +104,20 @@
 	return s, list, err
 }
 
-func (s *Store) begin(tx *bbolt.Tx, node int) error {
+func (s *Store) initialize(tx *bbolt.Tx, node int) error {
 	meta, err := tx.CreateBucket(metaBucket)
 	if err != nil {
 		return err
 	}
-	if _, err := tx.CreateBucket(regsBucket); err != nil {
+	if _, err := tx.CreateBucket(entriesBucket); err != nil {
 		return err
 	}
-	return errors.Join(meta.Put(formatKey, be(formatVersion)), meta.Put(nodeKey, be(uint64(node))))
+	return errors.Join(meta.Put(formatKey, bigEndian(formatVersion)), meta.Put(nodeKey, bigEndian(uint64(node))))
 }
 
-func be(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
+func bigEndian(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
 
-func number(b []byte) uint64 {
+func parseUint64(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
 	}
@@ -125,28 +125,28 @@
 }
 
 // A register's key is node, incarnation, window and customer; its value units.
-func encode(r usage.Register) (k, v []byte) {
-	k = be(uint64(r.Owner.Node))
-	k = binary.BigEndian.AppendUint64(k, r.Owner.Incarnation)
+func encodeEntry(r usage.CounterEntry) (k, v []byte) {
+	k = bigEndian(uint64(r.Writer.Node))
+	k = binary.BigEndian.AppendUint64(k, r.Writer.Incarnation)
 	k = binary.BigEndian.AppendUint64(k, uint64(r.Key.Window))
-	return append(k, r.Key.Customer...), be(uint64(r.Units))
+	return append(k, r.Key.Customer...), bigEndian(uint64(r.Units))
 }
 
-func decode(k, v []byte) (usage.Register, error) {
+func decodeEntry(k, v []byte) (usage.CounterEntry, error) {
 	if len(k) < 25 || len(v) != 8 {
-		return usage.Register{}, fmt.Errorf("store: malformed total %x", k)
+		return usage.CounterEntry{}, fmt.Errorf("store: malformed total %x", k)
 	}
-	return usage.Register{Owner: usage.Owner{Node: int(number(k[:8])), Incarnation: number(k[8:16])},
-		Key: usage.Key{Window: int64(number(k[16:24])), Customer: string(k[24:])}, Units: usage.Milli(number(v))}, nil
+	return usage.CounterEntry{Writer: usage.WriterID{Node: int(parseUint64(k[:8])), Incarnation: parseUint64(k[8:16])},
+		Key: usage.TotalKey{Window: int64(parseUint64(k[16:24])), Customer: string(k[24:])}, Units: usage.MilliUnits(parseUint64(v))}, nil
 }
 
 // Save puts totals, and takes out those of 0 units, in one transaction: after a
 // kill at any moment either all of it is done or none.
-func (s *Store) Save(changes []usage.Register) error {
+func (s *Store) Save(changes []usage.CounterEntry) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(regsBucket)
+		b := tx.Bucket(entriesBucket)
 		for _, r := range changes {
-			k, v := encode(r)
+			k, v := encodeEntry(r)
 			var err error
 			if r.Units == 0 {
 				err = b.Delete(k)
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -12,16 +12,16 @@
 
 // A store that is torn, empty, foreign or of another node is moved aside, with a
 // message, wherever it is cut; nothing of it is taken.
-func TestTornStore(t *testing.T) {
+func TestDamagedDatabaseIsMovedAside(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "tally")
 	s, _, _, err := Open(path, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []usage.Register
+	var list []usage.CounterEntry
 	for i := range 50 {
-		list = append(list, usage.Register{Key: usage.Key{Customer: fmt.Sprint("c", i), Window: 7}, Owner: usage.Owner{Node: 3, Incarnation: 9}, Units: usage.Milli(i + 1)})
+		list = append(list, usage.CounterEntry{Key: usage.TotalKey{Customer: fmt.Sprint("c", i), Window: 7}, Writer: usage.WriterID{Node: 3, Incarnation: 9}, Units: usage.MilliUnits(i + 1)})
 	}
 	extra := list[0]
 	extra.Key.Customer = "taken out again"
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	extra.Units = 0
-	if err := s.Save([]usage.Register{extra}); err != nil {
+	if err := s.Save([]usage.CounterEntry{extra}); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, _, err := Open(path, 3); err == nil {
--- a/usage/calls_test.go
+++ b/usage/calls_test.go
@@ -7,15 +7,15 @@
 )
 
 // Calls keep to the budget, however many customers there are.
-func TestBudget(t *testing.T) {
-	s := Settings{Me: Owner{0, 1}, Parts: 2, Window: time.Minute, Keep: 5, Calls: 50, Mail: 5, Rates: map[string]Plan{"p": {1, 5}}}
+func TestCallsStayWithinBudget(t *testing.T) {
+	s := Settings{Self: WriterID{0, 1}, Shards: 2, Window: time.Minute, RetainedWindows: 5, CallsPerSecond: 50, PeerMessagesPerSecond: 5, Plans: map[string]Plan{"p": {1, 5}}}
 	tl := New(s)
-	now, calls := epoch0, 0
-	var out []Call
+	now, calls := startTime, 0
+	var out []CounterCall
 	carry := func(acts []Action) {
 		for _, a := range acts {
-			if c, ok := a.(Call); ok {
-				calls += c.Cost()
+			if c, ok := a.(CounterCall); ok {
+				calls += c.CommandCount()
 				out = append(out, c)
 			}
 		}
@@ -24,12 +24,12 @@
 		now = now.Add(100 * time.Millisecond)
 		for k := range 50 {
 			name := fmt.Sprint("c", (i*50+k)%5000)
-			carry(tl.Seen(now, name, "p", []int{0, 1, 2}))
-			tl.Passed(now, name, "p", []int{0, 1, 2}, 1)
+			carry(tl.RecordRequest(now, name, "p", []int{0, 1, 2}))
+			tl.RecordForwarded(now, name, "p", []int{0, 1, 2}, 1)
 		}
 		carry(tl.Tick(now))
 		for _, c := range out {
-			carry(tl.Answered(now, c.ID, Answer{Epoch: "1", Registers: c.Raise}))
+			carry(tl.HandleResponse(now, c.ID, CounterResponse{Epoch: "1", Entries: c.Raise}))
 		}
 		out = out[:0]
 	}
--- a/usage/convergence_test.go
+++ b/usage/convergence_test.go
@@ -10,19 +10,19 @@
 // Random faults of counter, messages and nodes, alone and together. At all
 // times nothing counts twice. Once all is healed the counter holds all that any
 // living process passed, and all that was saved of dead ones.
-func TestFleet(t *testing.T) {
+func TestCounterConvergesAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 4)
-		surely := map[Key]map[Owner]Milli{} // saved, or the process lives
+		w := newFleet(t, 4)
+		surely := map[TotalKey]map[WriterID]MilliUnits{} // saved, or the process lives
 		customer := rapid.SampledFrom([]string{"a", "b", "c"})
 		node := rapid.IntRange(0, 3)
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) {
 				m := w.nodes[node.Draw(t, "node")]
-				w.pass(m, customer.Draw(t, "customer"), float64(rapid.IntRange(1, 4).Draw(t, "units")))
+				w.forward(m, customer.Draw(t, "customer"), float64(rapid.IntRange(1, 4).Draw(t, "units")))
 			},
 			"time": func(t *rapid.T) {
-				w.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
+				w.advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
 			},
 			"save": func(t *rapid.T) {
 				m := w.nodes[node.Draw(t, "node")]
@@ -33,28 +33,28 @@
 				w.restart(w.nodes[node.Draw(t, "node")], false)
 			},
 			"fault": func(t *rapid.T) { w.fault = rapid.SampledFrom([]string{"", "silent", "lost"}).Draw(t, "fault") },
-			"empty": func(t *rapid.T) { w.empty() },
-			"copy":  func(t *rapid.T) { w.old = w.side[0].clone() },
-			"mail":  func(t *rapid.T) { w.mail = !w.mail },
-			"split": func(t *rapid.T) { w.cut() },
+			"empty": func(t *rapid.T) { w.replaceWithEmpty() },
+			"copy":  func(t *rapid.T) { w.savedCopy = w.copies[0].clone() },
+			"mail":  func(t *rapid.T) { w.messagesDelivered = !w.messagesDelivered },
+			"split": func(t *rapid.T) { w.divide() },
 			"heal":  func(t *rapid.T) { w.heal(rapid.SampledFrom([]string{"first", "second", "both"}).Draw(t, "how")) },
 			"old copy back": func(t *rapid.T) {
-				if w.old != nil && !w.split {
-					w.side[0] = w.old.clone()
-					w.side[1] = w.side[0]
+				if w.savedCopy != nil && !w.split {
+					w.copies[0] = w.savedCopy.clone()
+					w.copies[1] = w.copies[0]
 				}
 			},
-			"": func(t *rapid.T) { w.check() },
+			"": func(t *rapid.T) { w.checkInvariants() },
 		})
 		w.heal("first")
-		w.fault, w.mail = "", true
-		w.run(12 * time.Second)
-		w.check()
+		w.fault, w.messagesDelivered = "", true
+		w.advance(12 * time.Second)
+		w.checkInvariants()
 		for _, m := range w.nodes {
 			for k, owners := range w.truth {
-				o := Owner{m.n, m.inc}
+				o := WriterID{m.index, m.incarnation}
 				if surely[k] == nil {
-					surely[k] = map[Owner]Milli{}
+					surely[k] = map[WriterID]MilliUnits{}
 				}
 				if u, ok := owners[o]; ok {
 					surely[k][o] = u
@@ -63,7 +63,7 @@
 		}
 		for k, owners := range surely {
 			for o, u := range owners {
-				if got := w.side[0].regs[k][o]; got != u {
+				if got := w.copies[0].totals[k][o]; got != u {
 					t.Fatalf("healed, the counter holds %d of %v for %v, %d passed", got, o, k, u)
 				}
 			}
--- a/usage/counter_entry.go
+++ b/usage/counter_entry.go
@@ -6,81 +6,81 @@
 	"time"
 )
 
-// Milli is units in thousandths, as they are counted.
-type Milli int64
+// MilliUnits is units in thousandths, as they are counted.
+type MilliUnits int64
 
-// Owner names the process that a register is raised by.
-type Owner struct {
+// WriterID names the process that a register is raised by.
+type WriterID struct {
 	Node        int
 	Incarnation uint64
 }
 
-// Key names a total.
-type Key struct {
+// TotalKey names a total.
+type TotalKey struct {
 	Customer string
 	Window   int64 // number of the window, counted from the Unix epoch
 }
 
-// Register is how many units one process has passed for a customer in a window.
-type Register struct {
-	Key   Key
-	Owner Owner
-	Units Milli
+// CounterEntry is how many units one process has passed for a customer in a window.
+type CounterEntry struct {
+	Key    TotalKey
+	Writer WriterID
+	Units  MilliUnits
 }
 
-// register is what is known of one process's units.
-type register struct {
-	units Milli
-	heard time.Time // when that was last learned, from a peer or the counter
-	inCtr Milli     // as the counter last confirmed; below 0: to be put in again
-	proof Milli     // what the owner's node said itself, to be found in the counter,
-	at    time.Time // then; zero: nothing to be found
+// writerEntry is what is known of one process's units.
+type writerEntry struct {
+	units     MilliUnits
+	learnedAt time.Time  // when that was last learned, from a peer or the counter
+	confirmed MilliUnits // as the counter last confirmed; below 0: to be put in again
+	claimed   MilliUnits // what the owner's node said itself, to be found in the counter,
+	claimedAt time.Time  // then; zero: nothing to be found
 
-	stored Milli // as storage holds it; 0: it does not
+	stored MilliUnits // as storage holds it; 0: it does not
 }
 
-func (a *account) reg(o Owner) *register {
-	g := a.regs[o]
+func (a *windowTotal) entry(o WriterID) *writerEntry {
+	g := a.entries[o]
 	if g == nil {
-		g = &register{}
-		a.regs[o] = g
+		g = &writerEntry{}
+		a.entries[o] = g
 	}
 	return g
 }
 
-// owners lists an account's registers in a fixed order.
-func (a *account) owners() []Owner {
-	list := make([]Owner, 0, len(a.regs))
-	for o := range a.regs {
+// sortedWriters lists an account's registers in a fixed order.
+func (a *windowTotal) sortedWriters() []WriterID {
+	list := make([]WriterID, 0, len(a.entries))
+	for o := range a.entries {
 		list = append(list, o)
 	}
-	slices.SortFunc(list, func(a, b Owner) int {
+	slices.SortFunc(list, func(a, b WriterID) int {
 		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	return list
 }
 
 // merge takes in a register from the counter or from its owner's node.
-func (t *Tally) merge(now time.Time, a *account, r Register, told bool) {
-	t.latest[r.Owner.Node] = max(t.latest[r.Owner.Node], r.Owner.Incarnation)
-	if r.Owner == t.set.Me {
+func (t *Tracker) merge(now time.Time, a *windowTotal, r CounterEntry, told bool) {
+	t.latestIncarnation[r.Writer.Node] = max(t.latestIncarnation[r.Writer.Node], r.Writer.Incarnation)
+	if r.Writer == t.settings.Self {
 		return // nobody knows it better
 	}
-	g := a.reg(r.Owner)
+	g := a.entry(r.Writer)
 	if told {
-		if g.at.IsZero() && r.Units > g.inCtr {
-			g.proof, g.at = r.Units, now
+		if g.claimedAt.IsZero() && r.Units > g.confirmed {
+			g.claimed, g.claimedAt = r.Units, now
 		}
 	} else {
-		g.inCtr = r.Units
+		g.confirmed = r.Units
 	}
-	g.heard = now
+	g.learnedAt = now
 	if r.Units <= g.units {
 		return
 	}
 	more := r.Units - g.units
 	g.units = r.Units
 	if c := t.customers[a.key.Customer]; c != nil {
-		c.use(now, more)
+		c.consume(now, more)
 	}
 }
--- a/usage/customers.go
+++ b/usage/customers.go
@@ -2,75 +2,75 @@
 
 import "time"
 
-// customer is what outlives windows.
-type customer struct {
-	name  string
-	plan  Plan
-	peers []int
-	level Level // by all that is known here
-	known bool  // the level rests on the counter or on long enough a time
-	began time.Time
-	seen  time.Time
-	now   *account
+// customerUsage is what outlives windows.
+type customerUsage struct {
+	name         string
+	plan         Plan
+	peers        []int
+	level        Level // by all that is known here
+	levelKnown   bool  // the level rests on the counter or on long enough a time
+	trackedSince time.Time
+	lastSeen     time.Time
+	current      *windowTotal
 }
 
-// Seen tells of a request of a customer, before it is decided on: one that was
+// RecordRequest tells of a request of a customer, before it is decided on: one that was
 // never seen is asked for at once.
-func (t *Tally) Seen(now time.Time, name, plan string, peers []int) []Action {
+func (t *Tracker) RecordRequest(now time.Time, name, plan string, peers []int) []Action {
 	c := t.customers[name]
-	if c != nil && c.now.recent && c.now.key.Window == t.window(now) {
-		c.seen = now
+	if c != nil && c.current.recentlyUsed && c.current.key.Window == t.windowAt(now) {
+		c.lastSeen = now
 		return nil
 	}
-	t.acts = nil
-	c = t.touch(now, name, plan, peers)
-	if p := &t.parts[t.Part(name)]; !c.known && !c.now.queued && !c.now.calling && c.now.asked.IsZero() {
-		if t.budget >= 1 && len(t.calls) < mostCalls && p.state != Silent {
-			t.send(now, c.now, t.Part(name))
+	t.actions = nil
+	c = t.currentCustomer(now, name, plan, peers)
+	if p := &t.shards[t.ShardOf(name)]; !c.levelKnown && !c.current.callQueued && !c.current.callInFlight && c.current.respondedAt.IsZero() {
+		if t.callBudget >= 1 && len(t.inFlight) < maxCallsInFlight && p.state != Unresponsive {
+			t.sendCall(now, c.current, t.ShardOf(name))
 		} else {
-			t.want(now, c.now)
+			t.queueCall(now, c.current)
 		}
 	}
-	return t.acts
+	return t.actions
 }
 
-// touch finds a customer and its account of now.
-func (t *Tally) touch(now time.Time, name, plan string, peers []int) *customer {
+// currentCustomer finds a customer and its account of now.
+func (t *Tracker) currentCustomer(now time.Time, name, plan string, peers []int) *customerUsage {
 	c := t.customers[name]
-	if t.start.IsZero() {
-		t.start = now
+	if t.startedAt.IsZero() {
+		t.startedAt = now
 	}
 	if c == nil {
-		p := t.set.Rates[plan]
-		c = &customer{name: name, plan: p, peers: peers, level: Level{p.Burst, now}, began: now}
+		p := t.settings.Plans[plan]
+		c = &customerUsage{name: name, plan: p, peers: peers, level: Level{p.Burst, now}, trackedSince: now}
 		t.customers[name] = c
 	}
-	c.seen, c.peers = now, peers
-	if w := t.window(now); c.now == nil || c.now.key.Window != w {
-		if c.now != nil {
-			c.now.newest = false
+	c.lastSeen, c.peers = now, peers
+	if w := t.windowAt(now); c.current == nil || c.current.key.Window != w {
+		if c.current != nil {
+			c.current.current = false
 		}
-		c.now = t.account(now, Key{name, w}, c.plan)
-		c.now.plan, c.now.peers, c.now.newest = c.plan, peers, true
+		c.current = t.totalFor(now, TotalKey{name, w}, c.plan)
+		c.current.plan, c.current.peers, c.current.current = c.plan, peers, true
 	}
-	if !c.now.recent {
-		c.now.recent = true
-		t.recent = append(t.recent, c.now)
+	if !c.current.recentlyUsed {
+		c.current.recentlyUsed = true
+		t.recentlyUsed = append(t.recentlyUsed, c.current)
 	}
 	return c
 }
 
-// Passed tells of units that this node has passed for a customer.
-func (t *Tally) Passed(now time.Time, name, plan string, peers []int, units float64) {
-	c := t.touch(now, name, plan, peers)
-	n := Milli(units*1000 + 0.5)
-	g := c.now.reg(t.set.Me)
-	g.units, g.heard = g.units+n, now
-	t.soil(c.now)
-	c.use(now, n)
-	t.want(now, c.now)
-	if !c.now.untold && len(c.now.peers) > 1 {
-		c.now.untold = true
-		t.untold = append(t.untold, c.now)
+// RecordForwarded tells of units that this node has passed for a customer.
+func (t *Tracker) RecordForwarded(now time.Time, name, plan string, peers []int, units float64) {
+	c := t.currentCustomer(now, name, plan, peers)
+	n := MilliUnits(units*1000 + 0.5)
+	g := c.current.entry(t.settings.Self)
+	g.units, g.learnedAt = g.units+n, now
+	t.queueStorage(c.current)
+	c.consume(now, n)
+	t.queueCall(now, c.current)
+	if !c.current.gossipQueued && len(c.current.peers) > 1 {
+		c.current.gossipQueued = true
+		t.gossipQueue = append(t.gossipQueue, c.current)
 	}
 }
--- a/usage/fleet_test.go
+++ b/usage/fleet_test.go
@@ -12,106 +12,106 @@
 
 func init() { flag.Set("rapid.seed", "1") } // the same verdict every time
 
-var epoch0 = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // copy of the counter: what one part holds.
-type holds struct {
-	epoch string
-	regs  map[Key]map[Owner]Milli
-	level map[string]Level
+type fakeShard struct {
+	epoch  string
+	totals map[TotalKey]map[WriterID]MilliUnits
+	levels map[string]Level
 }
 
-func newHolds(epoch string) *holds {
-	return &holds{epoch, map[Key]map[Owner]Milli{}, map[string]Level{}}
+func newFakeShard(epoch string) *fakeShard {
+	return &fakeShard{epoch, map[TotalKey]map[WriterID]MilliUnits{}, map[string]Level{}}
 }
 
-func (h *holds) clone() *holds {
-	c := newHolds(h.epoch)
-	for k, m := range h.regs {
-		c.regs[k] = maps.Clone(m)
+func (h *fakeShard) clone() *fakeShard {
+	c := newFakeShard(h.epoch)
+	for k, m := range h.totals {
+		c.totals[k] = maps.Clone(m)
 	}
-	c.level = maps.Clone(h.level)
+	c.levels = maps.Clone(h.levels)
 	return c
 }
 
-// do carries out a call as the counter does.
-func (h *holds) do(c Call) Answer {
-	m := h.regs[c.Key]
+// execute carries out a call as the counter does.
+func (h *fakeShard) execute(c CounterCall) CounterResponse {
+	m := h.totals[c.Key]
 	if m == nil {
-		m = map[Owner]Milli{}
-		h.regs[c.Key] = m
+		m = map[WriterID]MilliUnits{}
+		h.totals[c.Key] = m
 	}
-	ans := Answer{Level: h.level[c.Key.Customer]}
-	if c.Epoch {
+	ans := CounterResponse{Level: h.levels[c.Key.Customer]}
+	if c.ReadEpoch {
 		ans.Epoch = h.epoch
 	}
 	for o, u := range m {
-		ans.Registers = append(ans.Registers, Register{c.Key, o, u})
+		ans.Entries = append(ans.Entries, CounterEntry{c.Key, o, u})
 	}
 	for _, r := range c.Raise {
-		m[r.Owner] = r.Units
+		m[r.Writer] = r.Units
 	}
-	for _, r := range c.Seed {
-		if _, have := m[r.Owner]; !have {
-			m[r.Owner] = r.Units
+	for _, r := range c.AddIfMissing {
+		if _, have := m[r.Writer]; !have {
+			m[r.Writer] = r.Units
 		}
 	}
 	if !c.Level.At.IsZero() {
-		h.level[c.Key.Customer] = c.Level
+		h.levels[c.Key.Customer] = c.Level
 	}
 	return ans
 }
 
 // merge takes the other's totals in, by the larger.
-func (h *holds) merge(o *holds) {
-	for k, m := range o.regs {
-		if h.regs[k] == nil {
-			h.regs[k] = map[Owner]Milli{}
+func (h *fakeShard) merge(o *fakeShard) {
+	for k, m := range o.totals {
+		if h.totals[k] == nil {
+			h.totals[k] = map[WriterID]MilliUnits{}
 		}
 		for owner, u := range m {
-			h.regs[k][owner] = max(h.regs[k][owner], u)
+			h.totals[k][owner] = max(h.totals[k][owner], u)
 		}
 	}
 }
 
-// world is a fleet with a counter in two copies (one, but for a split).
-type world struct {
-	t     *rapid.T
-	now   time.Time
-	nodes []*member
-	side  [2]*holds
-	split bool
-	old   *holds
-	fault string // "", silent, lost (done, but the answer is lost)
-	epoch int
-	mail  bool // messages between nodes arrive
-	truth map[Key]map[Owner]Milli
-	notes []Note
+// fleet is a fleet with a counter in two copies (one, but for a split).
+type fleet struct {
+	t                 *rapid.T
+	now               time.Time
+	nodes             []*node
+	copies            [2]*fakeShard
+	split             bool
+	savedCopy         *fakeShard
+	fault             string // "", silent, lost (done, but the answer is lost)
+	lastEpoch         int
+	messagesDelivered bool // messages between nodes arrive
+	truth             map[TotalKey]map[WriterID]MilliUnits
+	notes             []OperatorNote
 }
 
-type member struct {
-	t    *Tally
-	disk map[Register]Milli // as last saved, by register without its units
-	inc  uint64
-	n    int
+type node struct {
+	tracker     *Tracker
+	disk        map[CounterEntry]MilliUnits // as last saved, by register without its units
+	incarnation uint64
+	index       int
 }
 
-func (w *world) settings(n int, inc uint64) Settings {
-	return Settings{Me: Owner{n, inc}, Parts: 1, Window: time.Minute, Keep: 60, Calls: 200, Mail: 50,
-		Rates: map[string]Plan{"p": {Rate: 10, Burst: 20}}}
+func (w *fleet) settings(n int, inc uint64) Settings {
+	return Settings{Self: WriterID{n, inc}, Shards: 1, Window: time.Minute, RetainedWindows: 60, CallsPerSecond: 200, PeerMessagesPerSecond: 50,
+		Plans: map[string]Plan{"p": {Rate: 10, Burst: 20}}}
 }
 
-func newWorld(t *rapid.T, nodes int) *world {
-	w := &world{t: t, now: epoch0, truth: map[Key]map[Owner]Milli{}, mail: true, epoch: 1}
-	w.side[0] = newHolds("1")
-	w.side[1] = w.side[0]
+func newFleet(t *rapid.T, nodes int) *fleet {
+	w := &fleet{t: t, now: startTime, truth: map[TotalKey]map[WriterID]MilliUnits{}, messagesDelivered: true, lastEpoch: 1}
+	w.copies[0] = newFakeShard("1")
+	w.copies[1] = w.copies[0]
 	for i := range nodes {
-		w.nodes = append(w.nodes, &member{t: New(w.settings(i, 1)), disk: map[Register]Milli{}, inc: 1, n: i})
+		w.nodes = append(w.nodes, &node{tracker: New(w.settings(i, 1)), disk: map[CounterEntry]MilliUnits{}, incarnation: 1, index: i})
 	}
 	return w
 }
 
-func (w *world) peers() []int {
+func (w *fleet) peers() []int {
 	var all []int
 	for i := range w.nodes {
 		all = append(all, i)
@@ -119,78 +119,78 @@
 	return all
 }
 
-// carry carries out what a node wants.
-func (w *world) carry(m *member, acts []Action) {
+// perform carries out what a node wants.
+func (w *fleet) perform(m *node, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Call:
-			ans := Answer{Failed: true}
+		case CounterCall:
+			ans := CounterResponse{Failed: true}
 			if w.fault != "silent" {
-				got := w.side[m.n%2].do(a)
+				got := w.copies[m.index%2].execute(a)
 				if w.fault != "lost" {
 					ans = got
 				}
 			}
-			w.carry(m, m.t.Answered(w.now, a.ID, ans))
-		case Tell:
-			if w.mail && len(a.Registers) <= tellMost {
-				w.nodes[a.To].t.Heard(w.now, m.n, a.Registers)
+			w.perform(m, m.tracker.HandleResponse(w.now, a.ID, ans))
+		case PeerMessage:
+			if w.messagesDelivered && len(a.Entries) <= maxEntriesPerMessage {
+				w.nodes[a.To].tracker.MergeFromPeer(w.now, m.index, a.Entries)
 			}
-		case Note:
+		case OperatorNote:
 			w.notes = append(w.notes, a)
 		}
 	}
 }
 
-func (w *world) pass(m *member, customer string, units float64) {
-	k := Key{customer, m.t.window(w.now)}
+func (w *fleet) forward(m *node, customer string, units float64) {
+	k := TotalKey{customer, m.tracker.windowAt(w.now)}
 	if w.truth[k] == nil {
-		w.truth[k] = map[Owner]Milli{}
+		w.truth[k] = map[WriterID]MilliUnits{}
 	}
-	w.truth[k][Owner{m.n, m.inc}] += Milli(units * 1000)
-	w.carry(m, m.t.Seen(w.now, customer, "p", w.peers()))
-	m.t.Passed(w.now, customer, "p", w.peers(), units)
+	w.truth[k][WriterID{m.index, m.incarnation}] += MilliUnits(units * 1000)
+	w.perform(m, m.tracker.RecordRequest(w.now, customer, "p", w.peers()))
+	m.tracker.RecordForwarded(w.now, customer, "p", w.peers(), units)
 }
 
-func (w *world) run(d time.Duration) {
+func (w *fleet) advance(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(100 * time.Millisecond)
 		for _, m := range w.nodes {
-			w.carry(m, m.t.Tick(w.now))
+			w.perform(m, m.tracker.Tick(w.now))
 		}
 	}
 }
 
-func (w *world) busy(d time.Duration) {
+func (w *fleet) forwardSteadily(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		for i, m := range w.nodes {
-			w.pass(m, []string{"a", "b"}[i%2], 1)
+			w.forward(m, []string{"a", "b"}[i%2], 1)
 		}
-		w.run(200 * time.Millisecond)
+		w.advance(200 * time.Millisecond)
 	}
 }
 
-func (w *world) restart(m *member, disk bool) {
-	m.inc++
-	m.t = New(w.settings(m.n, m.inc))
+func (w *fleet) restart(m *node, disk bool) {
+	m.incarnation++
+	m.tracker = New(w.settings(m.index, m.incarnation))
 	if disk {
-		var list []Register
+		var list []CounterEntry
 		for r, units := range m.disk {
-			list = append(list, Register{r.Key, r.Owner, units})
+			list = append(list, CounterEntry{r.Key, r.Writer, units})
 		}
-		m.t.Recall(w.now, list)
+		m.tracker.LoadStored(w.now, list)
 	} else {
-		m.disk = map[Register]Milli{}
+		m.disk = map[CounterEntry]MilliUnits{}
 	}
 }
 
 // save does what the store does with changes.
-func (m *member) save(now time.Time) {
+func (m *node) save(now time.Time) {
 	for more := true; more; {
-		var list []Register
-		list, more = m.t.Changes(now, 2)
+		var list []CounterEntry
+		list, more = m.tracker.StorageChanges(now, 2)
 		for _, r := range list {
-			key := Register{Key: r.Key, Owner: r.Owner}
+			key := CounterEntry{Key: r.Key, Writer: r.Writer}
 			if m.disk[key] = r.Units; r.Units == 0 {
 				delete(m.disk, key)
 			}
@@ -198,38 +198,38 @@
 	}
 }
 
-// empty is an empty counter in the place of the old one.
-func (w *world) empty() {
-	w.epoch++
-	w.side[0] = newHolds(fmt.Sprint(w.epoch))
-	w.side[1] = w.side[0]
+// replaceWithEmpty is an empty counter in the place of the old one.
+func (w *fleet) replaceWithEmpty() {
+	w.lastEpoch++
+	w.copies[0] = newFakeShard(fmt.Sprint(w.lastEpoch))
+	w.copies[1] = w.copies[0]
 }
 
-func (w *world) cut() {
+func (w *fleet) divide() {
 	if !w.split {
-		w.side[1] = w.side[0].clone()
+		w.copies[1] = w.copies[0].clone()
 		w.split = true
 	}
 }
 
-func (w *world) heal(how string) {
+func (w *fleet) heal(how string) {
 	switch how {
 	case "first":
-		w.side[1] = w.side[0]
+		w.copies[1] = w.copies[0]
 	case "second":
-		w.side[0] = w.side[1]
+		w.copies[0] = w.copies[1]
 	case "both":
-		w.side[0].merge(w.side[1])
-		w.side[1] = w.side[0]
+		w.copies[0].merge(w.copies[1])
+		w.copies[1] = w.copies[0]
 	}
 	w.split = false
 }
 
 // check: nothing counts twice, and no node believes more than the truth, nor
 // less than what it passed itself.
-func (w *world) check() {
-	for _, h := range w.side {
-		for k, m := range h.regs {
+func (w *fleet) checkInvariants() {
+	for _, h := range w.copies {
+		for k, m := range h.totals {
 			for o, u := range m {
 				if u > w.truth[k][o] {
 					w.t.Fatalf("counter holds %d of %v for %v, %d passed", u, o, k, w.truth[k][o])
@@ -238,28 +238,28 @@
 		}
 	}
 	for _, m := range w.nodes {
-		for k, a := range m.t.accounts {
-			var sum Milli
-			for o, g := range a.regs {
+		for k, a := range m.tracker.totals {
+			var sum MilliUnits
+			for o, g := range a.entries {
 				if g.units > w.truth[k][o] {
-					w.t.Fatalf("node %d believes %d of %v for %v, %d passed", m.n, g.units, o, k, w.truth[k][o])
+					w.t.Fatalf("node %d believes %d of %v for %v, %d passed", m.index, g.units, o, k, w.truth[k][o])
 				}
 				sum += g.units
 			}
-			if own := w.truth[k][Owner{m.n, m.inc}]; sum < own {
-				w.t.Fatalf("node %d believes %d for %v, passed %d itself", m.n, sum, k, own)
+			if own := w.truth[k][WriterID{m.index, m.incarnation}]; sum < own {
+				w.t.Fatalf("node %d believes %d for %v, passed %d itself", m.index, sum, k, own)
 			}
 		}
 	}
 }
 
-// fixed is a world outside of rapid, for single faults.
-func fixed(t *testing.T, f func(w *world)) {
+// withFleet is a world outside of rapid, for single faults.
+func withFleet(t *testing.T, f func(w *fleet)) {
 	t.Helper()
-	rapid.Check(t, func(rt *rapid.T) { f(newWorld(rt, 4)) })
+	rapid.Check(t, func(rt *rapid.T) { f(newFleet(rt, 4)) })
 }
 
-func (w *world) saw(s State) bool {
+func (w *fleet) reported(s ShardState) bool {
 	for _, n := range w.notes {
 		if n.State == s {
 			return true
--- a/usage/recovery_test.go
+++ b/usage/recovery_test.go
@@ -7,21 +7,21 @@
 
 // A dead process's total that an old copy of the counter brought back lower is
 // raised again by a node that knew it, and by nobody while its process may live.
-func TestFallenIsRaised(t *testing.T) {
-	fixed(t, func(w *world) {
-		w.pass(w.nodes[0], "a", 4)
-		w.run(3 * time.Second)
-		old := w.side[0].clone()
-		w.pass(w.nodes[0], "a", 4)
-		w.pass(w.nodes[1], "a", 1)
-		w.run(8 * time.Second) // node 1 has read it
-		k := Key{"a", w.nodes[0].t.window(w.now)}
+func TestEntryOfDeadWriterIsRaisedAgain(t *testing.T) {
+	withFleet(t, func(w *fleet) {
+		w.forward(w.nodes[0], "a", 4)
+		w.advance(3 * time.Second)
+		old := w.copies[0].clone()
+		w.forward(w.nodes[0], "a", 4)
+		w.forward(w.nodes[1], "a", 1)
+		w.advance(8 * time.Second) // node 1 has read it
+		k := TotalKey{"a", w.nodes[0].tracker.windowAt(w.now)}
 		w.restart(w.nodes[0], false)
-		w.side[0], w.side[1] = old, old
-		w.pass(w.nodes[0], "a", 1) // its new process is heard of
-		w.pass(w.nodes[1], "a", 1)
-		w.run(12 * time.Second)
-		if got := w.side[0].regs[k][Owner{0, 1}]; got != 8000 {
+		w.copies[0], w.copies[1] = old, old
+		w.forward(w.nodes[0], "a", 1) // its new process is heard of
+		w.forward(w.nodes[1], "a", 1)
+		w.advance(12 * time.Second)
+		if got := w.copies[0].totals[k][WriterID{0, 1}]; got != 8000 {
 			t.Fatalf("the counter holds %d of the dead process, which passed 8000", got)
 		}
 	})
--- a/usage/rediscounter/client.go
+++ b/usage/rediscounter/client.go
@@ -23,25 +23,25 @@
 
 // Options is what a Client is made of.
 type Options struct {
-	Network   network.Network
-	Addresses []string // of the parts
-	Name      string   // of this node, told to the counter
-	Limit     time.Duration
-	Keep      time.Duration
+	Network    network.Network
+	Addresses  []string // of the parts
+	ClientName string   // of this node, told to the counter
+	Timeout    time.Duration
+	Retention  time.Duration
 }
 
 // Client asks all parts.
 type Client struct {
-	o     Options
-	parts []*redis.Client
+	options Options
+	shards  []*redis.Client
 }
 
 // New returns a client; it connects when first used.
 func New(o Options) *Client {
-	c := &Client{o: o}
+	c := &Client{options: o}
 	for _, a := range o.Addresses {
-		c.parts = append(c.parts, redis.NewClient(&redis.Options{Addr: a, ClientName: o.Name, Protocol: 2, PoolSize: 4,
-			MaxRetries: -1, DialTimeout: o.Limit, ReadTimeout: o.Limit, WriteTimeout: o.Limit, PoolTimeout: o.Limit,
+		c.shards = append(c.shards, redis.NewClient(&redis.Options{Addr: a, ClientName: o.ClientName, Protocol: 2, PoolSize: 4,
+			MaxRetries: -1, DialTimeout: o.Timeout, ReadTimeout: o.Timeout, WriteTimeout: o.Timeout, PoolTimeout: o.Timeout,
 			ContextTimeoutEnabled: true, DisableIdentity: true,
 			DialerRetries:            1,
 			MaintNotificationsConfig: &maintnotifications.Config{Mode: maintnotifications.ModeDisabled},
@@ -52,7 +52,7 @@
 
 // Close closes the connections.
 func (c *Client) Close() {
-	for _, p := range c.parts {
+	for _, p := range c.shards {
 		p.Close()
 	}
 }
@@ -61,36 +61,36 @@
 
 // Do makes a call; done is called once, from another goroutine, with its answer
 // or a failed one after the limit at the latest.
-func (c *Client) Do(call usage.Call, done func(usage.Answer)) {
+func (c *Client) Do(call usage.CounterCall, done func(usage.CounterResponse)) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), c.o.Limit)
+		ctx, cancel := context.WithTimeout(context.Background(), c.options.Timeout)
 		defer cancel()
-		ans, err := c.do(ctx, c.parts[call.Part], call)
+		ans, err := c.execute(ctx, c.shards[call.Shard], call)
 		if err != nil {
-			ans = usage.Answer{Failed: true}
+			ans = usage.CounterResponse{Failed: true}
 		}
 		done(ans)
 	}()
 }
 
-func field(o usage.Owner) string {
+func writerField(o usage.WriterID) string {
 	return strconv.Itoa(o.Node) + "." + strconv.FormatUint(o.Incarnation, 36)
 }
 
 const levelField = "level"
 
-func (c *Client) do(ctx context.Context, part *redis.Client, call usage.Call) (ans usage.Answer, err error) {
+func (c *Client) execute(ctx context.Context, part *redis.Client, call usage.CounterCall) (ans usage.CounterResponse, err error) {
 	key := fmt.Sprintf("yt:{%s}:%d", call.Key.Customer, call.Key.Window)
 	var epoch *redis.StringCmd
 	var all *redis.MapStringStringCmd
 	_, err = part.Pipelined(ctx, func(p redis.Pipeliner) error {
-		if call.Epoch {
+		if call.ReadEpoch {
 			epoch = p.Get(ctx, epochKey)
 		}
 		all = p.HGetAll(ctx, key)
 		var set []any
 		for _, r := range call.Raise {
-			set = append(set, field(r.Owner), int64(r.Units))
+			set = append(set, writerField(r.Writer), int64(r.Units))
 		}
 		if !call.Level.At.IsZero() {
 			set = append(set, levelField, fmt.Sprintf("%.3f@%d", call.Level.Units, call.Level.At.UnixMilli()))
@@ -98,11 +98,11 @@
 		if len(set) > 0 {
 			p.HSet(ctx, key, set...)
 		}
-		for _, r := range call.Seed {
-			p.HSetNX(ctx, key, field(r.Owner), int64(r.Units))
+		for _, r := range call.AddIfMissing {
+			p.HSetNX(ctx, key, writerField(r.Writer), int64(r.Units))
 		}
-		if call.Expire && len(set)+len(call.Seed) > 0 {
-			p.PExpire(ctx, key, c.o.Keep)
+		if call.RefreshExpiry && len(set)+len(call.AddIfMissing) > 0 {
+			p.PExpire(ctx, key, c.options.Retention)
 		}
 		return nil
 	})
@@ -127,7 +127,7 @@
 	}
 	for name, value := range fields {
 		if name == levelField {
-			ans.Level = level(value)
+			ans.Level = parseLevel(value)
 			continue
 		}
 		node, inc, _ := strings.Cut(name, ".")
@@ -137,13 +137,13 @@
 		if err1 != nil || err2 != nil || err3 != nil || u < 0 {
 			return ans, fmt.Errorf("counter: %s holds %q = %q, which no node wrote", key, name, value)
 		}
-		ans.Registers = append(ans.Registers, usage.Register{Key: call.Key, Owner: usage.Owner{Node: n, Incarnation: i}, Units: usage.Milli(u)})
+		ans.Entries = append(ans.Entries, usage.CounterEntry{Key: call.Key, Writer: usage.WriterID{Node: n, Incarnation: i}, Units: usage.MilliUnits(u)})
 	}
 	return ans, nil
 }
 
-// level reads what was written beside the totals; a malformed one is none.
-func level(s string) usage.Level {
+// parseLevel reads what was written beside the totals; a malformed one is none.
+func parseLevel(s string) usage.Level {
 	units, at, _ := strings.Cut(s, "@")
 	u, err := strconv.ParseFloat(units, 64)
 	ms, err2 := strconv.ParseInt(at, 10, 64)
--- a/usage/rediscounter/golden_test.go
+++ b/usage/rediscounter/golden_test.go
@@ -20,33 +20,33 @@
 // Calls become exactly these commands, and answers are read from exactly these bytes.
 func TestCallsHaveGoldenCommandsAndAnswers(t *testing.T) {
 	const customer, window = "bibl-a", 177
-	total := usage.Key{Customer: customer, Window: window}
-	register := func(node int, incarnation uint64, units usage.Milli) usage.Register {
-		return usage.Register{Key: total, Owner: usage.Owner{Node: node, Incarnation: incarnation}, Units: units}
+	total := usage.TotalKey{Customer: customer, Window: window}
+	register := func(node int, incarnation uint64, units usage.MilliUnits) usage.CounterEntry {
+		return usage.CounterEntry{Key: total, Writer: usage.WriterID{Node: node, Incarnation: incarnation}, Units: units}
 	}
-	full := usage.Call{Key: total, Raise: []usage.Register{register(3, 1764662400000000000, 123456)},
-		Seed: []usage.Register{register(4, 35, 1)}, Level: usage.Level{Units: 12.5, At: time.UnixMilli(1764662400000)}, Expire: true, Epoch: true}
+	full := usage.CounterCall{Key: total, Raise: []usage.CounterEntry{register(3, 1764662400000000000, 123456)},
+		AddIfMissing: []usage.CounterEntry{register(4, 35, 1)}, Level: usage.Level{Units: 12.5, At: time.UnixMilli(1764662400000)}, RefreshExpiry: true, ReadEpoch: true}
 	const stored = "*6\r\n$14\r\n3.denkm32f0u80\r\n$6\r\n123456\r\n$3\r\n4.z\r\n$1\r\n1\r\n$5\r\nlevel\r\n$20\r\n12.500@1764662400000\r\n"
 	for _, c := range []struct {
 		name        string
-		call        usage.Call
+		call        usage.CounterCall
 		connections [][]exchange
-		want        usage.Answer
+		want        usage.CounterResponse
 	}{
-		{"a total that is read", usage.Call{Key: total}, [][]exchange{{{"hgetall yt:{bibl-a}:177", stored}}},
-			usage.Answer{Registers: []usage.Register{register(3, 1764662400000000000, 123456), register(4, 35, 1)}, Level: full.Level}},
+		{"a total that is read", usage.CounterCall{Key: total}, [][]exchange{{{"hgetall yt:{bibl-a}:177", stored}}},
+			usage.CounterResponse{Entries: []usage.CounterEntry{register(3, 1764662400000000000, 123456), register(4, 35, 1)}, Level: full.Level}},
 		{"a total that is raised, seeded and kept on", full, [][]exchange{{
 			{"get yt:epoch", "$5\r\n3w5e1\r\n"},
 			{"hgetall yt:{bibl-a}:177", "*0\r\n"},
 			{"hset yt:{bibl-a}:177 3.denkm32f0u80 123456 level 12.500@1764662400000", ":2\r\n"},
 			{"hsetnx yt:{bibl-a}:177 4.z 1", ":1\r\n"},
 			{"pexpire yt:{bibl-a}:177 86400000", ":1\r\n"},
-		}}, usage.Answer{Epoch: "3w5e1"}},
+		}}, usage.CounterResponse{Epoch: "3w5e1"}},
 		// The client has one pool of connections for pipelines, and another.
-		{"an epoch that is missing", usage.Call{Key: total, Epoch: true}, [][]exchange{
+		{"an epoch that is missing", usage.CounterCall{Key: total, ReadEpoch: true}, [][]exchange{
 			{{"get yt:epoch", "$-1\r\n"}, {"hgetall yt:{bibl-a}:177", "*0\r\n"}},
 			{{"set yt:epoch * nx", "+OK\r\n"}, {"get yt:epoch", "$5\r\n3w5e1\r\n"}},
-		}, usage.Answer{Epoch: "3w5e1"}},
+		}, usage.CounterResponse{Epoch: "3w5e1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -65,16 +65,16 @@
 						go serve(t, conn, append(slices.Clone(greeting), list...))
 					}
 				}()
-				client := New(Options{Network: mem.Host("node"), Addresses: []string{"10.0.5.1:80"}, Name: "node-3", Limit: time.Second,
-					Keep: 24 * time.Hour})
-				done := make(chan usage.Answer)
-				client.Do(c.call, func(a usage.Answer) { done <- a })
+				client := New(Options{Network: mem.Host("node"), Addresses: []string{"10.0.5.1:80"}, ClientName: "node-3", Timeout: time.Second,
+					Retention: 24 * time.Hour})
+				done := make(chan usage.CounterResponse)
+				client.Do(c.call, func(a usage.CounterResponse) { done <- a })
 				got := <-done
 				client.Close()
 				if err := l.Close(); err != nil {
 					t.Error(err)
 				}
-				slices.SortFunc(got.Registers, func(a, b usage.Register) int { return cmp.Compare(a.Owner.Node, b.Owner.Node) })
+				slices.SortFunc(got.Entries, func(a, b usage.CounterEntry) int { return cmp.Compare(a.Writer.Node, b.Writer.Node) })
 				if !reflect.DeepEqual(got, c.want) {
 					t.Errorf("answer %+v, want %+v", got, c.want)
 				}
--- a/usage/responses.go
+++ b/usage/responses.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Answered tells what came of a Call.
-func (t *Tally) Answered(now time.Time, id uint64, ans Answer) []Action {
-	t.acts = nil
-	c := t.calls[id]
+// HandleResponse tells what came of a Call.
+func (t *Tracker) HandleResponse(now time.Time, id uint64, ans CounterResponse) []Action {
+	t.actions = nil
+	c := t.inFlight[id]
 	if c == nil {
 		return nil
 	}
-	a := c.a
-	delete(t.calls, id)
-	a.calling = false
-	p := &t.parts[t.Part(a.key.Customer)]
+	a := c.total
+	delete(t.inFlight, id)
+	a.callInFlight = false
+	p := &t.shards[t.ShardOf(a.key.Customer)]
 	if ans.Failed {
-		t.noAnswer(now, a, p)
-		return t.acts
+		t.handleFailure(now, a, p)
+		return t.actions
 	}
-	t.judge(now, a, p, &ans)
-	for _, r := range ans.Registers {
+	t.assessResponse(now, a, p, &ans)
+	for _, r := range ans.Entries {
 		t.merge(now, a, r, false)
 	}
-	for _, r := range c.own { // raised since
-		if g := a.regs[r.Owner]; g != nil {
-			g.inCtr = r.Units
+	for _, r := range c.raised { // raised since
+		if g := a.entries[r.Writer]; g != nil {
+			g.confirmed = r.Units
 		}
 	}
-	a.asked = now
-	t.soil(a)
-	if c := t.customers[a.key.Customer]; c != nil && !c.known && a.newest {
-		t.learn(now, c, ans.Level)
-	} else if c != nil && a.newest && t.deaf(now) {
-		c.fill(now)
-		t.acts = append(t.acts, Restore{c.name, c.level.Units})
+	a.respondedAt = now
+	t.queueStorage(a)
+	if c := t.customers[a.key.Customer]; c != nil && !c.levelKnown && a.current {
+		t.learnLevel(now, c, ans.Level)
+	} else if c != nil && a.current && t.isolated(now) {
+		c.refill(now)
+		t.actions = append(t.actions, RestoreLevel{c.name, c.level.Units})
 	}
-	if a.changed || t.missing(a) {
-		t.want(now, a)
+	if a.changedSinceCall || t.hasUnconfirmed(a) {
+		t.queueCall(now, a)
 	}
-	return t.acts
+	return t.actions
 }
--- a/usage/shard_health_test.go
+++ b/usage/shard_health_test.go
@@ -7,52 +7,52 @@
 )
 
 // Each fault is told for what it is, and not for another.
-func TestStates(t *testing.T) {
+func TestShardStateNamesTheFault(t *testing.T) {
 	for name, c := range map[string]struct {
-		want  State
-		fault func(w *world)
+		want  ShardState
+		fault func(w *fleet)
 	}{
-		"sound":             {Sound, func(w *world) {}},
-		"silent":            {Silent, func(w *world) { w.fault = "silent"; w.busy(3 * time.Second); w.fault = "" }},
-		"answers lost":      {Silent, func(w *world) { w.fault = "lost"; w.busy(3 * time.Second); w.fault = "" }},
-		"empty replacement": {Emptied, func(w *world) { w.empty() }},
-		"old copy": {Behind, func(w *world) {
-			old := w.side[0].clone()
-			w.busy(time.Second)
-			w.side[0], w.side[1] = old, old
+		"sound":             {Healthy, func(w *fleet) {}},
+		"silent":            {Unresponsive, func(w *fleet) { w.fault = "silent"; w.forwardSteadily(3 * time.Second); w.fault = "" }},
+		"answers lost":      {Unresponsive, func(w *fleet) { w.fault = "lost"; w.forwardSteadily(3 * time.Second); w.fault = "" }},
+		"empty replacement": {Emptied, func(w *fleet) { w.replaceWithEmpty() }},
+		"old copy": {Stale, func(w *fleet) {
+			old := w.copies[0].clone()
+			w.forwardSteadily(time.Second)
+			w.copies[0], w.copies[1] = old, old
 		}},
-		"old copy of another": {Replaced, func(w *world) {
-			old := w.side[0].clone()
+		"old copy of another": {Replaced, func(w *fleet) {
+			old := w.copies[0].clone()
 			old.epoch = "x"
-			w.side[0], w.side[1] = old, old
+			w.copies[0], w.copies[1] = old, old
 		}},
-		"split": {Split, func(w *world) {
-			w.cut()
+		"split": {Diverged, func(w *fleet) {
+			w.divide()
 			for range 40 { // each customer on both sides
-				w.pass(w.nodes[0], "a", 1)
-				w.pass(w.nodes[1], "a", 1)
-				w.run(200 * time.Millisecond)
+				w.forward(w.nodes[0], "a", 1)
+				w.forward(w.nodes[1], "a", 1)
+				w.advance(200 * time.Millisecond)
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fixed(t, func(w *world) {
-				w.busy(5 * time.Second)
+			withFleet(t, func(w *fleet) {
+				w.forwardSteadily(5 * time.Second)
 				c.fault(w)
-				w.busy(3 * time.Second)
-				if !w.saw(c.want) {
+				w.forwardSteadily(3 * time.Second)
+				if !w.reported(c.want) {
 					w.t.Fatalf("not seen: %v", w.notes)
 				}
-				for _, s := range []State{Silent, Emptied, Replaced, Behind, Split} {
-					if s != c.want && w.saw(s) {
+				for _, s := range []ShardState{Unresponsive, Emptied, Replaced, Stale, Diverged} {
+					if s != c.want && w.reported(s) {
 						w.t.Fatalf("taken for %v: %v", s, w.notes)
 					}
 				}
 				w.heal("both")
-				w.busy(5 * time.Second)
+				w.forwardSteadily(5 * time.Second)
 				for _, m := range w.nodes {
-					if s := m.t.State(0); s != Sound {
-						w.t.Fatalf("node %d believes %v once healed", m.n, s)
+					if s := m.tracker.ShardState(0); s != Healthy {
+						w.t.Fatalf("node %d believes %v once healed", m.index, s)
 					}
 				}
 			})
@@ -61,25 +61,25 @@
 }
 
 // A fault of one part touches the names on it alone.
-func TestOnePart(t *testing.T) {
-	s := Settings{Me: Owner{0, 1}, Parts: 2, Window: time.Hour, Keep: 5, Calls: 100, Mail: 5, Rates: map[string]Plan{"p": {10, 20}}}
+func TestFaultOfOneShardLeavesOtherShardsCorrect(t *testing.T) {
+	s := Settings{Self: WriterID{0, 1}, Shards: 2, Window: time.Hour, RetainedWindows: 5, CallsPerSecond: 100, PeerMessagesPerSecond: 5, Plans: map[string]Plan{"p": {10, 20}}}
 	tl := New(s)
-	parts := []*holds{newHolds("1"), newHolds("1")}
-	now := epoch0
-	passed := map[string]Milli{}
+	parts := []*fakeShard{newFakeShard("1"), newFakeShard("1")}
+	now := startTime
+	passed := map[string]MilliUnits{}
 	var carry func(acts []Action)
 	silent := -1
-	var notes []Note
+	var notes []OperatorNote
 	carry = func(acts []Action) {
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Call:
-				ans := Answer{Failed: true}
-				if a.Part != silent {
-					ans = parts[a.Part].do(a)
+			case CounterCall:
+				ans := CounterResponse{Failed: true}
+				if a.Shard != silent {
+					ans = parts[a.Shard].execute(a)
 				}
-				carry(tl.Answered(now, a.ID, ans))
-			case Note:
+				carry(tl.HandleResponse(now, a.ID, ans))
+			case OperatorNote:
 				notes = append(notes, a)
 			}
 		}
@@ -88,19 +88,19 @@
 		for i := range 50 {
 			now = now.Add(100 * time.Millisecond)
 			name := fmt.Sprint("c", i%10)
-			carry(tl.Seen(now, name, "p", []int{0, 1}))
-			tl.Passed(now, name, "p", []int{0, 1}, 1)
+			carry(tl.RecordRequest(now, name, "p", []int{0, 1}))
+			tl.RecordForwarded(now, name, "p", []int{0, 1}, 1)
 			passed[name] += 1000
 			carry(tl.Tick(now))
 		}
 	}
 	check := func(skip int) {
 		t.Helper()
-		k := Key{Window: tl.window(now)}
+		k := TotalKey{Window: tl.windowAt(now)}
 		for name, want := range passed {
 			k.Customer = name
-			if p := tl.Part(name); p != skip {
-				if got := parts[p].regs[k][s.Me]; got != want {
+			if p := tl.ShardOf(name); p != skip {
+				if got := parts[p].totals[k][s.Self]; got != want {
 					t.Errorf("%s on part %d: %d, %d passed", name, p, got, want)
 				}
 			}
@@ -111,16 +111,16 @@
 	silent = 1
 	run()
 	check(1)
-	if tl.State(0) != Sound || tl.State(1) != Silent {
-		t.Errorf("states %v, %v", tl.State(0), tl.State(1))
+	if tl.ShardState(0) != Healthy || tl.ShardState(1) != Unresponsive {
+		t.Errorf("states %v, %v", tl.ShardState(0), tl.ShardState(1))
 	}
 	silent = -1
-	parts[1] = newHolds("2")
+	parts[1] = newFakeShard("2")
 	run()
 	run()
 	check(-1)
 	for _, n := range notes {
-		if n.Part == 0 && n.State != Sound {
+		if n.Shard == 0 && n.State != Healthy {
 			t.Errorf("%+v", n)
 		}
 	}
--- a/usage/sweep.go
+++ b/usage/sweep.go
@@ -7,82 +7,82 @@
 
 // Tuned values of the sweep.
 const (
-	refresh     = 5 * time.Second // a busy customer is asked for again after this, if nothing changed
-	forgetAfter = 2 * time.Minute // a customer without news is dropped from memory after this
+	refreshInterval     = 5 * time.Second // a busy customer is asked for again after this, if nothing changed
+	forgetCustomerAfter = 2 * time.Minute // a customer without news is dropped from memory after this
 )
 
-// round lists the accounts of a part, to be looked at in turn.
-type round struct {
-	list []*account
-	next int
+// rotation lists the accounts of a part, to be looked at in turn.
+type rotation struct {
+	totals []*windowTotal
+	next   int
 }
 
 // sweep asks again for what is busy, and of each part for one total more, so
 // that a loss is noticed also where nothing is passed. Its work follows those
 // used since the last one; all are looked at once in a window.
-func (t *Tally) sweep(now time.Time) {
-	w := t.window(now)
-	for _, a := range t.recent {
-		a.recent = false
-		if a.newest && !a.queued && !a.calling && now.Sub(a.asked) > refresh {
-			t.want(now, a)
+func (t *Tracker) sweep(now time.Time) {
+	w := t.windowAt(now)
+	for _, a := range t.recentlyUsed {
+		a.recentlyUsed = false
+		if a.current && !a.callQueued && !a.callInFlight && now.Sub(a.respondedAt) > refreshInterval {
+			t.queueCall(now, a)
 		}
 	}
-	clear(t.recent)
-	t.recent = t.recent[:0]
-	for i := range t.rounds {
-		if a := t.rounds[i].turn(w - 1); a != nil && !a.queued && !a.calling {
-			t.want(now, a)
+	clear(t.recentlyUsed)
+	t.recentlyUsed = t.recentlyUsed[:0]
+	for i := range t.rotations {
+		if a := t.rotations[i].advance(w - 1); a != nil && !a.callQueued && !a.callInFlight {
+			t.queueCall(now, a)
 		}
 	}
-	if w == t.lastW {
+	if w == t.sweptWindow {
 		return
 	}
-	t.lastW = w
-	for k, list := range t.windows {
+	t.sweptWindow = w
+	for k, list := range t.totalsByWindow {
 		if k >= w-1 {
 			continue
 		}
-		t.windows[k] = slices.DeleteFunc(list, func(a *account) bool {
-			if over := !t.missing(a) || k < w-int64(t.set.Keep); !over || a.calling || a.queued || a.untold || a.newest {
+		t.totalsByWindow[k] = slices.DeleteFunc(list, func(a *windowTotal) bool {
+			if over := !t.hasUnconfirmed(a) || k < w-int64(t.settings.RetainedWindows); !over || a.callInFlight || a.callQueued || a.gossipQueued || a.current {
 				return false
 			}
-			delete(t.accounts, a.key)
-			a.dropped = true
-			for o, g := range a.regs {
+			delete(t.totals, a.key)
+			a.evicted = true
+			for o, g := range a.entries {
 				if g.stored > 0 {
-					t.dropped = append(t.dropped, Register{a.key, o, 0})
+					t.evictedStored = append(t.evictedStored, CounterEntry{a.key, o, 0})
 				}
 			}
 			return true
 		})
-		if len(t.windows[k]) == 0 {
-			delete(t.windows, k)
+		if len(t.totalsByWindow[k]) == 0 {
+			delete(t.totalsByWindow, k)
 		}
 	}
 	for name, c := range t.customers {
-		if now.Sub(c.seen) > forgetAfter {
-			c.now.newest = false
+		if now.Sub(c.lastSeen) > forgetCustomerAfter {
+			c.current.current = false
 			delete(t.customers, name)
 		}
 	}
 }
 
-// turn is the next account of a window not before one, or nil; those dropped
+// advance is the next account of a window not before one, or nil; those dropped
 // leave the round. It looks at a few only.
-func (r *round) turn(window int64) *account {
+func (r *rotation) advance(window int64) *windowTotal {
 	for range 64 {
-		if len(r.list) == 0 {
+		if len(r.totals) == 0 {
 			return nil
 		}
-		if r.next >= len(r.list) {
+		if r.next >= len(r.totals) {
 			r.next = 0
 		}
-		a := r.list[r.next]
-		if a.dropped {
-			last := len(r.list) - 1
-			r.list[r.next], r.list[last] = r.list[last], nil
-			r.list = r.list[:last]
+		a := r.totals[r.next]
+		if a.evicted {
+			last := len(r.totals) - 1
+			r.totals[r.next], r.totals[last] = r.totals[last], nil
+			r.totals = r.totals[:last]
 			continue
 		}
 		r.next++
--- a/usage/totals.go
+++ b/usage/totals.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// account is one customer in one window.
-type account struct {
-	key     Key
-	plan    Plan
-	regs    map[Owner]*register
-	peers   []int     // nodes it comes in through
-	calling bool      // a call is out
-	asked   time.Time // when it was last answered
-	changed bool      // something here is not in the counter
-	queued  bool      // in the list of those that want a call
-	untold  bool      // own register rose since peers were told
-	since   time.Time // when it began to want a call
-	newest  bool      // the customer's latest window
-	recent  bool      // in the list of those used since the last sweep
-	dropped bool      // no longer in memory
-	dirty   bool      // in the list of those to be stored
+// windowTotal is one customer in one window.
+type windowTotal struct {
+	key              TotalKey
+	plan             Plan
+	entries          map[WriterID]*writerEntry
+	peers            []int     // nodes it comes in through
+	callInFlight     bool      // a call is out
+	respondedAt      time.Time // when it was last answered
+	changedSinceCall bool      // something here is not in the counter
+	callQueued       bool      // in the list of those that want a call
+	gossipQueued     bool      // own register rose since peers were told
+	queuedAt         time.Time // when it began to want a call
+	current          bool      // the customer's latest window
+	recentlyUsed     bool      // in the list of those used since the last sweep
+	evicted          bool      // no longer in memory
+	storageQueued    bool      // in the list of those to be stored
 }
 
-func (t *Tally) window(now time.Time) int64 { return now.UnixNano() / int64(t.set.Window) }
+func (t *Tracker) windowAt(now time.Time) int64 { return now.UnixNano() / int64(t.settings.Window) }
 
-func (t *Tally) account(now time.Time, k Key, p Plan) *account {
-	a := t.accounts[k]
+func (t *Tracker) totalFor(now time.Time, k TotalKey, p Plan) *windowTotal {
+	a := t.totals[k]
 	if a == nil {
-		a = &account{key: k, plan: p, regs: map[Owner]*register{}}
-		t.accounts[k] = a
-		t.windows[k.Window] = append(t.windows[k.Window], a)
-		r := &t.rounds[t.Part(k.Customer)]
-		r.list = append(r.list, a)
+		a = &windowTotal{key: k, plan: p, entries: map[WriterID]*writerEntry{}}
+		t.totals[k] = a
+		t.totalsByWindow[k.Window] = append(t.totalsByWindow[k.Window], a)
+		r := &t.rotations[t.ShardOf(k.Customer)]
+		r.totals = append(r.totals, a)
 	}
 	return a
 }
 
-// ordered lists the accounts in a fixed order.
-func (t *Tally) ordered() []*account {
-	list := make([]*account, 0, len(t.accounts))
-	for _, a := range t.accounts {
+// sortedTotals lists the accounts in a fixed order.
+func (t *Tracker) sortedTotals() []*windowTotal {
+	list := make([]*windowTotal, 0, len(t.totals))
+	for _, a := range t.totals {
 		list = append(list, a)
 	}
-	slices.SortFunc(list, func(a, b *account) int {
+	slices.SortFunc(list, func(a, b *windowTotal) int {
 		return cmp.Or(cmp.Compare(a.key.Customer, b.key.Customer), cmp.Compare(a.key.Window, b.key.Window))
 	})
 	return list
@@ -52,21 +52,21 @@
 
 // Estimate is what is known of a total: units surely passed, and by how much
 // the truth may be above it while every node keeps the plan's rate.
-func (t *Tally) Estimate(now time.Time, k Key) (units, above float64, ok bool) {
-	a := t.accounts[k]
+func (t *Tracker) Estimate(now time.Time, k TotalKey) (units, above float64, ok bool) {
+	a := t.totals[k]
 	if a == nil {
 		return 0, 0, false
 	}
 	oldest := now
-	var sum Milli
-	for o, g := range a.regs {
+	var sum MilliUnits
+	for o, g := range a.entries {
 		sum += g.units
-		if o != t.set.Me && g.heard.Before(oldest) {
-			oldest = g.heard
+		if o != t.settings.Self && g.learnedAt.Before(oldest) {
+			oldest = g.learnedAt
 		}
 	}
-	if a.asked.After(oldest) {
-		oldest = a.asked
+	if a.respondedAt.After(oldest) {
+		oldest = a.respondedAt
 	}
 	return float64(sum) / 1000, a.plan.Rate*now.Sub(oldest).Seconds() + a.plan.Burst, true
 }
--- a/usage/tracker.go
+++ b/usage/tracker.go
@@ -2,70 +2,70 @@
 
 import "time"
 
-// Tally is one node's.
-type Tally struct {
-	set       Settings
-	customers map[string]*customer
-	accounts  map[Key]*account
-	windows   map[int64][]*account
-	rounds    []round        // of each part
-	latest    map[int]uint64 // the last process known of each node
-	dirty     []*account     // something of own registers is not as storage holds it
-	dropped   []Register     // that storage holds, of accounts that are gone
-	recent    []*account     // used since the last sweep
-	lastW     int64          // window of the last sweep
-	wanting   []*account     // want a call
-	untold    []*account     // have news for peers
-	calls     map[uint64]*call
-	nextID    uint64
-	parts     []part
-	budget    float64 // calls
-	mail      float64
-	at        time.Time
-	start     time.Time // of this process
-	swept     time.Time
-	heardAt   time.Time // the last word of a peer
-	acts      []Action
+// Tracker is one node's.
+type Tracker struct {
+	settings          Settings
+	customers         map[string]*customerUsage
+	totals            map[TotalKey]*windowTotal
+	totalsByWindow    map[int64][]*windowTotal
+	rotations         []rotation     // of each part
+	latestIncarnation map[int]uint64 // the last process known of each node
+	storageQueue      []*windowTotal // something of own registers is not as storage holds it
+	evictedStored     []CounterEntry // that storage holds, of accounts that are gone
+	recentlyUsed      []*windowTotal // used since the last sweep
+	sweptWindow       int64          // window of the last sweep
+	callQueue         []*windowTotal // want a call
+	gossipQueue       []*windowTotal // have news for peers
+	inFlight          map[uint64]*inFlightCall
+	lastCallID        uint64
+	shards            []shardHealth
+	callBudget        float64 // calls
+	messageBudget     float64
+	tickedAt          time.Time
+	startedAt         time.Time // of this process
+	sweptAt           time.Time
+	peerHeardAt       time.Time // the last word of a peer
+	actions           []Action
 }
 
 // New returns a Tally that knows nothing yet.
-func New(s Settings) *Tally {
-	return &Tally{set: s, customers: map[string]*customer{}, accounts: map[Key]*account{}, calls: map[uint64]*call{}, latest: map[int]uint64{s.Me.Node: s.Me.Incarnation},
-		windows: map[int64][]*account{}, rounds: make([]round, max(1, s.Parts)), parts: make([]part, max(1, s.Parts)), budget: s.Calls, mail: s.Mail}
+func New(s Settings) *Tracker {
+	return &Tracker{settings: s, customers: map[string]*customerUsage{}, totals: map[TotalKey]*windowTotal{}, inFlight: map[uint64]*inFlightCall{}, latestIncarnation: map[int]uint64{s.Self.Node: s.Self.Incarnation},
+		totalsByWindow: map[int64][]*windowTotal{}, rotations: make([]rotation, max(1, s.Shards)), shards: make([]shardHealth, max(1, s.Shards)), callBudget: s.CallsPerSecond, messageBudget: s.PeerMessagesPerSecond}
 }
 
-// Share sets the calls a second that this node may make from now on.
-func (t *Tally) Share(calls float64) { t.set.Calls = calls }
+// SetCallsPerSecond sets the calls a second that this node may make from now on.
+func (t *Tracker) SetCallsPerSecond(calls float64) { t.settings.CallsPerSecond = calls }
 
 // Tick is to be called some times a second: it makes the calls and messages
 // that the budgets allow.
-func (t *Tally) Tick(now time.Time) []Action {
-	t.acts = nil
-	dt := min(1, max(0, now.Sub(t.at).Seconds()))
-	t.at = now
-	if t.start.IsZero() {
-		t.start = now
+func (t *Tracker) Tick(now time.Time) []Action {
+	t.actions = nil
+	dt := min(1, max(0, now.Sub(t.tickedAt).Seconds()))
+	t.tickedAt = now
+	if t.startedAt.IsZero() {
+		t.startedAt = now
 	}
-	t.budget = min(max(1, t.set.Calls), t.budget+t.set.Calls*dt)
-	t.mail = min(max(1, t.set.Mail), t.mail+t.set.Mail*dt)
-	if t.deaf(now) {
-		for _, a := range t.recent {
-			if a.newest && !a.queued && !a.calling && len(a.peers) > 1 && now.Sub(a.asked) > deafRefresh {
-				t.want(now, a)
+	t.callBudget = min(max(1, t.settings.CallsPerSecond), t.callBudget+t.settings.CallsPerSecond*dt)
+	t.messageBudget = min(max(1, t.settings.PeerMessagesPerSecond), t.messageBudget+t.settings.PeerMessagesPerSecond*dt)
+	if t.isolated(now) {
+		for _, a := range t.recentlyUsed {
+			if a.current && !a.callQueued && !a.callInFlight && len(a.peers) > 1 && now.Sub(a.respondedAt) > isolatedRefreshInterval {
+				t.queueCall(now, a)
 			}
 		}
 	}
-	t.call(now)
-	t.tell()
-	if now.Sub(t.swept) > refresh {
-		t.swept = now
+	t.sendQueuedCalls(now)
+	t.gossip()
+	if now.Sub(t.sweptAt) > refreshInterval {
+		t.sweptAt = now
 		t.sweep(now)
 	}
-	return t.acts
+	return t.actions
 }
 
-// Len is the number of customers and of totals in memory, and of those that
+// Stats is the number of customers and of totals in memory, and of those that
 // want a call.
-func (t *Tally) Len() (customers, totals, wanting int) {
-	return len(t.customers), len(t.accounts), len(t.wanting)
+func (t *Tracker) Stats() (customers, totals, wanting int) {
+	return len(t.customers), len(t.totals), len(t.callQueue)
 }
--- a/usage/tracker_test.go
+++ b/usage/tracker_test.go
@@ -11,27 +11,27 @@
 func BenchmarkTick(b *testing.B) {
 	for _, customers := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
-			s := Settings{Me: Owner{0, 1}, Parts: 2, Window: time.Hour, Keep: 5, Calls: 50, Mail: 5, Rates: map[string]Plan{"p": {1, 5}}}
+			s := Settings{Self: WriterID{0, 1}, Shards: 2, Window: time.Hour, RetainedWindows: 5, CallsPerSecond: 50, PeerMessagesPerSecond: 5, Plans: map[string]Plan{"p": {1, 5}}}
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			tl := New(s)
-			now := epoch0
+			now := startTime
 			names := make([]string, customers)
 			for i := range names {
 				names[i] = fmt.Sprint("c", i)
-				tl.Passed(now, names[i], "p", []int{0, 1}, 1)
-				for _, a := range tl.accounts[Key{names[i], tl.window(now)}].owners() {
-					tl.accounts[Key{names[i], tl.window(now)}].regs[a].inCtr = 1000
+				tl.RecordForwarded(now, names[i], "p", []int{0, 1}, 1)
+				for _, a := range tl.totals[TotalKey{names[i], tl.windowAt(now)}].sortedWriters() {
+					tl.totals[TotalKey{names[i], tl.windowAt(now)}].entries[a].confirmed = 1000
 				}
 			}
-			for _, a := range tl.wanting {
-				a.queued, a.changed = false, false
+			for _, a := range tl.callQueue {
+				a.callQueued, a.changedSinceCall = false, false
 			}
-			for _, a := range tl.recent {
-				a.recent = false
+			for _, a := range tl.recentlyUsed {
+				a.recentlyUsed = false
 			}
-			tl.wanting, tl.untold, tl.recent = nil, nil, nil
+			tl.callQueue, tl.gossipQueue, tl.recentlyUsed = nil, nil, nil
 			now = now.Add(time.Minute) // idle since
 			runtime.GC()
 			runtime.ReadMemStats(&after)
@@ -42,15 +42,15 @@
 				now = now.Add(100 * time.Millisecond)
 				for range 100 { // busy ones
 					i++
-					tl.Passed(now, names[i%100], "p", []int{0, 1}, 1)
+					tl.RecordForwarded(now, names[i%100], "p", []int{0, 1}, 1)
 				}
 				for _, a := range tl.Tick(now) {
-					if c, ok := a.(Call); ok {
-						var held []Register
-						for o, g := range tl.accounts[c.Key].regs {
-							held = append(held, Register{c.Key, o, g.inCtr})
+					if c, ok := a.(CounterCall); ok {
+						var held []CounterEntry
+						for o, g := range tl.totals[c.Key].entries {
+							held = append(held, CounterEntry{c.Key, o, g.confirmed})
 						}
-						tl.Answered(now, c.ID, Answer{Epoch: "1", Registers: held})
+						tl.HandleResponse(now, c.ID, CounterResponse{Epoch: "1", Entries: held})
 					}
 				}
 			}
