--- a/usage/counter_entry.go
+++ b/usage/counter_entry.go
@@ -31,7 +31,6 @@
 // writerEntry is what is known of one process's units.
 type writerEntry struct {
 	units     MilliUnits
-	learnedAt time.Time  // when that was last learned, from a peer or the counter
 	confirmed MilliUnits // as the counter last confirmed; below 0: to be put in again
 	claimed   MilliUnits // what the owner's node said itself, to be found in the counter,
 	claimedAt time.Time  // then; zero: nothing to be found
@@ -74,7 +73,6 @@
 	} else {
 		g.confirmed = r.Units
 	}
-	g.learnedAt = now
 	if r.Units <= g.units {
 		return
 	}
--- a/usage/customers.go
+++ b/usage/customers.go
@@ -65,7 +65,7 @@
 	c := t.currentCustomer(now, name, plan, peers)
 	n := MilliUnits(units*1000 + 0.5)
 	g := c.current.entry(t.settings.Self)
-	g.units, g.learnedAt = g.units+n, now
+	g.units += n
 	t.queueStorage(c.current)
 	c.consume(now, n)
 	t.queueCall(now, c.current)
--- a/usage/persistence.go
+++ b/usage/persistence.go
@@ -8,7 +8,7 @@
 	for _, r := range list {
 		a := t.totalFor(now, r.Key, Plan{})
 		if g := a.entry(r.Writer); r.Units > g.units {
-			g.units, g.learnedAt = r.Units, now
+			g.units = r.Units
 			t.queueCall(now, a)
 		}
 		if g := a.entry(r.Writer); r.Writer.Node == t.settings.Self.Node {
--- a/usage/totals.go
+++ b/usage/totals.go
@@ -49,24 +49,3 @@
 	})
 	return list
 }
-
-// Estimate is what is known of a total: units surely passed, and by how much
-// the truth may be above it while every node keeps the plan's rate.
-func (t *Tracker) Estimate(now time.Time, k TotalKey) (units, above float64, ok bool) {
-	a := t.totals[k]
-	if a == nil {
-		return 0, 0, false
-	}
-	oldest := now
-	var sum MilliUnits
-	for o, g := range a.entries {
-		sum += g.units
-		if o != t.settings.Self && g.learnedAt.Before(oldest) {
-			oldest = g.learnedAt
-		}
-	}
-	if a.respondedAt.After(oldest) {
-		oldest = a.respondedAt
-	}
-	return float64(sum) / 1000, a.plan.Rate*now.Sub(oldest).Seconds() + a.plan.Burst, true
-}
--- a/usage/tracker.go
+++ b/usage/tracker.go
@@ -63,9 +63,3 @@
 	}
 	return t.actions
 }
-
-// Stats is the number of customers and of totals in memory, and of those that
-// want a call.
-func (t *Tracker) Stats() (customers, totals, wanting int) {
-	return len(t.customers), len(t.totals), len(t.callQueue)
-}
