--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -169,7 +169,7 @@
 			if a.State == usage.Healthy {
 				log = l.gateway.o.Log.Info
 			}
-			log("counter is "+a.State.String(), "part", a.Shard, "evidence", a.Evidence)
+			log("counter shard state changed", "shard", a.Shard, "state", a.State.String(), "evidence", a.Evidence.String())
 		}
 	}
 }
--- a/usage/actions.go
+++ b/usage/actions.go
@@ -1,62 +1,79 @@
 package usage
 
-// Action is something a Tally wants done.
+// Action is an effect that a Tracker asks its caller to perform: a CounterCall, a
+// PeerMessage, a RestoreLevel or an OperatorNote.
 type Action interface{ action() }
 
-// CounterCall asks for all registers of a total, then sets those in Raise, and puts those
-// in Seed where there are none. Answered must follow.
+// CounterCall is one exchange with a shard of the counter. The caller must first read all
+// entries of the total, then write, and must pass the result to Tracker.HandleResponse
+// exactly once, also after a timeout.
 type CounterCall struct {
-	ID           uint64
-	Shard        int
-	Key          TotalKey
-	Raise        []CounterEntry // of this process, of earlier ones of this node, and of dead ones that the counter holds lower
-	AddIfMissing []CounterEntry // of others
-	Level        Level          // to be kept beside them; At zero: none
-
-	RefreshExpiry bool // set anew how long the total is kept
-	ReadEpoch     bool // ask for the part's epoch, too
+	ID    uint64 // unique within the process
+	Shard int
+	Key   TotalKey
+
+	// Raise are entries to write unconditionally: those of this node's processes, and those
+	// of dead writers that the counter holds lower than they were.
+	Raise []CounterEntry
+
+	// AddIfMissing are entries of other nodes, to write only where the counter has none:
+	// their writers may have raised them since.
+	AddIfMissing []CounterEntry
+
+	Level         Level // to write beside the entries; a zero At: none
+	RefreshExpiry bool  // restart the total's time to live, if anything is written
+	ReadEpoch     bool  // read the shard's epoch, too
 }
 
-// CommandCount is how many commands the call takes.
+// CommandCount is the number of counter commands that the call takes, at least 1.
 func (c CounterCall) CommandCount() int {
-	n := 1 + len(c.AddIfMissing)
-	for _, also := range []bool{len(c.Raise) > 0 || !c.Level.At.IsZero(), c.RefreshExpiry, c.ReadEpoch} {
-		if also {
-			n++
-		}
+	count := 1 + len(c.AddIfMissing)
+	if len(c.Raise) > 0 || !c.Level.At.IsZero() {
+		count++
+	}
+	if c.RefreshExpiry {
+		count++
 	}
-	return n
+	if c.ReadEpoch {
+		count++
+	}
+	return count
 }
 
-// PeerMessage sends registers to another node; they may be lost.
+// CounterResponse is the result of a CounterCall.
+type CounterResponse struct {
+	// Failed says that no valid response came in time. The call may or may not have been
+	// carried out. The other fields are not used.
+	Failed bool
+
+	// Epoch is a value drawn anew whenever the shard starts empty; "": not read.
+	Epoch string
+
+	Entries []CounterEntry // of the total, before the call wrote
+	Level   Level          // before the call wrote; a zero At: none
+}
+
+// PeerMessage sends entries of this process to another node. Delivery is best effort.
 type PeerMessage struct {
-	To      int
+	To      int // index of the node
 	Entries []CounterEntry
 }
 
-// RestoreLevel says how full a customer's store is, to a node that can't know: its
-// process is young, or it may hear none of the others.
+// RestoreLevel reports a customer's level to the admission policy, where this node cannot
+// know it by itself: its process is young, or it is isolated from its peers.
 type RestoreLevel struct {
 	Customer string
 	Units    float64
 }
 
-// OperatorNote is for the operators.
+// OperatorNote reports a change of a shard's state, for the log.
 type OperatorNote struct {
 	Shard    int
 	State    ShardState
-	Evidence string
+	Evidence Evidence
 }
 
 func (CounterCall) action()  {}
 func (PeerMessage) action()  {}
 func (RestoreLevel) action() {}
 func (OperatorNote) action() {}
-
-// CounterResponse is what the counter said to a Call.
-type CounterResponse struct {
-	Failed  bool           // it gave none: the call may or may not have counted
-	Epoch   string         // drawn anew whenever the part starts empty; "": not asked for
-	Entries []CounterEntry // before the call raised any
-	Level   Level
-}
--- a/usage/calls.go
+++ b/usage/calls.go
@@ -1,89 +1,120 @@
 package usage
 
 import (
-	"cmp"
 	"container/heap"
 	"time"
 )
 
-// Tuned values of calls.
 const (
-	maxCallsInFlight        = 64          // out at once, over all parts
-	epochInterval           = time.Second // a part\'s epoch is asked for
-	nearQuotaUrgencySeconds = 2.0         // seconds of waiting that an empty store is worth then
+	// maxCallsInFlight bounds the calls in flight over all shards.
+	maxCallsInFlight = 64
+
+	// epochInterval is how often a shard's epoch is read while calls are made.
+	epochInterval = time.Second
+
+	// firstCallUrgency is the urgency, in seconds of waiting, of a total that the counter
+	// was never asked for.
+	firstCallUrgency = 1.0
+
+	// emptyBucketUrgency is the urgency, in seconds of waiting, of a customer whose bucket
+	// is empty, while this node is isolated: the response decides whether it is admitted.
+	emptyBucketUrgency = 2.0
 )
 
-// inFlightCall is one call out.
+// inFlightCall is a call that has no response yet.
 type inFlightCall struct {
 	total  *windowTotal
 	raised []CounterEntry
 }
 
-// queueCall puts an account among those that want a call.
-func (t *Tracker) queueCall(now time.Time, a *windowTotal) {
-	a.changedSinceCall = true
-	if !a.callQueued && !a.callInFlight {
-		a.callQueued, a.queuedAt = true, now
-		t.callQueue = append(t.callQueue, a)
+// queueCall notes that a total has changed and makes it wait for a call.
+func (t *Tracker) queueCall(now time.Time, total *windowTotal) {
+	total.changedSinceCall = true
+	if total.callPending() {
+		return
 	}
+	total.callQueued = true
+	total.queuedAt = now
+	t.callQueue = append(t.callQueue, total)
 }
 
-// sendQueuedCalls makes calls for those that want one: where most is not in the counter
-// first, against what the plan lets pass at once, then who waits longest.
+// hasCallCapacity tells whether budget and concurrency allow one more call.
+func (t *Tracker) hasCallCapacity() bool {
+	return t.callBudget >= 1 && len(t.inFlight) < maxCallsInFlight
+}
+
+// sendQueuedCalls sends the most urgent queued calls that the budget allows.
 func (t *Tracker) sendQueuedCalls(now time.Time) {
-	if len(t.callQueue) == 0 || t.callBudget < 1 || len(t.inFlight) >= maxCallsInFlight {
+	if len(t.callQueue) == 0 || !t.hasCallCapacity() {
 		return
 	}
-	h := make(byUrgency, 0, len(t.callQueue))
-	deaf := t.isolated(now)
-	left := t.callQueue[:0]
-	for _, a := range t.callQueue {
-		if now.Before(t.shards[t.ShardOf(a.key.Customer)].retryAt) {
-			left = append(left, a)
+	candidates, waiting := t.splitCallQueue(now)
+	heap.Init(&candidates)
+	for len(candidates) > 0 && t.hasCallCapacity() {
+		total := heap.Pop(&candidates).(callCandidate).total
+		shard := t.shardOf(total)
+		if now.Before(shard.retryAt) {
+			waiting = append(waiting, total)
 			continue
 		}
-		u := now.Sub(a.queuedAt).Seconds()
-		if g := a.entries[t.settings.Self]; g != nil {
-			u += float64(g.units-g.confirmed) / 1000 / (a.plan.Burst + 1)
-		}
-		if a.respondedAt.IsZero() {
-			u++
+		if shard.state == Unresponsive {
+			shard.retryAt = now.Add(shard.backoff) // a single call probes the shard
 		}
-		if c := t.customers[a.key.Customer]; deaf && c != nil && a.current && c.plan.Burst > 0 {
-			u += nearQuotaUrgencySeconds * (1 - c.tokensAt(now)/c.plan.Burst) // who is near its quota is decided by it
-		}
-		h = append(h, callCandidate{u, a})
+		total.callQueued = false
+		t.sendCall(now, total, shard)
+	}
+	for _, candidate := range candidates {
+		waiting = append(waiting, candidate.total)
 	}
-	heap.Init(&h)
-	for len(h) > 0 && t.callBudget >= 1 && len(t.inFlight) < maxCallsInFlight {
-		a := heap.Pop(&h).(callCandidate).total
-		num := t.ShardOf(a.key.Customer)
-		p := &t.shards[num]
-		if now.Before(p.retryAt) {
-			left = append(left, a)
+	clear(t.callQueue[len(waiting):])
+	t.callQueue = waiting
+}
+
+// splitCallQueue divides the queue into the totals that may be called for now and those
+// whose shard is backing off. waiting shares the queue's array.
+func (t *Tracker) splitCallQueue(now time.Time) (candidates byUrgency, waiting []*windowTotal) {
+	candidates = make(byUrgency, 0, len(t.callQueue))
+	waiting = t.callQueue[:0]
+	isolated := t.isolated(now)
+	for _, total := range t.callQueue {
+		if now.Before(t.shardOf(total).retryAt) {
+			waiting = append(waiting, total)
 			continue
 		}
-		a.callQueued = false
-		if p.state == Unresponsive {
-			p.retryAt = now.Add(p.backoff) // one call finds out
-		}
-		t.sendCall(now, a, num)
-	}
-	for _, u := range h {
-		left = append(left, u.total)
+		candidates = append(candidates, callCandidate{t.callUrgency(now, total, isolated), total})
 	}
-	clear(t.callQueue[len(left):])
-	t.callQueue = left
+	return candidates, waiting
 }
 
-// byUrgency is a heap: few of many wanting get a call.
-type byUrgency []callCandidate
+// callUrgency ranks a queued total, in seconds of waiting. What is most ahead of the
+// counter, relative to the plan's burst, goes first; then what has waited longest.
+func (t *Tracker) callUrgency(now time.Time, total *windowTotal, isolated bool) float64 {
+	urgency := now.Sub(total.queuedAt).Seconds()
+	if own := total.entries[t.settings.Self]; own != nil {
+		urgency += own.pendingUnits().inUnits() / (total.plan.Burst + 1)
+	}
+	if total.respondedAt.IsZero() {
+		urgency += firstCallUrgency
+	}
+	if !isolated || !total.current {
+		return urgency
+	}
+	if customer := t.customers[total.key.Customer]; customer != nil && customer.plan.Burst > 0 {
+		urgency += emptyBucketUrgency * (1 - customer.tokensAt(now)/customer.plan.Burst)
+	}
+	return urgency
+}
 
+// callCandidate is a queued total that may be called for now.
 type callCandidate struct {
 	urgency float64
 	total   *windowTotal
 }
 
+// byUrgency is a heap of candidates, the most urgent first. A heap serves because few of
+// many candidates get a call.
+type byUrgency []callCandidate
+
 func (h byUrgency) Len() int      { return len(h) }
 func (h byUrgency) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
 func (h *byUrgency) Push(x any)   { *h = append(*h, x.(callCandidate)) }
@@ -92,42 +123,57 @@
 	if h[i].urgency != h[k].urgency {
 		return h[i].urgency > h[k].urgency
 	}
-	a, b := h[i].total.key, h[k].total.key
-	return cmp.Or(cmp.Compare(a.Customer, b.Customer), cmp.Compare(a.Window, b.Window)) < 0
+	return h[i].total.key.compare(h[k].total.key) < 0
 }
 
 func (h *byUrgency) Pop() any {
-	old := *h
-	u := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return u
+	last := len(*h) - 1
+	candidate := (*h)[last]
+	*h = (*h)[:last]
+	return candidate
 }
 
-func (t *Tracker) sendCall(now time.Time, a *windowTotal, p int) {
+// sendCall sends a call for a total and charges the budget, which may become negative.
+func (t *Tracker) sendCall(now time.Time, total *windowTotal, shard *shardHealth) {
 	t.lastCallID++
-	c := CounterCall{ID: t.lastCallID, Shard: p, Key: a.key, RefreshExpiry: a.respondedAt.IsZero()}
-	if now.Sub(t.shards[p].epochAskedAt) > epochInterval {
-		c.ReadEpoch, t.shards[p].epochAskedAt = true, now
+	call := CounterCall{ID: t.lastCallID, Shard: shard.index, Key: total.key}
+	call.RefreshExpiry = total.respondedAt.IsZero()
+	if now.Sub(shard.epochReadAt) > epochInterval {
+		call.ReadEpoch = true
+		shard.epochReadAt = now
 	}
-	for _, o := range a.sortedWriters() {
-		g := a.entries[o]
-		if g.confirmed >= g.units {
+	t.addEntries(now, total, &call)
+	if customer := t.customers[total.key.Customer]; customer != nil && customer.levelKnown && total.current {
+		customer.refill(now)
+		call.Level = customer.level
+	}
+	t.callBudget -= float64(call.CommandCount())
+	total.callInFlight = true
+	total.changedSinceCall = false
+	t.inFlight[call.ID] = &inFlightCall{total, call.Raise}
+	t.actions = append(t.actions, call)
+}
+
+// addEntries adds to a call the entries that the counter should hold and does not.
+func (t *Tracker) addEntries(now time.Time, total *windowTotal, call *CounterCall) {
+	for _, writer := range total.sortedWriters() {
+		entry := total.entries[writer]
+		if entry.pendingUnits() <= 0 {
 			continue
 		}
-		c.RefreshExpiry = c.RefreshExpiry || g.confirmed < 0
-		r := CounterEntry{a.key, o, g.units}
-		if o.Node == t.settings.Self.Node || t.needsRepair(a, o, g) {
-			c.Raise = append(c.Raise, r)
-		} else if g.confirmed < 0 || !g.claimedAt.IsZero() && now.Sub(g.claimedAt) > claimSettleTime {
-			c.AddIfMissing = append(c.AddIfMissing, r)
+		lost := entry.confirmed < 0
+		if lost {
+			call.RefreshExpiry = true
+		}
+		claimOverdue := !entry.claimedAt.IsZero() && now.Sub(entry.claimedAt) > claimSettleTime
+		send := CounterEntry{total.key, writer, entry.units}
+		if t.isOwn(writer) || t.needsRepair(total, writer, entry) {
+			call.Raise = append(call.Raise, send)
+		} else if lost || claimOverdue {
+			call.AddIfMissing = append(call.AddIfMissing, send)
 		}
 	}
-	if cu := t.customers[a.key.Customer]; cu != nil && cu.levelKnown && a.current {
-		cu.refill(now)
-		c.Level = cu.level
-	}
-	t.callBudget -= float64(c.CommandCount())
-	a.callInFlight, a.changedSinceCall = true, false
-	t.inFlight[c.ID] = &inFlightCall{a, c.Raise}
-	t.actions = append(t.actions, c)
 }
+
+// isOwn tells whether a writer is a process of this node.
+func (t *Tracker) isOwn(writer WriterID) bool { return writer.Node == t.settings.Self.Node }
--- a/usage/counter_entry.go
+++ b/usage/counter_entry.go
@@ -6,79 +6,125 @@
 	"time"
 )
 
-// MilliUnits is units in thousandths, as they are counted.
+// milliPerUnit is the number of MilliUnits in a unit.
+const milliPerUnit = 1000
+
+// MilliUnits counts thousandths of a unit: exact sums need integers.
 type MilliUnits int64
 
-// WriterID names the process that a register is raised by.
+// milliUnits rounds units, which are not negative, to the nearest thousandth.
+func milliUnits(units float64) MilliUnits { return MilliUnits(units*milliPerUnit + 0.5) }
+
+// inUnits converts to units.
+func (m MilliUnits) inUnits() float64 { return float64(m) / milliPerUnit }
+
+// WriterID identifies the process that writes an entry.
 type WriterID struct {
-	Node        int
-	Incarnation uint64
+	Node        int    // index of the node in the fleet
+	Incarnation uint64 // of the node's process; later processes have larger ones
+}
+
+func (w WriterID) compare(other WriterID) int {
+	return cmp.Or(cmp.Compare(w.Node, other.Node), cmp.Compare(w.Incarnation, other.Incarnation))
 }
 
-// TotalKey names a total.
+// TotalKey identifies a total: one customer in one window.
 type TotalKey struct {
 	Customer string
-	Window   int64 // number of the window, counted from the Unix epoch
+	Window   int64 // number of the window since the Unix epoch, in units of Settings.Window
 }
 
-// CounterEntry is how many units one process has passed for a customer in a window.
+func (k TotalKey) compare(other TotalKey) int {
+	return cmp.Or(cmp.Compare(k.Customer, other.Customer), cmp.Compare(k.Window, other.Window))
+}
+
+// CounterEntry is what one writer used of a total. Units never decrease over a writer's
+// life, so that of two copies of an entry the larger is the newer.
 type CounterEntry struct {
 	Key    TotalKey
 	Writer WriterID
 	Units  MilliUnits
 }
 
-// writerEntry is what is known of one process's units.
+// writerEntry is the state of one writer's entry in a total. Units never decrease.
 type writerEntry struct {
-	units     MilliUnits
-	confirmed MilliUnits // as the counter last confirmed; below 0: to be put in again
-	claimed   MilliUnits // what the owner's node said itself, to be found in the counter,
-	claimedAt time.Time  // then; zero: nothing to be found
+	units MilliUnits // largest known
+
+	// confirmed is what the counter is known to hold; 0: not known to hold any. It is
+	// negative after the shard lost the entry, which must then be written again.
+	confirmed MilliUnits
 
-	stored MilliUnits // as storage holds it; 0: it does not
+	// claimed is what the writer's node said it wrote, at claimedAt; the zero time: no
+	// claim is open. Responses that lack a claim are evidence of a diverged shard.
+	claimed   MilliUnits
+	claimedAt time.Time
+
+	stored MilliUnits // in storage; 0: not stored
 }
 
-func (a *windowTotal) entry(o WriterID) *writerEntry {
-	g := a.entries[o]
-	if g == nil {
-		g = &writerEntry{}
-		a.entries[o] = g
+// pendingUnits is how far the entry is ahead of the counter.
+func (e *writerEntry) pendingUnits() MilliUnits { return e.units - e.confirmed }
+
+// entry returns a writer's entry and creates it if it is missing.
+func (w *windowTotal) entry(writer WriterID) *writerEntry {
+	entry := w.entries[writer]
+	if entry == nil {
+		entry = &writerEntry{}
+		w.entries[writer] = entry
 	}
-	return g
+	return entry
 }
 
-// sortedWriters lists an account's registers in a fixed order.
-func (a *windowTotal) sortedWriters() []WriterID {
-	list := make([]WriterID, 0, len(a.entries))
-	for o := range a.entries {
-		list = append(list, o)
+// sortedWriters lists the writers of a total in a fixed order, so that runs repeat exactly.
+func (w *windowTotal) sortedWriters() []WriterID {
+	writers := make([]WriterID, 0, len(w.entries))
+	for writer := range w.entries {
+		writers = append(writers, writer)
 	}
-	slices.SortFunc(list, func(a, b WriterID) int {
-		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
-	})
-	return list
+	slices.SortFunc(writers, WriterID.compare)
+	return writers
 }
 
-// merge takes in a register from the counter or from its owner's node.
-func (t *Tracker) merge(now time.Time, a *windowTotal, r CounterEntry, told bool) {
-	t.latestIncarnation[r.Writer.Node] = max(t.latestIncarnation[r.Writer.Node], r.Writer.Incarnation)
-	if r.Writer == t.settings.Self {
-		return // nobody knows it better
+// mergeConfirmed merges an entry that the counter holds.
+func (t *Tracker) mergeConfirmed(now time.Time, total *windowTotal, received CounterEntry) {
+	if entry := t.entryOfOther(total, received.Writer); entry != nil {
+		entry.confirmed = received.Units
+		t.raise(now, total, entry, received.Units)
 	}
-	g := a.entry(r.Writer)
-	if told {
-		if g.claimedAt.IsZero() && r.Units > g.confirmed {
-			g.claimed, g.claimedAt = r.Units, now
-		}
-	} else {
-		g.confirmed = r.Units
+}
+
+// mergeClaim merges an entry that its writer's node sent. What it says should be in the
+// counter soon.
+func (t *Tracker) mergeClaim(now time.Time, total *windowTotal, received CounterEntry) {
+	entry := t.entryOfOther(total, received.Writer)
+	if entry == nil {
+		return
 	}
-	if r.Units <= g.units {
+	if entry.claimedAt.IsZero() && received.Units > entry.confirmed {
+		entry.claimed = received.Units
+		entry.claimedAt = now
+	}
+	t.raise(now, total, entry, received.Units)
+}
+
+// entryOfOther notes that a writer exists and returns its entry. It returns nil for this
+// process's own entry, which nobody else knows better.
+func (t *Tracker) entryOfOther(total *windowTotal, writer WriterID) *writerEntry {
+	t.latestIncarnation[writer.Node] = max(t.latestIncarnation[writer.Node], writer.Incarnation)
+	if writer == t.settings.Self {
+		return nil
+	}
+	return total.entry(writer)
+}
+
+// raise merges units into an entry by maximum. An increase comes off the customer's level.
+func (t *Tracker) raise(now time.Time, total *windowTotal, entry *writerEntry, units MilliUnits) {
+	if units <= entry.units {
 		return
 	}
-	more := r.Units - g.units
-	g.units = r.Units
-	if c := t.customers[a.key.Customer]; c != nil {
-		c.consume(now, more)
+	increase := units - entry.units
+	entry.units = units
+	if customer := t.customers[total.key.Customer]; customer != nil {
+		customer.consume(now, increase)
 	}
 }
--- a/usage/customers.go
+++ b/usage/customers.go
@@ -2,75 +2,94 @@
 
 import "time"
 
-// customerUsage is what outlives windows.
+// customerUsage is the state of a customer that outlives windows.
 type customerUsage struct {
-	name         string
-	plan         Plan
-	peers        []int
-	level        Level // by all that is known here
-	levelKnown   bool  // the level rests on the counter or on long enough a time
+	name  string
+	plan  Plan
+	peers []int // nodes that serve the customer, this one included
+
+	level        Level // as far as this node knows
+	levelKnown   bool  // the level rests on the counter, or on all usage since the bucket was full
 	trackedSince time.Time
 	lastSeen     time.Time
-	current      *windowTotal
+	current      *windowTotal // of the latest window; never nil once in Tracker.customers
 }
 
-// RecordRequest tells of a request of a customer, before it is decided on: one that was
-// never seen is asked for at once.
+// RecordRequest records that a request of a customer has arrived, before it is decided on.
+// The counter is asked at once for the level of a customer that this process does not know.
+// peers are the indices of the nodes that serve the customer; the Tracker keeps the slice.
 func (t *Tracker) RecordRequest(now time.Time, name, plan string, peers []int) []Action {
-	c := t.customers[name]
-	if c != nil && c.current.recentlyUsed && c.current.key.Window == t.windowAt(now) {
-		c.lastSeen = now
+	customer := t.customers[name]
+	if customer != nil && customer.current.recentlyUsed && customer.current.key.Window == t.windowAt(now) {
+		customer.lastSeen = now
 		return nil
 	}
 	t.actions = nil
-	c = t.currentCustomer(now, name, plan, peers)
-	if p := &t.shards[t.ShardOf(name)]; !c.levelKnown && !c.current.callQueued && !c.current.callInFlight && c.current.respondedAt.IsZero() {
-		if t.callBudget >= 1 && len(t.inFlight) < maxCallsInFlight && p.state != Unresponsive {
-			t.sendCall(now, c.current, t.ShardOf(name))
-		} else {
-			t.queueCall(now, c.current)
-		}
+	customer = t.useCustomer(now, name, plan, peers)
+	if customer.needsLevel() {
+		t.requestLevel(now, customer)
 	}
 	return t.actions
 }
 
-// currentCustomer finds a customer and its account of now.
-func (t *Tracker) currentCustomer(now time.Time, name, plan string, peers []int) *customerUsage {
-	c := t.customers[name]
-	if t.startedAt.IsZero() {
-		t.startedAt = now
-	}
-	if c == nil {
+// RecordForwarded records units that this node has forwarded for a customer. units are not
+// negative; peers are as in RecordRequest.
+func (t *Tracker) RecordForwarded(now time.Time, name, plan string, peers []int, units float64) {
+	customer := t.useCustomer(now, name, plan, peers)
+	total := customer.current
+	used := milliUnits(units)
+	total.entry(t.settings.Self).units += used
+	customer.consume(now, used)
+	t.queueStorage(total)
+	t.queueCall(now, total)
+	t.queueGossip(total)
+}
+
+// useCustomer returns a customer, created if it is missing, with the total of the current
+// window.
+func (t *Tracker) useCustomer(now time.Time, name, plan string, peers []int) *customerUsage {
+	t.noteStart(now)
+	customer := t.customers[name]
+	if customer == nil {
 		p := t.settings.Plans[plan]
-		c = &customerUsage{name: name, plan: p, peers: peers, level: Level{p.Burst, now}, trackedSince: now}
-		t.customers[name] = c
+		customer = &customerUsage{name: name, plan: p, level: Level{p.Burst, now}, trackedSince: now}
+		t.customers[name] = customer
 	}
-	c.lastSeen, c.peers = now, peers
-	if w := t.windowAt(now); c.current == nil || c.current.key.Window != w {
-		if c.current != nil {
-			c.current.current = false
-		}
-		c.current = t.totalFor(now, TotalKey{name, w}, c.plan)
-		c.current.plan, c.current.peers, c.current.current = c.plan, peers, true
+	customer.lastSeen = now
+	customer.peers = peers
+	if window := t.windowAt(now); customer.current == nil || customer.current.key.Window != window {
+		t.startWindow(customer, window)
 	}
-	if !c.current.recentlyUsed {
-		c.current.recentlyUsed = true
-		t.recentlyUsed = append(t.recentlyUsed, c.current)
+	if !customer.current.recentlyUsed {
+		customer.current.recentlyUsed = true
+		t.recentlyUsed = append(t.recentlyUsed, customer.current)
 	}
-	return c
+	return customer
 }
 
-// RecordForwarded tells of units that this node has passed for a customer.
-func (t *Tracker) RecordForwarded(now time.Time, name, plan string, peers []int, units float64) {
-	c := t.currentCustomer(now, name, plan, peers)
-	n := MilliUnits(units*1000 + 0.5)
-	g := c.current.entry(t.settings.Self)
-	g.units += n
-	t.queueStorage(c.current)
-	c.consume(now, n)
-	t.queueCall(now, c.current)
-	if !c.current.gossipQueued && len(c.current.peers) > 1 {
-		c.current.gossipQueued = true
-		t.gossipQueue = append(t.gossipQueue, c.current)
+// startWindow makes the total of a window the customer's current one.
+func (t *Tracker) startWindow(customer *customerUsage, window int64) {
+	if customer.current != nil {
+		customer.current.current = false
+	}
+	total := t.totalFor(TotalKey{customer.name, window}, customer.plan)
+	total.plan = customer.plan
+	total.peers = customer.peers
+	total.current = true
+	customer.current = total
+}
+
+// needsLevel tells whether the counter should be asked for the customer's level.
+func (c *customerUsage) needsLevel() bool {
+	return !c.levelKnown && !c.current.callPending() && c.current.respondedAt.IsZero()
+}
+
+// requestLevel calls the counter now if the budget allows it, otherwise with the next tick.
+func (t *Tracker) requestLevel(now time.Time, customer *customerUsage) {
+	shard := t.shardOf(customer.current)
+	if t.hasCallCapacity() && shard.state != Unresponsive {
+		t.sendCall(now, customer.current, shard)
+	} else {
+		t.queueCall(now, customer.current)
 	}
 }
--- a/usage/doc.go
+++ b/usage/doc.go
@@ -1,10 +1,24 @@
-// Package usage decides what to believe of the shared counter. It keeps, for
-// each customer and window of time, how many units every process of the fleet
-// has passed: a register for each process, which that process alone raises.
-// Registers merge by their maximum, whoever brings them, so an add whose answer
-// never came may be made again, a counter that was emptied may be filled by any
-// number of nodes at once, and nothing counts twice.
-//
-// It has no I/O: events in, actions out, time passed in. It is not safe for
-// concurrent use.
+// Package usage tracks how many units every customer has used, across a fleet of
+// gateways and a shared counter that may fail.
+//
+// # Counter
+//
+// A total is what one customer used in one window of time. It is a grow-only counter
+// CRDT: one entry for each writer, where a writer is one process of one gateway. Only
+// the writer itself increases its entry, and entries merge by maximum. Merging is
+// therefore idempotent, commutative and associative: a call whose response was lost is
+// repeated safely, an emptied counter is filled again by any number of gateways at
+// once, and no unit counts twice.
+//
+// The shared counter has one or more shards. Each call reads all entries of a total
+// before it writes, so that every response shows whether the shard still holds what it
+// confirmed earlier. From that the Tracker derives a ShardState and restores what was
+// lost.
+//
+// # Concurrency
+//
+// A Tracker performs no I/O and reads no clock. Events are method calls with the current
+// time; effects are returned as a list of Action values, which the caller performs in
+// order. A Tracker is not safe for concurrent use: the caller serializes all calls. The
+// entries and messages in an Action are the caller's to keep.
 package usage
--- a/usage/gossip.go
+++ b/usage/gossip.go
@@ -2,74 +2,103 @@
 
 import "time"
 
-// Tuned values of gossip.
 const (
-	maxEntriesPerMessage    = 12                      // registers in one message
-	isolatedAfter           = 1500 * time.Millisecond // without a word of a peer its node may hear none
-	isolatedRefreshInterval = 500 * time.Millisecond  // then who is in use is asked for again after this
+	// maxEntriesPerMessage bounds the size of a message to a peer.
+	maxEntriesPerMessage = 12
+
+	// isolatedAfter is how long a node hears from no peer before it counts as isolated.
+	isolatedAfter = 1500 * time.Millisecond
+
+	// isolatedRefreshInterval is how often an isolated node reads the totals in use.
+	isolatedRefreshInterval = 500 * time.Millisecond
 )
 
-// MergeFromPeer tells of registers that another node sent.
-func (t *Tracker) MergeFromPeer(now time.Time, from int, list []CounterEntry) {
+// MergeFromPeer merges entries that a node sent. Entries of other writers than that node's
+// own, of customers that have not come in here, and of windows out of range are ignored.
+func (t *Tracker) MergeFromPeer(now time.Time, from int, entries []CounterEntry) {
 	t.peerHeardAt = now
-	for _, r := range list {
-		c := t.customers[r.Key.Customer]
-		if c == nil || r.Writer.Node != from {
-			continue // not one that comes in here, or not its own to tell
-		}
-		if w := t.windowAt(now); r.Key.Window < w-int64(t.settings.RetainedWindows) || r.Key.Window > w+1 {
+	for _, entry := range entries {
+		customer := t.customers[entry.Key.Customer]
+		if customer == nil || entry.Writer.Node != from || !t.windowInRange(now, entry.Key.Window) {
 			continue
 		}
-		a := t.totalFor(now, r.Key, c.plan)
-		t.merge(now, a, r, true)
+		t.mergeClaim(now, t.totalFor(entry.Key, customer.plan), entry)
+	}
+}
+
+// windowInRange tells whether a peer's entry of a window is taken: the peer's clock may be
+// ahead by one window.
+func (t *Tracker) windowInRange(now time.Time, window int64) bool {
+	current := t.windowAt(now)
+	return window >= current-int64(t.settings.RetainedWindows) && window <= current+1
+}
+
+// queueGossip makes a total whose own entry has grown wait for messages to its peers.
+func (t *Tracker) queueGossip(total *windowTotal) {
+	if total.gossipQueued || len(total.peers) <= 1 {
+		return
 	}
+	total.gossipQueued = true
+	t.gossipQueue = append(t.gossipQueue, total)
 }
 
-// gossip sends news of own registers to the nodes that the customer comes in
-// through, as the mail allows.
+// gossip sends queued entries of this process to the peers that serve the customer, as the
+// budget allows. A total that did not fit into a peer's message stays queued.
 func (t *Tracker) gossip() {
 	if len(t.gossipQueue) == 0 || t.messageBudget < 1 {
 		return
 	}
-	to := map[int][]CounterEntry{}
-	var order []int
-	done := 0
-	for _, a := range t.gossipQueue {
-		if float64(len(order)) > t.messageBudget {
+	batch := messageBatch{entries: map[int][]CounterEntry{}}
+	taken := 0
+	for _, total := range t.gossipQueue {
+		if float64(len(batch.peers)) > t.messageBudget {
 			break
 		}
-		done++
-		a.gossipQueued = false
-		r := CounterEntry{a.key, t.settings.Self, a.entries[t.settings.Self].units}
-		for _, n := range a.peers {
-			if n == t.settings.Self.Node {
-				continue
-			}
-			if len(to[n]) == 0 {
-				order = append(order, n)
-			}
-			if len(to[n]) < maxEntriesPerMessage {
-				to[n] = append(to[n], r)
-			} else if !a.gossipQueued {
-				a.gossipQueued = true // told with the next
-			}
-		}
+		taken++
+		total.gossipQueued = !batch.add(t.settings.Self, total)
 	}
-	var rest []*windowTotal
-	for _, a := range t.gossipQueue[:done] {
-		if a.gossipQueued {
-			rest = append(rest, a)
+	var queue []*windowTotal
+	for _, total := range t.gossipQueue[:taken] {
+		if total.gossipQueued {
+			queue = append(queue, total)
 		}
 	}
-	t.gossipQueue = append(rest, t.gossipQueue[done:]...)
-	for _, n := range order {
+	t.gossipQueue = append(queue, t.gossipQueue[taken:]...)
+	for _, peer := range batch.peers {
 		t.messageBudget--
-		t.actions = append(t.actions, PeerMessage{n, to[n]})
+		t.actions = append(t.actions, PeerMessage{peer, batch.entries[peer]})
+	}
+}
+
+// messageBatch collects one message for each peer.
+type messageBatch struct {
+	peers   []int // in the order of their first entry
+	entries map[int][]CounterEntry
+}
+
+// add adds a writer's entry of a total to the messages for all peers but the writer's node.
+// It returns false if a message was full.
+func (b *messageBatch) add(writer WriterID, total *windowTotal) bool {
+	complete := true
+	entry := CounterEntry{total.key, writer, total.entries[writer].units}
+	for _, peer := range total.peers {
+		if peer == writer.Node {
+			continue
+		}
+		if len(b.entries[peer]) == maxEntriesPerMessage {
+			complete = false
+			continue
+		}
+		if len(b.entries[peer]) == 0 {
+			b.peers = append(b.peers, peer)
+		}
+		b.entries[peer] = append(b.entries[peer], entry)
 	}
+	return complete
 }
 
-// isolated tells whether this node may hear none of the others: the counter is the
-// witness then of what they pass.
+// isolated tells whether this node may hear from none of its peers. Its knowledge of their
+// usage then comes from the counter alone.
 func (t *Tracker) isolated(now time.Time) bool {
 	return now.Sub(t.peerHeardAt) > isolatedAfter && now.Sub(t.startedAt) > isolatedAfter
 }
--- a/usage/level.go
+++ b/usage/level.go
@@ -2,54 +2,84 @@
 
 import "time"
 
-// Level is how full a customer's store was at a time, in units.
+// maxClockSkew is how far ahead of this node's clock a level may have been written.
+const maxClockSkew = time.Second
+
+// minRate bounds a plan's rate from below, in units per second, where it divides.
+const minRate = 1e-9
+
+// Level is how full a customer's token bucket was at a time.
 type Level struct {
 	Units float64
 	At    time.Time
 }
 
-// consume takes units off a customer's level, filled up to now.
-func (c *customerUsage) consume(now time.Time, n MilliUnits) {
+// refill adds to the level what the plan's rate gave until now.
+func (c *customerUsage) refill(now time.Time) {
+	if elapsed := now.Sub(c.level.At).Seconds(); elapsed > 0 {
+		c.level.Units = min(c.plan.Burst, c.level.Units+c.plan.Rate*elapsed)
+		c.level.At = now
+	}
+	// After the time to fill the whole bucket, usage before this process no longer matters.
+	if c.plan.Rate > 0 && now.Sub(c.trackedSince).Seconds() > c.plan.Burst/c.plan.Rate {
+		c.levelKnown = true
+	}
+}
+
+// consume takes used units off the level. The level is never negative.
+func (c *customerUsage) consume(now time.Time, used MilliUnits) {
 	c.refill(now)
-	c.level.Units = max(0, c.level.Units-float64(n)/1000)
+	c.level.Units = max(0, c.level.Units-used.inUnits())
 }
 
-// tokensAt is how full the store is by now, as far as is known.
+// tokensAt is the level at a time, in units.
 func (c *customerUsage) tokensAt(now time.Time) float64 {
-	return min(c.plan.Burst, c.level.Units+c.plan.Rate*max(0, now.Sub(c.level.At).Seconds()))
+	elapsed := max(0, now.Sub(c.level.At).Seconds())
+	return min(c.plan.Burst, c.level.Units+c.plan.Rate*elapsed)
 }
 
-func (c *customerUsage) refill(now time.Time) {
-	if dt := now.Sub(c.level.At).Seconds(); dt > 0 {
-		c.level.Units = min(c.plan.Burst, c.level.Units+c.plan.Rate*dt)
-		c.level.At = now
+// updateLevel takes the level of a response, and reports the customer's level where the
+// counter knows more than this node.
+func (t *Tracker) updateLevel(now time.Time, total *windowTotal, level Level) {
+	customer := t.customers[total.key.Customer]
+	if customer == nil || !total.current {
+		return
 	}
-	// By now whatever was used before this process began is filled up again.
-	if c.plan.Rate > 0 && now.Sub(c.trackedSince).Seconds() > c.plan.Burst/c.plan.Rate {
-		c.levelKnown = true
+	if !customer.levelKnown {
+		t.learnLevel(now, customer, level)
+	} else if t.isolated(now) {
+		customer.refill(now)
+		t.reportLevel(customer)
 	}
 }
 
-// learnLevel takes a level from the counter, which a node that just started can't
-// know. Where the counter has none, and whoever passed units before this window
-// or this process has had them filled up since, the window's totals tell.
-func (t *Tracker) learnLevel(now time.Time, c *customerUsage, l Level) {
-	if l.At.IsZero() {
-		whole := time.Duration(c.plan.Burst / max(c.plan.Rate, 1e-9) * float64(time.Second))
-		age := max(now.Sub(t.startedAt), time.Duration(now.UnixNano()%int64(t.settings.Window)))
-		c.levelKnown = age > whole
+// learnLevel takes the level that the counter holds, which a process that just started
+// cannot know.
+func (t *Tracker) learnLevel(now time.Time, customer *customerUsage, level Level) {
+	if level.At.IsZero() {
+		customer.levelKnown = t.bucketRefilled(now, customer)
 		return
 	}
-	if l.At.After(now.Add(time.Second)) {
+	if level.At.After(now.Add(maxClockSkew)) {
 		return
 	}
-	mine := MilliUnits(0)
-	if g := c.current.entries[t.settings.Self]; g != nil {
-		mine = g.units
+	customer.level = level
+	customer.refill(now)
+	if own := customer.current.entries[t.settings.Self]; own != nil {
+		customer.level.Units = max(0, customer.level.Units-own.units.inUnits())
 	}
-	c.level = l
-	c.refill(now)
-	c.level.Units = max(0, c.level.Units-float64(mine)/1000)
-	c.levelKnown = true
-	t.actions = append(t.actions, RestoreLevel{c.name, c.level.Units})
+	customer.levelKnown = true
+	t.reportLevel(customer)
+}
+
+// bucketRefilled tells whether a full bucket's worth of time has passed since the window or
+// this process began. The window's totals then hold all usage that matters.
+func (t *Tracker) bucketRefilled(now time.Time, customer *customerUsage) bool {
+	timeToFill := time.Duration(customer.plan.Burst / max(customer.plan.Rate, minRate) * float64(time.Second))
+	windowAge := time.Duration(now.UnixNano() % int64(t.settings.Window))
+	return max(now.Sub(t.startedAt), windowAge) > timeToFill
+}
+
+func (t *Tracker) reportLevel(customer *customerUsage) {
+	t.actions = append(t.actions, RestoreLevel{customer.name, customer.level.Units})
 }
--- a/usage/persistence.go
+++ b/usage/persistence.go
@@ -2,62 +2,71 @@
 
 import "time"
 
-// LoadStored puts back what storage held: own registers, of this node's earlier
-// processes, are raised in the counter again. It comes before anything else.
-func (t *Tracker) LoadStored(now time.Time, list []CounterEntry) {
-	for _, r := range list {
-		a := t.totalFor(now, r.Key, Plan{})
-		if g := a.entry(r.Writer); r.Units > g.units {
-			g.units = r.Units
-			t.queueCall(now, a)
+// LoadStored restores entries that earlier processes of this node have saved, so that they
+// are written to the counter again. It must be called before any other method.
+func (t *Tracker) LoadStored(now time.Time, entries []CounterEntry) {
+	for _, stored := range entries {
+		total := t.totalFor(stored.Key, Plan{})
+		entry := total.entry(stored.Writer)
+		if stored.Units > entry.units {
+			entry.units = stored.Units
+			t.queueCall(now, total)
 		}
-		if g := a.entry(r.Writer); r.Writer.Node == t.settings.Self.Node {
-			g.stored = r.Units
-			t.queueStorage(a)
+		if t.isOwn(stored.Writer) {
+			entry.stored = stored.Units
+			t.queueStorage(total)
 		}
 	}
 }
 
-// queueStorage puts an account among those to be compared with storage.
-func (t *Tracker) queueStorage(a *windowTotal) {
-	if !a.storageQueued && !a.evicted {
-		a.storageQueued = true
-		t.storageQueue = append(t.storageQueue, a)
+// queueStorage makes a total wait for a comparison with storage.
+func (t *Tracker) queueStorage(total *windowTotal) {
+	if total.storageQueued || total.evicted {
+		return
 	}
+	total.storageQueued = true
+	t.storageQueue = append(t.storageQueue, total)
 }
 
-// StorageChanges lists what storage must change to hold this node's registers that the
-// counter has not confirmed, and those of windows still open: registers to put, and
-// those with 0 units to take out. It looks at so many accounts at most, so that the
-// loop is not held up; more tells that there are others.
-func (t *Tracker) StorageChanges(now time.Time, most int) (list []CounterEntry, more bool) {
-	w := t.windowAt(now)
-	n := min(most, len(t.storageQueue))
-	for _, a := range t.storageQueue[:n] {
-		a.storageQueued = false
-		if a.evicted {
-			continue // its registers are in t.dropped
-		}
-		for o, g := range a.entries {
-			if o.Node != t.settings.Self.Node {
-				continue
-			}
-			units := g.units
-			if g.confirmed >= g.units && a.key.Window < w-1 {
-				units = 0
-			}
-			if units != g.stored {
-				g.stored = units
-				list = append(list, CounterEntry{a.key, o, units})
-			}
+// StorageChanges returns the entries to save, and with zero Units those to delete, so that
+// storage holds this node's entries that the counter has not confirmed or whose window is
+// still open. The caller must save them before it discards them: they are not returned
+// again. A call examines at most limit totals, which bounds the time it takes; more tells
+// that another call would return further changes.
+func (t *Tracker) StorageChanges(now time.Time, limit int) (changes []CounterEntry, more bool) {
+	lastOpenWindow := t.windowAt(now) - 1
+	examined := min(limit, len(t.storageQueue))
+	for _, total := range t.storageQueue[:examined] {
+		total.storageQueued = false
+		if !total.evicted { // else its entries are in evictedStored
+			changes = t.appendChanges(changes, total, lastOpenWindow)
 		}
 	}
-	clear(t.storageQueue[:n])
-	if t.storageQueue = t.storageQueue[n:]; len(t.storageQueue) == 0 {
+	clear(t.storageQueue[:examined])
+	t.storageQueue = t.storageQueue[examined:]
+	if len(t.storageQueue) == 0 {
 		t.storageQueue = nil
 	}
-	k := min(most, len(t.evictedStored))
-	list = append(list, t.evictedStored[:k]...)
-	t.evictedStored = t.evictedStored[k:]
-	return list, len(t.storageQueue) > 0 || len(t.evictedStored) > 0
+	deleted := min(limit, len(t.evictedStored))
+	changes = append(changes, t.evictedStored[:deleted]...)
+	t.evictedStored = t.evictedStored[deleted:]
+	return changes, len(t.storageQueue) > 0 || len(t.evictedStored) > 0
+}
+
+// appendChanges appends the changes of one total and takes them as stored.
+func (t *Tracker) appendChanges(changes []CounterEntry, total *windowTotal, lastOpenWindow int64) []CounterEntry {
+	for writer, entry := range total.entries {
+		if !t.isOwn(writer) {
+			continue
+		}
+		wanted := entry.units
+		if entry.pendingUnits() <= 0 && total.key.Window < lastOpenWindow {
+			wanted = 0
+		}
+		if wanted != entry.stored {
+			entry.stored = wanted
+			changes = append(changes, CounterEntry{total.key, writer, wanted})
+		}
+	}
+	return changes
 }
--- a/usage/recovery.go
+++ b/usage/recovery.go
@@ -2,40 +2,43 @@
 
 import "time"
 
-// refill: nothing that the part held is taken for granted; what is known here
-// goes in again as the budget allows, own registers by this node, others' only
-// where there are none.
-func (t *Tracker) restoreShard(now time.Time, cause *windowTotal, p *shardHealth) {
-	p.healthyResponses, p.divergedResponses = 0, 0
-	num := t.ShardOf(cause.key.Customer)
-	for _, a := range t.sortedTotals() {
-		if t.ShardOf(a.key.Customer) != num {
+// restoreShard prepares to write everything known here to a shard again after it lost
+// entries, as the budget allows: entries of this node unconditionally, those of others
+// only where there are none. The total whose response showed the loss is not queued here.
+func (t *Tracker) restoreShard(now time.Time, cause *windowTotal, shard *shardHealth) {
+	shard.healthyResponses = 0
+	shard.divergedResponses = 0
+	for _, total := range t.sortedTotals() {
+		if t.shardOf(total) != shard {
 			continue
 		}
-		for _, g := range a.entries {
-			g.confirmed = min(g.confirmed, 0) - 1 // marked as to be put in again
+		for _, entry := range total.entries {
+			entry.confirmed = min(entry.confirmed, 0) - 1
 		}
-		t.queueStorage(a)
-		if a != cause {
-			t.queueCall(now, a)
+		t.queueStorage(total)
+		if total != cause {
+			t.queueCall(now, total)
 		}
 	}
 }
 
-// hasUnconfirmed tells whether registers that are this node's to raise are not in the
-// counter as they should be.
-func (t *Tracker) hasUnconfirmed(a *windowTotal) bool {
-	for o, g := range a.entries {
-		if o.Node == t.settings.Self.Node && g.confirmed < g.units || t.needsRepair(a, o, g) {
+// hasUnconfirmed tells whether the counter lacks entries that this node has to raise.
+func (t *Tracker) hasUnconfirmed(total *windowTotal) bool {
+	for writer, entry := range total.entries {
+		ownPending := t.isOwn(writer) && entry.pendingUnits() > 0
+		if ownPending || t.needsRepair(total, writer, entry) {
 			return true
 		}
 	}
 	return false
 }
 
-// needsRepair tells whether the counter holds a register of a dead process lower than
-// it was. Its owner raises it no more: who knew it does. Two that knew different
-// amounts may undo each other once; the larger stands at the end.
-func (t *Tracker) needsRepair(a *windowTotal, o WriterID, g *writerEntry) bool {
-	return !a.respondedAt.IsZero() && g.confirmed > 0 && g.confirmed < g.units && o.Incarnation < t.latestIncarnation[o.Node]
+// needsRepair tells whether the counter holds the entry of a dead writer lower than it was.
+// A writer is dead once a later process of its node is known. Every node that knows the
+// larger value raises it; two that know different values may overwrite each other once,
+// and the larger one stands in the end.
+func (t *Tracker) needsRepair(total *windowTotal, writer WriterID, entry *writerEntry) bool {
+	writerDead := writer.Incarnation < t.latestIncarnation[writer.Node]
+	heldLower := entry.confirmed > 0 && entry.pendingUnits() > 0
+	return writerDead && heldLower && !total.respondedAt.IsZero()
 }
--- a/usage/responses.go
+++ b/usage/responses.go
@@ -2,40 +2,46 @@
 
 import "time"
 
-// HandleResponse tells what came of a Call.
-func (t *Tracker) HandleResponse(now time.Time, id uint64, ans CounterResponse) []Action {
+// HandleResponse takes the result of the CounterCall with an ID. An unknown ID is ignored.
+func (t *Tracker) HandleResponse(now time.Time, id uint64, response CounterResponse) []Action {
 	t.actions = nil
-	c := t.inFlight[id]
-	if c == nil {
+	call := t.inFlight[id]
+	if call == nil {
 		return nil
 	}
-	a := c.total
 	delete(t.inFlight, id)
-	a.callInFlight = false
-	p := &t.shards[t.ShardOf(a.key.Customer)]
-	if ans.Failed {
-		t.handleFailure(now, a, p)
-		return t.actions
+	call.total.callInFlight = false
+	if response.Failed {
+		t.handleFailure(now, call.total)
+	} else {
+		t.handleSuccess(now, call, &response)
 	}
-	t.assessResponse(now, a, p, &ans)
-	for _, r := range ans.Entries {
-		t.merge(now, a, r, false)
+	return t.actions
+}
+
+// handleFailure records a call without a valid response. It may have been carried out;
+// writing the same entries again is harmless.
+func (t *Tracker) handleFailure(now time.Time, total *windowTotal) {
+	t.recordFailure(now, t.shardOf(total))
+	t.queueCall(now, total)
+}
+
+// handleSuccess records a valid response.
+func (t *Tracker) handleSuccess(now time.Time, call *inFlightCall, response *CounterResponse) {
+	total := call.total
+	t.assessResponse(now, total, response)
+	for _, entry := range response.Entries {
+		t.mergeConfirmed(now, total, entry)
 	}
-	for _, r := range c.raised { // raised since
-		if g := a.entries[r.Writer]; g != nil {
-			g.confirmed = r.Units
+	for _, raised := range call.raised { // after the response's entries were read
+		if entry := total.entries[raised.Writer]; entry != nil {
+			entry.confirmed = raised.Units
 		}
 	}
-	a.respondedAt = now
-	t.queueStorage(a)
-	if c := t.customers[a.key.Customer]; c != nil && !c.levelKnown && a.current {
-		t.learnLevel(now, c, ans.Level)
-	} else if c != nil && a.current && t.isolated(now) {
-		c.refill(now)
-		t.actions = append(t.actions, RestoreLevel{c.name, c.level.Units})
-	}
-	if a.changedSinceCall || t.hasUnconfirmed(a) {
-		t.queueCall(now, a)
+	total.respondedAt = now
+	t.queueStorage(total)
+	t.updateLevel(now, total, response.Level)
+	if total.changedSinceCall || t.hasUnconfirmed(total) {
+		t.queueCall(now, total)
 	}
-	return t.actions
 }
--- a/usage/shard_health.go
+++ b/usage/shard_health.go
@@ -2,165 +2,210 @@
 
 import (
 	"cmp"
-	"fmt"
 	"time"
 )
 
-// Tuned values of shard health.
 const (
-	unresponsiveAfter       = time.Second            // without an answer a part is silent
-	initialBackoff          = 250 * time.Millisecond // a silent part is asked again after this,
-	maxBackoff              = 2 * time.Second        // doubled up to this
-	healthyResponsesNeeded  = 3                      // good answers in a row that end a fault
-	divergedResponsesNeeded = 3                      // answers in a row that lack what peers say they added
-	claimSettleTime         = 2 * time.Second        // what a peer said must be in the counter after this
-)
+	// unresponsiveAfter is how long a shard gives no valid response before it counts as
+	// unresponsive; minFailedCalls as many calls must have failed.
+	unresponsiveAfter = time.Second
+	minFailedCalls    = 2
 
-// ShardState is what is believed of one part of the counter.
-type ShardState int
+	// An unresponsive shard is probed after initialBackoff, doubled up to maxBackoff.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = 2 * time.Second
 
-// The states.
-const (
-	Unknown      ShardState = iota // not asked yet
-	Healthy                        // it holds what it should
-	Unresponsive                   // it gives no answer
-	Emptied                        // it lost what it held
-	Replaced                       // another one answers in its place
-	Stale                          // it holds an old copy
-	Diverged                       // it lacks what others say they added
+	// minHealthyResponses is how many consecutive responses must hold every expected entry
+	// before a fault counts as over.
+	minHealthyResponses = 3
+
+	// minDivergedResponses is how many consecutive responses must lack claimed entries
+	// before a shard counts as diverged.
+	minDivergedResponses = 3
+
+	// claimSettleTime is how long after a peer's claim the entry must be in the counter.
+	claimSettleTime = 2 * time.Second
 )
 
-func (s ShardState) String() string {
-	return [...]string{"unknown", "sound", "silent", "emptied", "replaced", "behind", "split"}[s]
-}
+// lostConfirmation marks an entry that the shard lost, see writerEntry.confirmed.
+const lostConfirmation MilliUnits = -1
 
-// shardHealth is one part of the counter.
+// shardHealth is the state of one shard of the counter.
 type shardHealth struct {
-	state             ShardState
-	epoch             string
-	epochAskedAt      time.Time // when the epoch was last asked for
-	lossSuspected     bool      // totals were lost, it is not told yet how
-	entriesGone       bool      // gone,
-	entriesLower      bool      // or lower than they were
-	lossEvidence      string
-	respondedAt       time.Time // last answer
-	retryAt           time.Time // not before
-	backoff           time.Duration
-	healthyResponses  int // answers in a row without a fault
-	divergedResponses int // answers in a row that lack what peers added
-	failedCalls       int // calls in a row without an answer
-}
+	index       int
+	state       ShardState
+	epoch       string // last read; "": never
+	epochReadAt time.Time
 
-// ShardState is what is believed of a part.
-func (t *Tracker) ShardState(part int) ShardState { return t.shards[part].state }
+	// Calls without a valid response.
+	failedCalls int // consecutive
+	respondedAt time.Time
+	retryAt     time.Time // no call before
+	backoff     time.Duration
 
-// ShardOf is the part of the counter that holds a customer, by its name.
-func (t *Tracker) ShardOf(name string) int {
-	h := uint32(2166136261)
-	for i := range len(name) {
-		h = (h ^ uint32(name[i])) * 16777619
-	}
-	return int(h % uint32(len(t.shards)))
+	// Responses.
+	healthyResponses  int // consecutive
+	divergedResponses int // consecutive
+
+	// A loss that is not classified until the epoch is read.
+	lossSuspected bool
+	entriesGone   bool // some were missing, or the total was empty
+	entriesLower  bool
+	lossEvidence  LostEntries
 }
 
-// noAnswer: the call may have counted. Registers make it harmless to ask again.
-func (t *Tracker) handleFailure(now time.Time, a *windowTotal, p *shardHealth) {
-	p.failedCalls++
-	p.healthyResponses = 0
-	if p.state != Unresponsive && p.failedCalls > 1 && now.Sub(p.respondedAt) > unresponsiveAfter {
-		t.setShardState(a, p, Unresponsive, fmt.Sprintf("%d calls in a row without an answer", p.failedCalls))
-		p.backoff = initialBackoff
-	} else if p.state == Unresponsive {
-		p.backoff = min(2*p.backoff, maxBackoff)
-	}
-	if p.state == Unresponsive {
-		p.retryAt = now.Add(p.backoff)
+// recordFailure records a call without a valid response.
+func (t *Tracker) recordFailure(now time.Time, shard *shardHealth) {
+	shard.failedCalls++
+	shard.healthyResponses = 0
+	overdue := shard.failedCalls >= minFailedCalls && now.Sub(shard.respondedAt) > unresponsiveAfter
+	switch {
+	case shard.state == Unresponsive:
+		shard.backoff = min(2*shard.backoff, maxBackoff)
+	case overdue:
+		t.setShardState(shard, Unresponsive, FailedCalls{shard.failedCalls})
+		shard.backoff = initialBackoff
+	default:
+		return
 	}
-	t.queueCall(now, a)
+	shard.retryAt = now.Add(shard.backoff)
+}
+
+// recordResponse records that a call had a valid response.
+func (s *shardHealth) recordResponse(now time.Time) {
+	s.respondedAt = now
+	s.retryAt = time.Time{}
+	s.backoff = 0
+	s.failedCalls = 0
 }
 
-// assessResponse compares an answer with what must be in it.
-func (t *Tracker) assessResponse(now time.Time, a *windowTotal, p *shardHealth, ans *CounterResponse) {
-	p.respondedAt, p.retryAt, p.backoff, p.failedCalls = now, time.Time{}, 0, 0
-	in := map[WriterID]MilliUnits{}
-	for _, r := range ans.Entries {
-		in[r.Writer] = r.Units
+// updateEpoch takes the epoch of a response, and tells whether it has changed.
+func (s *shardHealth) updateEpoch(epoch string) bool {
+	changed := s.epoch != "" && epoch != "" && epoch != s.epoch
+	s.epoch = cmp.Or(epoch, s.epoch)
+	return changed
+}
+
+// assessResponse compares a response with what the counter must hold, updates the shard's
+// state, and takes what the response holds as confirmed.
+func (t *Tracker) assessResponse(now time.Time, total *windowTotal, response *CounterResponse) {
+	shard := t.shardOf(total)
+	shard.recordResponse(now)
+	held := make(map[WriterID]MilliUnits, len(response.Entries))
+	for _, entry := range response.Entries {
+		held[entry.Writer] = entry.Units
 	}
-	lost, lower := 0, 0
-	var most MilliUnits
-	for _, o := range a.sortedWriters() {
-		g := a.entries[o]
-		if g.confirmed > 0 && in[o] < g.confirmed {
-			if most = max(most, g.confirmed-in[o]); in[o] == 0 {
-				lost++
-			} else {
-				lower++
-			}
-		}
+	loss := total.findLoss(held)
+	overdueClaims := total.settleClaims(now, held)
+	epochChanged := shard.updateEpoch(response.Epoch)
+	lossFound := epochChanged || loss.any()
+	if lossFound {
+		t.restoreShard(now, total, shard)
+		shard.suspectLoss(loss, len(held) == 0)
 	}
-	lacks := 0
-	for o, g := range a.entries {
-		if g.claimedAt.IsZero() {
+	switch {
+	case shard.lossSuspected && response.Epoch == "":
+		shard.epochReadAt = time.Time{} // the next call reads it
+	case shard.lossSuspected:
+		t.setShardState(shard, shard.classifyLoss(epochChanged), shard.lossEvidence)
+	case overdueClaims > 0:
+		t.recordDivergedResponse(shard, UnconfirmedClaims{total.key, overdueClaims})
+	default:
+		t.recordHealthyResponse(shard)
+	}
+	total.confirm(held, lossFound)
+}
+
+// findLoss compares the entries held by the counter with those that it has confirmed.
+func (w *windowTotal) findLoss(held map[WriterID]MilliUnits) LostEntries {
+	loss := LostEntries{Key: w.key}
+	for writer, entry := range w.entries {
+		if entry.confirmed <= 0 || held[writer] >= entry.confirmed {
 			continue
 		}
-		if in[o] >= g.claimed {
-			g.claimedAt = time.Time{}
-		} else if now.Sub(g.claimedAt) > claimSettleTime {
-			lacks++
+		loss.LargestLoss = max(loss.LargestLoss, entry.confirmed-held[writer])
+		if held[writer] == 0 {
+			loss.Missing++
+		} else {
+			loss.Lower++
 		}
 	}
-	fresh := p.epoch != "" && ans.Epoch != "" && ans.Epoch != p.epoch
-	p.epoch = cmp.Or(ans.Epoch, p.epoch)
-	evidence := func(what string) string {
-		return fmt.Sprintf("%s: of %s, window %d, %d totals were gone and %d lower, by %.3f units at most", what, a.key.Customer,
-			a.key.Window, lost, lower, float64(most)/1000)
-	}
-	refilled := fresh || lost > 0 || lower > 0
-	if refilled {
-		t.restoreShard(now, a, p)
-	}
-	// Which loss it is shows with the epoch, which is asked for next where this
-	// answer did not bring it.
-	if refilled {
-		p.entriesGone = p.entriesGone || lost > 0 || len(in) == 0
-		p.lossSuspected, p.entriesLower, p.lossEvidence = true, p.entriesLower || lower > 0, evidence("totals lost")
-	}
-	switch {
-	case p.lossSuspected && ans.Epoch == "":
-		p.epochAskedAt = time.Time{}
-	case p.lossSuspected:
-		s := Stale
-		if fresh && p.entriesGone && !p.entriesLower {
-			s = Emptied
-		} else if fresh {
-			s = Replaced
+	return loss
+}
+
+// settleClaims closes the claims that the counter holds, and returns the number of those
+// that it should hold by now and does not.
+func (w *windowTotal) settleClaims(now time.Time, held map[WriterID]MilliUnits) (overdue int) {
+	for writer, entry := range w.entries {
+		if entry.claimedAt.IsZero() {
+			continue
 		}
-		p.lossSuspected, p.entriesLower, p.entriesGone = false, false, false
-		t.setShardState(a, p, s, p.lossEvidence)
-	case lacks > 0:
-		p.healthyResponses = 0
-		if p.divergedResponses++; p.divergedResponses >= divergedResponsesNeeded {
-			t.setShardState(a, p, Diverged, fmt.Sprintf("of %s, window %d, %d nodes say they added what is not there", a.key.Customer,
-				a.key.Window, lacks))
+		if held[writer] >= entry.claimed {
+			entry.claimedAt = time.Time{}
+		} else if now.Sub(entry.claimedAt) > claimSettleTime {
+			overdue++
 		}
-	default:
-		p.divergedResponses = 0
-		if p.healthyResponses++; p.healthyResponses >= healthyResponsesNeeded || p.state == Unknown {
-			t.setShardState(a, p, Healthy, "answers hold all they should")
+	}
+	return overdue
+}
+
+// confirm takes the entries held by the counter as confirmed, also where they are lower.
+// After a loss, those that it does not hold are marked as lost.
+func (w *windowTotal) confirm(held map[WriterID]MilliUnits, lossFound bool) {
+	for writer, entry := range w.entries {
+		entry.confirmed = held[writer]
+		if lossFound && entry.confirmed == 0 {
+			entry.confirmed = lostConfirmation
 		}
 	}
-	// What the answer holds is what is in the counter, also where it is less.
-	for o, g := range a.entries {
-		if g.confirmed = in[o]; refilled && g.confirmed == 0 {
-			g.confirmed = -1
+}
+
+// suspectLoss notes a loss, to be classified once the epoch is read.
+func (s *shardHealth) suspectLoss(loss LostEntries, totalEmpty bool) {
+	s.lossSuspected = true
+	s.entriesGone = s.entriesGone || loss.Missing > 0 || totalEmpty
+	s.entriesLower = s.entriesLower || loss.Lower > 0
+	s.lossEvidence = loss
+}
+
+// classifyLoss returns the state that a suspected loss amounts to, and ends the suspicion.
+func (s *shardHealth) classifyLoss(epochChanged bool) ShardState {
+	state := Stale
+	if epochChanged {
+		state = Replaced
+		if s.entriesGone && !s.entriesLower {
+			state = Emptied
 		}
 	}
+	s.lossSuspected = false
+	s.entriesGone = false
+	s.entriesLower = false
+	return state
+}
+
+// recordDivergedResponse records a response that lacks claimed entries.
+func (t *Tracker) recordDivergedResponse(shard *shardHealth, evidence UnconfirmedClaims) {
+	shard.healthyResponses = 0
+	shard.divergedResponses++
+	if shard.divergedResponses >= minDivergedResponses {
+		t.setShardState(shard, Diverged, evidence)
+	}
+}
+
+// recordHealthyResponse records a response that holds every expected entry.
+func (t *Tracker) recordHealthyResponse(shard *shardHealth) {
+	shard.divergedResponses = 0
+	shard.healthyResponses++
+	if shard.healthyResponses >= minHealthyResponses || shard.state == Unknown {
+		t.setShardState(shard, Healthy, CompleteResponses{shard.healthyResponses})
+	}
 }
 
-func (t *Tracker) setShardState(a *windowTotal, p *shardHealth, s ShardState, text string) {
-	if p.state == s {
+// setShardState changes a shard's state, and reports a change.
+func (t *Tracker) setShardState(shard *shardHealth, state ShardState, evidence Evidence) {
+	if shard.state == state {
 		return
 	}
-	p.state = s
-	t.actions = append(t.actions, OperatorNote{t.ShardOf(a.key.Customer), s, text})
+	shard.state = state
+	t.actions = append(t.actions, OperatorNote{shard.index, state, evidence})
 }
--- a/usage/sweep.go
+++ b/usage/sweep.go
@@ -5,90 +5,127 @@
 	"time"
 )
 
-// Tuned values of the sweep.
 const (
-	refreshInterval     = 5 * time.Second // a busy customer is asked for again after this, if nothing changed
-	forgetCustomerAfter = 2 * time.Minute // a customer without news is dropped from memory after this
-)
+	// refreshInterval is how often a total in use is read from the counter, if nothing
+	// else causes a call, and how often the sweep runs.
+	refreshInterval = 5 * time.Second
 
-// rotation lists the accounts of a part, to be looked at in turn.
-type rotation struct {
-	totals []*windowTotal
-	next   int
-}
+	// forgetCustomerAfter is how long a customer without requests stays in memory.
+	forgetCustomerAfter = 2 * time.Minute
 
-// sweep asks again for what is busy, and of each part for one total more, so
-// that a loss is noticed also where nothing is passed. Its work follows those
-// used since the last one; all are looked at once in a window.
+	// maxRotationSteps bounds how many totals a rotation examines in one sweep.
+	maxRotationSteps = 64
+)
+
+// sweep reads totals in use again, and one further total of each shard, so that a loss is
+// noticed also where nothing is forwarded. Its cost follows the number of totals used since
+// the last sweep; all totals are examined once in each window.
 func (t *Tracker) sweep(now time.Time) {
-	w := t.windowAt(now)
-	for _, a := range t.recentlyUsed {
-		a.recentlyUsed = false
-		if a.current && !a.callQueued && !a.callInFlight && now.Sub(a.respondedAt) > refreshInterval {
-			t.queueCall(now, a)
-		}
-	}
-	clear(t.recentlyUsed)
-	t.recentlyUsed = t.recentlyUsed[:0]
+	t.refreshUsedTotals(now)
+	window := t.windowAt(now)
 	for i := range t.rotations {
-		if a := t.rotations[i].advance(w - 1); a != nil && !a.callQueued && !a.callInFlight {
-			t.queueCall(now, a)
+		if total := t.rotations[i].advance(window - 1); total != nil && !total.callPending() {
+			t.queueCall(now, total)
 		}
 	}
-	if w == t.sweptWindow {
+	if window == t.sweptWindow {
 		return
 	}
-	t.sweptWindow = w
-	for k, list := range t.totalsByWindow {
-		if k >= w-1 {
+	t.sweptWindow = window
+	t.evictClosedWindows(window)
+	t.forgetIdleCustomers(now)
+}
+
+// refreshUsedTotals queues calls for the totals used since the last sweep.
+func (t *Tracker) refreshUsedTotals(now time.Time) {
+	for _, total := range t.recentlyUsed {
+		total.recentlyUsed = false
+		if total.needsRefresh(now, refreshInterval) {
+			t.queueCall(now, total)
+		}
+	}
+	clear(t.recentlyUsed)
+	t.recentlyUsed = t.recentlyUsed[:0]
+}
+
+// evictClosedWindows evicts what is no longer needed of the windows before the last two.
+func (t *Tracker) evictClosedWindows(current int64) {
+	for window, totals := range t.totalsByWindow {
+		if window >= current-1 {
 			continue
 		}
-		t.totalsByWindow[k] = slices.DeleteFunc(list, func(a *windowTotal) bool {
-			if over := !t.hasUnconfirmed(a) || k < w-int64(t.settings.RetainedWindows); !over || a.callInFlight || a.callQueued || a.gossipQueued || a.current {
-				return false
-			}
-			delete(t.totals, a.key)
-			a.evicted = true
-			for o, g := range a.entries {
-				if g.stored > 0 {
-					t.evictedStored = append(t.evictedStored, CounterEntry{a.key, o, 0})
-				}
+		expired := window < current-int64(t.settings.RetainedWindows)
+		totals = slices.DeleteFunc(totals, func(total *windowTotal) bool {
+			evict := !total.inUse() && (expired || !t.hasUnconfirmed(total))
+			if evict {
+				t.evict(total)
 			}
-			return true
+			return evict
 		})
-		if len(t.totalsByWindow[k]) == 0 {
-			delete(t.totalsByWindow, k)
+		if len(totals) == 0 {
+			delete(t.totalsByWindow, window)
+		} else {
+			t.totalsByWindow[window] = totals
 		}
 	}
-	for name, c := range t.customers {
-		if now.Sub(c.lastSeen) > forgetCustomerAfter {
-			c.current.current = false
+}
+
+// inUse tells whether a total must stay in memory.
+func (w *windowTotal) inUse() bool { return w.callPending() || w.gossipQueued || w.current }
+
+// evict removes a total from memory, and its entries from storage with the next save.
+func (t *Tracker) evict(total *windowTotal) {
+	delete(t.totals, total.key)
+	total.evicted = true
+	for writer, entry := range total.entries {
+		if entry.stored > 0 {
+			t.evictedStored = append(t.evictedStored, CounterEntry{total.key, writer, 0})
+		}
+	}
+}
+
+func (t *Tracker) forgetIdleCustomers(now time.Time) {
+	for name, customer := range t.customers {
+		if now.Sub(customer.lastSeen) > forgetCustomerAfter {
+			customer.current.current = false
 			delete(t.customers, name)
 		}
 	}
 }
 
-// advance is the next account of a window not before one, or nil; those dropped
-// leave the round. It looks at a few only.
-func (r *rotation) advance(window int64) *windowTotal {
-	for range 64 {
+// rotation lists the totals of a shard, to be read in turn.
+type rotation struct {
+	totals []*windowTotal
+	next   int
+}
+
+// advance returns the next total whose window is not before a given one, or nil if it finds
+// none within maxRotationSteps. It drops evicted totals from the rotation.
+func (r *rotation) advance(firstWindow int64) *windowTotal {
+	for range maxRotationSteps {
 		if len(r.totals) == 0 {
 			return nil
 		}
 		if r.next >= len(r.totals) {
 			r.next = 0
 		}
-		a := r.totals[r.next]
-		if a.evicted {
-			last := len(r.totals) - 1
-			r.totals[r.next], r.totals[last] = r.totals[last], nil
-			r.totals = r.totals[:last]
+		total := r.totals[r.next]
+		if total.evicted {
+			r.dropNext()
 			continue
 		}
 		r.next++
-		if a.key.Window >= window {
-			return a
+		if total.key.Window >= firstWindow {
+			return total
 		}
 	}
 	return nil
 }
+
+// dropNext removes the next total; the last one takes its place.
+func (r *rotation) dropNext() {
+	last := len(r.totals) - 1
+	r.totals[r.next] = r.totals[last]
+	r.totals[last] = nil
+	r.totals = r.totals[:last]
+}
--- a/usage/totals.go
+++ b/usage/totals.go
@@ -1,51 +1,66 @@
 package usage
 
 import (
-	"cmp"
 	"slices"
 	"time"
 )
 
-// windowTotal is one customer in one window.
+// windowTotal is the state of one total: a customer in one window.
 type windowTotal struct {
-	key              TotalKey
-	plan             Plan
-	entries          map[WriterID]*writerEntry
-	peers            []int     // nodes it comes in through
-	callInFlight     bool      // a call is out
-	respondedAt      time.Time // when it was last answered
-	changedSinceCall bool      // something here is not in the counter
-	callQueued       bool      // in the list of those that want a call
-	gossipQueued     bool      // own register rose since peers were told
-	queuedAt         time.Time // when it began to want a call
-	current          bool      // the customer's latest window
-	recentlyUsed     bool      // in the list of those used since the last sweep
-	evicted          bool      // no longer in memory
-	storageQueued    bool      // in the list of those to be stored
+	key     TotalKey
+	plan    Plan
+	entries map[WriterID]*writerEntry
+	peers   []int // nodes that serve the customer, this one included
+
+	callInFlight     bool
+	respondedAt      time.Time // when the counter last responded; zero: never
+	changedSinceCall bool      // something was recorded since the last call was sent
+	queuedAt         time.Time // when the total was last put into Tracker.callQueue
+
+	current bool // the customer's latest window
+	evicted bool // no longer in memory
+
+	// Membership of the Tracker's lists.
+	callQueued    bool // callQueue
+	gossipQueued  bool // gossipQueue
+	storageQueued bool // storageQueue
+	recentlyUsed  bool // recentlyUsed
 }
 
-func (t *Tracker) windowAt(now time.Time) int64 { return now.UnixNano() / int64(t.settings.Window) }
+// callPending tells whether a call is queued or in flight.
+func (w *windowTotal) callPending() bool { return w.callQueued || w.callInFlight }
+
+// needsRefresh tells whether the current window of a customer should be read again, because
+// the counter last responded longer ago than an interval.
+func (w *windowTotal) needsRefresh(now time.Time, interval time.Duration) bool {
+	return w.current && !w.callPending() && now.Sub(w.respondedAt) > interval
+}
+
+// windowAt is the number of the window that holds a time.
+func (t *Tracker) windowAt(now time.Time) int64 {
+	return now.UnixNano() / int64(t.settings.Window)
+}
 
-func (t *Tracker) totalFor(now time.Time, k TotalKey, p Plan) *windowTotal {
-	a := t.totals[k]
-	if a == nil {
-		a = &windowTotal{key: k, plan: p, entries: map[WriterID]*writerEntry{}}
-		t.totals[k] = a
-		t.totalsByWindow[k.Window] = append(t.totalsByWindow[k.Window], a)
-		r := &t.rotations[t.ShardOf(k.Customer)]
-		r.totals = append(r.totals, a)
+// totalFor returns a total and creates it, with a plan, if it is missing.
+func (t *Tracker) totalFor(key TotalKey, plan Plan) *windowTotal {
+	total := t.totals[key]
+	if total != nil {
+		return total
 	}
-	return a
+	total = &windowTotal{key: key, plan: plan, entries: map[WriterID]*writerEntry{}}
+	t.totals[key] = total
+	t.totalsByWindow[key.Window] = append(t.totalsByWindow[key.Window], total)
+	rotation := &t.rotations[t.ShardOf(key.Customer)]
+	rotation.totals = append(rotation.totals, total)
+	return total
 }
 
-// sortedTotals lists the accounts in a fixed order.
+// sortedTotals lists all totals in a fixed order, so that runs repeat exactly.
 func (t *Tracker) sortedTotals() []*windowTotal {
-	list := make([]*windowTotal, 0, len(t.totals))
-	for _, a := range t.totals {
-		list = append(list, a)
+	totals := make([]*windowTotal, 0, len(t.totals))
+	for _, total := range t.totals {
+		totals = append(totals, total)
 	}
-	slices.SortFunc(list, func(a, b *windowTotal) int {
-		return cmp.Or(cmp.Compare(a.key.Customer, b.key.Customer), cmp.Compare(a.key.Window, b.key.Window))
-	})
-	return list
+	slices.SortFunc(totals, func(a, b *windowTotal) int { return a.key.compare(b.key) })
+	return totals
 }
--- a/usage/tracker.go
+++ b/usage/tracker.go
@@ -2,58 +2,74 @@
 
 import "time"
 
-// Tracker is one node's.
+// Tracker tracks the usage of all customers of one node. It is not safe for concurrent use.
 type Tracker struct {
-	settings          Settings
-	customers         map[string]*customerUsage
-	totals            map[TotalKey]*windowTotal
-	totalsByWindow    map[int64][]*windowTotal
-	rotations         []rotation     // of each part
-	latestIncarnation map[int]uint64 // the last process known of each node
-	storageQueue      []*windowTotal // something of own registers is not as storage holds it
-	evictedStored     []CounterEntry // that storage holds, of accounts that are gone
-	recentlyUsed      []*windowTotal // used since the last sweep
-	sweptWindow       int64          // window of the last sweep
-	callQueue         []*windowTotal // want a call
-	gossipQueue       []*windowTotal // have news for peers
-	inFlight          map[uint64]*inFlightCall
-	lastCallID        uint64
-	shards            []shardHealth
-	callBudget        float64 // calls
-	messageBudget     float64
-	tickedAt          time.Time
-	startedAt         time.Time // of this process
-	sweptAt           time.Time
-	peerHeardAt       time.Time // the last word of a peer
-	actions           []Action
+	settings  Settings
+	startedAt time.Time // first event of this process; zero: none yet
+	tickedAt  time.Time
+	actions   []Action // of the event that is being handled
+
+	customers      map[string]*customerUsage
+	totals         map[TotalKey]*windowTotal
+	totalsByWindow map[int64][]*windowTotal
+
+	// latestIncarnation is the latest known process of each node.
+	latestIncarnation map[int]uint64
+
+	// Calls to the counter.
+	shards     []shardHealth
+	callBudget float64 // commands; negative after a call that cost more than was left
+	callQueue  []*windowTotal
+	inFlight   map[uint64]*inFlightCall
+	lastCallID uint64
+
+	// Messages to peers.
+	messageBudget float64 // messages
+	gossipQueue   []*windowTotal
+	peerHeardAt   time.Time
+
+	// Changes for storage.
+	storageQueue  []*windowTotal // totals whose stored entries may be out of date
+	evictedStored []CounterEntry // entries to delete, of evicted totals
+
+	// The sweep.
+	sweptAt      time.Time
+	sweptWindow  int64
+	recentlyUsed []*windowTotal // used since the last sweep
+	rotations    []rotation     // of each shard
 }
 
-// New returns a Tally that knows nothing yet.
+// New returns a Tracker without any usage.
 func New(s Settings) *Tracker {
-	return &Tracker{settings: s, customers: map[string]*customerUsage{}, totals: map[TotalKey]*windowTotal{}, inFlight: map[uint64]*inFlightCall{}, latestIncarnation: map[int]uint64{s.Self.Node: s.Self.Incarnation},
-		totalsByWindow: map[int64][]*windowTotal{}, rotations: make([]rotation, max(1, s.Shards)), shards: make([]shardHealth, max(1, s.Shards)), callBudget: s.CallsPerSecond, messageBudget: s.PeerMessagesPerSecond}
+	t := &Tracker{
+		settings:          s,
+		customers:         map[string]*customerUsage{},
+		totals:            map[TotalKey]*windowTotal{},
+		totalsByWindow:    map[int64][]*windowTotal{},
+		latestIncarnation: map[int]uint64{s.Self.Node: s.Self.Incarnation},
+		shards:            make([]shardHealth, max(1, s.Shards)),
+		callBudget:        s.CallsPerSecond,
+		inFlight:          map[uint64]*inFlightCall{},
+		messageBudget:     s.PeerMessagesPerSecond,
+		rotations:         make([]rotation, max(1, s.Shards)),
+	}
+	for i := range t.shards {
+		t.shards[i].index = i
+	}
+	return t
 }
 
-// SetCallsPerSecond sets the calls a second that this node may make from now on.
+// SetCallsPerSecond replaces Settings.CallsPerSecond.
 func (t *Tracker) SetCallsPerSecond(calls float64) { t.settings.CallsPerSecond = calls }
 
-// Tick is to be called some times a second: it makes the calls and messages
-// that the budgets allow.
+// Tick sends the calls and messages that the budgets allow. It should be called several
+// times a second.
 func (t *Tracker) Tick(now time.Time) []Action {
 	t.actions = nil
-	dt := min(1, max(0, now.Sub(t.tickedAt).Seconds()))
-	t.tickedAt = now
-	if t.startedAt.IsZero() {
-		t.startedAt = now
-	}
-	t.callBudget = min(max(1, t.settings.CallsPerSecond), t.callBudget+t.settings.CallsPerSecond*dt)
-	t.messageBudget = min(max(1, t.settings.PeerMessagesPerSecond), t.messageBudget+t.settings.PeerMessagesPerSecond*dt)
+	t.noteStart(now)
+	t.replenishBudgets(now)
 	if t.isolated(now) {
-		for _, a := range t.recentlyUsed {
-			if a.current && !a.callQueued && !a.callInFlight && len(a.peers) > 1 && now.Sub(a.respondedAt) > isolatedRefreshInterval {
-				t.queueCall(now, a)
-			}
-		}
+		t.refreshWhileIsolated(now)
 	}
 	t.sendQueuedCalls(now)
 	t.gossip()
@@ -63,3 +79,33 @@
 	}
 	return t.actions
 }
+
+// noteStart takes the time of the first event as the process's start.
+func (t *Tracker) noteStart(now time.Time) {
+	if t.startedAt.IsZero() {
+		t.startedAt = now
+	}
+}
+
+// replenishBudgets adds what has accrued since the last tick.
+func (t *Tracker) replenishBudgets(now time.Time) {
+	elapsed := min(1, max(0, now.Sub(t.tickedAt).Seconds()))
+	t.tickedAt = now
+	t.callBudget = replenish(t.callBudget, t.settings.CallsPerSecond, elapsed)
+	t.messageBudget = replenish(t.messageBudget, t.settings.PeerMessagesPerSecond, elapsed)
+}
+
+// replenish adds elapsed seconds' worth to a budget, up to one second's worth, or 1 where
+// that is less.
+func replenish(budget, perSecond, elapsed float64) float64 {
+	return min(max(1, perSecond), budget+perSecond*elapsed)
+}
+
+// refreshWhileIsolated queues calls for the totals in use that peers serve, too.
+func (t *Tracker) refreshWhileIsolated(now time.Time) {
+	for _, total := range t.recentlyUsed {
+		if len(total.peers) > 1 && total.needsRefresh(now, isolatedRefreshInterval) {
+			t.queueCall(now, total)
+		}
+	}
+}
