--- a/usage/calls_test.go
+++ b/usage/calls_test.go
@@ -8,15 +8,15 @@
 
 // Calls keep to the budget, however many customers there are.
 func TestCallsStayWithinBudget(t *testing.T) {
-	s := Settings{Self: WriterID{0, 1}, Shards: 2, Window: time.Minute, RetainedWindows: 5, CallsPerSecond: 50, PeerMessagesPerSecond: 5, Plans: map[string]Plan{"p": {1, 5}}}
-	tl := New(s)
-	now, calls := startTime, 0
-	var out []CounterCall
-	carry := func(acts []Action) {
-		for _, a := range acts {
-			if c, ok := a.(CounterCall); ok {
-				calls += c.CommandCount()
-				out = append(out, c)
+	tracker := New(singleNodeSettings(2, time.Minute, Plan{1, 5}))
+	now := startTime
+	commands := 0
+	var inFlight []CounterCall
+	perform := func(actions []Action) {
+		for _, action := range actions {
+			if call, ok := action.(CounterCall); ok {
+				commands += call.CommandCount()
+				inFlight = append(inFlight, call)
 			}
 		}
 	}
@@ -24,16 +24,16 @@
 		now = now.Add(100 * time.Millisecond)
 		for k := range 50 {
 			name := fmt.Sprint("c", (i*50+k)%5000)
-			carry(tl.RecordRequest(now, name, "p", []int{0, 1, 2}))
-			tl.RecordForwarded(now, name, "p", []int{0, 1, 2}, 1)
+			perform(tracker.RecordRequest(now, name, "p", []int{0, 1, 2}))
+			tracker.RecordForwarded(now, name, "p", []int{0, 1, 2}, 1)
 		}
-		carry(tl.Tick(now))
-		for _, c := range out {
-			carry(tl.HandleResponse(now, c.ID, CounterResponse{Epoch: "1", Entries: c.Raise}))
+		perform(tracker.Tick(now))
+		for _, call := range inFlight {
+			perform(tracker.HandleResponse(now, call.ID, CounterResponse{Epoch: "1", Entries: call.Raise}))
 		}
-		out = out[:0]
+		inFlight = inFlight[:0]
 	}
-	if calls < 2500 || calls > 3200 {
-		t.Errorf("%d commands in a minute at 50 a second", calls)
+	if commands < 2500 || commands > 3200 {
+		t.Errorf("%d commands in a minute at 50 a second", commands)
 	}
 }
--- a/usage/convergence_test.go
+++ b/usage/convergence_test.go
@@ -7,66 +7,66 @@
 	"pgregory.net/rapid"
 )
 
-// Random faults of counter, messages and nodes, alone and together. At all
-// times nothing counts twice. Once all is healed the counter holds all that any
-// living process passed, and all that was saved of dead ones.
+// Random faults of counter, messages and nodes occur, alone and together. At all times
+// nothing counts twice. Once all is healed the counter holds all that any living process
+// forwarded, and all that was saved of dead ones.
 func TestCounterConvergesAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newFleet(t, 4)
-		surely := map[TotalKey]map[WriterID]MilliUnits{} // saved, or the process lives
-		customer := rapid.SampledFrom([]string{"a", "b", "c"})
-		node := rapid.IntRange(0, 3)
-		t.Repeat(map[string]func(*rapid.T){
-			"pass": func(t *rapid.T) {
-				m := w.nodes[node.Draw(t, "node")]
-				w.forward(m, customer.Draw(t, "customer"), float64(rapid.IntRange(1, 4).Draw(t, "units")))
-			},
-			"time": func(t *rapid.T) {
-				w.advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
-			},
-			"save": func(t *rapid.T) {
-				m := w.nodes[node.Draw(t, "node")]
-				m.save(w.now)
-			},
-			"kill": func(t *rapid.T) { w.restart(w.nodes[node.Draw(t, "node")], true) },
-			"lose disk": func(t *rapid.T) {
-				w.restart(w.nodes[node.Draw(t, "node")], false)
-			},
-			"fault": func(t *rapid.T) { w.fault = rapid.SampledFrom([]string{"", "silent", "lost"}).Draw(t, "fault") },
-			"empty": func(t *rapid.T) { w.replaceWithEmpty() },
-			"copy":  func(t *rapid.T) { w.savedCopy = w.copies[0].clone() },
-			"mail":  func(t *rapid.T) { w.messagesDelivered = !w.messagesDelivered },
-			"split": func(t *rapid.T) { w.divide() },
-			"heal":  func(t *rapid.T) { w.heal(rapid.SampledFrom([]string{"first", "second", "both"}).Draw(t, "how")) },
-			"old copy back": func(t *rapid.T) {
-				if w.savedCopy != nil && !w.split {
-					w.copies[0] = w.savedCopy.clone()
-					w.copies[1] = w.copies[0]
-				}
-			},
-			"": func(t *rapid.T) { w.checkInvariants() },
-		})
-		w.heal("first")
-		w.fault, w.messagesDelivered = "", true
-		w.advance(12 * time.Second)
-		w.checkInvariants()
-		for _, m := range w.nodes {
-			for k, owners := range w.truth {
-				o := WriterID{m.index, m.incarnation}
-				if surely[k] == nil {
-					surely[k] = map[WriterID]MilliUnits{}
-				}
-				if u, ok := owners[o]; ok {
-					surely[k][o] = u
-				}
-			}
-		}
-		for k, owners := range surely {
-			for o, u := range owners {
-				if got := w.copies[0].totals[k][o]; got != u {
-					t.Fatalf("healed, the counter holds %d of %v for %v, %d passed", got, o, k, u)
-				}
-			}
+		f := newFleet(t, 4)
+		t.Repeat(f.randomEvents())
+		f.heal("first")
+		f.fault = noFault
+		f.messagesDelivered = true
+		f.advance(12 * time.Second)
+		f.checkInvariants()
+		for _, n := range f.nodes {
+			f.checkConverged(n)
 		}
 	})
 }
+
+// checkConverged checks that the counter holds all that a node's process forwarded.
+func (f *fleet) checkConverged(n *node) {
+	for key, writers := range f.truth {
+		want, forwarded := writers[n.writer()]
+		if !forwarded {
+			continue
+		}
+		if got := f.copies[0].totals[key][n.writer()]; got != want {
+			f.t.Fatalf("healed, the counter holds %d of %v for %v, %d forwarded", got, n.writer(), key, want)
+		}
+	}
+}
+
+// randomEvents are the actions of the state machine.
+func (f *fleet) randomEvents() map[string]func(*rapid.T) {
+	customer := rapid.SampledFrom([]string{"a", "b", "c"})
+	index := rapid.IntRange(0, 3)
+	drawNode := func(t *rapid.T) *node { return f.nodes[index.Draw(t, "node")] }
+	return map[string]func(*rapid.T){
+		"pass": func(t *rapid.T) {
+			n := drawNode(t)
+			f.forward(n, customer.Draw(t, "customer"), float64(rapid.IntRange(1, 4).Draw(t, "units")))
+		},
+		"time": func(t *rapid.T) {
+			f.advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
+		},
+		"save":      func(t *rapid.T) { drawNode(t).save(f.now) },
+		"kill":      func(t *rapid.T) { f.restart(drawNode(t), true) },
+		"lose disk": func(t *rapid.T) { f.restart(drawNode(t), false) },
+		"fault": func(t *rapid.T) {
+			f.fault = rapid.SampledFrom([]counterFault{noFault, noResponse, lostResponses}).Draw(t, "fault")
+		},
+		"empty": func(*rapid.T) { f.replaceWithEmpty() },
+		"copy":  func(*rapid.T) { f.savedCopy = f.copies[0].clone() },
+		"mail":  func(*rapid.T) { f.messagesDelivered = !f.messagesDelivered },
+		"split": func(*rapid.T) { f.divide() },
+		"heal":  func(t *rapid.T) { f.heal(rapid.SampledFrom([]string{"first", "second", "both"}).Draw(t, "how")) },
+		"old copy back": func(*rapid.T) {
+			if f.savedCopy != nil && !f.split {
+				f.replaceWith(f.savedCopy.clone())
+			}
+		},
+		"": func(*rapid.T) { f.checkInvariants() },
+	}
+}
--- a/usage/fleet_test.go
+++ b/usage/fleet_test.go
@@ -10,11 +10,20 @@
 	"pgregory.net/rapid"
 )
 
-func init() { flag.Set("rapid.seed", "1") } // the same verdict every time
+// init fixes the seed, so that every run gives the same result.
+func init() {
+	if err := flag.Set("rapid.seed", "1"); err != nil {
+		panic(err)
+	}
+}
 
+// startTime is when simulations begin.
 var startTime = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// copy of the counter: what one part holds.
+// tickInterval is the time between ticks of a simulated node.
+const tickInterval = 100 * time.Millisecond
+
+// fakeShard is a shard of the counter in memory.
 type fakeShard struct {
 	epoch  string
 	totals map[TotalKey]map[WriterID]MilliUnits
@@ -25,243 +34,288 @@
 	return &fakeShard{epoch, map[TotalKey]map[WriterID]MilliUnits{}, map[string]Level{}}
 }
 
-func (h *fakeShard) clone() *fakeShard {
-	c := newFakeShard(h.epoch)
-	for k, m := range h.totals {
-		c.totals[k] = maps.Clone(m)
+func (s *fakeShard) clone() *fakeShard {
+	clone := newFakeShard(s.epoch)
+	for key, entries := range s.totals {
+		clone.totals[key] = maps.Clone(entries)
 	}
-	c.levels = maps.Clone(h.levels)
-	return c
+	clone.levels = maps.Clone(s.levels)
+	return clone
 }
 
-// execute carries out a call as the counter does.
-func (h *fakeShard) execute(c CounterCall) CounterResponse {
-	m := h.totals[c.Key]
-	if m == nil {
-		m = map[WriterID]MilliUnits{}
-		h.totals[c.Key] = m
+// total returns the entries of a total and creates it if it is missing.
+func (s *fakeShard) total(key TotalKey) map[WriterID]MilliUnits {
+	if s.totals[key] == nil {
+		s.totals[key] = map[WriterID]MilliUnits{}
 	}
-	ans := CounterResponse{Level: h.levels[c.Key.Customer]}
-	if c.ReadEpoch {
-		ans.Epoch = h.epoch
+	return s.totals[key]
+}
+
+// execute carries out a call as the counter does.
+func (s *fakeShard) execute(call CounterCall) CounterResponse {
+	total := s.total(call.Key)
+	response := CounterResponse{Level: s.levels[call.Key.Customer]}
+	if call.ReadEpoch {
+		response.Epoch = s.epoch
 	}
-	for o, u := range m {
-		ans.Entries = append(ans.Entries, CounterEntry{c.Key, o, u})
+	for writer, units := range total {
+		response.Entries = append(response.Entries, CounterEntry{call.Key, writer, units})
 	}
-	for _, r := range c.Raise {
-		m[r.Writer] = r.Units
+	for _, entry := range call.Raise {
+		total[entry.Writer] = entry.Units
 	}
-	for _, r := range c.AddIfMissing {
-		if _, have := m[r.Writer]; !have {
-			m[r.Writer] = r.Units
+	for _, entry := range call.AddIfMissing {
+		if _, present := total[entry.Writer]; !present {
+			total[entry.Writer] = entry.Units
 		}
 	}
-	if !c.Level.At.IsZero() {
-		h.levels[c.Key.Customer] = c.Level
+	if !call.Level.At.IsZero() {
+		s.levels[call.Key.Customer] = call.Level
 	}
-	return ans
+	return response
 }
 
-// merge takes the other's totals in, by the larger.
-func (h *fakeShard) merge(o *fakeShard) {
-	for k, m := range o.totals {
-		if h.totals[k] == nil {
-			h.totals[k] = map[WriterID]MilliUnits{}
-		}
-		for owner, u := range m {
-			h.totals[k][owner] = max(h.totals[k][owner], u)
+// merge merges another shard's totals by maximum.
+func (s *fakeShard) merge(other *fakeShard) {
+	for key, entries := range other.totals {
+		total := s.total(key)
+		for writer, units := range entries {
+			total[writer] = max(total[writer], units)
 		}
 	}
 }
 
-// fleet is a fleet with a counter in two copies (one, but for a split).
+// counterFault is a fault of the simulated counter.
+type counterFault string
+
+const (
+	noFault       counterFault = ""
+	noResponse    counterFault = "silent" // calls are not carried out
+	lostResponses counterFault = "lost"   // calls are carried out, the responses are lost
+)
+
+// fleet simulates nodes with a counter of one shard, which may split into two copies.
 type fleet struct {
 	t                 *rapid.T
 	now               time.Time
 	nodes             []*node
-	copies            [2]*fakeShard
+	copies            [2]*fakeShard // the same one unless split
 	split             bool
 	savedCopy         *fakeShard
-	fault             string // "", silent, lost (done, but the answer is lost)
+	fault             counterFault
 	lastEpoch         int
-	messagesDelivered bool // messages between nodes arrive
-	truth             map[TotalKey]map[WriterID]MilliUnits
+	messagesDelivered bool
+	truth             map[TotalKey]map[WriterID]MilliUnits // what was forwarded
 	notes             []OperatorNote
 }
 
+// node is one simulated node.
 type node struct {
 	tracker     *Tracker
-	disk        map[CounterEntry]MilliUnits // as last saved, by register without its units
+	disk        map[CounterEntry]MilliUnits // as last saved, by entry without its units
 	incarnation uint64
 	index       int
 }
 
-func (w *fleet) settings(n int, inc uint64) Settings {
-	return Settings{Self: WriterID{n, inc}, Shards: 1, Window: time.Minute, RetainedWindows: 60, CallsPerSecond: 200, PeerMessagesPerSecond: 50,
-		Plans: map[string]Plan{"p": {Rate: 10, Burst: 20}}}
+// writer identifies the node's process.
+func (n *node) writer() WriterID { return WriterID{n.index, n.incarnation} }
+
+func fleetSettings(node int, incarnation uint64) Settings {
+	return Settings{
+		Self:                  WriterID{node, incarnation},
+		Shards:                1,
+		Window:                time.Minute,
+		RetainedWindows:       60,
+		CallsPerSecond:        200,
+		PeerMessagesPerSecond: 50,
+		Plans:                 map[string]Plan{"p": {Rate: 10, Burst: 20}},
+	}
 }
 
 func newFleet(t *rapid.T, nodes int) *fleet {
-	w := &fleet{t: t, now: startTime, truth: map[TotalKey]map[WriterID]MilliUnits{}, messagesDelivered: true, lastEpoch: 1}
-	w.copies[0] = newFakeShard("1")
-	w.copies[1] = w.copies[0]
+	f := &fleet{t: t, now: startTime, truth: map[TotalKey]map[WriterID]MilliUnits{}, messagesDelivered: true, lastEpoch: 1}
+	f.copies[0] = newFakeShard("1")
+	f.copies[1] = f.copies[0]
 	for i := range nodes {
-		w.nodes = append(w.nodes, &node{tracker: New(w.settings(i, 1)), disk: map[CounterEntry]MilliUnits{}, incarnation: 1, index: i})
+		f.nodes = append(f.nodes, &node{tracker: New(fleetSettings(i, 1)), disk: map[CounterEntry]MilliUnits{}, incarnation: 1, index: i})
 	}
-	return w
+	return f
 }
 
-func (w *fleet) peers() []int {
+// withFleet runs a test on simulated fleets, outside of a state machine.
+func withFleet(t *testing.T, test func(f *fleet)) {
+	t.Helper()
+	rapid.Check(t, func(rt *rapid.T) { test(newFleet(rt, 4)) })
+}
+
+// peers lists all nodes.
+func (f *fleet) peers() []int {
 	var all []int
-	for i := range w.nodes {
+	for i := range f.nodes {
 		all = append(all, i)
 	}
 	return all
 }
 
-// perform carries out what a node wants.
-func (w *fleet) perform(m *node, acts []Action) {
-	for _, a := range acts {
-		switch a := a.(type) {
+// perform carries out a node's actions.
+func (f *fleet) perform(n *node, actions []Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case CounterCall:
-			ans := CounterResponse{Failed: true}
-			if w.fault != "silent" {
-				got := w.copies[m.index%2].execute(a)
-				if w.fault != "lost" {
-					ans = got
-				}
-			}
-			w.perform(m, m.tracker.HandleResponse(w.now, a.ID, ans))
+			f.perform(n, n.tracker.HandleResponse(f.now, action.ID, f.execute(n, action)))
 		case PeerMessage:
-			if w.messagesDelivered && len(a.Entries) <= maxEntriesPerMessage {
-				w.nodes[a.To].tracker.MergeFromPeer(w.now, m.index, a.Entries)
+			if f.messagesDelivered && len(action.Entries) <= maxEntriesPerMessage {
+				f.nodes[action.To].tracker.MergeFromPeer(f.now, n.index, action.Entries)
 			}
 		case OperatorNote:
-			w.notes = append(w.notes, a)
+			f.notes = append(f.notes, action)
 		}
 	}
 }
 
-func (w *fleet) forward(m *node, customer string, units float64) {
-	k := TotalKey{customer, m.tracker.windowAt(w.now)}
-	if w.truth[k] == nil {
-		w.truth[k] = map[WriterID]MilliUnits{}
+// execute carries out a node's call on the copy that it reaches, unless the fault prevents it.
+func (f *fleet) execute(n *node, call CounterCall) CounterResponse {
+	if f.fault == noResponse {
+		return CounterResponse{Failed: true}
+	}
+	response := f.copies[n.index%2].execute(call)
+	if f.fault == lostResponses {
+		return CounterResponse{Failed: true}
 	}
-	w.truth[k][WriterID{m.index, m.incarnation}] += MilliUnits(units * 1000)
-	w.perform(m, m.tracker.RecordRequest(w.now, customer, "p", w.peers()))
-	m.tracker.RecordForwarded(w.now, customer, "p", w.peers(), units)
+	return response
 }
 
-func (w *fleet) advance(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(100 * time.Millisecond)
-		for _, m := range w.nodes {
-			w.perform(m, m.tracker.Tick(w.now))
-		}
+// forward lets a node forward a request of a customer.
+func (f *fleet) forward(n *node, customer string, units float64) {
+	key := TotalKey{customer, n.tracker.windowAt(f.now)}
+	if f.truth[key] == nil {
+		f.truth[key] = map[WriterID]MilliUnits{}
 	}
+	f.truth[key][n.writer()] += MilliUnits(units * 1000)
+	f.perform(n, n.tracker.RecordRequest(f.now, customer, "p", f.peers()))
+	n.tracker.RecordForwarded(f.now, customer, "p", f.peers(), units)
 }
 
-func (w *fleet) forwardSteadily(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		for i, m := range w.nodes {
-			w.forward(m, []string{"a", "b"}[i%2], 1)
+// forwardSteadily lets every node forward five requests a second.
+func (f *fleet) forwardSteadily(d time.Duration) {
+	for end := f.now.Add(d); f.now.Before(end); {
+		for i, n := range f.nodes {
+			f.forward(n, []string{"a", "b"}[i%2], 1)
 		}
-		w.advance(200 * time.Millisecond)
+		f.advance(200 * time.Millisecond)
 	}
 }
 
-func (w *fleet) restart(m *node, disk bool) {
-	m.incarnation++
-	m.tracker = New(w.settings(m.index, m.incarnation))
-	if disk {
-		var list []CounterEntry
-		for r, units := range m.disk {
-			list = append(list, CounterEntry{r.Key, r.Writer, units})
+// advance lets time pass.
+func (f *fleet) advance(d time.Duration) {
+	for end := f.now.Add(d); f.now.Before(end); {
+		f.now = f.now.Add(tickInterval)
+		for _, n := range f.nodes {
+			f.perform(n, n.tracker.Tick(f.now))
 		}
-		m.tracker.LoadStored(w.now, list)
-	} else {
-		m.disk = map[CounterEntry]MilliUnits{}
 	}
 }
 
-// save does what the store does with changes.
-func (m *node) save(now time.Time) {
+// restart replaces a node's process, with or without what it has saved.
+func (f *fleet) restart(n *node, keepDisk bool) {
+	n.incarnation++
+	n.tracker = New(fleetSettings(n.index, n.incarnation))
+	if !keepDisk {
+		n.disk = map[CounterEntry]MilliUnits{}
+		return
+	}
+	var stored []CounterEntry
+	for entry, units := range n.disk {
+		stored = append(stored, CounterEntry{entry.Key, entry.Writer, units})
+	}
+	n.tracker.LoadStored(f.now, stored)
+}
+
+// save applies the node's changes to its disk, as storage does.
+func (n *node) save(now time.Time) {
 	for more := true; more; {
-		var list []CounterEntry
-		list, more = m.tracker.StorageChanges(now, 2)
-		for _, r := range list {
-			key := CounterEntry{Key: r.Key, Writer: r.Writer}
-			if m.disk[key] = r.Units; r.Units == 0 {
-				delete(m.disk, key)
+		var changes []CounterEntry
+		changes, more = n.tracker.StorageChanges(now, 2)
+		for _, change := range changes {
+			entry := CounterEntry{Key: change.Key, Writer: change.Writer}
+			if change.Units == 0 {
+				delete(n.disk, entry)
+			} else {
+				n.disk[entry] = change.Units
 			}
 		}
 	}
 }
 
-// replaceWithEmpty is an empty counter in the place of the old one.
-func (w *fleet) replaceWithEmpty() {
-	w.lastEpoch++
-	w.copies[0] = newFakeShard(fmt.Sprint(w.lastEpoch))
-	w.copies[1] = w.copies[0]
+// replaceWithEmpty puts an empty counter in the place of the old one.
+func (f *fleet) replaceWithEmpty() {
+	f.lastEpoch++
+	f.replaceWith(newFakeShard(fmt.Sprint(f.lastEpoch)))
+}
+
+// replaceWith puts another counter in the place of the old one.
+func (f *fleet) replaceWith(shard *fakeShard) {
+	f.copies = [2]*fakeShard{shard, shard}
 }
 
-func (w *fleet) divide() {
-	if !w.split {
-		w.copies[1] = w.copies[0].clone()
-		w.split = true
+// divide splits the counter into two copies, one for even and one for odd nodes.
+func (f *fleet) divide() {
+	if !f.split {
+		f.copies[1] = f.copies[0].clone()
+		f.split = true
 	}
 }
 
-func (w *fleet) heal(how string) {
+// heal joins the copies: the first one stands, or the second one, or both merged.
+func (f *fleet) heal(how string) {
 	switch how {
 	case "first":
-		w.copies[1] = w.copies[0]
+		f.copies[1] = f.copies[0]
 	case "second":
-		w.copies[0] = w.copies[1]
+		f.copies[0] = f.copies[1]
 	case "both":
-		w.copies[0].merge(w.copies[1])
-		w.copies[1] = w.copies[0]
+		f.copies[0].merge(f.copies[1])
+		f.copies[1] = f.copies[0]
 	}
-	w.split = false
+	f.split = false
 }
 
-// check: nothing counts twice, and no node believes more than the truth, nor
-// less than what it passed itself.
-func (w *fleet) checkInvariants() {
-	for _, h := range w.copies {
-		for k, m := range h.totals {
-			for o, u := range m {
-				if u > w.truth[k][o] {
-					w.t.Fatalf("counter holds %d of %v for %v, %d passed", u, o, k, w.truth[k][o])
+// checkInvariants checks that nothing counts twice, and that no node believes more than
+// the truth, nor less than what it forwarded itself.
+func (f *fleet) checkInvariants() {
+	for _, shard := range f.copies {
+		for key, entries := range shard.totals {
+			for writer, units := range entries {
+				if units > f.truth[key][writer] {
+					f.t.Fatalf("counter holds %d of %v for %v, %d forwarded", units, writer, key, f.truth[key][writer])
 				}
 			}
 		}
 	}
-	for _, m := range w.nodes {
-		for k, a := range m.tracker.totals {
-			var sum MilliUnits
-			for o, g := range a.entries {
-				if g.units > w.truth[k][o] {
-					w.t.Fatalf("node %d believes %d of %v for %v, %d passed", m.index, g.units, o, k, w.truth[k][o])
-				}
-				sum += g.units
-			}
-			if own := w.truth[k][WriterID{m.index, m.incarnation}]; sum < own {
-				w.t.Fatalf("node %d believes %d for %v, passed %d itself", m.index, sum, k, own)
-			}
+	for _, n := range f.nodes {
+		for key, total := range n.tracker.totals {
+			f.checkTotal(n, key, total)
 		}
 	}
 }
 
-// withFleet is a world outside of rapid, for single faults.
-func withFleet(t *testing.T, f func(w *fleet)) {
-	t.Helper()
-	rapid.Check(t, func(rt *rapid.T) { f(newFleet(rt, 4)) })
+func (f *fleet) checkTotal(n *node, key TotalKey, total *windowTotal) {
+	var sum MilliUnits
+	for writer, entry := range total.entries {
+		if entry.units > f.truth[key][writer] {
+			f.t.Fatalf("node %d believes %d of %v for %v, %d forwarded", n.index, entry.units, writer, key, f.truth[key][writer])
+		}
+		sum += entry.units
+	}
+	if own := f.truth[key][n.writer()]; sum < own {
+		f.t.Fatalf("node %d believes %d for %v, forwarded %d itself", n.index, sum, key, own)
+	}
 }
 
-func (w *fleet) reported(s ShardState) bool {
-	for _, n := range w.notes {
-		if n.State == s {
+// reported tells whether any node has reported a shard state.
+func (f *fleet) reported(state ShardState) bool {
+	for _, note := range f.notes {
+		if note.State == state {
 			return true
 		}
 	}
--- a/usage/shard_health_test.go
+++ b/usage/shard_health_test.go
@@ -6,53 +6,53 @@
 	"time"
 )
 
-// Each fault is told for what it is, and not for another.
+// Each fault is reported as what it is, and as nothing else.
 func TestShardStateNamesTheFault(t *testing.T) {
 	for name, c := range map[string]struct {
 		want  ShardState
-		fault func(w *fleet)
+		fault func(f *fleet)
 	}{
-		"sound":             {Healthy, func(w *fleet) {}},
-		"silent":            {Unresponsive, func(w *fleet) { w.fault = "silent"; w.forwardSteadily(3 * time.Second); w.fault = "" }},
-		"answers lost":      {Unresponsive, func(w *fleet) { w.fault = "lost"; w.forwardSteadily(3 * time.Second); w.fault = "" }},
-		"empty replacement": {Emptied, func(w *fleet) { w.replaceWithEmpty() }},
-		"old copy": {Stale, func(w *fleet) {
-			old := w.copies[0].clone()
-			w.forwardSteadily(time.Second)
-			w.copies[0], w.copies[1] = old, old
+		"none":              {Healthy, func(*fleet) {}},
+		"no response":       {Unresponsive, func(f *fleet) { f.fault = noResponse; f.forwardSteadily(3 * time.Second); f.fault = noFault }},
+		"lost responses":    {Unresponsive, func(f *fleet) { f.fault = lostResponses; f.forwardSteadily(3 * time.Second); f.fault = noFault }},
+		"empty replacement": {Emptied, func(f *fleet) { f.replaceWithEmpty() }},
+		"old copy": {Stale, func(f *fleet) {
+			old := f.copies[0].clone()
+			f.forwardSteadily(time.Second)
+			f.replaceWith(old)
 		}},
-		"old copy of another": {Replaced, func(w *fleet) {
-			old := w.copies[0].clone()
+		"old copy of another": {Replaced, func(f *fleet) {
+			old := f.copies[0].clone()
 			old.epoch = "x"
-			w.copies[0], w.copies[1] = old, old
+			f.replaceWith(old)
 		}},
-		"split": {Diverged, func(w *fleet) {
-			w.divide()
+		"split": {Diverged, func(f *fleet) {
+			f.divide()
 			for range 40 { // each customer on both sides
-				w.forward(w.nodes[0], "a", 1)
-				w.forward(w.nodes[1], "a", 1)
-				w.advance(200 * time.Millisecond)
+				f.forward(f.nodes[0], "a", 1)
+				f.forward(f.nodes[1], "a", 1)
+				f.advance(200 * time.Millisecond)
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withFleet(t, func(w *fleet) {
-				w.forwardSteadily(5 * time.Second)
-				c.fault(w)
-				w.forwardSteadily(3 * time.Second)
-				if !w.reported(c.want) {
-					w.t.Fatalf("not seen: %v", w.notes)
+			withFleet(t, func(f *fleet) {
+				f.forwardSteadily(5 * time.Second)
+				c.fault(f)
+				f.forwardSteadily(3 * time.Second)
+				if !f.reported(c.want) {
+					f.t.Fatalf("not seen: %v", f.notes)
 				}
-				for _, s := range []ShardState{Unresponsive, Emptied, Replaced, Stale, Diverged} {
-					if s != c.want && w.reported(s) {
-						w.t.Fatalf("taken for %v: %v", s, w.notes)
+				for _, state := range []ShardState{Unresponsive, Emptied, Replaced, Stale, Diverged} {
+					if state != c.want && f.reported(state) {
+						f.t.Fatalf("taken for %v: %v", state, f.notes)
 					}
 				}
-				w.heal("both")
-				w.forwardSteadily(5 * time.Second)
-				for _, m := range w.nodes {
-					if s := m.tracker.ShardState(0); s != Healthy {
-						w.t.Fatalf("node %d believes %v once healed", m.index, s)
+				f.heal("both")
+				f.forwardSteadily(5 * time.Second)
+				for _, n := range f.nodes {
+					if state := n.tracker.ShardState(0); state != Healthy {
+						f.t.Fatalf("node %d believes %v once healed", n.index, state)
 					}
 				}
 			})
@@ -60,68 +60,90 @@
 	}
 }
 
-// A fault of one part touches the names on it alone.
+// A fault of one shard affects the customers on it alone.
 func TestFaultOfOneShardLeavesOtherShardsCorrect(t *testing.T) {
-	s := Settings{Self: WriterID{0, 1}, Shards: 2, Window: time.Hour, RetainedWindows: 5, CallsPerSecond: 100, PeerMessagesPerSecond: 5, Plans: map[string]Plan{"p": {10, 20}}}
-	tl := New(s)
-	parts := []*fakeShard{newFakeShard("1"), newFakeShard("1")}
-	now := startTime
-	passed := map[string]MilliUnits{}
-	var carry func(acts []Action)
-	silent := -1
-	var notes []OperatorNote
-	carry = func(acts []Action) {
-		for _, a := range acts {
-			switch a := a.(type) {
-			case CounterCall:
-				ans := CounterResponse{Failed: true}
-				if a.Shard != silent {
-					ans = parts[a.Shard].execute(a)
-				}
-				carry(tl.HandleResponse(now, a.ID, ans))
-			case OperatorNote:
-				notes = append(notes, a)
-			}
-		}
+	s := newShardedCounter(2)
+	s.forward()
+	s.checkTotals(t)
+	s.unresponsive = 1
+	s.forward()
+	s.checkTotals(t)
+	if s.tracker.ShardState(0) != Healthy || s.tracker.ShardState(1) != Unresponsive {
+		t.Errorf("states %v, %v", s.tracker.ShardState(0), s.tracker.ShardState(1))
 	}
-	run := func() {
-		for i := range 50 {
-			now = now.Add(100 * time.Millisecond)
-			name := fmt.Sprint("c", i%10)
-			carry(tl.RecordRequest(now, name, "p", []int{0, 1}))
-			tl.RecordForwarded(now, name, "p", []int{0, 1}, 1)
-			passed[name] += 1000
-			carry(tl.Tick(now))
+	s.unresponsive = noShard
+	s.shards[1] = newFakeShard("2")
+	s.forward()
+	s.forward()
+	s.checkTotals(t)
+	for _, note := range s.notes {
+		if note.Shard == 0 && note.State != Healthy {
+			t.Errorf("%+v", note)
 		}
 	}
-	check := func(skip int) {
-		t.Helper()
-		k := TotalKey{Window: tl.windowAt(now)}
-		for name, want := range passed {
-			k.Customer = name
-			if p := tl.ShardOf(name); p != skip {
-				if got := parts[p].totals[k][s.Self]; got != want {
-					t.Errorf("%s on part %d: %d, %d passed", name, p, got, want)
-				}
+}
+
+// noShard is the index of no shard.
+const noShard = -1
+
+// shardedCounter simulates one node with a counter of several shards.
+type shardedCounter struct {
+	now          time.Time
+	tracker      *Tracker
+	shards       []*fakeShard
+	unresponsive int // index of a shard that does not respond, or noShard
+	forwarded    map[string]MilliUnits
+	notes        []OperatorNote
+}
+
+func newShardedCounter(shards int) *shardedCounter {
+	settings := singleNodeSettings(shards, time.Hour, Plan{10, 20})
+	settings.CallsPerSecond = 100
+	s := &shardedCounter{now: startTime, tracker: New(settings), unresponsive: noShard, forwarded: map[string]MilliUnits{}}
+	for range shards {
+		s.shards = append(s.shards, newFakeShard("1"))
+	}
+	return s
+}
+
+func (s *shardedCounter) perform(actions []Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
+		case CounterCall:
+			response := CounterResponse{Failed: true}
+			if action.Shard != s.unresponsive {
+				response = s.shards[action.Shard].execute(action)
 			}
+			s.perform(s.tracker.HandleResponse(s.now, action.ID, response))
+		case OperatorNote:
+			s.notes = append(s.notes, action)
 		}
 	}
-	run()
-	check(-1)
-	silent = 1
-	run()
-	check(1)
-	if tl.ShardState(0) != Healthy || tl.ShardState(1) != Unresponsive {
-		t.Errorf("states %v, %v", tl.ShardState(0), tl.ShardState(1))
+}
+
+// forward forwards 50 requests of ten customers in five seconds.
+func (s *shardedCounter) forward() {
+	for i := range 50 {
+		s.now = s.now.Add(tickInterval)
+		customer := fmt.Sprint("c", i%10)
+		s.perform(s.tracker.RecordRequest(s.now, customer, "p", []int{0, 1}))
+		s.tracker.RecordForwarded(s.now, customer, "p", []int{0, 1}, 1)
+		s.forwarded[customer] += 1000
+		s.perform(s.tracker.Tick(s.now))
 	}
-	silent = -1
-	parts[1] = newFakeShard("2")
-	run()
-	run()
-	check(-1)
-	for _, n := range notes {
-		if n.Shard == 0 && n.State != Healthy {
-			t.Errorf("%+v", n)
+}
+
+// checkTotals checks that every responsive shard holds what was forwarded.
+func (s *shardedCounter) checkTotals(t *testing.T) {
+	t.Helper()
+	for customer, want := range s.forwarded {
+		shard := s.tracker.ShardOf(customer)
+		if shard == s.unresponsive {
+			continue
+		}
+		key := TotalKey{customer, s.tracker.windowAt(s.now)}
+		if got := s.shards[shard].totals[key][WriterID{0, 1}]; got != want {
+			t.Errorf("%s on shard %d: %d, %d forwarded", customer, shard, got, want)
 		}
 	}
 }
--- a/usage/tracker_test.go
+++ b/usage/tracker_test.go
@@ -7,50 +7,39 @@
 	"time"
 )
 
-// A tick with many customers, most idle.
+// singleNodeSettings are the settings of a node 0 whose customers all have plan "p".
+func singleNodeSettings(shards int, window time.Duration, plan Plan) Settings {
+	return Settings{
+		Self:                  WriterID{0, 1},
+		Shards:                shards,
+		Window:                window,
+		RetainedWindows:       5,
+		CallsPerSecond:        50,
+		PeerMessagesPerSecond: 5,
+		Plans:                 map[string]Plan{"p": plan},
+	}
+}
+
+// A tick with many customers, most of them idle.
 func BenchmarkTick(b *testing.B) {
 	for _, customers := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
-			s := Settings{Self: WriterID{0, 1}, Shards: 2, Window: time.Hour, RetainedWindows: 5, CallsPerSecond: 50, PeerMessagesPerSecond: 5, Plans: map[string]Plan{"p": {1, 5}}}
-			var before, after runtime.MemStats
-			runtime.GC()
-			runtime.ReadMemStats(&before)
-			tl := New(s)
-			now := startTime
-			names := make([]string, customers)
-			for i := range names {
-				names[i] = fmt.Sprint("c", i)
-				tl.RecordForwarded(now, names[i], "p", []int{0, 1}, 1)
-				for _, a := range tl.totals[TotalKey{names[i], tl.windowAt(now)}].sortedWriters() {
-					tl.totals[TotalKey{names[i], tl.windowAt(now)}].entries[a].confirmed = 1000
-				}
-			}
-			for _, a := range tl.callQueue {
-				a.callQueued, a.changedSinceCall = false, false
-			}
-			for _, a := range tl.recentlyUsed {
-				a.recentlyUsed = false
-			}
-			tl.callQueue, tl.gossipQueue, tl.recentlyUsed = nil, nil, nil
-			now = now.Add(time.Minute) // idle since
-			runtime.GC()
-			runtime.ReadMemStats(&after)
-			perCustomer := float64(after.HeapAlloc-before.HeapAlloc) / float64(customers)
+			before := heapInUse()
+			tracker, names := newIdleTracker(customers)
+			now := startTime.Add(time.Minute)
+			perCustomer := float64(heapInUse()-before) / float64(customers)
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				now = now.Add(100 * time.Millisecond)
-				for range 100 { // busy ones
+				now = now.Add(tickInterval)
+				for range 100 { // requests of busy customers
 					i++
-					tl.RecordForwarded(now, names[i%100], "p", []int{0, 1}, 1)
+					tracker.RecordForwarded(now, names[i%100], "p", []int{0, 1}, 1)
 				}
-				for _, a := range tl.Tick(now) {
-					if c, ok := a.(CounterCall); ok {
-						var held []CounterEntry
-						for o, g := range tl.totals[c.Key].entries {
-							held = append(held, CounterEntry{c.Key, o, g.confirmed})
-						}
-						tl.HandleResponse(now, c.ID, CounterResponse{Epoch: "1", Entries: held})
+				for _, action := range tracker.Tick(now) {
+					if call, ok := action.(CounterCall); ok {
+						response := CounterResponse{Epoch: "1", Entries: confirmedEntries(tracker.totals[call.Key])}
+						tracker.HandleResponse(now, call.ID, response)
 					}
 				}
 			}
@@ -58,3 +47,42 @@
 		})
 	}
 }
+
+// newIdleTracker returns a tracker of customers whose usage the counter has confirmed.
+func newIdleTracker(customers int) (tracker *Tracker, names []string) {
+	tracker = New(singleNodeSettings(2, time.Hour, Plan{1, 5}))
+	names = make([]string, customers)
+	for i := range names {
+		names[i] = fmt.Sprint("c", i)
+		tracker.RecordForwarded(startTime, names[i], "p", []int{0, 1}, 1)
+	}
+	for _, total := range tracker.totals {
+		for _, entry := range total.entries {
+			entry.confirmed = 1000
+		}
+		total.callQueued = false
+		total.changedSinceCall = false
+		total.recentlyUsed = false
+	}
+	tracker.callQueue = nil
+	tracker.gossipQueue = nil
+	tracker.recentlyUsed = nil
+	return tracker, names
+}
+
+// confirmedEntries lists what the counter holds of a total.
+func confirmedEntries(total *windowTotal) []CounterEntry {
+	var entries []CounterEntry
+	for writer, entry := range total.entries {
+		entries = append(entries, CounterEntry{total.key, writer, entry.confirmed})
+	}
+	return entries
+}
+
+// heapInUse returns the bytes in use on the heap after a garbage collection.
+func heapInUse() uint64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
