--- a/usage/rediscounter/golden_test.go
+++ b/usage/rediscounter/golden_test.go
@@ -17,15 +17,15 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// Calls become exactly these commands, and answers are read from exactly these bytes.
-func TestCallsHaveGoldenCommandsAndAnswers(t *testing.T) {
+// Calls become exactly these commands, and responses are read from exactly these bytes.
+func TestCallsHaveGoldenCommandsAndResponses(t *testing.T) {
 	const customer, window = "bibl-a", 177
-	total := usage.TotalKey{Customer: customer, Window: window}
-	register := func(node int, incarnation uint64, units usage.MilliUnits) usage.CounterEntry {
-		return usage.CounterEntry{Key: total, Writer: usage.WriterID{Node: node, Incarnation: incarnation}, Units: units}
+	key := usage.TotalKey{Customer: customer, Window: window}
+	entry := func(node int, incarnation uint64, units usage.MilliUnits) usage.CounterEntry {
+		return usage.CounterEntry{Key: key, Writer: usage.WriterID{Node: node, Incarnation: incarnation}, Units: units}
 	}
-	full := usage.CounterCall{Key: total, Raise: []usage.CounterEntry{register(3, 1764662400000000000, 123456)},
-		AddIfMissing: []usage.CounterEntry{register(4, 35, 1)}, Level: usage.Level{Units: 12.5, At: time.UnixMilli(1764662400000)}, RefreshExpiry: true, ReadEpoch: true}
+	full := usage.CounterCall{Key: key, Raise: []usage.CounterEntry{entry(3, 1764662400000000000, 123456)},
+		AddIfMissing: []usage.CounterEntry{entry(4, 35, 1)}, Level: usage.Level{Units: 12.5, At: time.UnixMilli(1764662400000)}, RefreshExpiry: true, ReadEpoch: true}
 	const stored = "*6\r\n$14\r\n3.denkm32f0u80\r\n$6\r\n123456\r\n$3\r\n4.z\r\n$1\r\n1\r\n$5\r\nlevel\r\n$20\r\n12.500@1764662400000\r\n"
 	for _, c := range []struct {
 		name        string
@@ -33,8 +33,8 @@
 		connections [][]exchange
 		want        usage.CounterResponse
 	}{
-		{"a total that is read", usage.CounterCall{Key: total}, [][]exchange{{{"hgetall yt:{bibl-a}:177", stored}}},
-			usage.CounterResponse{Entries: []usage.CounterEntry{register(3, 1764662400000000000, 123456), register(4, 35, 1)}, Level: full.Level}},
+		{"a total that is read", usage.CounterCall{Key: key}, [][]exchange{{{"hgetall yt:{bibl-a}:177", stored}}},
+			usage.CounterResponse{Entries: []usage.CounterEntry{entry(3, 1764662400000000000, 123456), entry(4, 35, 1)}, Level: full.Level}},
 		{"a total that is raised, seeded and kept on", full, [][]exchange{{
 			{"get yt:epoch", "$5\r\n3w5e1\r\n"},
 			{"hgetall yt:{bibl-a}:177", "*0\r\n"},
@@ -43,40 +43,17 @@
 			{"pexpire yt:{bibl-a}:177 86400000", ":1\r\n"},
 		}}, usage.CounterResponse{Epoch: "3w5e1"}},
 		// The client has one pool of connections for pipelines, and another.
-		{"an epoch that is missing", usage.CounterCall{Key: total, ReadEpoch: true}, [][]exchange{
+		{"an epoch that is missing", usage.CounterCall{Key: key, ReadEpoch: true}, [][]exchange{
 			{{"get yt:epoch", "$-1\r\n"}, {"hgetall yt:{bibl-a}:177", "*0\r\n"}},
 			{{"set yt:epoch * nx", "+OK\r\n"}, {"get yt:epoch", "$5\r\n3w5e1\r\n"}},
 		}, usage.CounterResponse{Epoch: "3w5e1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				mem := network.NewMemory(time.Millisecond, 1)
-				l, err := mem.Host("counter").Listen("10.0.5.1:80")
-				if err != nil {
-					t.Fatal(err)
-				}
-				go func() {
-					for _, list := range c.connections {
-						conn, err := l.Accept()
-						if err != nil {
-							t.Error(err)
-							return
-						}
-						go serve(t, conn, append(slices.Clone(greeting), list...))
-					}
-				}()
-				client := New(Options{Network: mem.Host("node"), Addresses: []string{"10.0.5.1:80"}, ClientName: "node-3", Timeout: time.Second,
-					Retention: 24 * time.Hour})
-				done := make(chan usage.CounterResponse)
-				client.Do(c.call, func(a usage.CounterResponse) { done <- a })
-				got := <-done
-				client.Close()
-				if err := l.Close(); err != nil {
-					t.Error(err)
-				}
+				got := callOnce(t, c.call, c.connections)
 				slices.SortFunc(got.Entries, func(a, b usage.CounterEntry) int { return cmp.Compare(a.Writer.Node, b.Writer.Node) })
 				if !reflect.DeepEqual(got, c.want) {
-					t.Errorf("answer %+v, want %+v", got, c.want)
+					t.Errorf("response %+v, want %+v", got, c.want)
 				}
 				time.Sleep(time.Minute) // timers of what was closed run out
 			})
@@ -84,18 +61,49 @@
 	}
 }
 
-// exchange is a command, as words, and the bytes of its answer; the word * stands for
-// a drawn one.
-type exchange struct{ command, answer string }
+// callOnce makes a call to a shard that expects connections with certain exchanges.
+func callOnce(t *testing.T, call usage.CounterCall, connections [][]exchange) usage.CounterResponse {
+	t.Helper()
+	mem := network.NewMemory(time.Millisecond, 1)
+	l, err := mem.Host("counter").Listen("10.0.5.1:80")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		for _, list := range connections {
+			conn, err := l.Accept()
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			go serve(t, conn, append(slices.Clone(greeting), list...))
+		}
+	}()
+	client := New(Options{Network: mem.Host("node"), Addresses: []string{"10.0.5.1:80"}, ClientName: "node-3", Timeout: time.Second,
+		Retention: 24 * time.Hour})
+	done := make(chan usage.CounterResponse)
+	client.Do(call, func(response usage.CounterResponse) { done <- response })
+	response := <-done
+	client.Close()
+	if err := l.Close(); err != nil {
+		t.Error(err)
+	}
+	return response
+}
+
+// exchange is a command, as words, and the bytes of its response; the word * stands
+// for a drawn one.
+type exchange struct{ command, response string }
 
-// greeting begins every connection to a part that does not know HELLO.
+// greeting begins every connection to a shard that does not know HELLO.
 var greeting = []exchange{
 	{"hello 2 setname node-3", "-ERR unknown command 'HELLO'\r\n"},
 	{"client setname node-3", "+OK\r\n"},
 }
 
-// serve compares the bytes of each command on a connection and gives its answer.
+// serve compares the bytes of each command on a connection and sends its response.
 func serve(t *testing.T, conn net.Conn, list []exchange) {
+	t.Helper()
 	defer func() {
 		if err := conn.Close(); err != nil {
 			t.Error(err)
@@ -117,7 +125,7 @@
 		if b != resp(want) {
 			t.Errorf("sent %q, want %q", b, resp(want))
 		}
-		if _, err := io.WriteString(conn, e.answer); err != nil {
+		if _, err := io.WriteString(conn, e.response); err != nil {
 			t.Error(err)
 			return
 		}
