--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -28,7 +28,6 @@
 	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/peer"
 	"yardcleat.example/yardcleat/policy"
-	"yardcleat.example/yardcleat/storage"
 	"yardcleat.example/yardcleat/upstream"
 	ask "yardcleat.example/yardcleat/upstream/extauthz"
 )
@@ -145,8 +144,7 @@
 		}
 		g.closes = append(g.closes, mail.Close)
 	}
-	var db *storage.Store
-	led, db, err = g.newUsageRecorder(inc, opt.SendToPeer)
+	led, err = g.newUsageRecorder(inc, opt.SendToPeer)
 	if err != nil {
 		return g, err
 	}
@@ -171,7 +169,7 @@
 	}
 	if led != nil {
 		ctx, cancel := context.WithCancel(ctx)
-		g.start(ctx, cancel, func(ctx context.Context) { led.run(ctx, db) })
+		g.start(ctx, cancel, led.run)
 	}
 	if g.keep != nil {
 		ctx, cancel := context.WithCancel(ctx)
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -13,8 +13,6 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"yardcleat.example/yardcleat/config"
 	"yardcleat.example/yardcleat/internal/network"
 	"yardcleat.example/yardcleat/membership"
@@ -157,8 +155,10 @@
 				t.Errorf("the log lacks %s", want)
 			}
 		}
-		if strings.Contains(log.String(), "left aside") {
-			t.Error("something was left aside")
+		for _, unwanted := range []string{"left aside", "moved aside"} {
+			if strings.Contains(log.String(), unwanted) {
+				t.Errorf("something was %s", unwanted)
+			}
 		}
 		entries, err := os.ReadDir(dir)
 		if err != nil {
@@ -200,29 +200,26 @@
 	}
 }
 
-// Totals told to a peer have exactly these bytes, in both directions; customers are
+// Usage entries sent to a peer have exactly these bytes, in both directions; customers are
 // named by their hash.
-func TestTotalsHaveGoldenBytes(t *testing.T) {
+func TestUsageMessagesHaveGoldenBytes(t *testing.T) {
 	const golden = "54" + "0102030405060708" + // mark, incarnation
 		"f41766e6b11eece4" + "000000b1" + "000000000001e240" + // customer, window, thousandths
 		"c2ddf84d17004149" + "000000b2" + "0000000000000001"
-	owner := usage.WriterID{Node: 3, Incarnation: 0x0102030405060708}
+	writer := usage.WriterID{Node: 3, Incarnation: 0x0102030405060708}
 	list := []usage.CounterEntry{
-		{Key: usage.TotalKey{Customer: "bibl-a", Window: 177}, Writer: owner, Units: 123456},
-		{Key: usage.TotalKey{Customer: "bibl-b", Window: 178}, Writer: owner, Units: 1},
-	}
-	l := &usageRecorder{incarnation: owner.Incarnation, customerByHash: map[uint64]string{}}
-	for _, name := range []string{"bibl-a", "bibl-b"} {
-		l.customerByHash[xxhash.Sum64String(name)] = name
+		{Key: usage.TotalKey{Customer: "bibl-a", Window: 177}, Writer: writer, Units: 123456},
+		{Key: usage.TotalKey{Customer: "bibl-b", Window: 178}, Writer: writer, Units: 1},
 	}
-	if got := hex.EncodeToString(l.encode(list)); got != golden {
+	codec := newUsageMessageCodec(writer.Incarnation, []config.Customer{{Name: "bibl-a"}, {Name: "bibl-b"}})
+	if got := hex.EncodeToString(codec.encode(list)); got != golden {
 		t.Errorf("encoded to %s, want %s", got, golden)
 	}
 	b, err := hex.DecodeString(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, ok := l.decode(owner.Node, b); !ok || !slices.Equal(got, list) {
-		t.Errorf("decoded to %+v, %v; want %+v", got, ok, list)
+	if got, err := codec.decode(writer.Node, b); err != nil || !slices.Equal(got, list) {
+		t.Errorf("decoded to %+v, %v; want %+v", got, err, list)
 	}
 }
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -1,16 +1,12 @@
 package gateway
 
 import (
-	"cmp"
 	"context"
-	"encoding/binary"
 	"fmt"
 	"path/filepath"
-	"slices"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
+	"yardcleat.example/yardcleat/config"
 	"yardcleat.example/yardcleat/node"
 	"yardcleat.example/yardcleat/storage"
 	"yardcleat.example/yardcleat/usage"
@@ -18,200 +14,195 @@
 )
 
 const (
-	usageTickInterval     = 100 * time.Millisecond
-	usageSaveInterval     = time.Second
-	usageMessageShare     = 0.05 // of the mail that a node takes in; the module's reports have 0.85
-	usageMessageMark      = 'T'  // first byte of its messages; the module's begin with their version
-	usageMessageEntrySize = 8 + 4 + 8
-	maxTotalsPerSave      = 2000 // accounts looked at in one turn of the loop
+	usageTickInterval = 100 * time.Millisecond
+	usageSaveInterval = time.Second
+
+	// usageMessageShare is the share of the peer messages per second that usage may send;
+	// the policy's reports have 0.85.
+	usageMessageShare = 0.05
+
+	// maxTotalsPerSave bounds the totals examined in one turn of the node's loop, which
+	// takes it well under a millisecond.
+	maxTotalsPerSave = 2000
+
+	// usageDatabase is the file's name in the state directory.
+	usageDatabase = "tally"
 )
 
-// usageRecorder runs a Tally in the node's loop, and carries out what it says.
+// usageRecorder runs a usage.Tracker in the node's loop, and performs its actions. Methods
+// run in the loop unless they say otherwise.
 type usageRecorder struct {
 	gateway         *Gateway
 	tracker         *usage.Tracker
 	client          *rediscounter.Client
-	sendToPeer      func(to int, data []byte)
-	customerByHash  map[uint64]string // of customers, by hash
+	codec           usageMessageCodec
+	sendToPeer      func(to int, message []byte)
 	peersByCustomer map[string][]int
-	incarnation     uint64
-	unsaved         []usage.CounterEntry // that storage could not take
+	storage         *usageStorage // nil: no state directory
 }
 
-// newUsageRecorder opens what a tally needs. It is nil where no counter is configured.
-func (g *Gateway) newUsageRecorder(inc uint64, tell func(int, []byte)) (*usageRecorder, *storage.Store, error) {
-	c := g.cfg.Counter
-	if c == nil {
-		return nil, nil, nil
+var _ node.UsageRecorder = (*usageRecorder)(nil)
+
+// newUsageRecorder opens the counter's client and the storage, before the node's loop runs.
+// The gateway closes them. It returns nil if no counter is configured.
+func (g *Gateway) newUsageRecorder(incarnation uint64, sendToPeer func(int, []byte)) (*usageRecorder, error) {
+	counter := g.cfg.Counter
+	if counter == nil {
+		return nil, nil
 	}
 	gateways := len(g.cfg.Peers.Addresses) + 1
-	set := usage.Settings{Self: usage.WriterID{Node: g.cfg.Number, Incarnation: inc}, Shards: len(c.Addresses), Window: c.Window,
-		RetainedWindows: int(c.Keep / c.Window), CallsPerSecond: c.Calls / float64(gateways), PeerMessagesPerSecond: g.cfg.Peers.MailPerSecond * usageMessageShare,
-		Plans: map[string]usage.Plan{}}
-	for _, p := range g.cfg.Plans {
-		set.Plans[p.Name] = usage.Plan{Rate: p.Rate, Burst: p.Burst}
-	}
-	l := &usageRecorder{gateway: g, tracker: usage.New(set), sendToPeer: tell, customerByHash: map[uint64]string{}, peersByCustomer: map[string][]int{}, incarnation: inc}
-	for _, cu := range g.cfg.Customers {
-		l.customerByHash[xxhash.Sum64String(cu.Name)] = cu.Name
+	r := &usageRecorder{
+		gateway:         g,
+		tracker:         usage.New(usageSettings(g.cfg, incarnation, gateways)),
+		codec:           newUsageMessageCodec(incarnation, g.cfg.Customers),
+		sendToPeer:      sendToPeer,
+		peersByCustomer: map[string][]int{},
+		client: rediscounter.New(rediscounter.Options{
+			Network:    g.o.Network,
+			Addresses:  counter.Addresses,
+			ClientName: fmt.Sprintf("node-%d", g.cfg.Number),
+			Timeout:    counter.Limit,
+			Retention:  counter.Keep,
+		}),
 	}
-	l.assignPeers(gateways)
-	l.client = rediscounter.New(rediscounter.Options{Network: g.o.Network, Addresses: c.Addresses,
-		ClientName: fmt.Sprintf("node-%d", g.cfg.Number), Timeout: c.Limit, Retention: c.Keep})
-	g.closes = append(g.closes, l.client.Close)
+	g.closes = append(g.closes, r.client.Close)
+	r.assignPeers(gateways)
 	if g.cfg.StateDir == "" {
-		return l, nil, nil
+		return r, nil
 	}
-	db, list, aside, err := storage.Open(filepath.Join(g.cfg.StateDir, "tally"), g.cfg.Number)
+	return r, r.openStorage()
+}
+
+// usageSettings are the tracker's settings for a fleet of a size.
+func usageSettings(cfg *config.Config, incarnation uint64, gateways int) usage.Settings {
+	counter := cfg.Counter
+	plans := map[string]usage.Plan{}
+	for _, plan := range cfg.Plans {
+		plans[plan.Name] = usage.Plan{Rate: plan.Rate, Burst: plan.Burst}
+	}
+	return usage.Settings{
+		Self:                  usage.WriterID{Node: cfg.Number, Incarnation: incarnation},
+		Shards:                len(counter.Addresses),
+		Window:                counter.Window,
+		RetainedWindows:       int(counter.Keep / counter.Window),
+		CallsPerSecond:        counter.Calls / float64(gateways),
+		PeerMessagesPerSecond: cfg.Peers.MailPerSecond * usageMessageShare,
+		Plans:                 plans,
+	}
+}
+
+// openStorage opens the database and loads what earlier processes have saved.
+func (r *usageRecorder) openStorage() error {
+	g := r.gateway
+	store, contents, err := storage.Open(filepath.Join(g.cfg.StateDir, usageDatabase), g.cfg.Number)
 	if err != nil {
-		return nil, nil, err
+		return err
 	}
-	if aside != nil {
-		g.o.Log.Warn("the stored totals are left aside", "error", aside)
+	if moved := contents.MovedAside; moved != nil {
+		g.o.Log.Warn("stored usage moved aside; starting without it",
+			"error", moved.Cause, "path", moved.Path, "moved_to", moved.MovedTo)
 	}
-	g.closes = append(g.closes, func() { db.Close() })
-	l.tracker.LoadStored(l.gateway.o.Wall(), list)
-	return l, db, nil
+	r.storage = &usageStorage{gateway: g, tracker: r.tracker, store: store}
+	g.closes = append(g.closes, r.storage.close)
+	r.tracker.LoadStored(g.o.Wall(), contents.Entries)
+	return nil
 }
 
-// assignPeers says which nodes customers come in through, in a fleet of a size.
-func (l *usageRecorder) assignPeers(gateways int) {
-	clear(l.peersByCustomer)
-	for _, cu := range l.gateway.cfg.Customers {
-		for i := range min(cu.Nodes, gateways) {
-			l.peersByCustomer[cu.Name] = append(l.peersByCustomer[cu.Name], (cu.First+i)%gateways)
+// assignPeers computes the nodes that serve each customer in a fleet of a size.
+func (r *usageRecorder) assignPeers(gateways int) {
+	clear(r.peersByCustomer)
+	for _, customer := range r.gateway.cfg.Customers {
+		for i := range min(customer.Nodes, gateways) {
+			peer := (customer.First + i) % gateways
+			r.peersByCustomer[customer.Name] = append(r.peersByCustomer[customer.Name], peer)
 		}
 	}
 }
 
-// resize follows a change of the fleet, in the node's loop.
-func (l *usageRecorder) resize(gateways int) {
-	l.assignPeers(gateways)
-	l.tracker.SetCallsPerSecond(l.gateway.cfg.Counter.Calls / float64(gateways))
+// resize follows a change of the fleet's size.
+func (r *usageRecorder) resize(gateways int) {
+	r.assignPeers(gateways)
+	r.tracker.SetCallsPerSecond(r.gateway.cfg.Counter.Calls / float64(gateways))
 }
 
-// RequestSeen and Passed are the node's words, in its loop.
-func (l *usageRecorder) RequestSeen(t *node.Request) {
-	l.perform(l.tracker.RecordRequest(l.gateway.o.Wall(), t.Customer, t.Plan, l.peersByCustomer[t.Customer]))
+// RequestSeen implements node.UsageRecorder.
+func (r *usageRecorder) RequestSeen(request *node.Request) {
+	peers := r.peersByCustomer[request.Customer]
+	r.perform(r.tracker.RecordRequest(r.gateway.o.Wall(), request.Customer, request.Plan, peers))
 }
 
-func (l *usageRecorder) RequestForwarded(t *node.Request) {
-	l.tracker.RecordForwarded(l.gateway.o.Wall(), t.Customer, t.Plan, l.peersByCustomer[t.Customer], t.Units)
+// RequestForwarded implements node.UsageRecorder.
+func (r *usageRecorder) RequestForwarded(request *node.Request) {
+	peers := r.peersByCustomer[request.Customer]
+	r.tracker.RecordForwarded(r.gateway.o.Wall(), request.Customer, request.Plan, peers, request.Units)
 }
 
-// run ticks, and saves in groups: it costs requests nothing but the copy.
-func (l *usageRecorder) run(ctx context.Context, db *storage.Store) {
-	tick := time.NewTicker(usageTickInterval)
-	defer tick.Stop()
-	saved := time.Now()
+// run ticks the tracker and saves its changes until the context ends, and then saves once
+// more, unless the gateway was killed. It runs in a goroutine of its own, which must end
+// before the node's loop does.
+func (r *usageRecorder) run(ctx context.Context) {
+	ticker := time.NewTicker(usageTickInterval)
+	defer ticker.Stop()
+	savedAt := time.Now()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
-			if db != nil && !l.gateway.killed.Load() {
-				l.save(context.Background(), db) // the node's loop ends after this
+			if r.storage != nil && !r.gateway.killed.Load() {
+				r.storage.save(context.WithoutCancel(ctx))
 			}
 			return
 		}
-		l.gateway.node.Do(func() { l.perform(l.tracker.Tick(l.gateway.o.Wall())) })
-		if db != nil && time.Since(saved) >= usageSaveInterval {
-			saved = time.Now()
-			l.save(ctx, db)
-		}
-	}
-}
-
-// save stores what has changed, some accounts at a time: each look takes the loop
-// well under a millisecond.
-func (l *usageRecorder) save(ctx context.Context, db *storage.Store) {
-	for more := true; more; {
-		lists := make(chan []usage.CounterEntry, 1)
-		l.gateway.node.Do(func() {
-			var list []usage.CounterEntry
-			list, more = l.tracker.StorageChanges(l.gateway.o.Wall(), maxTotalsPerSave)
-			lists <- list
-		})
-		select {
-		case list := <-lists:
-			// What could not be stored is tried again with the next.
-			if l.unsaved = append(l.unsaved, list...); len(l.unsaved) == 0 {
-				return
-			}
-			slices.SortStableFunc(l.unsaved, func(a, b usage.CounterEntry) int { // bbolt takes keys in order best
-				return cmp.Or(cmp.Compare(a.Writer.Incarnation, b.Writer.Incarnation), cmp.Compare(a.Key.Window, b.Key.Window),
-					cmp.Compare(a.Key.Customer, b.Key.Customer))
-			})
-			if err := db.Save(l.unsaved); err != nil {
-				l.gateway.o.Log.Error("totals can't be stored; the node serves on", "error", err)
-				return
-			}
-			l.unsaved = nil
-		case <-ctx.Done():
-			return
+		r.gateway.node.Do(func() { r.perform(r.tracker.Tick(r.gateway.o.Wall())) })
+		if r.storage != nil && time.Since(savedAt) >= usageSaveInterval {
+			savedAt = time.Now()
+			r.storage.save(ctx)
 		}
 	}
 }
 
-// perform carries out actions, in the loop.
-func (l *usageRecorder) perform(acts []usage.Action) {
-	for _, a := range acts {
-		switch a := a.(type) {
+// perform carries out the tracker's actions.
+func (r *usageRecorder) perform(actions []usage.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case usage.CounterCall:
-			l.client.Do(a, func(ans usage.CounterResponse) {
-				l.gateway.node.Do(func() { l.perform(l.tracker.HandleResponse(l.gateway.o.Wall(), a.ID, ans)) })
-			})
+			r.call(action)
 		case usage.PeerMessage:
-			l.sendToPeer(a.To, l.encode(a.Entries))
+			r.sendToPeer(action.To, r.codec.encode(action.Entries))
 		case usage.RestoreLevel:
-			l.gateway.node.SetUsageLevel(a.Customer, a.Units)
+			r.gateway.node.SetUsageLevel(action.Customer, action.Units)
 		case usage.OperatorNote:
-			log := l.gateway.o.Log.Warn
-			if a.State == usage.Healthy {
-				log = l.gateway.o.Log.Info
-			}
-			log("counter shard state changed", "shard", a.Shard, "state", a.State.String(), "evidence", a.Evidence.String())
+			r.logShardState(action)
 		}
 	}
 }
 
-// encode makes a message of registers of this process.
-func (l *usageRecorder) encode(list []usage.CounterEntry) []byte {
-	b := make([]byte, 0, 9+usageMessageEntrySize*len(list))
-	b = binary.BigEndian.AppendUint64(append(b, usageMessageMark), l.incarnation)
-	for _, r := range list {
-		b = binary.BigEndian.AppendUint64(b, xxhash.Sum64String(r.Key.Customer))
-		b = binary.BigEndian.AppendUint32(b, uint32(r.Key.Window))
-		b = binary.BigEndian.AppendUint64(b, uint64(r.Units))
-	}
-	return b
+// call makes a call to the counter; its response is handled in the loop.
+func (r *usageRecorder) call(call usage.CounterCall) {
+	r.client.Do(call, func(response usage.CounterResponse) {
+		r.gateway.node.Do(func() {
+			r.perform(r.tracker.HandleResponse(r.gateway.o.Wall(), call.ID, response))
+		})
+	})
 }
 
-// receivePeerMessage takes a message; false where it is not one of these.
-func (l *usageRecorder) receivePeerMessage(from int, b []byte) bool {
-	if len(b) == 0 || b[0] != usageMessageMark {
-		return false
-	}
-	if list, ok := l.decode(from, b); ok {
-		l.gateway.node.Do(func() { l.tracker.MergeFromPeer(l.gateway.o.Wall(), from, list) })
+func (r *usageRecorder) logShardState(note usage.OperatorNote) {
+	log := r.gateway.o.Log.Warn
+	if note.State == usage.Healthy {
+		log = r.gateway.o.Log.Info
 	}
-	return true
+	log("counter shard state changed",
+		"shard", note.Shard, "state", note.State.String(), "evidence", note.Evidence.String())
 }
 
-// decode reads a message that begins with tallyMark, and leaves out customers not
-// known here; a malformed one, of a newer version, is not ok.
-func (l *usageRecorder) decode(from int, b []byte) (list []usage.CounterEntry, ok bool) {
-	if len(b) < 9 || (len(b)-9)%usageMessageEntrySize != 0 {
-		return nil, false
+// receivePeerMessage takes a message from a peer, from any goroutine. It returns false if
+// the message is not about usage. A malformed message is dropped.
+func (r *usageRecorder) receivePeerMessage(from int, message []byte) bool {
+	if !isUsageMessage(message) {
+		return false
 	}
-	owner := usage.WriterID{Node: from, Incarnation: binary.BigEndian.Uint64(b[1:])}
-	for b = b[9:]; len(b) > 0; b = b[usageMessageEntrySize:] {
-		name, known := l.customerByHash[binary.BigEndian.Uint64(b)]
-		if units := binary.BigEndian.Uint64(b[12:]); known && units < 1<<62 {
-			list = append(list, usage.CounterEntry{Key: usage.TotalKey{Customer: name, Window: int64(binary.BigEndian.Uint32(b[8:]))},
-				Writer: owner, Units: usage.MilliUnits(units)})
-		}
+	if entries, err := r.codec.decode(from, message); err == nil {
+		r.gateway.node.Do(func() { r.tracker.MergeFromPeer(r.gateway.o.Wall(), from, entries) })
 	}
-	return list, true
+	return true
 }
-
-var _ node.UsageRecorder = (*usageRecorder)(nil)
--- /dev/null
+++ b/gateway/usage_storage.go
@@ -0,0 +1,66 @@
+package gateway
+
+import (
+	"context"
+
+	"yardcleat.example/yardcleat/storage"
+	"yardcleat.example/yardcleat/usage"
+)
+
+// usageStorage saves the changes of a tracker, which belongs to the node's loop, in a
+// database. Requests wait for no more than the loop's turns that collect the changes.
+type usageStorage struct {
+	gateway *Gateway
+	tracker *usage.Tracker
+	store   *storage.Store
+	unsaved []usage.CounterEntry // that could not be saved; used by save alone
+}
+
+// save saves what has changed, some totals at a time, until nothing is left or the context
+// ends. It must not run in the loop, nor in two goroutines at once. Changes that could not
+// be saved are saved with the next call.
+func (s *usageStorage) save(ctx context.Context) {
+	for {
+		changes, more, err := s.collect(ctx)
+		if err != nil {
+			return
+		}
+		s.unsaved = append(s.unsaved, changes...)
+		if len(s.unsaved) == 0 {
+			return
+		}
+		if err := s.store.Save(s.unsaved); err != nil {
+			s.gateway.o.Log.Error("saving usage failed; retrying with the next save", "error", err)
+			return
+		}
+		s.unsaved = nil
+		if !more {
+			return
+		}
+	}
+}
+
+// collect takes changes from the tracker, in the loop. The error is the context's.
+func (s *usageStorage) collect(ctx context.Context) (changes []usage.CounterEntry, more bool, err error) {
+	type result struct {
+		changes []usage.CounterEntry
+		more    bool
+	}
+	results := make(chan result, 1)
+	s.gateway.node.Do(func() {
+		changes, more := s.tracker.StorageChanges(s.gateway.o.Wall(), maxTotalsPerSave)
+		results <- result{changes, more}
+	})
+	select {
+	case r := <-results:
+		return r.changes, r.more, nil
+	case <-ctx.Done():
+		return nil, false, ctx.Err()
+	}
+}
+
+// close closes the database. What could not be saved is lost.
+func (s *usageStorage) close() {
+	// An error is of no consequence: what Save has stored is on disk.
+	_ = s.store.Close()
+}
--- a/storage/golden_test.go
+++ b/storage/golden_test.go
@@ -18,8 +18,8 @@
 	{Key: usage.TotalKey{Customer: "bibl-b", Window: 178}, Writer: usage.WriterID{Node: 3, Incarnation: 10}, Units: 1},
 }
 
-// The totals that an earlier build stored come back whole.
-func TestStoredTotalsOfAnEarlierBuild(t *testing.T) {
+// All entries that an earlier build stored are read.
+func TestEntriesOfAnEarlierBuildAreRead(t *testing.T) {
 	b, err := os.ReadFile(filepath.Join("testdata", "tally"))
 	if err != nil {
 		t.Fatal(err)
@@ -28,20 +28,20 @@
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, list, aside, err := Open(path, 3)
-	if err != nil || aside != nil {
-		t.Fatal(err, aside)
+	s, contents, err := Open(path, 3)
+	if err != nil || contents.MovedAside != nil {
+		t.Fatal(err, contents.MovedAside)
 	}
 	defer closeOrFail(t, s)
-	if !slices.Equal(list, goldenEntries) {
-		t.Errorf("%+v, want %+v", list, goldenEntries)
+	if !slices.Equal(contents.Entries, goldenEntries) {
+		t.Errorf("%+v, want %+v", contents.Entries, goldenEntries)
 	}
 }
 
 // Buckets, keys and values of the database are exactly these.
 func TestDatabaseHasGoldenKeysAndValues(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tally")
-	s, _, _, err := Open(path, 3)
+	s, _, err := Open(path, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 			"\x00\x00\x00\x00\x00\x00\x00\xb2"+"bibl-b")) + " 0000000000000001",
 	}
 	for name, file := range map[string]string{"written now": path, "written by an earlier build": filepath.Join("testdata", "tally")} {
-		if got := contents(t, file); !slices.Equal(got, want) {
+		if got := dump(t, file); !slices.Equal(got, want) {
 			t.Errorf("%s: %q, want %q", name, got, want)
 		}
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// contents lists a database: bucket, key and value; keys of totals and all values in hex.
-func contents(t *testing.T, path string) (list []string) {
+// dump lists a database: bucket, key and value; keys of entries and all values in hex.
+func dump(t *testing.T, path string) (list []string) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o400, &bbolt.Options{ReadOnly: true})
 	if err != nil {
--- /dev/null
+++ b/storage/open.go
@@ -0,0 +1,161 @@
+package storage
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"runtime/debug"
+	"time"
+
+	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
+
+	"yardcleat.example/yardcleat/usage"
+)
+
+// lockTimeout is how long Open waits for another process to close the database.
+const lockTimeout = time.Second
+
+// fileMode of the database: readable by the owner alone.
+const fileMode = 0o600
+
+// Contents is what Open found.
+type Contents struct {
+	Entries []usage.CounterEntry
+
+	// MovedAside is not nil if there was a file that could not be used. The store was then
+	// created anew, and Entries is empty.
+	MovedAside *MovedAsideError
+}
+
+// Open opens the database of the node with an index and reads its entries. A missing file is
+// created. A file that is damaged, or of another program, format or node, is moved aside,
+// and a new one takes its place. The error is ErrInUse, or says why no database could be
+// opened or created.
+func Open(path string, node int) (*Store, Contents, error) {
+	store, entries, err := open(path, node)
+	if err == nil || errors.Is(err, ErrInUse) {
+		return store, Contents{Entries: entries}, err
+	}
+	moved, renameErr := moveAside(path, err)
+	if renameErr != nil {
+		return nil, Contents{}, errors.Join(err, renameErr)
+	}
+	store, entries, err = open(path, node)
+	return store, Contents{Entries: entries, MovedAside: moved}, err
+}
+
+// moveAside renames a file that could not be used.
+func moveAside(path string, cause error) (*MovedAsideError, error) {
+	moved := &MovedAsideError{Path: path, MovedTo: fmt.Sprintf("%s.aside-%d", path, time.Now().UnixNano()), Cause: cause}
+	return moved, os.Rename(path, moved.MovedTo)
+}
+
+// open opens a database, which is closed again if it cannot be used.
+func open(path string, node int) (store *Store, entries []usage.CounterEntry, err error) {
+	// The file is mapped into memory: access to a page beyond the end of a file that was cut
+	// short is a fault, which must become a panic to be recovered from.
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	var db *bbolt.DB
+	defer func() {
+		// bbolt panics on a malformed page.
+		if p := recover(); p != nil {
+			err = damaged(fmt.Errorf("panic: %v", p))
+		}
+		if err != nil {
+			closeDamaged(db)
+			store, entries = nil, nil
+		}
+	}()
+	db, err = openDatabase(path)
+	if err != nil {
+		return nil, nil, err
+	}
+	err = db.Update(func(tx *bbolt.Tx) error {
+		entries, err = load(tx, path, node)
+		return err
+	})
+	return &Store{db}, entries, err
+}
+
+// openDatabase opens or creates a bbolt database.
+func openDatabase(path string) (*bbolt.DB, error) {
+	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout})
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		return nil, ErrInUse
+	}
+	if err != nil {
+		return nil, damaged(err)
+	}
+	return db, nil
+}
+
+// closeDamaged closes a database that cannot be used, as far as its state allows.
+func closeDamaged(db *bbolt.DB) {
+	if db == nil {
+		return
+	}
+	defer func() { _ = recover() }()
+	_ = db.Close()
+}
+
+// load checks a database and reads its entries. An empty database is initialized.
+func load(tx *bbolt.Tx, path string, node int) ([]usage.CounterEntry, error) {
+	if info, err := os.Stat(path); err != nil || info.Size() < tx.Size() {
+		return nil, damaged(errors.New("file is cut short"))
+	}
+	meta := tx.Bucket(metaBucket)
+	if meta == nil {
+		if name, _ := tx.Cursor().First(); name != nil {
+			return nil, ErrForeign
+		}
+		return nil, initialize(tx, node)
+	}
+	if err := checkMeta(meta, node); err != nil {
+		return nil, err
+	}
+	for err := range tx.Check() {
+		return nil, damaged(err)
+	}
+	return readEntries(tx)
+}
+
+// checkMeta checks that a database is of this format and node.
+func checkMeta(meta *bbolt.Bucket, node int) error {
+	if version := parseUint64(meta.Get(formatKey)); version != formatVersion {
+		return &FormatError{Version: version, Supported: formatVersion}
+	}
+	if owner := parseUint64(meta.Get(nodeKey)); owner != uint64(node) {
+		return &NodeMismatchError{Owner: owner, Node: uint64(node)}
+	}
+	return nil
+}
+
+// readEntries reads all entries, in the order of their keys.
+func readEntries(tx *bbolt.Tx) (entries []usage.CounterEntry, err error) {
+	bucket := tx.Bucket(entriesBucket)
+	if bucket == nil {
+		return nil, damaged(errors.New("entries are missing"))
+	}
+	err = bucket.ForEach(func(key, value []byte) error {
+		entry, err := decodeEntry(key, value)
+		entries = append(entries, entry)
+		return err
+	})
+	return entries, err
+}
+
+// initialize creates the buckets of an empty database.
+func initialize(tx *bbolt.Tx, node int) error {
+	meta, err := tx.CreateBucket(metaBucket)
+	if err != nil {
+		return err
+	}
+	if _, err := tx.CreateBucket(entriesBucket); err != nil {
+		return err
+	}
+	if err := meta.Put(formatKey, bigEndian(formatVersion)); err != nil {
+		return err
+	}
+	return meta.Put(nodeKey, bigEndian(uint64(node)))
+}
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -1,68 +1,201 @@
 package storage
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"go.etcd.io/bbolt"
+
 	"yardcleat.example/yardcleat/usage"
 )
 
-// A store that is torn, empty, foreign or of another node is moved aside, with a
-// message, wherever it is cut; nothing of it is taken.
-func TestDamagedDatabaseIsMovedAside(t *testing.T) {
-	dir := t.TempDir()
-	path := filepath.Join(dir, "tally")
-	s, _, _, err := Open(path, 3)
+const (
+	testNode    = 3
+	testEntries = 50
+
+	// cutStep is the distance, in bytes, of the places where a file is cut. It is prime, so
+	// that the places are spread over the pages.
+	cutStep = 1009
+)
+
+// newDatabase creates a database of testNode with testEntries entries, and one that was
+// deleted again.
+func newDatabase(t *testing.T) (path string) {
+	t.Helper()
+	path = filepath.Join(t.TempDir(), "tally")
+	s, _, err := Open(path, testNode)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []usage.CounterEntry
-	for i := range 50 {
-		list = append(list, usage.CounterEntry{Key: usage.TotalKey{Customer: fmt.Sprint("c", i), Window: 7}, Writer: usage.WriterID{Node: 3, Incarnation: 9}, Units: usage.MilliUnits(i + 1)})
+	var entries []usage.CounterEntry
+	for i := range testEntries {
+		entries = append(entries, usage.CounterEntry{
+			Key:    usage.TotalKey{Customer: fmt.Sprint("c", i), Window: 7},
+			Writer: usage.WriterID{Node: testNode, Incarnation: 9},
+			Units:  usage.MilliUnits(i + 1),
+		})
 	}
-	extra := list[0]
-	extra.Key.Customer = "taken out again"
-	if err := s.Save(append(list, extra)); err != nil {
+	deleted := entries[0]
+	deleted.Key.Customer = "taken out again"
+	if err := s.Save(append(entries, deleted)); err != nil {
 		t.Fatal(err)
 	}
-	extra.Units = 0
-	if err := s.Save([]usage.CounterEntry{extra}); err != nil {
+	deleted.Units = 0
+	if err := s.Save([]usage.CounterEntry{deleted}); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := Open(path, 3); err == nil {
-		t.Error("opened twice")
+	closeOrFail(t, s)
+	return path
+}
+
+// All entries that were saved are read, and none that were deleted.
+func TestSavedEntriesAreRead(t *testing.T) {
+	s, contents, err := Open(newDatabase(t), testNode)
+	if err != nil || contents.MovedAside != nil || len(contents.Entries) != testEntries {
+		t.Fatalf("%d entries, %v, %v", len(contents.Entries), contents.MovedAside, err)
 	}
-	s.Close()
-	s, got, aside, err := Open(path, 3)
-	if err != nil || aside != nil || len(got) != 50 {
-		t.Fatalf("%d totals, %v, %v", len(got), aside, err)
+	closeOrFail(t, s)
+}
+
+// Of two changes of one entry in one Save the later one stands.
+func TestLaterChangeStands(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "tally")
+	s, _, err := Open(path, testNode)
+	if err != nil {
+		t.Fatal(err)
 	}
-	s.Close()
-	whole, _ := os.ReadFile(path)
-	for cut := 0; cut < len(whole); cut += 1009 {
-		at := filepath.Join(dir, fmt.Sprint("cut-", cut))
-		os.WriteFile(at, whole[:cut], 0o600)
-		s, got, aside, err := Open(at, 3)
+	first := goldenEntries[0]
+	second := first
+	second.Units++
+	if err := s.Save([]usage.CounterEntry{first, second}); err != nil {
+		t.Fatal(err)
+	}
+	closeOrFail(t, s)
+	s, contents, err := Open(path, testNode)
+	if err != nil || len(contents.Entries) != 1 || contents.Entries[0] != second {
+		t.Fatalf("%+v, %v", contents, err)
+	}
+	closeOrFail(t, s)
+}
+
+// A database is open once at a time; the file stays where it is.
+func TestDatabaseInUseIsNotOpened(t *testing.T) {
+	path := newDatabase(t)
+	s, _, err := Open(path, testNode)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeOrFail(t, s)
+	if _, contents, err := Open(path, testNode); !errors.Is(err, ErrInUse) || contents.MovedAside != nil {
+		t.Errorf("opened twice: %v, %v", contents.MovedAside, err)
+	}
+}
+
+// A file that was cut short anywhere is moved aside, and nothing of it is taken.
+func TestDatabaseCutShortIsMovedAside(t *testing.T) {
+	whole, err := os.ReadFile(newDatabase(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	for cut := 0; cut < len(whole); cut += cutStep {
+		path := filepath.Join(dir, fmt.Sprint("cut-", cut))
+		if err := os.WriteFile(path, whole[:cut], 0o600); err != nil {
+			t.Fatal(err)
+		}
+		s, contents, err := Open(path, testNode)
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		if len(got) != 0 && len(got) != 50 || cut > 0 && len(got) == 0 && aside == nil {
-			t.Errorf("cut at %d: %d totals, %v", cut, len(got), aside)
-		}
-		s.Close()
-	}
-	for name, content := range map[string]string{"foreign": strings.Repeat("hello\n", 5000), "another node's": string(whole)} {
-		at := filepath.Join(dir, name)
-		os.WriteFile(at, []byte(content), 0o600)
-		s, got, aside, err := Open(at, 4)
-		if err != nil || aside == nil || len(got) != 0 {
-			t.Errorf("%s: %d totals, %v, %v", name, len(got), aside, err)
+		read := len(contents.Entries)
+		lostUnnoticed := cut > 0 && read == 0 && contents.MovedAside == nil
+		if read != 0 && read != testEntries || lostUnnoticed {
+			t.Errorf("cut at %d: %d entries, %v", cut, read, contents.MovedAside)
 		}
-		if s != nil {
-			s.Close()
+		if contents.MovedAside != nil && !errors.Is(contents.MovedAside, ErrDamaged) {
+			t.Errorf("cut at %d: moved aside for %v", cut, contents.MovedAside)
 		}
+		closeOrFail(t, s)
+	}
+}
+
+// openUnusable opens a file with some content that must be moved aside, as node 4.
+func openUnusable(t *testing.T, content string) *MovedAsideError {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "tally")
+	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, contents, err := Open(path, 4)
+	if err != nil || contents.MovedAside == nil || len(contents.Entries) != 0 {
+		t.Fatalf("%d entries, %v, %v", len(contents.Entries), contents.MovedAside, err)
+	}
+	closeOrFail(t, s)
+	moved, err := os.ReadFile(contents.MovedAside.MovedTo)
+	if err != nil || string(moved) != content || contents.MovedAside.Path != path {
+		t.Errorf("moved aside as %+v, %v", contents.MovedAside, err)
+	}
+	return contents.MovedAside
+}
+
+// A file that is no database is moved aside.
+func TestForeignFileIsMovedAside(t *testing.T) {
+	if moved := openUnusable(t, strings.Repeat("hello\n", 5000)); !errors.Is(moved, ErrDamaged) {
+		t.Errorf("moved aside for %v", moved)
 	}
 }
+
+// The database of another node is moved aside.
+func TestDatabaseOfAnotherNodeIsMovedAside(t *testing.T) {
+	whole, err := os.ReadFile(newDatabase(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	moved := openUnusable(t, string(whole))
+	var mismatch *NodeMismatchError
+	if !errors.As(moved, &mismatch) || *mismatch != (NodeMismatchError{Owner: testNode, Node: 4}) {
+		t.Errorf("moved aside for %v", moved)
+	}
+}
+
+// A database of another program, and one of another format, are moved aside.
+func TestUnknownLayoutIsMovedAside(t *testing.T) {
+	foreign := editedDatabase(t, func(tx *bbolt.Tx) error {
+		return errors.Join(tx.DeleteBucket(metaBucket), tx.DeleteBucket(entriesBucket), errOf(tx.CreateBucket([]byte("other"))))
+	})
+	if moved := openUnusable(t, foreign); !errors.Is(moved, ErrForeign) {
+		t.Errorf("moved aside for %v", moved)
+	}
+	later := editedDatabase(t, func(tx *bbolt.Tx) error {
+		return tx.Bucket(metaBucket).Put(formatKey, bigEndian(formatVersion+1))
+	})
+	var format *FormatError
+	if moved := openUnusable(t, later); !errors.As(moved, &format) || format.Version != formatVersion+1 {
+		t.Errorf("moved aside for %v", moved)
+	}
+}
+
+// editedDatabase returns the content of a database after an edit.
+func editedDatabase(t *testing.T, edit func(tx *bbolt.Tx) error) string {
+	t.Helper()
+	path := newDatabase(t)
+	db, err := bbolt.Open(path, 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := db.Update(edit); err != nil {
+		t.Fatal(err)
+	}
+	closeOrFail(t, db)
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(content)
+}
+
+func errOf(_ any, err error) error { return err }
