--- a/gateway/usage_test.go
+++ b/gateway/usage_test.go
@@ -27,22 +27,24 @@
 }
 `
 
-// withFakeCounter runs a test in a world with a counter; dir is the node's memory.
-func withFakeCounter(t *testing.T, dir string, f func(w *world, c *counter.Server)) {
+// withFakeCounter runs a test in a world with a counter. stateDir is the node's state
+// directory, or "" for none.
+func withFakeCounter(t *testing.T, stateDir string, test func(w *world, c *counter.Server)) {
+	t.Helper()
 	extra := counterBlock
-	if dir != "" {
-		extra += fmt.Sprintf("node { state_dir = %q }\n", dir)
+	if stateDir != "" {
+		extra += fmt.Sprintf("node { state_dir = %q }\n", stateDir)
 	}
 	inWorld(t, extra, func(w *world) {
 		c := counter.New()
 		go c.Serve(w.listen("10.0.5.1:80"))
-		f(w, c)
+		test(w, c)
 		w.node.Kill()
 		c.Kill()
 	})
 }
 
-// restart starts the node anew, as after a kill.
+// restart kills the node and starts it again.
 func (w *world) restart() {
 	w.t.Helper()
 	w.node.Kill()
@@ -68,7 +70,8 @@
 	return served
 }
 
-func total(c *counter.Server, customer string) int64 {
+// storedUnits is the total of a customer that the counter holds, in thousandths.
+func storedUnits(c *counter.Server, customer string) int64 {
 	var sum int64
 	for _, v := range c.Totals("yt:{" + customer + "}") {
 		sum += v
@@ -76,87 +79,100 @@
 	return sum
 }
 
-// The counter holds what was passed, over faults of its own.
+// The counter holds what was forwarded, in spite of its own faults, and no request waits
+// for it.
 func TestCounterHoldsWhatWasForwardedAfterFaults(t *testing.T) {
-	for name, c := range map[string]func(c *counter.Server, during func()){
-		"sound":   func(c *counter.Server, during func()) { during() },
-		"silent":  func(c *counter.Server, during func()) { c.Do("silent", ""); during(); c.Do("ok", "") },
-		"refuses": func(c *counter.Server, during func()) { c.Do("refuse", ""); during(); c.Do("ok", "") },
-		"slow":    func(c *counter.Server, during func()) { c.Do("slow", "100ms"); during(); c.Do("ok", "") },
-		"answers lost after the add": func(c *counter.Server, during func()) {
-			c.Do("lose", "")
-			during()
-			c.Do("ok", "")
-		},
-		"emptied": func(c *counter.Server, during func()) { during(); c.Do("empty", "") },
-		"old copy": func(c *counter.Server, during func()) {
-			c.Do("save", "")
-			during()
-			c.Do("restore", "")
-		},
+	for _, c := range []struct {
+		name          string
+		before, after func(c *counter.Server) // what happens to the counter before and after requests
+	}{
+		{"none", nil, nil},
+		{"no response", counterFault("silent"), counterFault("ok")},
+		{"refused connections", counterFault("refuse"), counterFault("ok")},
+		{"slow responses", func(c *counter.Server) { c.Do("slow", "100ms") }, counterFault("ok")},
+		{"lost responses", counterFault("lose"), counterFault("ok")},
+		{"emptied", nil, counterFault("empty")},
+		{"old copy", counterFault("save"), counterFault("restore")},
 	} {
-		t.Run(name, func(t *testing.T) {
-			withFakeCounter(t, "", func(w *world, s *counter.Server) {
-				passed := w.countServed(5, "k-school")
+		t.Run(c.name, func(t *testing.T) {
+			withFakeCounter(t, "", func(w *world, server *counter.Server) {
+				forwarded := w.countServed(5, "k-school")
 				time.Sleep(time.Second)
-				c(s, func() {
-					start := time.Now()
-					passed += w.countServed(8, "k-school")
-					if took := time.Since(start); took > 8*100*time.Millisecond {
-						t.Errorf("requests waited for the counter: %v", took)
-					}
-					time.Sleep(3 * time.Second)
-				})
+				applyFault(server, c.before)
+				start := time.Now()
+				forwarded += w.countServed(8, "k-school")
+				if took := time.Since(start); took > 8*100*time.Millisecond {
+					t.Errorf("requests waited for the counter: %v", took)
+				}
+				time.Sleep(3 * time.Second)
+				applyFault(server, c.after)
 				time.Sleep(15 * time.Second)
-				if got, want := total(s, "school"), int64(1000*passed); got != want {
-					t.Errorf("the counter holds %d, %d passed", got, want)
+				if got, want := storedUnits(server, "school"), int64(1000*forwarded); got != want {
+					t.Errorf("the counter holds %d, %d forwarded", got, want)
 				}
 			})
 		})
 	}
 }
 
-// A node killed with adds that were not confirmed makes them good from its disk;
-// without its disk only what the counter had is left.
+// counterFault makes the counter do something that needs no argument.
+func counterFault(name string) func(c *counter.Server) {
+	return func(c *counter.Server) { c.Do(name, "") }
+}
+
+// applyFault applies a fault to the counter; nil: none.
+func applyFault(c *counter.Server, fault func(c *counter.Server)) {
+	if fault != nil {
+		fault(c)
+	}
+}
+
+// A node that was killed with usage that the counter had not confirmed writes it again from
+// its storage.
 func TestKilledNodeRestoresUnconfirmedUsageFromStorage(t *testing.T) {
 	dir := t.TempDir()
 	withFakeCounter(t, dir, func(w *world, c *counter.Server) {
-		passed := w.countServed(5, "k-school")
+		forwarded := w.countServed(5, "k-school")
 		time.Sleep(2 * time.Second)
 		c.Do("silent", "")
-		passed += w.countServed(6, "k-school")
-		time.Sleep(2 * time.Second) // saved, not added
+		forwarded += w.countServed(6, "k-school")
+		time.Sleep(2 * time.Second) // saved, not in the counter
 		w.restart()
 		c.Do("ok", "")
-		passed += w.countServed(3, "k-school")
+		forwarded += w.countServed(3, "k-school")
 		time.Sleep(15 * time.Second)
-		if got, want := total(c, "school"), int64(1000*passed); got != want {
-			t.Errorf("the counter holds %d, %d passed", got, want)
+		if got, want := storedUnits(c, "school"), int64(1000*forwarded); got != want {
+			t.Errorf("the counter holds %d, %d forwarded", got, want)
 		}
 	})
 }
 
-// A restarted node knows what a customer has used: without the counter it would
-// let most of a store pass a second time.
+// A restarted node knows from the counter what a customer has used. Without the counter it
+// would admit most of a bucket a second time.
 func TestRestartedNodeKnowsUsedQuota(t *testing.T) {
-	run := func(withIt bool) (second int) {
-		withFakeCounter(t, "", func(w *world, c *counter.Server) {
-			if !withIt {
-				c.Do("refuse", "")
-			}
-			time.Sleep(21 * time.Second) // the first process knows its stores
-			if first := w.countServed(25, "k-slow"); first < 15 || first > 23 {
-				t.Errorf("%d of a store of 20 passed", first)
-			}
-			time.Sleep(time.Second)
-			w.restart()
-			second = w.countServed(25, "k-slow")
-		})
-		return second
-	}
-	with, without := run(true), run(false)
-	t.Logf("passed after the restart: %d with the counter, %d without", with, without)
+	with := servedAfterRestart(t, true)
+	without := servedAfterRestart(t, false)
+	t.Logf("served after the restart: %d with the counter, %d without", with, without)
 	if with > 8 || without < 15 {
 		t.Errorf("%d with, %d without", with, without)
 	}
 }
+
+// servedAfterRestart uses up a bucket of 20, restarts the node, and returns how many of 25
+// further requests are served.
+func servedAfterRestart(t *testing.T, counterUp bool) (served int) {
+	t.Helper()
+	withFakeCounter(t, "", func(w *world, c *counter.Server) {
+		if !counterUp {
+			c.Do("refuse", "")
+		}
+		time.Sleep(21 * time.Second) // the time to fill the bucket: the first process knows it
+		if first := w.countServed(25, "k-slow"); first < 15 || first > 23 {
+			t.Errorf("%d of a bucket of 20 served", first)
+		}
+		time.Sleep(time.Second)
+		w.restart()
+		served = w.countServed(25, "k-slow")
+	})
+	return served
+}
