--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// A request with and without tally, counter and store.
-func BenchmarkTally(b *testing.B) {
+// A request with and without usage tracking, which includes counter and storage.
+func BenchmarkUsageTracking(b *testing.B) {
 	for _, with := range []bool{false, true} {
 		b.Run(fmt.Sprint(with), func(b *testing.B) {
 			extra := ""
--- a/gateway/member.go
+++ b/gateway/member.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	memberMark  = 'M' // first byte of its messages; see tallyMark
+	memberMark  = 'M' // first byte of its messages; see usageMessageMark
 	memberSize  = 1 + 1 + 1 + 8
 	memberTick  = 250 * time.Millisecond
 	memberQueue = 256
--- a/usage/doc.go
+++ b/usage/doc.go
@@ -20,5 +20,5 @@
 // A Tracker performs no I/O and reads no clock. Events are method calls with the current
 // time; effects are returned as a list of Action values, which the caller performs in
 // order. A Tracker is not safe for concurrent use: the caller serializes all calls. The
-// entries and messages in an Action are the caller's to keep.
+// caller may keep the slices in an Action, and must not change them.
 package usage
--- a/usage/shard_health_test.go
+++ b/usage/shard_health_test.go
@@ -40,26 +40,36 @@
 				f.forwardSteadily(5 * time.Second)
 				c.fault(f)
 				f.forwardSteadily(3 * time.Second)
-				if !f.reported(c.want) {
-					f.t.Fatalf("not seen: %v", f.notes)
-				}
-				for _, state := range []ShardState{Unresponsive, Emptied, Replaced, Stale, Diverged} {
-					if state != c.want && f.reported(state) {
-						f.t.Fatalf("taken for %v: %v", state, f.notes)
-					}
-				}
+				f.checkReported(c.want)
 				f.heal("both")
 				f.forwardSteadily(5 * time.Second)
-				for _, n := range f.nodes {
-					if state := n.tracker.ShardState(0); state != Healthy {
-						f.t.Fatalf("node %d believes %v once healed", n.index, state)
-					}
-				}
+				f.checkHealthy()
 			})
 		})
 	}
 }
 
+// checkReported checks that a state was reported and no other fault.
+func (f *fleet) checkReported(want ShardState) {
+	if !f.reported(want) {
+		f.t.Fatalf("not reported: %v", f.notes)
+	}
+	for _, state := range []ShardState{Unresponsive, Emptied, Replaced, Stale, Diverged} {
+		if state != want && f.reported(state) {
+			f.t.Fatalf("reported as %v: %v", state, f.notes)
+		}
+	}
+}
+
+// checkHealthy checks that every node believes the counter to be healthy.
+func (f *fleet) checkHealthy() {
+	for _, n := range f.nodes {
+		if state := n.tracker.ShardState(0); state != Healthy {
+			f.t.Fatalf("node %d believes %v once healed", n.index, state)
+		}
+	}
+}
+
 // A fault of one shard affects the customers on it alone.
 func TestFaultOfOneShardLeavesOtherShardsCorrect(t *testing.T) {
 	s := newShardedCounter(2)
