--- a/usage/recovery_test.go
+++ b/usage/recovery_test.go
@@ -1,6 +1,7 @@
 package usage
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -26,3 +27,31 @@
 		}
 	})
 }
+
+// After a loss a node writes its own entry unconditionally, and the entries of others only
+// where the counter has none: their writers may have raised them since.
+func TestEntriesOfOthersAreAddedOnlyWhereMissing(t *testing.T) {
+	tracker := New(singleNodeSettings(1, time.Hour, Plan{10, 20}))
+	key := TotalKey{"a", tracker.windowAt(startTime)}
+	other := CounterEntry{key, WriterID{1, 1}, 5000}
+	now := startTime
+	nextCall := func() CounterCall {
+		t.Helper()
+		now = now.Add(10 * time.Second)
+		tracker.RecordForwarded(now, "a", "p", []int{0, 1}, 1)
+		for _, action := range tracker.Tick(now) {
+			if call, ok := action.(CounterCall); ok {
+				return call
+			}
+		}
+		t.Fatal("no call")
+		return CounterCall{}
+	}
+	tracker.HandleResponse(now, nextCall().ID, CounterResponse{Epoch: "1", Entries: []CounterEntry{other}})
+	tracker.HandleResponse(now, nextCall().ID, CounterResponse{Epoch: "2"})
+	call := nextCall()
+	own := CounterEntry{key, WriterID{0, 1}, 3000}
+	if !slices.Equal(call.Raise, []CounterEntry{own}) || !slices.Equal(call.AddIfMissing, []CounterEntry{other}) {
+		t.Errorf("raises %v and adds %v where missing", call.Raise, call.AddIfMissing)
+	}
+}
