--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -28,7 +28,6 @@
 	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/peer"
 	"yardcleat.example/yardcleat/policy"
-	"yardcleat.example/yardcleat/storage"
 	"yardcleat.example/yardcleat/upstream"
 	ask "yardcleat.example/yardcleat/upstream/extauthz"
 )
@@ -124,7 +123,7 @@
 		default:
 			return
 		}
-		if (led == nil || !led.heard(from, data)) && (g.keep == nil || !g.keep.heard(from, data)) {
+		if (led == nil || !led.receivePeerMessage(from, data)) && (g.keep == nil || !g.keep.heard(from, data)) {
 			g.node.ReceivePeerMessage(from, data)
 		}
 	}
@@ -145,8 +144,7 @@
 		}
 		g.closes = append(g.closes, mail.Close)
 	}
-	var db *storage.Store
-	led, db, err = g.newLedger(inc, opt.SendToPeer)
+	led, err = g.newUsageRecorder(inc, opt.SendToPeer)
 	if err != nil {
 		return g, err
 	}
@@ -171,7 +169,7 @@
 	}
 	if led != nil {
 		ctx, cancel := context.WithCancel(ctx)
-		g.start(ctx, cancel, func(ctx context.Context) { led.run(ctx, db) })
+		g.start(ctx, cancel, led.run)
 	}
 	if g.keep != nil {
 		ctx, cancel := context.WithCancel(ctx)
--- /dev/null
+++ b/gateway/usage.go
@@ -0,0 +1,208 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"path/filepath"
+	"time"
+
+	"yardcleat.example/yardcleat/config"
+	"yardcleat.example/yardcleat/node"
+	"yardcleat.example/yardcleat/storage"
+	"yardcleat.example/yardcleat/usage"
+	"yardcleat.example/yardcleat/usage/rediscounter"
+)
+
+const (
+	usageTickInterval = 100 * time.Millisecond
+	usageSaveInterval = time.Second
+
+	// usageMessageShare is the share of the peer messages per second that usage may send;
+	// the policy's reports have 0.85.
+	usageMessageShare = 0.05
+
+	// maxTotalsPerSave bounds the totals examined in one turn of the node's loop, which
+	// takes it well under a millisecond.
+	maxTotalsPerSave = 2000
+
+	// usageDatabase is the file's name in the state directory.
+	usageDatabase = "tally"
+)
+
+// usageRecorder runs a usage.Tracker in the node's loop, and performs its actions. Methods
+// run in the loop unless they say otherwise.
+type usageRecorder struct {
+	gateway         *Gateway
+	tracker         *usage.Tracker
+	client          *rediscounter.Client
+	codec           usageMessageCodec
+	sendToPeer      func(to int, message []byte)
+	peersByCustomer map[string][]int
+	storage         *usageStorage // nil: no state directory
+}
+
+var _ node.UsageRecorder = (*usageRecorder)(nil)
+
+// newUsageRecorder opens the counter's client and the storage, before the node's loop runs.
+// The gateway closes them. It returns nil if no counter is configured.
+func (g *Gateway) newUsageRecorder(incarnation uint64, sendToPeer func(int, []byte)) (*usageRecorder, error) {
+	counter := g.cfg.Counter
+	if counter == nil {
+		return nil, nil
+	}
+	gateways := len(g.cfg.Peers.Addresses) + 1
+	r := &usageRecorder{
+		gateway:         g,
+		tracker:         usage.New(usageSettings(g.cfg, incarnation, gateways)),
+		codec:           newUsageMessageCodec(incarnation, g.cfg.Customers),
+		sendToPeer:      sendToPeer,
+		peersByCustomer: map[string][]int{},
+		client: rediscounter.New(rediscounter.Options{
+			Network:    g.o.Network,
+			Addresses:  counter.Addresses,
+			ClientName: fmt.Sprintf("node-%d", g.cfg.Number),
+			Timeout:    counter.Limit,
+			Retention:  counter.Keep,
+		}),
+	}
+	g.closes = append(g.closes, r.client.Close)
+	r.assignPeers(gateways)
+	if g.cfg.StateDir == "" {
+		return r, nil
+	}
+	return r, r.openStorage()
+}
+
+// usageSettings are the tracker's settings for a fleet of a size.
+func usageSettings(cfg *config.Config, incarnation uint64, gateways int) usage.Settings {
+	counter := cfg.Counter
+	plans := map[string]usage.Plan{}
+	for _, plan := range cfg.Plans {
+		plans[plan.Name] = usage.Plan{Rate: plan.Rate, Burst: plan.Burst}
+	}
+	return usage.Settings{
+		Self:                  usage.WriterID{Node: cfg.Number, Incarnation: incarnation},
+		Shards:                len(counter.Addresses),
+		Window:                counter.Window,
+		RetainedWindows:       int(counter.Keep / counter.Window),
+		CallsPerSecond:        counter.Calls / float64(gateways),
+		PeerMessagesPerSecond: cfg.Peers.MailPerSecond * usageMessageShare,
+		Plans:                 plans,
+	}
+}
+
+// openStorage opens the database and loads what earlier processes have saved.
+func (r *usageRecorder) openStorage() error {
+	g := r.gateway
+	store, contents, err := storage.Open(filepath.Join(g.cfg.StateDir, usageDatabase), g.cfg.Number)
+	if err != nil {
+		return err
+	}
+	if moved := contents.MovedAside; moved != nil {
+		g.o.Log.Warn("stored usage moved aside; starting without it",
+			"error", moved.Cause, "path", moved.Path, "moved_to", moved.MovedTo)
+	}
+	r.storage = &usageStorage{gateway: g, tracker: r.tracker, store: store}
+	g.closes = append(g.closes, r.storage.close)
+	r.tracker.LoadStored(g.o.Wall(), contents.Entries)
+	return nil
+}
+
+// assignPeers computes the nodes that serve each customer in a fleet of a size.
+func (r *usageRecorder) assignPeers(gateways int) {
+	clear(r.peersByCustomer)
+	for _, customer := range r.gateway.cfg.Customers {
+		for i := range min(customer.Nodes, gateways) {
+			peer := (customer.First + i) % gateways
+			r.peersByCustomer[customer.Name] = append(r.peersByCustomer[customer.Name], peer)
+		}
+	}
+}
+
+// resize follows a change of the fleet's size.
+func (r *usageRecorder) resize(gateways int) {
+	r.assignPeers(gateways)
+	r.tracker.SetCallsPerSecond(r.gateway.cfg.Counter.Calls / float64(gateways))
+}
+
+// RequestSeen implements node.UsageRecorder.
+func (r *usageRecorder) RequestSeen(request *node.Request) {
+	peers := r.peersByCustomer[request.Customer]
+	r.perform(r.tracker.RecordRequest(r.gateway.o.Wall(), request.Customer, request.Plan, peers))
+}
+
+// RequestForwarded implements node.UsageRecorder.
+func (r *usageRecorder) RequestForwarded(request *node.Request) {
+	peers := r.peersByCustomer[request.Customer]
+	r.tracker.RecordForwarded(r.gateway.o.Wall(), request.Customer, request.Plan, peers, request.Units)
+}
+
+// run ticks the tracker and saves its changes until the context ends, and then saves once
+// more, unless the gateway was killed. It runs in a goroutine of its own, which must end
+// before the node's loop does.
+func (r *usageRecorder) run(ctx context.Context) {
+	ticker := time.NewTicker(usageTickInterval)
+	defer ticker.Stop()
+	savedAt := time.Now()
+	for {
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			if r.storage != nil && !r.gateway.killed.Load() {
+				r.storage.save(context.WithoutCancel(ctx))
+			}
+			return
+		}
+		r.gateway.node.Do(func() { r.perform(r.tracker.Tick(r.gateway.o.Wall())) })
+		if r.storage != nil && time.Since(savedAt) >= usageSaveInterval {
+			savedAt = time.Now()
+			r.storage.save(ctx)
+		}
+	}
+}
+
+// perform carries out the tracker's actions.
+func (r *usageRecorder) perform(actions []usage.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
+		case usage.CounterCall:
+			r.call(action)
+		case usage.PeerMessage:
+			r.sendToPeer(action.To, r.codec.encode(action.Entries))
+		case usage.RestoreLevel:
+			r.gateway.node.SetUsageLevel(action.Customer, action.Units)
+		case usage.OperatorNote:
+			r.logShardState(action)
+		}
+	}
+}
+
+// call makes a call to the counter; its response is handled in the loop.
+func (r *usageRecorder) call(call usage.CounterCall) {
+	r.client.Do(call, func(response usage.CounterResponse) {
+		r.gateway.node.Do(func() {
+			r.perform(r.tracker.HandleResponse(r.gateway.o.Wall(), call.ID, response))
+		})
+	})
+}
+
+func (r *usageRecorder) logShardState(note usage.OperatorNote) {
+	log := r.gateway.o.Log.Warn
+	if note.State == usage.Healthy {
+		log = r.gateway.o.Log.Info
+	}
+	log("counter shard state changed",
+		"shard", note.Shard, "state", note.State.String(), "evidence", note.Evidence.String())
+}
+
+// receivePeerMessage takes a message from a peer, from any goroutine. It returns false if
+// the message is not about usage. A malformed message is dropped.
+func (r *usageRecorder) receivePeerMessage(from int, message []byte) bool {
+	if !isUsageMessage(message) {
+		return false
+	}
+	if entries, err := r.codec.decode(from, message); err == nil {
+		r.gateway.node.Do(func() { r.tracker.MergeFromPeer(r.gateway.o.Wall(), from, entries) })
+	}
+	return true
+}
--- /dev/null
+++ b/usage/counter_entry.go
@@ -0,0 +1,130 @@
+package usage
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// milliPerUnit is the number of MilliUnits in a unit.
+const milliPerUnit = 1000
+
+// MilliUnits counts thousandths of a unit: exact sums need integers.
+type MilliUnits int64
+
+// milliUnits rounds units, which are not negative, to the nearest thousandth.
+func milliUnits(units float64) MilliUnits { return MilliUnits(units*milliPerUnit + 0.5) }
+
+// inUnits converts to units.
+func (m MilliUnits) inUnits() float64 { return float64(m) / milliPerUnit }
+
+// WriterID identifies the process that writes an entry.
+type WriterID struct {
+	Node        int    // index of the node in the fleet
+	Incarnation uint64 // of the node's process; later processes have larger ones
+}
+
+func (w WriterID) compare(other WriterID) int {
+	return cmp.Or(cmp.Compare(w.Node, other.Node), cmp.Compare(w.Incarnation, other.Incarnation))
+}
+
+// TotalKey identifies a total: one customer in one window.
+type TotalKey struct {
+	Customer string
+	Window   int64 // number of the window since the Unix epoch, in units of Settings.Window
+}
+
+func (k TotalKey) compare(other TotalKey) int {
+	return cmp.Or(cmp.Compare(k.Customer, other.Customer), cmp.Compare(k.Window, other.Window))
+}
+
+// CounterEntry is what one writer used of a total. Units never decrease over a writer's
+// life, so that of two copies of an entry the larger is the newer.
+type CounterEntry struct {
+	Key    TotalKey
+	Writer WriterID
+	Units  MilliUnits
+}
+
+// writerEntry is the state of one writer's entry in a total. Units never decrease.
+type writerEntry struct {
+	units MilliUnits // largest known
+
+	// confirmed is what the counter is known to hold; 0: not known to hold any. It is
+	// negative after the shard lost the entry, which must then be written again.
+	confirmed MilliUnits
+
+	// claimed is what the writer's node said it wrote, at claimedAt; the zero time: no
+	// claim is open. Responses that lack a claim are evidence of a diverged shard.
+	claimed   MilliUnits
+	claimedAt time.Time
+
+	stored MilliUnits // in storage; 0: not stored
+}
+
+// pendingUnits is how far the entry is ahead of the counter.
+func (e *writerEntry) pendingUnits() MilliUnits { return e.units - e.confirmed }
+
+// entry returns a writer's entry and creates it if it is missing.
+func (w *windowTotal) entry(writer WriterID) *writerEntry {
+	entry := w.entries[writer]
+	if entry == nil {
+		entry = &writerEntry{}
+		w.entries[writer] = entry
+	}
+	return entry
+}
+
+// sortedWriters lists the writers of a total in a fixed order, so that runs repeat exactly.
+func (w *windowTotal) sortedWriters() []WriterID {
+	writers := make([]WriterID, 0, len(w.entries))
+	for writer := range w.entries {
+		writers = append(writers, writer)
+	}
+	slices.SortFunc(writers, WriterID.compare)
+	return writers
+}
+
+// mergeConfirmed merges an entry that the counter holds.
+func (t *Tracker) mergeConfirmed(now time.Time, total *windowTotal, received CounterEntry) {
+	if entry := t.entryOfOther(total, received.Writer); entry != nil {
+		entry.confirmed = received.Units
+		t.raise(now, total, entry, received.Units)
+	}
+}
+
+// mergeClaim merges an entry that its writer's node sent. What it says should be in the
+// counter soon.
+func (t *Tracker) mergeClaim(now time.Time, total *windowTotal, received CounterEntry) {
+	entry := t.entryOfOther(total, received.Writer)
+	if entry == nil {
+		return
+	}
+	if entry.claimedAt.IsZero() && received.Units > entry.confirmed {
+		entry.claimed = received.Units
+		entry.claimedAt = now
+	}
+	t.raise(now, total, entry, received.Units)
+}
+
+// entryOfOther notes that a writer exists and returns its entry. It returns nil for this
+// process's own entry, which nobody else knows better.
+func (t *Tracker) entryOfOther(total *windowTotal, writer WriterID) *writerEntry {
+	t.latestIncarnation[writer.Node] = max(t.latestIncarnation[writer.Node], writer.Incarnation)
+	if writer == t.settings.Self {
+		return nil
+	}
+	return total.entry(writer)
+}
+
+// raise merges units into an entry by maximum. An increase comes off the customer's level.
+func (t *Tracker) raise(now time.Time, total *windowTotal, entry *writerEntry, units MilliUnits) {
+	if units <= entry.units {
+		return
+	}
+	increase := units - entry.units
+	entry.units = units
+	if customer := t.customers[total.key.Customer]; customer != nil {
+		customer.consume(now, increase)
+	}
+}
--- /dev/null
+++ b/usage/shard_health.go
@@ -0,0 +1,211 @@
+package usage
+
+import (
+	"cmp"
+	"time"
+)
+
+const (
+	// unresponsiveAfter is how long a shard gives no valid response before it counts as
+	// unresponsive; minFailedCalls as many calls must have failed.
+	unresponsiveAfter = time.Second
+	minFailedCalls    = 2
+
+	// An unresponsive shard is probed after initialBackoff, doubled up to maxBackoff.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+
+	// minHealthyResponses is how many consecutive responses must hold every expected entry
+	// before a fault counts as over.
+	minHealthyResponses = 3
+
+	// minDivergedResponses is how many consecutive responses must lack claimed entries
+	// before a shard counts as diverged.
+	minDivergedResponses = 3
+
+	// claimSettleTime is how long after a peer's claim the entry must be in the counter.
+	claimSettleTime = 2 * time.Second
+)
+
+// lostConfirmation marks an entry that the shard lost, see writerEntry.confirmed.
+const lostConfirmation MilliUnits = -1
+
+// shardHealth is the state of one shard of the counter.
+type shardHealth struct {
+	index       int
+	state       ShardState
+	epoch       string // last read; "": never
+	epochReadAt time.Time
+
+	// Calls without a valid response.
+	failedCalls int // consecutive
+	respondedAt time.Time
+	retryAt     time.Time // no call before
+	backoff     time.Duration
+
+	// Responses.
+	healthyResponses  int // consecutive
+	divergedResponses int // consecutive
+
+	// A loss that is not classified until the epoch is read.
+	lossSuspected bool
+	entriesGone   bool // some were missing, or the total was empty
+	entriesLower  bool
+	lossEvidence  LostEntries
+}
+
+// recordFailure records a call without a valid response.
+func (t *Tracker) recordFailure(now time.Time, shard *shardHealth) {
+	shard.failedCalls++
+	shard.healthyResponses = 0
+	overdue := shard.failedCalls >= minFailedCalls && now.Sub(shard.respondedAt) > unresponsiveAfter
+	switch {
+	case shard.state == Unresponsive:
+		shard.backoff = min(2*shard.backoff, maxBackoff)
+	case overdue:
+		t.setShardState(shard, Unresponsive, FailedCalls{shard.failedCalls})
+		shard.backoff = initialBackoff
+	default:
+		return
+	}
+	shard.retryAt = now.Add(shard.backoff)
+}
+
+// recordResponse records that a call had a valid response.
+func (s *shardHealth) recordResponse(now time.Time) {
+	s.respondedAt = now
+	s.retryAt = time.Time{}
+	s.backoff = 0
+	s.failedCalls = 0
+}
+
+// updateEpoch takes the epoch of a response, and tells whether it has changed.
+func (s *shardHealth) updateEpoch(epoch string) bool {
+	changed := s.epoch != "" && epoch != "" && epoch != s.epoch
+	s.epoch = cmp.Or(epoch, s.epoch)
+	return changed
+}
+
+// assessResponse compares a response with what the counter must hold, updates the shard's
+// state, and takes what the response holds as confirmed.
+func (t *Tracker) assessResponse(now time.Time, total *windowTotal, response *CounterResponse) {
+	shard := t.shardOf(total)
+	shard.recordResponse(now)
+	held := make(map[WriterID]MilliUnits, len(response.Entries))
+	for _, entry := range response.Entries {
+		held[entry.Writer] = entry.Units
+	}
+	loss := total.findLoss(held)
+	overdueClaims := total.settleClaims(now, held)
+	epochChanged := shard.updateEpoch(response.Epoch)
+	lossFound := epochChanged || loss.any()
+	if lossFound {
+		t.restoreShard(now, total, shard)
+		shard.suspectLoss(loss, len(held) == 0)
+	}
+	switch {
+	case shard.lossSuspected && response.Epoch == "":
+		shard.epochReadAt = time.Time{} // the next call reads it
+	case shard.lossSuspected:
+		t.setShardState(shard, shard.classifyLoss(epochChanged), shard.lossEvidence)
+	case overdueClaims > 0:
+		t.recordDivergedResponse(shard, UnconfirmedClaims{total.key, overdueClaims})
+	default:
+		t.recordHealthyResponse(shard)
+	}
+	total.confirm(held, lossFound)
+}
+
+// findLoss compares the entries held by the counter with those that it has confirmed.
+func (w *windowTotal) findLoss(held map[WriterID]MilliUnits) LostEntries {
+	loss := LostEntries{Key: w.key}
+	for writer, entry := range w.entries {
+		if entry.confirmed <= 0 || held[writer] >= entry.confirmed {
+			continue
+		}
+		loss.LargestLoss = max(loss.LargestLoss, entry.confirmed-held[writer])
+		if held[writer] == 0 {
+			loss.Missing++
+		} else {
+			loss.Lower++
+		}
+	}
+	return loss
+}
+
+// settleClaims closes the claims that the counter holds, and returns the number of those
+// that it should hold by now and does not.
+func (w *windowTotal) settleClaims(now time.Time, held map[WriterID]MilliUnits) (overdue int) {
+	for writer, entry := range w.entries {
+		if entry.claimedAt.IsZero() {
+			continue
+		}
+		if held[writer] >= entry.claimed {
+			entry.claimedAt = time.Time{}
+		} else if now.Sub(entry.claimedAt) > claimSettleTime {
+			overdue++
+		}
+	}
+	return overdue
+}
+
+// confirm takes the entries held by the counter as confirmed, also where they are lower.
+// After a loss, those that it does not hold are marked as lost.
+func (w *windowTotal) confirm(held map[WriterID]MilliUnits, lossFound bool) {
+	for writer, entry := range w.entries {
+		entry.confirmed = held[writer]
+		if lossFound && entry.confirmed == 0 {
+			entry.confirmed = lostConfirmation
+		}
+	}
+}
+
+// suspectLoss notes a loss, to be classified once the epoch is read.
+func (s *shardHealth) suspectLoss(loss LostEntries, totalEmpty bool) {
+	s.lossSuspected = true
+	s.entriesGone = s.entriesGone || loss.Missing > 0 || totalEmpty
+	s.entriesLower = s.entriesLower || loss.Lower > 0
+	s.lossEvidence = loss
+}
+
+// classifyLoss returns the state that a suspected loss amounts to, and ends the suspicion.
+func (s *shardHealth) classifyLoss(epochChanged bool) ShardState {
+	state := Stale
+	if epochChanged {
+		state = Replaced
+		if s.entriesGone && !s.entriesLower {
+			state = Emptied
+		}
+	}
+	s.lossSuspected = false
+	s.entriesGone = false
+	s.entriesLower = false
+	return state
+}
+
+// recordDivergedResponse records a response that lacks claimed entries.
+func (t *Tracker) recordDivergedResponse(shard *shardHealth, evidence UnconfirmedClaims) {
+	shard.healthyResponses = 0
+	shard.divergedResponses++
+	if shard.divergedResponses >= minDivergedResponses {
+		t.setShardState(shard, Diverged, evidence)
+	}
+}
+
+// recordHealthyResponse records a response that holds every expected entry.
+func (t *Tracker) recordHealthyResponse(shard *shardHealth) {
+	shard.divergedResponses = 0
+	shard.healthyResponses++
+	if shard.healthyResponses >= minHealthyResponses || shard.state == Unknown {
+		t.setShardState(shard, Healthy, CompleteResponses{shard.healthyResponses})
+	}
+}
+
+// setShardState changes a shard's state, and reports a change.
+func (t *Tracker) setShardState(shard *shardHealth, state ShardState, evidence Evidence) {
+	if shard.state == state {
+		return
+	}
+	shard.state = state
+	t.actions = append(t.actions, OperatorNote{shard.index, state, evidence})
+}
