--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -5,80 +5,80 @@
 	"time"
 )
 
-// try sends the request to a server if one has room for it.
-func (g *Gateway) try(r *request) bool {
+// startAttempt sends the request to a server if one has room for it.
+func (g *Gateway) startAttempt(r *request) bool {
 	if r.remote {
-		g.grant(r)
+		g.grantLease(r)
 		return true
 	}
-	s := g.pick(r)
+	s := g.selectServer(r)
 	if s == nil {
-		g.lackAt = g.now
+		g.lastShortageAt = g.now
 		return false
 	}
-	c := r.c
-	if !r.counted {
-		r.counted = true
-		c.take(r)
-		g.budget = min(retryCap, g.budget+retryEarn)
+	c := r.customer
+	if !r.charged {
+		r.charged = true
+		c.charge(r)
+		g.retryBudget = min(maxRetryBudget, g.retryBudget+retryBudgetEarned)
 	}
-	c.fresh = repeatTicks
-	g.sent(r, s)
-	if g.coldness(s) < 1 {
-		s.sends = append(s.sends, g.now)
+	c.pendingReports = reportRepeats
+	g.recordAttemptStart(r, s)
+	if g.warmFraction(s) < 1 {
+		s.coldSends = append(s.coldSends, g.now)
 	} else {
-		g.sendRate++
+		g.warmSendRate++
 	}
 	var timeout time.Duration
-	if !g.set.CanCancel && r.cl.Idempotency == Idempotent && !r.cl.Streaming {
-		timeout = max(r.cl.LatencyObjective*3/5, r.deadline-g.now-r.cl.LatencyObjective)
+	if !g.settings.CanCancel && r.class.Idempotency == Idempotent && !r.class.Streaming {
+		timeout = max(r.class.LatencyObjective*3/5, r.deadline-g.now-r.class.LatencyObjective)
 	}
 	g.do(StartAttempt{ID: r.id, Server: s.ID, Timeout: timeout})
 	return true
 }
 
-// sent and ended keep the lists of attempts out.
-func (g *Gateway) sent(r *request, s *server) {
-	r.c.count(g.now, 1)
-	r.srv, r.last, r.sentAt, r.load, r.quit = s, s, g.now, g.load(s), false
+// recordAttemptStart and ended keep the lists of attempts out.
+func (g *Gateway) recordAttemptStart(r *request, s *server) {
+	r.customer.addInFlight(g.now, 1)
+	r.server, r.lastServer, r.sentAt, r.loadAtSend, r.cancelRequested = s, s, g.now, g.loadAt(s), false
 	r.attempts++
-	s.out, g.out = s.out+1, g.out+1
-	s.oldest = append(s.oldest, r)
+	s.inFlight, g.inFlight = s.inFlight+1, g.inFlight+1
+	s.attempts = append(s.attempts, r)
 }
 
-func (g *Gateway) onOutcome(ev AttemptResult) {
-	r := g.reqs[ev.ID]
-	if r == nil || r.srv == nil || ev.Attempt != r.attempts-1 {
+func (g *Gateway) handleAttemptResult(ev AttemptResult) {
+	r := g.requests[ev.ID]
+	if r == nil || r.server == nil || ev.Attempt != r.attempts-1 {
 		return
 	}
-	s, c := r.srv, r.c
-	g.advance(c)
-	c.fresh = repeatTicks
-	g.ended(r, ev.Code)
-	g.judge(s, r, ev)
+	s, c := r.server, r.customer
+	g.refill(c)
+	c.pendingReports = reportRepeats
+	g.recordAttemptEnd(r, ev.Code)
+	g.learnFromResult(s, r, ev)
 	if ev.Code == OK && ev.ActualUnits > 0 && ev.ActualUnits != r.units {
 		c.settle(ev.ActualUnits - r.units)
 	}
 	switch {
-	case r.over || ev.Answered || ev.Code == OK:
-		g.close(r)
-	case ev.Code == TooLate || g.now >= r.deadline || !g.again(r, ev.Code):
-		g.refuse(r, ReasonAttemptsExhausted)
-	case !g.room(c, false) || !g.try(r):
-		g.hold(r)
+	case r.done || ev.Answered || ev.Code == OK:
+		g.finish(r)
+	case ev.Code == TooLate || g.now >= r.deadline || !g.mayRetry(r, ev.Code):
+		g.reject(r, ReasonAttemptsExhausted)
+	case !g.hasInFlightRoom(c, false) || !g.startAttempt(r):
+		g.enqueue(r)
 	}
-	g.release(c)
+	g.releaseAfterResult(c)
 }
 
-func (g *Gateway) ended(r *request, code ResultCode) {
-	s := r.srv
-	if !code.NeverRan() && !r.ran {
-		r.ran, r.ranZone, r.ranCell, r.ranAt = true, s.Zone, s.Cell, r.sentAt
+func (g *Gateway) recordAttemptEnd(r *request, code ResultCode) {
+	s := r.server
+	if !code.NeverRan() && !r.mayHaveRun {
+		r.mayHaveRun, r.firstRunZone, r.firstRunCell, r.firstRunAt = true, s.Zone, s.Cell, r.sentAt
 	}
-	r.srv, r.stream = nil, false
-	s.out, g.out = s.out-1, g.out-1
-	r.c.count(g.now, -1)
-	if i := slices.Index(s.oldest, r); i >= 0 {
-		s.oldest = slices.Delete(s.oldest, i, i+1)
+	r.server, r.responseStarted = nil, false
+	s.inFlight, g.inFlight = s.inFlight-1, g.inFlight-1
+	r.customer.addInFlight(g.now, -1)
+	if i := slices.Index(s.attempts, r); i >= 0 {
+		s.attempts = slices.Delete(s.attempts, i, i+1)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func fleetOf(t *testing.T, me, n int, mail float64) *Gateway {
+func newFleetMember(t *testing.T, me, n int, mail float64) *Gateway {
 	t.Helper()
 	g, err := New(Settings{SelfIndex: me, Gateways: n, Resolution: time.Millisecond, MaxAttempts: 2, CanCancel: true, CanMessagePeers: true,
 		PeerMessagesPerSecond: mail, MaxRequestUnits: 1, Plans: []Plan{{Name: "p", Rate: 5, Burst: 10, HardRate: 10, HardBurst: 20}},
@@ -20,19 +20,19 @@
 	return g
 }
 
-// holds is the part of the ceiling of a customer that a gateway may grant.
-func holds(g *Gateway, c *customer) float64 {
-	if g.was.gateways != 0 {
-		return 1 / c.n
+// ceilingShare is the part of the ceiling of a customer that a gateway may grant.
+func ceilingShare(g *Gateway, c *customer) float64 {
+	if g.previousSize.gateways != 0 {
+		return 1 / c.ceilingDivisor
 	}
-	return 1 / g.part(c, size{g.set.Gateways, g.tree})
+	return 1 / g.ceilingDivisorAt(c, fleetSize{g.settings.Gateways, g.leaderMode})
 }
 
 // A fleet changes its size, over the border between reports from all to all and
 // roots or not, again and again; each gateway hears of it at its own time. At no
 // moment do the parts of any ceiling sum to more than the whole, and once all have
 // heard they sum to it again, but for the deputy's where there is none.
-func TestPartsOfCeilings(t *testing.T) {
+func TestCeilingSharesNeverExceedTheWhole(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		mail := []float64{20, 200}[rng.IntN(2)] // with 20, fleets of 9 have roots
@@ -44,32 +44,32 @@
 			spreads[name] = [2]int{rng.IntN(6), 1 + rng.IntN(16)}
 		}
 		enter := func(g *Gateway, name string) *customer {
-			if c := g.customers[keyOf(name)]; c != nil {
+			if c := g.customers[customerKey(name)]; c != nil {
 				return c
 			}
-			return g.account(keyOf(name), g.plans["p"], spreads[name][0], spreads[name][1])
+			return g.addCustomer(customerKey(name), g.plans["p"], spreads[name][0], spreads[name][1])
 		}
 		sums := func(want bool, what string) {
 			t.Helper()
 			for _, name := range names {
 				sum := 0.0
 				for _, g := range all {
-					sum += holds(g, enter(g, name))
+					sum += ceilingShare(g, enter(g, name))
 				}
 				// A customer of one gateway has no deputy: that part is nobody's.
-				if sum > 1+1e-9 || want && sum < 1-deputyPart-1e-9 {
+				if sum > 1+1e-9 || want && sum < 1-standbyCeilingShare-1e-9 {
 					t.Fatalf("seed %d, %s: the parts of %s sum to %v", seed, what, name, sum)
 				}
 			}
 		}
 		for i := range n {
-			all[i] = fleetOf(t, i, n, mail)
+			all[i] = newFleetMember(t, i, n, mail)
 		}
 		sums(true, "at first")
 		for change := range 5 {
 			to := 1 + rng.IntN(14)
 			for i := n; i < to; i++ { // those that join start in the middle of the change
-				all[i] = fleetOf(t, i, to, mail)
+				all[i] = newFleetMember(t, i, to, mail)
 				all[i].Handle(0, FleetResized{Gateways: to, PreviousSize: []int{n, -1}[rng.IntN(2)]}, nil)
 			}
 			for _, i := range rng.Perm(n) {
@@ -91,8 +91,8 @@
 
 // What a gateway knew carries over a change; requests that are held or asked for
 // are answered all the same.
-func TestFleetChanges(t *testing.T) {
-	g := fleetOf(t, 0, 3, 200)
+func TestStateCarriesOverFleetResizes(t *testing.T) {
+	g := newFleetMember(t, 0, 3, 200)
 	id := RequestID(0)
 	ask := func(now time.Duration) (sent, refused int) {
 		id++
@@ -112,14 +112,14 @@
 		s, _ := ask(10*time.Second + time.Duration(i)*time.Millisecond)
 		passed += s
 	}
-	c := g.customers[keyOf("c")]
-	store := c.store
+	c := g.customers[customerKey("c")]
+	store := c.tokens
 	g.Handle(10*time.Second+20*time.Millisecond, FleetResized{Gateways: 4, PreviousSize: 3}, nil)
-	if c.store < store || c.store > store+1 || c.passed != uint16(passed) || len(c.set) != 2 {
-		t.Errorf("store %v, was %v; passed %d of %d; %d views", c.store, store, c.passed, passed, len(c.set))
+	if c.tokens < store || c.tokens > store+1 || c.admittedUnits != uint16(passed) || len(c.peerViews) != 2 {
+		t.Errorf("store %v, was %v; passed %d of %d; %d views", c.tokens, store, c.admittedUnits, passed, len(c.peerViews))
 	}
-	if c.n != 3 {
-		t.Errorf("part 1/%v", c.n)
+	if c.ceilingDivisor != 3 {
+		t.Errorf("part 1/%v", c.ceilingDivisor)
 	}
 	// Into a fleet with roots and back, with requests out at roots: each ends.
 	owed := map[RequestID]bool{}
@@ -145,7 +145,7 @@
 			carry(g.Handle(now, Request{ID: id, Customer: fmt.Sprint("c", id%7), Plan: "p", Class: "lookup", Units: 1,
 				Remaining: 2 * time.Second, FirstGateway: 2, GatewaySpread: 8}, nil))
 		}
-		carry(g.Handle(now, FleetResized{Gateways: n, PreviousSize: g.set.Gateways}, nil))
+		carry(g.Handle(now, FleetResized{Gateways: n, PreviousSize: g.settings.Gateways}, nil))
 		for range 100 {
 			now += 25 * time.Millisecond
 			carry(g.Handle(now, TimerFired{Token: "tick"}, nil))
@@ -156,7 +156,7 @@
 			t.Fatalf("at %d gateways: %d requests without an answer", n, len(owed))
 		}
 	}
-	if math.IsInf(c.n, 1) || c.n <= 0 {
-		t.Errorf("part 1/%v", c.n)
+	if math.IsInf(c.ceilingDivisor, 1) || c.ceilingDivisor <= 0 {
+		t.Errorf("part 1/%v", c.ceilingDivisor)
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -14,26 +14,26 @@
 		message     any
 	}{
 		{"ask", "0300" + "0102030405060708" + "1112" + "2122" + "31" + "32" + "4142" + "5152" + "61626364" + "71" + "72" + "01",
-			ask{Customer: 0x0102030405060708, First: 0x1112, Spread: 0x2122, Plan: 0x31, Class: 0x32, Units: 0x4142, Left: 0x5152,
-				Tag: 0x61626364, Thin: 0x71, Fill: 0x72, Repeat: true}},
+			leaseRequest{Customer: 0x0102030405060708, FirstGateway: 0x1112, GatewaySpread: 0x2122, Plan: 0x31, Class: 0x32, Units: 0x4142, RemainingMS: 0x5152,
+				Tag: 0x61626364, Chance: 0x71, Fill: 0x72, ClientRetry: true}},
 		{"ask for a first try", "0300" + "0102030405060708" + "1112" + "2122" + "31" + "32" + "4142" + "5152" + "61626364" + "71" + "72" + "00",
-			ask{Customer: 0x0102030405060708, First: 0x1112, Spread: 0x2122, Plan: 0x31, Class: 0x32, Units: 0x4142, Left: 0x5152,
-				Tag: 0x61626364, Thin: 0x71, Fill: 0x72}},
-		{"answer", "0301" + "01020304" + "05" + "06" + "07" + "08", answer{Tag: 0x01020304, Verdict: 5, Fill: 6, Strain: 7, Part: 8}},
-		{"ended", "0302" + "0102030405060708" + "11121314" + "00", ended{Customer: 0x0102030405060708, Tag: 0x11121314}},
+			leaseRequest{Customer: 0x0102030405060708, FirstGateway: 0x1112, GatewaySpread: 0x2122, Plan: 0x31, Class: 0x32, Units: 0x4142, RemainingMS: 0x5152,
+				Tag: 0x61626364, Chance: 0x71, Fill: 0x72}},
+		{"answer", "0301" + "01020304" + "05" + "06" + "07" + "08", leaseResponse{Tag: 0x01020304, Decision: 5, Fill: 6, Overload: 7, AdmittedShare: 8}},
+		{"ended", "0302" + "0102030405060708" + "11121314" + "00", leaseReturn{Customer: 0x0102030405060708, Tag: 0x11121314}},
 		{"ended, unused", "0302" + "0102030405060708" + "11121314" + "01",
-			ended{Customer: 0x0102030405060708, Tag: 0x11121314, Unused: true}},
-		{"sight", "0303" + "01020304" + "05" + "06" + "0708", sight{Server: 0x01020304, Class: 5, Code: 6, Latency: 0x0708}},
-		{"verdict", "0304" + "01020304" + "05" + "06", verdict{Server: 0x01020304, Bad: 5, Pace: 6}},
+			leaseReturn{Customer: 0x0102030405060708, Tag: 0x11121314, Unused: true}},
+		{"sight", "0303" + "01020304" + "05" + "06" + "0708", outcomeReport{Server: 0x01020304, Class: 5, Code: 6, LatencyMS: 0x0708}},
+		{"verdict", "0304" + "01020304" + "05" + "06", outlierReport{Server: 0x01020304, EjectedClasses: 5, LatencyRatio: 6}},
 		{"report", "04" + "01020304" + "11121314" + "01" + "02" + // header, 2 servers
 			"2465" + "ffff" + // hashes of 11 bits, attempts out of 5 bits
 			"a1a2a3" + "4c" + "5152" + "61" + "fa" + // a customer
 			"b1b2b3" + "f0" + "0001" + "7f" + "ff",
-			report{inc: 0x01020304, seq: 0x11121314, complete: true, servers: []serverOut{{hash: 0x123, out: 5}, {hash: 0x7ff, out: 31}},
-				customers: []entry{{hash: 0xa1a2a3, out: 4, held: 12, passed: 0x5152, rate: 0x61, store: 250},
-					{hash: 0xb1b2b3, out: 15, held: 0, passed: 1, rate: maxRate, store: unknownStore}}}},
+			loadReport{incarnation: 0x01020304, sequence: 0x11121314, complete: true, servers: []reportedServer{{hash: 0x123, inFlight: 5}, {hash: 0x7ff, inFlight: 31}},
+				customers: []reportedCustomer{{hash: 0xa1a2a3, inFlight: 4, queued: 12, admittedUnits: 0x5152, demand: 0x61, fill: 250},
+					{hash: 0xb1b2b3, inFlight: 15, queued: 0, admittedUnits: 1, demand: maxReportedDemand, fill: unknownFill}}}},
 		{"report, cut short by its size", "04" + "01020304" + "11121314" + "00" + "00",
-			report{inc: 0x01020304, seq: 0x11121314}},
+			loadReport{incarnation: 0x01020304, sequence: 0x11121314}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, err := hex.DecodeString(c.bytes)
@@ -44,7 +44,7 @@
 				t.Errorf("decoded to %#v, want %#v", m, c.message)
 			}
 			var out []byte
-			if r, ok := c.message.(report); ok {
+			if r, ok := c.message.(loadReport); ok {
 				out = r.encode()
 			} else {
 				out = encode(c.message)
@@ -62,7 +62,7 @@
 		name      string
 		got, want int
 	}{
-		{"verdict granted", int(granted), 0}, {"verdict refused", int(refused), 1}, {"verdict waits", int(waits), 2},
+		{"verdict granted", int(leaseGranted), 0}, {"verdict refused", int(leaseRejected), 1}, {"verdict waits", int(leaseQueued), 2},
 		{"shift of the reason in a verdict", reasonShift, 2},
 		{"NoReason", int(ReasonNone), 0}, {"OverQuota", int(ReasonQuotaExceeded), 1}, {"OverCap", int(ReasonInFlightLimit), 2}, {"OverHard", int(ReasonCeilingExceeded), 3},
 		{"Shed", int(ReasonLoadShed), 4}, {"NoServer", int(ReasonNoServer), 5}, {"NoTime", int(ReasonNoTime), 6}, {"NoRoot", int(ReasonNoQuotaLeader), 7},
@@ -79,17 +79,17 @@
 
 // Customers are named by the same hashes at all gateways, of whatever build.
 func TestCustomerHashesAreGolden(t *testing.T) {
-	key := keyOf("bibl-a")
+	key := customerKey("bibl-a")
 	if want := uint64(0x79ba5150b1712e5c); key != want {
 		t.Errorf("key %#x, want %#x", key, want)
 	}
-	if short, want := shortOf(key), uint32(0x79ba51); short != want {
+	if short, want := customerReportHash(key), uint32(0x79ba51); short != want {
 		t.Errorf("short %#x, want %#x", short, want)
 	}
 }
 
 // A customer's remembered store has exactly these JSON fields.
-func TestMemoryHasGoldenJSON(t *testing.T) {
+func TestSnapshotHasGoldenJSON(t *testing.T) {
 	const golden = `{"Key":17446744073709551557,"Plan":"basic","First":2,"Spread":5,"Store":12.5}`
 	want := CustomerSnapshot{Key: 17446744073709551557, Plan: "basic", FirstGateway: 2, GatewaySpread: 5, Tokens: 12.5}
 	var got CustomerSnapshot
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -7,98 +7,99 @@
 )
 
 const (
-	untold      = 0.01 // what a tick untold adds to a place in the report
-	repeatTicks = 3    // a change is told in this many reports
-	rootTicks   = 2    // roots of a customer report to each other every so many ticks
+	priorityPerUnreportedTick = 0.01 // what a tick untold adds to a place in the report
+	reportRepeats             = 3    // a change is told in this many reports
+	leaderReportTicks         = 2    // roots of a customer report to each other every so many ticks
 )
 
 type peer struct {
-	num      int
-	inc      uint32
-	seq      uint32
-	at       time.Duration
-	heard    bool
-	complete bool               // its last report named all customers with news
-	outs     map[uint16]float64 // attempts out by server
-	views    []*peerView        // what it said of each customer
+	index            int
+	incarnation      uint32
+	sequence         uint32
+	reportedAt       time.Duration
+	hasReport        bool
+	complete         bool               // its last report named all customers with news
+	inFlightByServer map[uint16]float64 // attempts out by server
+	customerViews    []*peerView        // what it said of each customer
 }
 
 // peerView is what one other gateway last said of one customer.
 type peerView struct {
-	p      *peer
-	at     time.Duration
-	heard  bool
-	inc    uint32
-	out    float64
-	held   float64
-	passed uint16
-	rate   float64 // asked units, decayed
+	peer          *peer
+	reportedAt    time.Duration
+	hasReport     bool
+	incarnation   uint32
+	inFlight      float64
+	queued        float64
+	admittedUnits uint16
+	demand        float64 // asked units, decayed
 }
 
-// peer returns what is known of a gateway.
-func (g *Gateway) peer(num int) *peer {
+// peerAt returns what is known of a gateway.
+func (g *Gateway) peerAt(num int) *peer {
 	if g.peers[num] == nil {
-		g.peers[num] = &peer{num: num}
+		g.peers[num] = &peer{index: num}
 	}
 	return g.peers[num]
 }
 
-func (g *Gateway) allPeers() {
+func (g *Gateway) createPeers() {
 	for i := range g.peers {
-		g.peer(i)
+		g.peerAt(i)
 	}
 }
 
-// views makes room for what each of the others says of a customer.
-func (g *Gateway) views(c *customer, others []int) {
-	old := c.set
-	c.set = nil
+// assignPeerViews makes room for what each of the others says of a customer.
+func (g *Gateway) assignPeerViews(c *customer, others []int) {
+	old := c.peerViews
+	c.peerViews = nil
 	for _, num := range others {
-		if num != g.set.SelfIndex {
-			v := &peerView{p: g.peer(num)}
-			if i := slices.IndexFunc(old, func(o *peerView) bool { return o.p == v.p }); i >= 0 {
+		if num != g.settings.SelfIndex {
+			v := &peerView{peer: g.peerAt(num)}
+			if i := slices.IndexFunc(old, func(o *peerView) bool { return o.peer == v.peer }); i >= 0 {
 				v = old[i]
 			}
-			c.set, v.p.views = append(c.set, v), append(v.p.views, v)
+			c.peerViews, v.peer.customerViews = append(c.peerViews, v), append(v.peer.customerViews, v)
 		}
 	}
 }
 
-// report tells each peer what has changed.
-func (g *Gateway) report() {
-	g.seq++
-	list := &g.ranks
+// sendLoadReports tells each peer what has changed.
+func (g *Gateway) sendLoadReports() {
+	g.reportSequence++
+	list := &g.reportRanking
 	list.reset()
-	for _, c := range g.stirred {
-		if c.news() {
-			c.urgency = g.urgent(c)
+	for _, c := range g.activeCustomers {
+		if c.hasChanges() {
+			c.reportPriority = g.priorityOf(c)
 			list.rest = append(list.rest, c)
 		}
 	}
 	none := len(list.rest) == 0
 	list.heapify()
 	for _, p := range g.peers {
-		if p == nil || p.num == g.set.SelfIndex || g.tree && none {
+		if p == nil || p.index == g.settings.SelfIndex || g.leaderMode && none {
 			continue
 		}
-		if m := g.message(p, list); !g.tree || len(m.customers) > 0 {
-			g.do(SendPeerMessage{To: p.num, Data: m.encode()})
+		if m := g.newLoadReport(p, list); !g.leaderMode || len(m.customers) > 0 {
+			g.do(SendPeerMessage{To: p.index, Data: m.encode()})
 		}
 	}
 	for _, c := range list.top {
-		if c.told == g.ticks {
-			c.fresh, c.toldUnits = max(0, c.fresh-1), c.passed
+		if c.lastExchangeTick == g.tickCount {
+			c.pendingReports, c.reportedUnits = max(0, c.pendingReports-1), c.admittedUnits
 		}
 	}
 }
 
-// message makes the report for one peer: the servers this gateway has attempts
+// newLoadReport makes the report for one peer: the servers this gateway has attempts
 // out at, then the customers that come in through both, busiest first.
-func (g *Gateway) message(p *peer, list *ranking) *report {
-	m := &report{inc: g.inc, seq: g.seq, complete: true}
-	for _, s := range g.fleet {
-		if s.out > 0 && len(m.servers) < maxServers && !g.tree {
-			m.servers = append(m.servers, serverOut{s.hash, byte(min(s.out, maxOut))})
+func (g *Gateway) newLoadReport(p *peer, list *ranking) *loadReport {
+	m := &loadReport{incarnation: g.incarnation, sequence: g.reportSequence, complete: true}
+	for _, s := range g.endpoints {
+		if s.inFlight > 0 && len(m.servers) < maxReportedServers && !g.leaderMode {
+			m.servers = append(m.servers, reportedServer{s.reportHash, byte(min(s.inFlight,
+				maxReportedInFlight))})
 		}
 	}
 	for k := 0; ; k++ {
@@ -106,7 +107,7 @@
 		if c == nil {
 			break
 		}
-		i := slices.IndexFunc(c.set, func(v *peerView) bool { return v.p == p })
+		i := slices.IndexFunc(c.peerViews, func(v *peerView) bool { return v.peer == p })
 		if i < 0 {
 			continue
 		}
@@ -114,97 +115,101 @@
 			m.complete = false
 			break
 		}
-		g.advance(c)
-		e := entry{hash: c.hash, held: byte(min(len(c.held), maxHeld)),
-			out:    byte(min(math.Round(outScale*math.Sqrt(c.mean)), 15)),
-			passed: c.passed, store: unknownStore,
-			rate: min(maxRate, small(rateScale*math.Log2(1+c.rate/demandSpan.Seconds())))}
-		if c.known && c.plan.Burst > 0 {
-			e.store = small(250 * max(c.store, 0) / c.plan.Burst)
+		g.refill(c)
+		e := reportedCustomer{hash: c.reportHash, queued: byte(min(len(c.queued), maxReportedQueued)),
+			inFlight:      byte(min(math.Round(inFlightScale*math.Sqrt(c.meanInFlight)), 15)),
+			admittedUnits: c.admittedUnits, fill: unknownFill,
+			demand: min(maxReportedDemand,
+				saturatingByte(demandScale*math.Log2(1+c.demand/demandWindow.Seconds())))}
+		if c.tokensKnown && c.plan.Burst > 0 {
+			e.fill = saturatingByte(250 * max(c.tokens, 0) / c.plan.Burst)
 		}
 		m.customers = append(m.customers, e)
-		c.told = g.ticks
+		c.lastExchangeTick = g.tickCount
 	}
 	return m
 }
 
-// news tells whether peers must hear of a customer.
-func (c *customer) news() bool {
-	return len(c.set) > 0 && (c.out > 0 || c.mean > 0 || len(c.held) > 0 || c.fresh > 0)
+// hasChanges tells whether peers must hear of a customer.
+func (c *customer) hasChanges() bool {
+	return len(c.peerViews) > 0 && (c.inFlight > 0 || c.meanInFlight > 0 || len(c.queued) > 0 ||
+		c.pendingReports > 0)
 }
 
-// urgent orders a report, busiest first: held, and units not told yet, against
+// priorityOf orders a report, busiest first: held, and units not told yet, against
 // what may be used at once; then those not told for longest.
-func (g *Gateway) urgent(c *customer) float64 {
-	units := float64(c.passed-c.toldUnits) / (c.plan.Burst + 1)
-	return float64(len(c.held)) + units + untold*float64(g.ticks-c.told)
+func (g *Gateway) priorityOf(c *customer) float64 {
+	units := float64(c.admittedUnits-c.reportedUnits) / (c.plan.Burst + 1)
+	return float64(len(c.queued)) + units +
+		priorityPerUnreportedTick*float64(g.tickCount-c.lastExchangeTick)
 }
 
-func (g *Gateway) onReport(p *peer, m report) {
+func (g *Gateway) handleLoadReport(p *peer, m loadReport) {
 	if p == nil {
 		return
 	}
-	if p.heard && p.inc == m.inc && int32(m.seq-p.seq) <= 0 {
+	if p.hasReport && p.incarnation == m.incarnation && int32(m.sequence-p.sequence) <= 0 {
 		return // old or repeated: the later report holds all it said
 	}
-	if m.complete || p.inc != m.inc {
-		for _, v := range p.views {
-			v.out, v.held = 0, 0
+	if m.complete || p.incarnation != m.incarnation {
+		for _, v := range p.customerViews {
+			v.inFlight, v.queued = 0, 0
 		}
 	}
-	p.heard, p.inc, p.seq, p.at, p.complete = true, m.inc, m.seq, g.now, m.complete
-	p.outs = map[uint16]float64{}
+	p.hasReport, p.incarnation, p.sequence, p.reportedAt, p.complete = true, m.incarnation, m.sequence,
+		g.now, m.complete
+	p.inFlightByServer = map[uint16]float64{}
 	for _, o := range m.servers {
-		p.outs[o.hash] = float64(o.out)
+		p.inFlightByServer[o.hash] = float64(o.inFlight)
 	}
-	g.sumLoads()
+	g.sumPeerLoads()
 	for _, e := range m.customers {
-		if c := g.byHash[e.hash]; c != nil {
-			g.hear(c, p, e)
+		if c := g.customersByHash[e.hash]; c != nil {
+			g.mergePeerLoad(c, p, e)
 		}
 	}
 }
 
-// hear takes in what a peer says of a customer. Running totals heal lost
+// mergePeerLoad takes in what a peer says of a customer. Running totals heal lost
 // reports; a total that jumps oddly (the peer started anew) is a new base.
-func (g *Gateway) hear(c *customer, p *peer, e entry) {
-	i := slices.IndexFunc(c.set, func(v *peerView) bool { return v.p == p })
+func (g *Gateway) mergePeerLoad(c *customer, p *peer, e reportedCustomer) {
+	i := slices.IndexFunc(c.peerViews, func(v *peerView) bool { return v.peer == p })
 	if i < 0 {
 		return
 	}
-	g.advance(c)
-	v := c.set[i]
-	v.read(e, g.now)
-	if v.heard && v.inc != p.inc {
-		v.passed = 0
+	g.refill(c)
+	v := c.peerViews[i]
+	v.update(e, g.now)
+	if v.hasReport && v.incarnation != p.incarnation {
+		v.admittedUnits = 0
 	}
-	if v.heard {
-		d := float64(int16(e.passed - v.passed)) // settled units may take it back
-		c.store = min(c.plan.Burst, max(0, c.store-d))
+	if v.hasReport {
+		d := float64(int16(e.admittedUnits - v.admittedUnits)) // settled units may take it back
+		c.tokens = min(c.plan.Burst, max(0, c.tokens-d))
 	}
-	v.heard, v.inc, v.passed = true, p.inc, e.passed
-	if !c.known && e.store != unknownStore {
-		c.known = true
-		c.store = min(c.store, float64(e.store)/250*c.plan.Burst)
+	v.hasReport, v.incarnation, v.admittedUnits = true, p.incarnation, e.admittedUnits
+	if !c.tokensKnown && e.fill != unknownFill {
+		c.tokensKnown = true
+		c.tokens = min(c.tokens, float64(e.fill)/250*c.plan.Burst)
 	}
 }
 
-// read takes over an entry's figures.
-func (v *peerView) read(e entry, now time.Duration) {
-	v.at, v.rate = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandSpan.Seconds()
-	v.out, v.held = math.Pow(float64(e.out)/outScale, 2), float64(e.held)
+// update takes over an entry's figures.
+func (v *peerView) update(e reportedCustomer, now time.Duration) {
+	v.reportedAt, v.demand = now, (math.Exp2(float64(e.demand)/demandScale)-1)*demandWindow.Seconds()
+	v.inFlight, v.queued = math.Pow(float64(e.inFlight)/inFlightScale, 2), float64(e.queued)
 }
 
-// sumLoads sums the peers' attempts out at each server; old counts are let go.
-func (g *Gateway) sumLoads() {
-	if g.tree {
+// sumPeerLoads sums the peers' attempts out at each server; old counts are let go.
+func (g *Gateway) sumPeerLoads() {
+	if g.leaderMode {
 		return // its reports tell of no servers
 	}
-	for _, s := range g.fleet {
-		s.heard = 0
+	for _, s := range g.endpoints {
+		s.peersInFlight = 0
 		for _, p := range g.peers {
-			if p != nil && !g.silent(p) {
-				s.heard += p.outs[s.hash]
+			if p != nil && !g.isStale(p) {
+				s.peersInFlight += p.inFlightByServer[s.reportHash]
 			}
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,15 +18,15 @@
 
 const ms = time.Millisecond
 
-// world drives gateways by hand: it keeps the clock and remembers actions.
-type world struct {
-	t   *testing.T
-	g   *Gateway
-	now time.Duration
-	ids RequestID
+// harness drives gateways by hand: it keeps the clock and remembers actions.
+type harness struct {
+	t      *testing.T
+	g      *Gateway
+	now    time.Duration
+	lastID RequestID
 }
 
-func base() Settings {
+func baseSettings() Settings {
 	return Settings{SelfIndex: 0, Gateways: 2, Zone: "a", Resolution: 2 * ms, MaxAttempts: 5, CanCancel: true,
 		CanMessagePeers: true, PeerMessagesPerSecond: 60, MaxRequestUnits: 4, MaxRetryAfter: 500 * ms,
 		Classes: []Class{
@@ -48,7 +48,7 @@
 		ColdOverloadTime: time.Second}
 }
 
-func fleet(n int) []Server {
+func testServers(n int) []Server {
 	var l []Server
 	for i := range n {
 		l = append(l, Server{ID: ServerID(i + 1), Zone: "a", Cell: i / 2, Weight: 1})
@@ -56,35 +56,35 @@
 	return l
 }
 
-func newWorld(t *testing.T, s Settings, servers []Server) *world {
+func newHarness(t *testing.T, s Settings, servers []Server) *harness {
 	t.Helper()
 	g, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, g: g, now: time.Second}
-	w.do(EndpointUpdate{Kind: CachedUpdate, Servers: servers})
+	w := &harness{t: t, g: g, now: time.Second}
+	w.handle(EndpointUpdate{Kind: CachedUpdate, Servers: servers})
 	return w
 }
 
-func (w *world) do(ev Event) []Action { return w.g.Handle(w.now, ev, nil) }
+func (w *harness) handle(ev Event) []Action { return w.g.Handle(w.now, ev, nil) }
 
-// pass lets time go by, with the gateway's ticks, and returns what was done.
-func (w *world) pass(d time.Duration) (acts []Action) {
+// advance lets time go by, with the gateway's ticks, and returns what was done.
+func (w *harness) advance(d time.Duration) (acts []Action) {
 	for end := w.now + d; w.now < end; {
-		w.now += min(w.g.tick, end-w.now)
-		acts = append(acts, w.do(TimerFired{Token: "tick"})...)
+		w.now += min(w.g.tickInterval, end-w.now)
+		acts = append(acts, w.handle(TimerFired{Token: "tick"})...)
 	}
 	return acts
 }
 
-func (w *world) ask(class, plan, customer string, units float64) (RequestID, []Action) {
-	w.ids++
-	return w.ids, w.do(Request{ID: w.ids, Customer: customer, Plan: plan, Class: class, Units: units,
+func (w *harness) request(class, plan, customer string, units float64) (RequestID, []Action) {
+	w.lastID++
+	return w.lastID, w.handle(Request{ID: w.lastID, Customer: customer, Plan: plan, Class: class, Units: units,
 		Remaining: 2 * time.Second, GatewaySpread: 2})
 }
 
-func of[T Action](acts []Action) (l []T) {
+func actionsOf[T Action](acts []Action) (l []T) {
 	for _, a := range acts {
 		if x, ok := a.(T); ok {
 			l = append(l, x)
@@ -93,22 +93,22 @@
 	return l
 }
 
-func (w *world) end(s StartAttempt, attempt int, code ResultCode) []Action {
-	return w.do(AttemptResult{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
+func (w *harness) finishAttempt(s StartAttempt, attempt int, code ResultCode) []Action {
+	return w.handle(AttemptResult{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
 		Answered: code == OK})
 }
 
-func (w *world) send(class, plan string) StartAttempt {
+func (w *harness) startAttempt(class, plan string) StartAttempt {
 	w.t.Helper()
-	_, acts := w.ask(class, plan, "c", 1)
-	s := of[StartAttempt](acts)
+	_, acts := w.request(class, plan, "c", 1)
+	s := actionsOf[StartAttempt](acts)
 	if len(s) != 1 {
 		w.t.Fatalf("want one Send, got %v", acts)
 	}
 	return s[0]
 }
 
-func TestFurtherAttempts(t *testing.T) {
+func TestRetriesByResultAndIdempotency(t *testing.T) {
 	const (
 		again = iota
 		refused
@@ -125,11 +125,11 @@
 		{"cell", Error, again}, {"cell", Rejected, again}, {"all", Reset, again},
 	} {
 		t.Run(fmt.Sprint(c.class, c.code), func(t *testing.T) {
-			w := newWorld(t, base(), fleet(4))
-			s := w.send(c.class, "free")
+			w := newHarness(t, baseSettings(), testServers(4))
+			s := w.startAttempt(c.class, "free")
 			w.now += 20 * ms
-			acts := w.end(s, 0, c.code)
-			sends, ref, fail := of[StartAttempt](acts), of[Reject](acts), of[Fail](acts)
+			acts := w.finishAttempt(s, 0, c.code)
+			sends, ref, fail := actionsOf[StartAttempt](acts), actionsOf[Reject](acts), actionsOf[Fail](acts)
 			got := -1
 			switch {
 			case len(sends) == 1 && len(ref)+len(fail) == 0:
@@ -153,26 +153,26 @@
 	}
 }
 
-func TestKeyedOutsideWindowFails(t *testing.T) {
-	w := newWorld(t, base(), fleet(4))
-	w.ids++
-	acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "free", Class: "cell", Units: 1,
+func TestKeyedRequestOutsideDedupWindowFails(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(4))
+	w.lastID++
+	acts := w.handle(Request{ID: w.lastID, Customer: "c", Plan: "free", Class: "cell", Units: 1,
 		Remaining: 5 * time.Second, GatewaySpread: 2})
-	s := of[StartAttempt](acts)[0]
+	s := actionsOf[StartAttempt](acts)[0]
 	w.now += 2100 * ms
-	acts = w.end(s, 0, Error)
-	if len(of[Fail](acts)) != 1 || len(of[StartAttempt](acts))+len(of[Reject](acts)) != 0 {
+	acts = w.finishAttempt(s, 0, Error)
+	if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[StartAttempt](acts))+len(actionsOf[Reject](acts)) != 0 {
 		t.Fatalf("a keyed request past its window was not failed: %v", acts)
 	}
 }
 
 // Every request gets one final answer before its deadline, with servers that
 // answer none, and with no servers at all.
-func TestOneFinalAnswerInTime(t *testing.T) {
+func TestOneFinalResponseInTime(t *testing.T) {
 	for _, plan := range []string{"free", "rate", "open", "hard", "both"} {
 		for _, remaining := range []time.Duration{10 * ms, 60 * ms, 300 * ms, 2 * time.Second} {
-			w := newWorld(t, base(), fleet(2))
-			w.pass(time.Second)
+			w := newHarness(t, baseSettings(), testServers(2))
+			w.advance(time.Second)
 			owed := map[RequestID]time.Duration{}
 			out := map[RequestID]StartAttempt{}
 			tries := map[RequestID]int{}
@@ -192,7 +192,7 @@
 					case CancelAttempt:
 						s := out[a.ID]
 						delete(out, a.ID)
-						note(w.do(AttemptResult{ID: a.ID, Attempt: a.Attempt, Server: s.Server, Code: Cancelled}))
+						note(w.handle(AttemptResult{ID: a.ID, Attempt: a.Attempt, Server: s.Server, Code: Cancelled}))
 					case Reject, Fail:
 						id := RequestID(reflect.ValueOf(a).FieldByName("ID").Uint())
 						if _, ok := owed[id]; !ok {
@@ -205,20 +205,20 @@
 			for i := 0; i < 1500; i++ {
 				w.now += 2 * ms
 				if i < 200 && i%4 == 0 {
-					w.ids++
-					owed[w.ids] = w.now + remaining
-					note(w.do(Request{ID: w.ids, Customer: "c", Plan: plan, Class: "safe", Units: 1,
+					w.lastID++
+					owed[w.lastID] = w.now + remaining
+					note(w.handle(Request{ID: w.lastID, Customer: "c", Plan: plan, Class: "safe", Units: 1,
 						Remaining: remaining, GatewaySpread: 2}))
 				}
-				if w.now-w.g.lastTick >= w.g.tick {
-					note(w.do(TimerFired{Token: "tick"}))
+				if w.now-w.g.lastTickAt >= w.g.tickInterval {
+					note(w.handle(TimerFired{Token: "tick"}))
 				}
-				for id := RequestID(1); id <= w.ids; id++ {
+				for id := RequestID(1); id <= w.lastID; id++ {
 					due, owes := owed[id]
 					s, sent := out[id]
 					if owes && sent && w.now >= due {
 						delete(out, id)
-						note(w.do(AttemptResult{ID: id, Attempt: tries[id] - 1, Server: s.Server, Code: TimedOut}))
+						note(w.handle(AttemptResult{ID: id, Attempt: tries[id] - 1, Server: s.Server, Code: TimedOut}))
 					}
 					if _, still := owed[id]; still && w.now > due+8*ms {
 						t.Fatalf("%s, %v: request %d has no answer in its time", plan, remaining, id)
@@ -232,24 +232,24 @@
 	}
 }
 
-func TestNothingNewToDrainingOrGone(t *testing.T) {
+func TestNoNewAttemptsAtDrainingOrRemovedServers(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		ev   EndpointUpdate
 	}{
 		{"draining", EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: 1, State: Draining}}}},
 		{"removed", EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: 1, State: Removed}}}},
-		{"not in the whole list", EndpointUpdate{Kind: SnapshotUpdate, Servers: fleet(4)[1:]}},
+		{"not in the whole list", EndpointUpdate{Kind: SnapshotUpdate, Servers: testServers(4)[1:]}},
 	} {
-		w := newWorld(t, base(), fleet(4))
-		w.do(c.ev)
+		w := newHarness(t, baseSettings(), testServers(4))
+		w.handle(c.ev)
 		for range 100 {
-			s := w.send("safe", "free")
+			s := w.startAttempt("safe", "free")
 			if s.Server == 1 {
 				t.Fatalf("%s: sent", c.name)
 			}
 			w.now += 30 * ms
-			w.end(s, 0, OK)
+			w.finishAttempt(s, 0, OK)
 		}
 	}
 }
@@ -257,40 +257,40 @@
 // Servers that were replaced are forgotten once nothing is out at them, by either
 // kind of list; an attempt that is out at one still ends as it should.
 func TestReplacedServersAreForgotten(t *testing.T) {
-	w := newWorld(t, base(), fleet(4))
-	held := w.send("safe", "free")
+	w := newHarness(t, baseSettings(), testServers(4))
+	held := w.startAttempt("safe", "free")
 	for i := range 1000 {
 		w.now += 50 * ms
 		old, next := ServerID(100+i), ServerID(101+i)
 		list := []Server{{ID: next, Zone: "a", Weight: 1, HasStartTime: true, StartedAt: w.now}}
 		if i%2 == 0 {
-			w.do(EndpointUpdate{Kind: DeltaUpdate, Servers: append(list, Server{ID: old, State: Removed})})
+			w.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: append(list, Server{ID: old, State: Removed})})
 		} else {
-			w.do(EndpointUpdate{Kind: SnapshotUpdate, Servers: append(list, fleet(4)...)})
+			w.handle(EndpointUpdate{Kind: SnapshotUpdate, Servers: append(list, testServers(4)...)})
 		}
 	}
-	w.do(EndpointUpdate{Kind: SnapshotUpdate, Servers: fleet(4)[:2]})
-	if most := 3; len(w.g.fleet) > most || len(w.g.servers) != len(w.g.fleet) {
-		t.Errorf("%d servers known, %d listed", len(w.g.servers), len(w.g.fleet))
+	w.handle(EndpointUpdate{Kind: SnapshotUpdate, Servers: testServers(4)[:2]})
+	if most := 3; len(w.g.endpoints) > most || len(w.g.servers) != len(w.g.endpoints) {
+		t.Errorf("%d servers known, %d listed", len(w.g.servers), len(w.g.endpoints))
 	}
-	acts := w.do(AttemptResult{ID: held.ID, Server: held.Server, Code: Reset, Latency: w.now})
+	acts := w.handle(AttemptResult{ID: held.ID, Server: held.Server, Code: Reset, Latency: w.now})
 	if len(acts) == 0 {
 		t.Error("an attempt at a server that has gone ended, and nothing was decided")
 	}
 }
 
 func TestColdServerBudget(t *testing.T) {
-	servers := fleet(4)
+	servers := testServers(4)
 	servers[0].HasStartTime, servers[0].StartedAt = true, time.Second
-	w := newWorld(t, base(), servers)
+	w := newHarness(t, baseSettings(), servers)
 	cold, warm := 0, 0
 	for range 100 {
 		w.now += 10 * ms
-		if s := w.send("safe", "free"); s.Server == 1 {
+		if s := w.startAttempt("safe", "free"); s.Server == 1 {
 			cold++
 		} else {
 			warm++
-			w.end(s, 0, OK)
+			w.finishAttempt(s, 0, OK)
 		}
 	}
 	if each := float64(warm) / 3; float64(cold) > 0.2*2*each {
@@ -301,12 +301,12 @@
 // The sum of the gateways' parts never passes the ceiling, whatever is asked
 // and however often they restart.
 func TestCeilingHoldsOverRestarts(t *testing.T) {
-	s := base()
+	s := baseSettings()
 	level, worst := 20.0, 20.0
-	var gs [2]*world
+	var gs [2]*harness
 	for i := range gs {
 		s.SelfIndex = i
-		gs[i] = newWorld(t, s, fleet(8))
+		gs[i] = newHarness(t, s, testServers(8))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 3000 {
@@ -315,25 +315,25 @@
 			w.now += 4 * ms
 			if i == 1600+200*k || i == 2300+150*k {
 				s.SelfIndex = k
-				n := newWorld(t, s, fleet(8))
-				n.now, n.ids = w.now, w.ids
+				n := newHarness(t, s, testServers(8))
+				n.now, n.lastID = w.now, w.lastID
 				g, _ := New(s, uint64(i))
 				n.g = g
-				n.do(EndpointUpdate{Kind: CachedUpdate, Servers: fleet(8)})
+				n.handle(EndpointUpdate{Kind: CachedUpdate, Servers: testServers(8)})
 				gs[k], w = n, n
 			}
 			var acts []Action
 			if i > 1000 && (rng.IntN(2) == k || i%1000 < 300) {
-				_, acts = w.ask("safe", "hard", "c", 1)
-				for _, x := range of[StartAttempt](acts) {
+				_, acts = w.request("safe", "hard", "c", 1)
+				for _, x := range actionsOf[StartAttempt](acts) {
 					level--
-					w.end(x, 0, OK)
+					w.finishAttempt(x, 0, OK)
 				}
 			}
-			if w.now-w.g.lastTick >= w.g.tick {
-				for _, tell := range of[SendPeerMessage](w.do(TimerFired{Token: "tick"})) {
+			if w.now-w.g.lastTickAt >= w.g.tickInterval {
+				for _, tell := range actionsOf[SendPeerMessage](w.handle(TimerFired{Token: "tick"})) {
 					if rng.IntN(5) > 0 {
-						gs[tell.To].do(PeerMessage{From: k, Data: tell.Data})
+						gs[tell.To].handle(PeerMessage{From: k, Data: tell.Data})
 					}
 				}
 			}
@@ -348,148 +348,148 @@
 	}
 }
 
-// hear gives a gateway a peer's report.
-func (w *world) hear(from int, inc, seq uint32, complete bool, entries ...entry) {
-	m := report{inc: inc, seq: seq, complete: complete, customers: entries}
-	w.do(PeerMessage{From: from, Data: m.encode()})
+// receiveReport gives a gateway a peer's report.
+func (w *harness) receiveReport(from int, inc, seq uint32, complete bool, entries ...reportedCustomer) {
+	m := loadReport{incarnation: inc, sequence: seq, complete: complete, customers: entries}
+	w.handle(PeerMessage{From: from, Data: m.encode()})
 }
 
-func hashOf(name string) uint32 {
-	return shortOf(keyOf(name))
+func reportHashOf(name string) uint32 {
+	return customerReportHash(customerKey(name))
 }
 
-func TestHoldsBeyondTheCapInOrder(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
+func TestQueuesBeyondInFlightCapInOrder(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
 	var sent []StartAttempt
 	for range 4 {
-		_, acts := w.ask("safe", "open", "c", 1)
-		sent = append(sent, of[StartAttempt](acts)...)
+		_, acts := w.request("safe", "open", "c", 1)
+		sent = append(sent, actionsOf[StartAttempt](acts)...)
 		w.now += ms
 	}
-	w.hear(1, 1, 1, true)
-	sent = append(sent, of[StartAttempt](w.pass(60*ms))...)
+	w.receiveReport(1, 1, 1, true)
+	sent = append(sent, actionsOf[StartAttempt](w.advance(60*ms))...)
 	if len(sent) != 2 {
 		t.Fatalf("%d attempts out under a cap of 2", len(sent))
 	}
-	w.hear(1, 1, 2, true)
-	next := of[StartAttempt](w.end(sent[0], 0, OK))
+	w.receiveReport(1, 1, 2, true)
+	next := actionsOf[StartAttempt](w.finishAttempt(sent[0], 0, OK))
 	if len(next) != 1 || next[0].ID != 3 {
 		t.Fatalf("the oldest held was not released: %v", next)
 	}
 }
 
-func TestPeersAttemptsFillTheCap(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	s := w.send("safe", "open")
-	w.end(s, 0, OK)
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, store: unknownStore})
-	if _, acts := w.ask("safe", "open", "c", 1); len(acts) != 0 {
+func TestPeerAttemptsCountAgainstInFlightCap(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	s := w.startAttempt("safe", "open")
+	w.finishAttempt(s, 0, OK)
+	w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), inFlight: 6, fill: unknownFill})
+	if _, acts := w.request("safe", "open", "c", 1); len(acts) != 0 {
 		t.Fatalf("the peer has 2 out under a cap of 2, yet %v", acts)
 	}
-	w.hear(1, 1, 2, true)
-	if got := of[StartAttempt](w.pass(100 * ms)); len(got) != 1 {
+	w.receiveReport(1, 1, 2, true)
+	if got := actionsOf[StartAttempt](w.advance(100 * ms)); len(got) != 1 {
 		t.Fatalf("the peer has none out, yet %v", got)
 	}
 }
 
-// spend asks for n requests of one unit and counts those passed.
-func (w *world) spend(n int, plan string) int {
+// admitUnits asks for n requests of one unit and counts those passed.
+func (w *harness) admitUnits(n int, plan string) int {
 	passed := 0
 	for range n {
-		_, acts := w.ask("safe", plan, "c", 1)
-		for _, s := range of[StartAttempt](acts) {
+		_, acts := w.request("safe", plan, "c", 1)
+		for _, s := range actionsOf[StartAttempt](acts) {
 			passed++
-			w.end(s, 0, OK)
+			w.finishAttempt(s, 0, OK)
 		}
 	}
 	return passed
 }
 
-func TestQuotaBoundsWhatPasses(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.hear(1, 1, 1, true)
-	if n := w.spend(40, "rate"); n < 5 || n > 10 {
+func TestQuotaBoundsAdmittedUnits(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.receiveReport(1, 1, 1, true)
+	if n := w.admitUnits(40, "rate"); n < 5 || n > 10 {
 		t.Fatalf("%d units passed of a store of 10", n)
 	}
 }
 
-func TestHeardUnitsAreTakenOff(t *testing.T) {
+func TestReportedUnitsAreDeducted(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tell func(w *world)
+		tell func(w *harness)
 		most int
 	}{
-		{"told", func(w *world) {
-			w.hear(1, 1, 2, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+		{"told", func(w *harness) {
+			w.receiveReport(1, 1, 2, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 8, fill: unknownFill})
 		}, 2},
-		{"repeated", func(w *world) {
+		{"repeated", func(w *harness) {
 			for range 3 {
-				w.hear(1, 1, 2, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+				w.receiveReport(1, 1, 2, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 4, fill: unknownFill})
 			}
 		}, 6},
-		{"lost, then told", func(w *world) {
-			w.hear(1, 1, 9, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
-			w.hear(1, 1, 3, true, entry{hash: hashOf("c"), passed: 4, store: unknownStore})
+		{"lost, then told", func(w *harness) {
+			w.receiveReport(1, 1, 9, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 8, fill: unknownFill})
+			w.receiveReport(1, 1, 3, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 4, fill: unknownFill})
 		}, 2},
-		{"restarted", func(w *world) {
-			w.hear(1, 2, 1, true, entry{hash: hashOf("c"), passed: 8, store: unknownStore})
+		{"restarted", func(w *harness) {
+			w.receiveReport(1, 2, 1, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 8, fill: unknownFill})
 		}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, base(), fleet(8))
-			w.spend(1, "rate")
-			w.pass(600 * ms)
-			w.hear(1, 1, 1, true, entry{hash: hashOf("c"), store: unknownStore})
+			w := newHarness(t, baseSettings(), testServers(8))
+			w.admitUnits(1, "rate")
+			w.advance(600 * ms)
+			w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), fill: unknownFill})
 			c.tell(w)
-			if n := w.spend(30, "rate"); n > c.most || n == 0 && c.most > 3 {
+			if n := w.admitUnits(30, "rate"); n > c.most || n == 0 && c.most > 3 {
 				t.Fatalf("%d units passed, at most %d are left", n, c.most)
 			}
 		})
 	}
 }
 
-func TestRestartAdoptsPeersStore(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.spend(1, "rate")
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), passed: 100, store: 25})
-	if n := w.spend(20, "rate"); n > 1 {
+func TestRestartAdoptsReportedTokens(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.admitUnits(1, "rate")
+	w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 100, fill: 25})
+	if n := w.admitUnits(20, "rate"); n > 1 {
 		t.Fatalf("%d units passed though a peer knows of one", n)
 	}
 }
 
-func TestSilentPeerNeitherFreesNorBlocks(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.spend(1, "open")
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, held: 3, store: unknownStore})
-	w.pass(3 * time.Second)
-	if n := w.spend(1, "open"); n != 1 {
+func TestStalePeerNeitherFreesNorBlocksTheCap(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.admitUnits(1, "open")
+	w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), inFlight: 6, queued: 3, fill: unknownFill})
+	w.advance(3 * time.Second)
+	if n := w.admitUnits(1, "open"); n != 1 {
 		t.Fatal("a silent peer's old count blocks the customer")
 	}
-	_, a := w.ask("safe", "open", "c", 1)
-	_, b := w.ask("safe", "open", "c", 1)
-	acts := append(append(a, b...), w.pass(100*ms)...)
-	if n := len(of[StartAttempt](acts)); n > 1 {
+	_, a := w.request("safe", "open", "c", 1)
+	_, b := w.request("safe", "open", "c", 1)
+	acts := append(append(a, b...), w.advance(100*ms)...)
+	if n := len(actionsOf[StartAttempt](acts)); n > 1 {
 		t.Fatalf("a silent peer's room was freed: %d out", n)
 	}
 }
 
-func TestFailingServerIsEjectedAndTriedAgain(t *testing.T) {
+func TestFailingServerIsEjectedAndProbed(t *testing.T) {
 	for _, code := range []ResultCode{Error, ConnectFailed, Reset} {
-		w := newWorld(t, base(), fleet(6))
+		w := newHarness(t, baseSettings(), testServers(6))
 		to := func(bad bool, n int) (hits int) {
 			for range n {
-				w.pass(25 * ms)
-				s := w.send("safe", "free")
+				w.advance(25 * ms)
+				s := w.startAttempt("safe", "free")
 				for k := 0; ; k++ {
 					hit := s.Server == 1
 					if hit {
 						hits++
 					}
 					if !hit || !bad {
-						w.end(s, k, OK)
+						w.finishAttempt(s, k, OK)
 						break
 					}
-					again := of[StartAttempt](w.end(s, k, code))
+					again := actionsOf[StartAttempt](w.finishAttempt(s, k, code))
 					if len(again) == 0 {
 						break
 					}
@@ -510,13 +510,13 @@
 }
 
 // When all servers fail alike, verdicts against them are not heeded.
-func TestSharedFailureDoesNotEmptyTheFleet(t *testing.T) {
-	w := newWorld(t, base(), fleet(9))
+func TestSharedFailureEjectsNobody(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(9))
 	late := map[ServerID]int{}
 	for i := range 300 {
 		w.now += 25 * ms
-		s := w.send("once", "free") // fails the test when there is none
-		w.end(s, 0, Error)
+		s := w.startAttempt("once", "free") // fails the test when there is none
+		w.finishAttempt(s, 0, Error)
 		if i >= 200 {
 			late[s.Server]++
 		}
@@ -526,21 +526,21 @@
 	}
 }
 
-func TestHungServerIsLeft(t *testing.T) {
-	w := newWorld(t, base(), fleet(6))
+func TestHungServerIsAvoided(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(6))
 	called, late := 0, 0
 	for i := range 300 {
-		s := w.send("safe", "free")
+		s := w.startAttempt("safe", "free")
 		if s.Server != 1 {
-			w.end(s, 0, OK)
+			w.finishAttempt(s, 0, OK)
 		} else if i > 150 {
 			late++
 		}
-		for _, a := range w.pass(25 * ms) {
+		for _, a := range w.advance(25 * ms) {
 			if c, ok := a.(CancelAttempt); ok {
 				called++
-				for _, s := range of[StartAttempt](w.do(AttemptResult{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
-					w.end(s, c.Attempt+1, OK)
+				for _, s := range actionsOf[StartAttempt](w.handle(AttemptResult{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
+					w.finishAttempt(s, c.Attempt+1, OK)
 				}
 			}
 		}
@@ -550,72 +550,72 @@
 	}
 }
 
-func TestRepeatsYieldWhilePressed(t *testing.T) {
-	w := newWorld(t, base(), fleet(1))
+func TestClientRetriesYieldDuringServerShortage(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(1))
 	for range 50 {
-		w.ask("safe", "free", "c", 1)
+		w.request("safe", "free", "c", 1)
 	}
-	w.ids++
-	acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "free", Class: "safe", Units: 1,
+	w.lastID++
+	acts := w.handle(Request{ID: w.lastID, Customer: "c", Plan: "free", Class: "safe", Units: 1,
 		Remaining: 2 * time.Second, GatewaySpread: 2, ClientRetry: true})
-	if r := of[Reject](acts); len(r) != 1 || r[0].RetryAfter != 500*ms {
+	if r := actionsOf[Reject](acts); len(r) != 1 || r[0].RetryAfter != 500*ms {
 		t.Fatalf("got %v", acts)
 	}
 }
 
 func TestStrayInputChangesNothing(t *testing.T) {
-	w := newWorld(t, base(), fleet(3))
-	s := w.send("safe", "free")
+	w := newHarness(t, baseSettings(), testServers(3))
+	s := w.startAttempt("safe", "free")
 	for _, ev := range []Event{
 		AttemptResult{ID: 99, Server: 1, Code: OK}, AttemptResult{ID: s.ID, Attempt: 4, Server: s.Server, Code: Error},
 		ClientDisconnected{ID: 98}, TimerFired{Token: "other"}, ResponseStarted{ID: 97},
 		PeerMessage{From: 1, Data: []byte("rubbish")}, PeerMessage{From: 1}, PeerMessage{From: -3},
-		PeerMessage{From: 55, Data: (&report{}).encode()}, EndpointUpdate{Kind: WatchFailed},
+		PeerMessage{From: 55, Data: (&loadReport{}).encode()}, EndpointUpdate{Kind: WatchFailed},
 	} {
-		if acts := w.do(ev); len(acts) != 0 {
+		if acts := w.handle(ev); len(acts) != 0 {
 			t.Errorf("%#v led to %v", ev, acts)
 		}
 	}
-	w.end(s, 0, OK)
-	if acts := w.end(s, 0, OK); len(acts) != 0 || w.g.fleet[0].out+w.g.fleet[1].out+w.g.fleet[2].out != 0 {
+	w.finishAttempt(s, 0, OK)
+	if acts := w.finishAttempt(s, 0, OK); len(acts) != 0 || w.g.endpoints[0].inFlight+w.g.endpoints[1].inFlight+w.g.endpoints[2].inFlight != 0 {
 		t.Errorf("a second outcome led to %v", acts)
 	}
 }
 
-func TestSettledUnitsComeOff(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.hear(1, 1, 1, true)
-	s := w.send("safe", "rate")
-	w.do(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, ActualUnits: 9})
-	if n := w.spend(5, "rate"); n > 1 {
+func TestActualUnitsAreDeducted(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.receiveReport(1, 1, 1, true)
+	s := w.startAttempt("safe", "rate")
+	w.handle(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, ActualUnits: 9})
+	if n := w.admitUnits(5, "rate"); n > 1 {
 		t.Fatalf("%d more passed after 9 of 10 units were settled", n)
 	}
 }
 
-func TestStreamIsNotCalledBack(t *testing.T) {
-	w := newWorld(t, base(), fleet(1))
-	s := w.send("stream", "free")
-	w.do(ResponseStarted{ID: s.ID, Server: s.Server})
-	if acts := w.pass(10 * time.Second); len(of[CancelAttempt](acts))+len(of[Fail](acts))+len(of[Reject](acts)) > 0 {
+func TestStartedStreamIsNotCancelled(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(1))
+	s := w.startAttempt("stream", "free")
+	w.handle(ResponseStarted{ID: s.ID, Server: s.Server})
+	if acts := w.advance(10 * time.Second); len(actionsOf[CancelAttempt](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
 		t.Fatal("a begun stream was ended")
 	}
 }
 
-func TestAsksForTheListWhereItMust(t *testing.T) {
-	s := base()
+func TestWatchesEndpointsWhereRequired(t *testing.T) {
+	s := baseSettings()
 	s.MustWatchEndpoints = true
 	g, _ := New(s, 1)
-	w := &world{t: t, g: g, now: time.Second}
-	if n := len(of[WatchEndpoints](w.do(EndpointUpdate{Kind: CachedUpdate}))); n != 1 {
+	w := &harness{t: t, g: g, now: time.Second}
+	if n := len(actionsOf[WatchEndpoints](w.handle(EndpointUpdate{Kind: CachedUpdate}))); n != 1 {
 		t.Fatalf("%d asks at the start", n)
 	}
-	w.do(EndpointUpdate{Kind: WatchFailed})
-	if n := len(of[WatchEndpoints](w.pass(3 * time.Second))); n != 1 {
+	w.handle(EndpointUpdate{Kind: WatchFailed})
+	if n := len(actionsOf[WatchEndpoints](w.advance(3 * time.Second))); n != 1 {
 		t.Fatalf("%d asks after a failed one", n)
 	}
 }
 
-func TestNewNamesTheKey(t *testing.T) {
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
 		"Resolution":                  func(s *Settings) { s.Resolution = 0 },
 		"Plans":                       func(s *Settings) { s.Plans = nil },
@@ -624,7 +624,7 @@
 		"Classes[0].LatencyObjective": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"SelfIndex":                   func(s *Settings) { s.SelfIndex = 2 },
 	} {
-		s := base()
+		s := baseSettings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), key+":") {
 			t.Errorf("%s: %v", key, err)
@@ -634,14 +634,14 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (all []Action) {
-		w := newWorld(t, base(), fleet(5))
+		w := newHarness(t, baseSettings(), testServers(5))
 		for i := range 300 {
-			_, acts := w.ask("safe", []string{"both", "rate", "free"}[i%3], fmt.Sprint(i%7), 1)
+			_, acts := w.request("safe", []string{"both", "rate", "free"}[i%3], fmt.Sprint(i%7), 1)
 			all = append(all, acts...)
-			for _, s := range of[StartAttempt](acts) {
-				all = append(all, w.end(s, 0, ResultCode(i%3))...)
+			for _, s := range actionsOf[StartAttempt](acts) {
+				all = append(all, w.finishAttempt(s, 0, ResultCode(i%3))...)
 			}
-			all = append(all, w.pass(20*ms)...)
+			all = append(all, w.advance(20*ms)...)
 		}
 		return all
 	}
@@ -651,15 +651,15 @@
 }
 
 func FuzzPeerMessage(f *testing.F) {
-	f.Add((&report{inc: 1, seq: 2, complete: true, servers: []serverOut{{1, 2}},
-		customers: []entry{{hash: 3}, {hash: 5}}}).encode())
+	f.Add((&loadReport{incarnation: 1, sequence: 2, complete: true, servers: []reportedServer{{1, 2}},
+		customers: []reportedCustomer{{hash: 3}, {hash: 5}}}).encode())
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		w := newWorld(t, base(), fleet(2))
-		w.ask("safe", "hard", "c", 1)
-		w.do(PeerMessage{From: 1, Data: b})
+		w := newHarness(t, baseSettings(), testServers(2))
+		w.request("safe", "hard", "c", 1)
+		w.handle(PeerMessage{From: 1, Data: b})
 		if m, ok := decodeReport(b); ok {
-			if len(b) > maxMessage {
+			if len(b) > maxMessageBytes {
 				t.Fatal("too long")
 			}
 			if m2, ok := decodeReport(m.encode()); !ok || !reflect.DeepEqual(m, m2) {
@@ -755,14 +755,14 @@
 
 // Load no report tells of shows in the latencies; the gateway then lets in a
 // part of the requests.
-func TestStrainClosesTheGate(t *testing.T) {
+func TestOverloadShedsLoad(t *testing.T) {
 	let := func(latency time.Duration) (n int) {
-		w := newWorld(t, base(), fleet(20))
+		w := newHarness(t, baseSettings(), testServers(20))
 		for i := range 400 {
-			w.pass(25 * ms)
-			_, acts := w.ask("safe", "free", "c", 1)
-			for _, s := range of[StartAttempt](acts) {
-				w.do(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, Latency: latency})
+			w.advance(25 * ms)
+			_, acts := w.request("safe", "free", "c", 1)
+			for _, s := range actionsOf[StartAttempt](acts) {
+				w.handle(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, Latency: latency})
 				if i >= 200 {
 					n++
 				}
@@ -776,15 +776,15 @@
 }
 
 // A peer cut off or never heard leaves this gateway its part, not the whole.
-func TestUnheardPeerKeepsItsPart(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	w.spend(1, "rate")
-	w.pass(60 * time.Second)
-	w.spend(10, "rate")
+func TestSilentPeerKeepsItsShare(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.admitUnits(1, "rate")
+	w.advance(60 * time.Second)
+	w.admitUnits(10, "rate")
 	n := 0
 	for range 100 {
-		w.pass(100 * ms)
-		n += w.spend(3, "rate")
+		w.advance(100 * ms)
+		n += w.admitUnits(3, "rate")
 	}
 	if n < 50 || n > 85 {
 		t.Fatalf("%d of 100 units passed beside a peer never heard", n)
@@ -792,32 +792,32 @@
 }
 
 // A server that turns one plan away stays in use for the others.
-func TestTurnedAwayIsForThePlanOnly(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
+func TestServerRejectionAppliesToOnePlan(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(2))
 	for range 200 {
-		w.end(w.send("safe", "free"), 0, OK)
-		w.pass(200 * ms)
+		w.finishAttempt(w.startAttempt("safe", "free"), 0, OK)
+		w.advance(200 * ms)
 	}
 	first := 0
 	for range 20 {
-		s := w.send("safe", "free")
+		s := w.startAttempt("safe", "free")
 		if s.Server == 1 {
 			first++
-			next := of[StartAttempt](w.end(s, 0, Rejected))
-			w.end(next[0], 1, OK)
+			next := actionsOf[StartAttempt](w.finishAttempt(s, 0, Rejected))
+			w.finishAttempt(next[0], 1, OK)
 		} else {
-			w.end(s, 0, OK)
+			w.finishAttempt(s, 0, OK)
 		}
-		w.pass(20 * ms)
+		w.advance(20 * ms)
 	}
 	others := 0
 	for range 20 {
-		_, acts := w.ask("safe", "rate", "d", 0)
-		for _, s := range of[StartAttempt](acts) {
+		_, acts := w.request("safe", "rate", "d", 0)
+		for _, s := range actionsOf[StartAttempt](acts) {
 			if s.Server == 1 {
 				others++
 			}
-			w.end(s, 0, OK)
+			w.finishAttempt(s, 0, OK)
 		}
 	}
 	if first != 1 || others < 3 {
@@ -826,52 +826,52 @@
 }
 
 // A low store is left to first tries.
-func TestRepeatsYieldWhenTheStoreIsLow(t *testing.T) {
+func TestClientRetriesYieldWhenTokensAreLow(t *testing.T) {
 	for spent, want := range map[int]int{0: 1, 8: 0} {
-		w := newWorld(t, base(), fleet(8))
-		w.hear(1, 1, 1, true)
-		w.spend(spent, "rate")
-		w.ids++
-		acts := w.do(Request{ID: w.ids, Customer: "c", Plan: "rate", Class: "safe", Units: 1,
+		w := newHarness(t, baseSettings(), testServers(8))
+		w.receiveReport(1, 1, 1, true)
+		w.admitUnits(spent, "rate")
+		w.lastID++
+		acts := w.handle(Request{ID: w.lastID, Customer: "c", Plan: "rate", Class: "safe", Units: 1,
 			Remaining: 2 * time.Second, GatewaySpread: 2, ClientRetry: true})
-		if n := len(of[StartAttempt](acts)); n != want {
+		if n := len(actionsOf[StartAttempt](acts)); n != want {
 			t.Errorf("%d repeats passed after %d of 10 units, want %d", n, spent, want)
 		}
 	}
 }
 
 func TestIdleCustomersAreForgotten(t *testing.T) {
-	w := newWorld(t, base(), fleet(2))
+	w := newHarness(t, baseSettings(), testServers(2))
 	for i := range 50 {
-		_, acts := w.ask("safe", "rate", fmt.Sprint(i), 1)
-		w.end(of[StartAttempt](acts)[0], 0, OK)
+		_, acts := w.request("safe", "rate", fmt.Sprint(i), 1)
+		w.finishAttempt(actionsOf[StartAttempt](acts)[0], 0, OK)
 		w.now += 20 * ms
 	}
-	w.pass(9 * time.Minute)
-	w.spend(1, "rate")
+	w.advance(9 * time.Minute)
+	w.admitUnits(1, "rate")
 	if n := len(w.g.customers); n != 51 {
 		t.Fatalf("%d customers known, want 51", n)
 	}
-	w.pass(2 * time.Minute)
-	if n := len(w.g.customers) + len(w.g.ring) + len(w.g.byHash) + len(w.g.peers[1].views); n != 4 {
+	w.advance(2 * time.Minute)
+	if n := len(w.g.customers) + len(w.g.customerRing) + len(w.g.customersByHash) + len(w.g.peers[1].customerViews); n != 4 {
 		t.Fatalf("%d places still name customers, want 4", n)
 	}
 }
 
 // With the warm servers full, the cold one still gets no more than its budget.
-func TestColdBudgetHoldsUnderLoad(t *testing.T) {
-	servers := fleet(4)
+func TestColdServerBudgetHoldsUnderLoad(t *testing.T) {
+	servers := testServers(4)
 	servers[0].HasStartTime, servers[0].StartedAt = true, time.Second
-	w := newWorld(t, base(), servers)
+	w := newHarness(t, baseSettings(), servers)
 	cold := 0
 	for range 60 {
 		w.now += 10 * ms
-		_, acts := w.ask("once", "free", "c", 1)
+		_, acts := w.request("once", "free", "c", 1)
 		for len(acts) > 0 {
 			s, more := acts[0], []Action(nil)
 			if s, ok := s.(StartAttempt); ok && s.Server == 1 {
 				cold++
-				more = w.end(s, 0, OK)
+				more = w.finishAttempt(s, 0, OK)
 			}
 			acts = append(acts[1:], more...)
 		}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -7,191 +7,202 @@
 )
 
 const (
-	staleTicks   = 6    // a report older than this gives way to the demand split
-	leastWeight  = 0.33 // a silent peer's demand fades to this part of it
-	forgetAfter  = 10 * time.Second
-	demandSpan   = 2 * time.Second       // memory of the demand rates
-	blindExtra   = 25 * time.Millisecond // time a report travels
-	retryReserve = 0.7                   // part of the store that clients' repeats leave to first tries
-
-	evenRate, evenLeast    = 0.02, 0.05 // demand of each gateway taken for granted: of the rate, units
-	arriveSlack, freeSlack = 0.5, 0.25  // parts of a place that count as one, at arrival and later
-
-	freshFill   = 0.8             // part of a store that a root just started presumes
-	witnessLife = 3 * time.Second // another witness is heeded for so long
+	staleReportTicks     = 6    // a report older than this gives way to the demand split
+	minStaleDemandFactor = 0.33 // a silent peer's demand fades to this part of it
+	staleDemandFadeTime  = 10 * time.Second
+	demandWindow         = 2 * time.Second       // memory of the demand rates
+	reportTravelTime     = 25 * time.Millisecond // time a report travels
+	// part of the store that clients' repeats leave to first tries
+	firstAttemptReserve = 0.7
+
+	// demand of each gateway taken for granted: of the rate, units
+	baselineDemandRateShare, baselineDemandUnits = 0.02, 0.05
+	// parts of a place that count as one, at arrival and later
+	arrivalSlack, releaseSlack = 0.5, 0.25
+
+	restartedLeaderFill = 0.8             // part of a store that a root just started presumes
+	externalLevelTTL    = 3 * time.Second // another witness is heeded for so long
 )
 
-// advance brings a customer's stores up to now. A peer long silent is taken
+// refill brings a customer's stores up to now. A peer long silent is taken
 // to use its demand-split part of the rate: it may only be cut off.
-func (g *Gateway) advance(c *customer) {
-	g.stir(c)
-	dt := (g.now - c.at).Seconds()
+func (g *Gateway) refill(c *customer) {
+	g.markActive(c)
+	dt := (g.now - c.refilledAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	c.at = g.now
+	c.refilledAt = g.now
 	unheard := 0.0
-	for _, v := range c.set {
-		if g.silent(v.p) {
-			unheard += g.weight(c, v)
+	for _, v := range c.peerViews {
+		if g.isStale(v.peer) {
+			unheard += g.peerDemand(c, v)
 		}
 	}
-	share := 1 - unheard/g.demand(c)
-	if len(c.ask) > 0 && !c.sums {
-		share = 1 / float64(c.spread) // what others pass is the root's to know
+	share := 1 - unheard/g.totalDemand(c)
+	if len(c.leaders) > 0 && !c.grantsLeases {
+		share = 1 / float64(c.gatewaySpread) // what others pass is the root's to know
 	}
-	c.store = min(c.plan.Burst, c.store+c.plan.Rate*dt*share)
-	c.ceiling = min(c.plan.HardBurst/c.n, c.ceiling+c.plan.HardRate/c.n*dt)
-	k := math.Exp(-dt / demandSpan.Seconds())
-	c.rate *= k
-	for _, v := range c.set {
-		v.rate *= k
+	c.tokens = min(c.plan.Burst, c.tokens+c.plan.Rate*dt*share)
+	c.ceilingTokens = min(c.plan.HardBurst/c.ceilingDivisor,
+		c.ceilingTokens+c.plan.HardRate/c.ceilingDivisor*dt)
+	k := math.Exp(-dt / demandWindow.Seconds())
+	c.demand *= k
+	for _, v := range c.peerViews {
+		v.demand *= k
 	}
-	if !c.known && c.plan.Rate > 0 && (g.now-g.start).Seconds() > c.plan.Burst/c.plan.Rate {
-		c.known = true
+	if !c.tokensKnown && c.plan.Rate > 0 && (g.now-g.startedAt).Seconds() > c.plan.Burst/c.plan.Rate {
+		c.tokensKnown = true
 	}
 }
 
-// silent tells whether a peer's counts are too old to be used.
-func (g *Gateway) silent(p *peer) bool { return !p.heard || g.now-p.at > staleTicks*g.tick }
+// isStale tells whether a peer's counts are too old to be used.
+func (g *Gateway) isStale(p *peer) bool {
+	return !p.hasReport || g.now-p.reportedAt > staleReportTicks*g.tickInterval
+}
 
-// even is the demand taken for granted: a fresh customer's split is even.
-func (g *Gateway) even(c *customer) float64 { return evenRate*c.plan.Rate + evenLeast }
+// baselineDemand is the demand taken for granted: a fresh customer's split is even.
+func (g *Gateway) baselineDemand(c *customer) float64 {
+	return baselineDemandRateShare*c.plan.Rate + baselineDemandUnits
+}
 
-// weight is a peer's demand in the demand split. One not heard for long counts
+// peerDemand is a peer's demand in the demand split. One not heard for long counts
 // as much as this gateway, then less, but never nothing: it may be cut off and
 // passing its part, or dead for good.
-func (g *Gateway) weight(c *customer, v *peerView) float64 {
-	w := v.rate
-	if g.silent(v.p) {
-		fade := math.Exp(-(g.now - max(v.p.at, g.start)).Seconds() / forgetAfter.Seconds())
-		if !g.set.CanMessagePeers {
+func (g *Gateway) peerDemand(c *customer, v *peerView) float64 {
+	w := v.demand
+	if g.isStale(v.peer) {
+		fade := math.Exp(-(g.now - max(v.peer.reportedAt,
+			g.startedAt)).Seconds() / staleDemandFadeTime.Seconds())
+		if !g.settings.CanMessagePeers {
 			fade = 1 // its silence says nothing
 		}
-		w = max(w, c.rate) * (leastWeight + (1-leastWeight)*fade)
+		w = max(w, c.demand) * (minStaleDemandFactor + (1-minStaleDemandFactor)*fade)
 	}
-	return w/demandSpan.Seconds() + g.even(c)
+	return w/demandWindow.Seconds() + g.baselineDemand(c)
 }
 
-// demand is all gateways' demand in units a second, this one's included.
-func (g *Gateway) demand(c *customer) float64 {
-	sum := c.rate/demandSpan.Seconds() + g.even(c)
-	for _, v := range c.set {
-		sum += g.weight(c, v)
+// totalDemand is all gateways' demand in units a second, this one's included.
+func (g *Gateway) totalDemand(c *customer) float64 {
+	sum := c.demand/demandWindow.Seconds() + g.baselineDemand(c)
+	for _, v := range c.peerViews {
+		sum += g.peerDemand(c, v)
 	}
 	return sum
 }
 
-func (g *Gateway) share(c *customer) float64 {
-	return (c.rate/demandSpan.Seconds() + g.even(c)) / g.demand(c)
+func (g *Gateway) demandShare(c *customer) float64 {
+	return (c.demand/demandWindow.Seconds() + g.baselineDemand(c)) / g.totalDemand(c)
 }
 
-// allowance is what this gateway may pass of the customer's store now: its
+// spendableTokens is what this gateway may pass of the customer's store now: its
 // demand-split part, or what is left once the peers have passed all they may
 // be asked for before they are heard again, whichever is more.
-func (g *Gateway) allowance(c *customer) float64 {
+func (g *Gateway) spendableTokens(c *customer) float64 {
 	// Where none is heard nobody else uses its own part, which takes in whole requests.
-	if share := g.share(c); len(c.ask) == 0 && g.deaf(c) {
-		return max(c.store*share, c.store-c.plan.Burst+max(c.plan.Burst*share, g.set.MaxRequestUnits))
+	if share := g.demandShare(c); len(c.leaders) == 0 && g.isolated(c) {
+		return max(c.tokens*share, c.tokens-c.plan.Burst+max(c.plan.Burst*share,
+			g.settings.MaxRequestUnits))
 	}
-	blind := (g.tick + blindExtra).Seconds()
+	blind := (g.tickInterval + reportTravelTime).Seconds()
 	unseen := 0.0
-	for _, v := range c.set {
+	for _, v := range c.peerViews {
 		wait := blind
-		if !v.p.complete {
-			wait += min(g.now-v.at, staleTicks*g.tick).Seconds()
+		if !v.peer.complete {
+			wait += min(g.now-v.reportedAt, staleReportTicks*g.tickInterval).Seconds()
 		}
-		unseen += g.weight(c, v) * wait
+		unseen += g.peerDemand(c, v) * wait
 	}
-	return max(c.store*g.share(c), c.store-unseen)
+	return max(c.tokens*g.demandShare(c), c.tokens-unseen)
 }
 
-// others sums the attempts out and held that the peers report. A silent
+// peerLoad sums the attempts out and held that the peers report. A silent
 // peer's count gives way to its demand-split part of the cap.
-func (g *Gateway) others(c *customer) (out, held float64) {
-	for _, v := range c.set {
-		if g.silent(v.p) {
-			out += float64(c.plan.MaxInFlight) * g.weight(c, v) / g.demand(c)
+func (g *Gateway) peerLoad(c *customer) (out, held float64) {
+	for _, v := range c.peerViews {
+		if g.isStale(v.peer) {
+			out += float64(c.plan.MaxInFlight) * g.peerDemand(c, v) / g.totalDemand(c)
 			continue
 		}
-		out += v.out
-		held += v.held
+		out += v.inFlight
+		held += v.queued
 	}
 	return out, held
 }
 
-// room tells whether one more attempt of the customer fits under its cap.
+// hasInFlightRoom tells whether one more attempt of the customer fits under its cap.
 // An arrival stays under its demand-split part, at least one.
-func (g *Gateway) room(c *customer, arrival bool) bool {
-	if c.plan.MaxInFlight == 0 || c.out == 0 && g.deaf(c) {
+func (g *Gateway) hasInFlightRoom(c *customer, arrival bool) bool {
+	if c.plan.MaxInFlight == 0 || c.inFlight == 0 && g.isolated(c) {
 		return true
 	}
-	out, _ := g.others(c)
+	out, _ := g.peerLoad(c)
 	free := float64(c.plan.MaxInFlight) - out
-	next := float64(c.out + 1)
+	next := float64(c.inFlight + 1)
 	if arrival {
-		return next <= max(free*g.share(c), min(1, free+arriveSlack))
+		return next <= max(free*g.demandShare(c), min(1, free+arrivalSlack))
 	}
-	return next <= free+freeSlack
+	return next <= free+releaseSlack
 }
 
-// within tells whether quota and ceiling have the request's units.
-func (g *Gateway) within(r *request) bool {
-	c := r.c
-	if r.counted {
+// withinQuota tells whether quota and ceiling have the request's units.
+func (g *Gateway) withinQuota(r *request) bool {
+	c := r.customer
+	if r.charged {
 		return true
 	}
-	if c.plan.Rate > 0 && !r.granted && g.allowance(c) < r.units {
+	if c.plan.Rate > 0 && !r.leaseGranted && g.spendableTokens(c) < r.units {
 		return false
 	}
-	return c.plan.HardRate == 0 || r.granted || c.ceiling >= r.units
+	return c.plan.HardRate == 0 || r.leaseGranted || c.ceilingTokens >= r.units
 }
 
-// over names the quota that a request does not fit in.
-func (g *Gateway) over(r *request) Reason {
-	if c := r.c; c.plan.Rate > 0 && !r.granted && g.allowance(c) < r.units {
+// quotaRejection names the quota that a request does not fit in.
+func (g *Gateway) quotaRejection(r *request) Reason {
+	if c := r.customer; c.plan.Rate > 0 && !r.leaseGranted && g.spendableTokens(c) < r.units {
 		return ReasonQuotaExceeded
 	}
 	return ReasonCeilingExceeded
 }
 
-// take takes a request's units from the stores.
-func (c *customer) take(r *request) {
-	c.store = max(0, c.store-r.units)
-	if !r.granted {
-		c.ceiling -= r.units
+// charge takes a request's units from the stores.
+func (c *customer) charge(r *request) {
+	c.tokens = max(0, c.tokens-r.units)
+	if !r.leaseGranted {
+		c.ceilingTokens -= r.units
 	}
-	c.passed += uint16(r.units)
+	c.admittedUnits += uint16(r.units)
 }
 
 // settle takes or gives back units after a guess.
 func (c *customer) settle(units float64) {
-	c.store -= units
-	c.passed += uint16(int(units))
+	c.tokens -= units
+	c.admittedUnits += uint16(int(units))
 }
 
-// onLevel takes a customer's store from another witness while this gateway has run too shortly to know it,
-// or hears none of those who could tell. Guards against a quota granted twice after restarts, and without
-// mail; harms when the witness is behind, by what was passed since.
-func (g *Gateway) onLevel(ev UsageLevel) {
-	c := g.customers[keyOf(ev.Customer)]
-	if c == nil || c.known && !g.deaf(c) {
+// handleUsageLevel takes a customer's store from another witness while this gateway has run too
+// shortly to know it, or hears none of those who could tell. Guards against a quota granted twice
+// after restarts, and without mail; harms when the witness is behind, by what was passed since.
+func (g *Gateway) handleUsageLevel(ev UsageLevel) {
+	c := g.customers[customerKey(ev.Customer)]
+	if c == nil || c.tokensKnown && !g.isolated(c) {
 		return
 	}
-	g.advance(c)
-	if c.known {
-		c.witness = g.now
-		for _, v := range c.set { // what they will say was passed is in the level
-			v.heard = false
+	g.refill(c)
+	if c.tokensKnown {
+		c.externalLevelAt = g.now
+		for _, v := range c.peerViews { // what they will say was passed is in the level
+			v.hasReport = false
 		}
 	}
-	c.known, c.store = true, min(c.plan.Burst, max(0, ev.Units))
+	c.tokensKnown, c.tokens = true, min(c.plan.Burst, max(0, ev.Units))
 }
 
-// deaf tells whether none is heard who could tell of a customer's use elsewhere.
-func (g *Gateway) deaf(c *customer) bool {
-	if len(c.ask) > 0 {
-		return g.heard < deafBelow
+// isolated tells whether none is heard who could tell of a customer's use elsewhere.
+func (g *Gateway) isolated(c *customer) bool {
+	if len(c.leaders) > 0 {
+		return g.responseRate < minResponseRate
 	}
-	return len(c.set) > 0 && !slices.ContainsFunc(c.set, func(v *peerView) bool { return !g.silent(v.p) })
+	return len(c.peerViews) > 0 && !slices.ContainsFunc(c.peerViews,
+		func(v *peerView) bool { return !g.isStale(v.peer) })
 }
--- a/policy/report_ranking.go
+++ b/policy/report_ranking.go
@@ -9,8 +9,9 @@
 
 func (r *ranking) reset() { r.top, r.rest = r.top[:0], r.rest[:0] }
 
-func before(a, b *customer) bool {
-	return a.urgency > b.urgency || a.urgency == b.urgency && a.place < b.place
+func rankedBefore(a, b *customer) bool {
+	return a.reportPriority > b.reportPriority || a.reportPriority == b.reportPriority &&
+		a.ringIndex < b.ringIndex
 }
 
 func (r *ranking) heapify() {
@@ -25,10 +26,10 @@
 		if k >= len(h) {
 			return
 		}
-		if k+1 < len(h) && before(h[k+1], h[k]) {
+		if k+1 < len(h) && rankedBefore(h[k+1], h[k]) {
 			k++
 		}
-		if !before(h[k], h[i]) {
+		if !rankedBefore(h[k], h[i]) {
 			return
 		}
 		h[i], h[k] = h[k], h[i]
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -27,35 +27,35 @@
 // nothing.
 func (g *Gateway) SaveSnapshot(now time.Duration, from, most int, out []CustomerSnapshot) (
 	list []CustomerSnapshot, next int) {
-	to := min(len(g.ring), from+most)
-	for _, c := range g.ring[min(from, to):to] {
-		store := min(c.plan.Burst, c.store+c.plan.Rate*max(0, now-c.at).Seconds())
+	to := min(len(g.customerRing), from+most)
+	for _, c := range g.customerRing[min(from, to):to] {
+		store := min(c.plan.Burst, c.tokens+c.plan.Rate*max(0, now-c.refilledAt).Seconds())
 		if c.plan.Rate > 0 && store < c.plan.Burst-1 {
-			m := CustomerSnapshot{Key: c.key, Plan: c.plan.Name, FirstGateway: c.first,
-				GatewaySpread: c.nodes, Tokens: store}
+			m := CustomerSnapshot{Key: c.key, Plan: c.plan.Name, FirstGateway: c.firstGateway,
+				GatewaySpread: c.requestedSpread, Tokens: store}
 			out = append(out, m)
 		}
 	}
-	if to == len(g.ring) {
+	if to == len(g.customerRing) {
 		to = 0
 	}
 	return out, to
 }
 
-func (g *Gateway) onRecall(ev RestoreSnapshot) {
+func (g *Gateway) handleRestoreSnapshot(ev RestoreSnapshot) {
 	for _, m := range ev.Customers {
 		plan := g.plans[m.Plan]
 		if plan == nil || g.customers[m.Key] != nil || m.FirstGateway < 0 {
 			continue
 		}
-		c := g.account(m.Key, plan, m.FirstGateway, m.GatewaySpread)
-		c.seen = g.now
-		c.recall(m.Tokens, max(0, ev.Age))
+		c := g.addCustomer(m.Key, plan, m.FirstGateway, m.GatewaySpread)
+		c.lastRequestAt = g.now
+		c.restoreTokens(m.Tokens, max(0, ev.Age))
 	}
 }
 
-// recall takes a customer's store as it was some time before this process. It has filled up since, but for
-// what others passed, who will tell. Guards against a quota granted twice after restarts.
-func (c *customer) recall(store float64, age time.Duration) {
-	c.store = min(c.store, max(0, store)+c.plan.Rate*age.Seconds())
+// restoreTokens takes a customer's store as it was some time before this process. It has filled up
+// since, but for what others passed, who will tell. Guards against a quota granted twice after restarts.
+func (c *customer) restoreTokens(store float64, age time.Duration) {
+	c.tokens = min(c.tokens, max(0, store)+c.plan.Rate*age.Seconds())
 }
