--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,103 +2,62 @@
 
 import (
 	"cmp"
+	"math"
 	"slices"
 	"time"
 )
 
 const (
-	queueTimeShare       = 0.5 // a request is held for this part of its aim
-	serverShortageMemory = 200 * time.Millisecond
-)
+	// queueTimeShare is how long a request may be queued, as a share of its latency objective.
+	queueTimeShare = 0.5
 
-type request struct {
-	id               RequestID
-	customer         *customer
-	class            *requestClass
-	units            float64
-	arrivedAt        time.Duration
-	deadline         time.Duration
-	attempts         int
-	server           *server // of the attempt out; nil when none is
-	sentAt           time.Duration
-	loadAtSend       float64 // the server's when sent to
-	charged          bool    // has taken its units
-	mayHaveRun       bool    // an attempt may have run
-	firstRunZone     string  // where and since when, for keyed classes
-	firstRunCell     int
-	firstRunAt       time.Duration
-	done             bool
-	responseStarted  bool
-	cancelRequested  bool    // its attempt was cancelled
-	leaseChance      float64 // with what chance it was asked for
-	clientRetry      bool    // the client marked it as one
-	remote           bool    // came in at the gateway root, which asks for it
-	leader           int     // the gateway asked for it
-	leaseTag         uint32  // by this name
-	leaseAttempts    int     // how often
-	leaseRequestedAt time.Duration
-	leaseWaitUntil   time.Duration // an answer is waited for until then
-	queuedAtLeader   bool          // held there
-	leaseGranted     bool
-	lastServer       *server // of the attempt before
-}
+	// serverShortageMemory is how long after a request found no server clients' retries are rejected.
+	serverShortageMemory = 200 * time.Millisecond
 
-// newLocalRequest enters a client's request. One of a class not in the settings is
-// taken for unsafe.
-func (g *Gateway) newLocalRequest(ev Request) *request {
-	c, cl := g.customerOf(&ev), g.classes[ev.Class]
-	if cl == nil {
-		cl = &requestClass{Class: Class{LatencyObjective: ev.Remaining, Idempotency: NonIdempotent},
-			idleLatency: g.idleLatency}
-	}
-	g.refill(c)
-	r := &request{id: ev.ID, customer: c, class: cl, units: ev.Units, arrivedAt: g.now,
-		clientRetry: ev.ClientRetry,
-		deadline:    g.now + ev.Remaining}
-	g.requests[r.id], c.lastRequestAt = r, g.now
-	return r
-}
+	// allQueued stands for as many queued requests as there are.
+	allQueued = 1 << 30
+)
 
+// handleRequest sheds a request, admits it, or requests a lease for it.
 func (g *Gateway) handleRequest(r *request) {
 	c := r.customer
 	c.demand += r.units
-	// With no time left any wait is too long.
-	if late := r.deadline-g.now <= 2*g.settings.Resolution; late || g.rng.Float64() > g.admitProbability {
-		g.reject(r, either(late, ReasonNoTime, ReasonLoadShed))
+	if r.deadline-g.now <= g.timerMargin() {
+		g.reject(r, ReasonNoTime)
+		return
+	}
+	if g.rng.Float64() > g.shedder.admitProbability {
+		g.reject(r, ReasonLoadShed)
 		return
 	}
 	if len(c.leaders) == 0 {
 		g.admit(r)
 		return
 	}
-	// Of a customer far above its quota only the part that fits is asked for:
-	// its root could not take in all its asks, nor those of others then. Harms
-	// for as long as thinSpan when the customer stops asking for more.
-	r.leaseChance = 1
-	if c.plan.Rate > 0 && c.lastExchangeTick > 0 {
-		r.leaseChance = min(1,
-			c.admittedShare+(g.now-c.admittedShareAt).Seconds()/admittedShareTTL.Seconds())
-	}
-	if g.rng.Float64() > r.leaseChance {
+	r.lease.chance = g.leaseChance(c)
+	if g.rng.Float64() > r.lease.chance {
 		g.reject(r, ReasonQuotaExceeded)
 		return
 	}
 	g.requestLease(r)
 }
 
-// admit lets a request pass, holds it in its customer's queue or refuses it.
+// timerMargin is the time left below which a timer may fire too late.
+func (g *Gateway) timerMargin() time.Duration { return 2 * g.settings.Resolution }
+
+// admit sends a request to a server (or grants its lease), queues it, or rejects it.
 func (g *Gateway) admit(r *request) {
 	c := r.customer
 	c.pendingReports = reportRepeats
-	// A client's repeat is often late. It gives way to first tries while requests
-	// wait for servers or the store is low. Guards against retry storms; harms
-	// where repeats come soon and aims are long.
-	scarce := c.plan.Rate > 0 && g.spendableTokens(c) < r.units+firstAttemptReserve*c.plan.Burst
-	if within := g.withinQuota(r); !within || r.clientRetry && (scarce || !r.remote && g.serverShortage()) {
-		g.reject(r, either(within, ReasonLoadShed, g.quotaRejection(r)))
+	if !g.withinQuota(r) {
+		g.reject(r, g.quotaRejection(r))
 		return
 	}
-	if len(c.queued) == 0 && g.hasInFlightRoom(c, true) && g.startAttempt(r) {
+	if r.clientRetry && g.retriesMustYield(r) {
+		g.reject(r, ReasonLoadShed)
+		return
+	}
+	if len(c.queued) == 0 && g.hasRoomOnArrival(c) && g.startAttempt(r) {
 		return
 	}
 	g.enqueue(r)
@@ -107,127 +66,150 @@
 	}
 }
 
-// serverShortage tells whether a request lacked a server in the last moment.
-func (g *Gateway) serverShortage() bool {
-	return g.lastShortageAt > 0 && g.now-g.lastShortageAt < serverShortageMemory
+// retriesMustYield reports whether clients' retries give way to first attempts, against retry storms: the
+// bucket is low, or requests lack servers.
+func (g *Gateway) retriesMustYield(r *request) bool {
+	plan := r.customer.plan
+	reserve := firstAttemptReserve * plan.Burst
+	tokensAreLow := plan.Rate > 0 && g.spendableTokens(r.customer) < r.units+reserve
+	return tokensAreLow || !r.remote && g.hasServerShortage()
 }
 
-// reject gives the final answer: a refusal where a retry is harmless.
-func (g *Gateway) reject(r *request, why Reason) {
-	if r.remote {
-		g.sendLeaseResponse(r, leaseRejected+byte(why)<<reasonShift)
-	} else if r.mayHaveRun && r.class.Idempotency != Idempotent &&
-		!(r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupAllServers) {
-		g.do(Fail{r.id, why})
-	} else {
-		g.do(Reject{r.id, g.settings.MaxRetryAfter, why})
+// hasServerShortage reports whether a request found no server lately.
+func (g *Gateway) hasServerShortage() bool {
+	lastAt := g.selector.lastShortageAt
+	return lastAt > 0 && g.now-lastAt < serverShortageMemory
+}
+
+// reject gives the final response: Reject where a retry is harmless, Fail otherwise.
+func (g *Gateway) reject(r *request, reason Reason) {
+	switch {
+	case r.remote:
+		g.sendLeaseResponse(r, leaseRejected+byte(reason)<<reasonShift)
+	case r.rejectionIsHarmless():
+		g.do(Reject{ID: r.id, RetryAfter: g.settings.MaxRetryAfter, Reason: reason})
+	default:
+		g.do(Fail{ID: r.id, Reason: reason})
 	}
 	g.finish(r)
 }
 
-// queueRejection says what a held request waited for: a place under its customer's
-// cap, or a server.
+// queueRejection says what a queued request waited for: a place under its customer's cap, or a server.
 func (g *Gateway) queueRejection(r *request) Reason {
-	if !g.hasInFlightRoom(r.customer, false) {
+	switch {
+	case !g.hasRoom(r.customer):
 		return ReasonInFlightLimit
+	case r.firstRun.happened:
+		return ReasonAttemptsExhausted
 	}
-	return either(r.mayHaveRun, ReasonAttemptsExhausted, ReasonNoServer)
+	return ReasonNoServer
 }
 
-func (g *Gateway) finish(r *request) {
-	r.done = true
-	if i := slices.Index(r.customer.queued, r); i >= 0 {
-		g.removeQueued(r.customer, i)
-	}
-	if r.remote || r.server != nil {
-		return
-	}
-	delete(g.requests, r.id)
-	delete(g.pendingLeases, r.leaseTag)
-	if r.leaseGranted && (r.customer.plan.MaxInFlight > 0 || !r.charged) {
-		r.leaseGranted = false
-		g.do(SendPeerMessage{To: r.leader, Data: encode(leaseReturn{r.customer.key, r.leaseTag,
-			!r.charged})})
-	}
-}
-
-// enqueue puts a request in its customer's queue. What no tick could answer in
-// time is answered now.
+// enqueue queues a request, or rejects it at once when the next tick would come too late for it.
 func (g *Gateway) enqueue(r *request) {
-	if g.now+g.tickInterval+2*g.settings.Resolution >= r.deadline {
+	if g.now+g.tick.interval+g.timerMargin() >= r.deadline {
 		g.reject(r, g.queueRejection(r))
 		return
 	}
-	g.insertQueued(r)
-}
-
-// insertQueued puts a request in its customer's queue, one with units taken first.
-func (g *Gateway) insertQueued(r *request) {
-	if len(r.customer.queued) == 0 {
-		g.queuedCustomers = append(g.queuedCustomers, r.customer)
+	c := r.customer
+	if len(c.queued) == 0 {
+		g.customers.queued = append(g.customers.queued, c)
 	}
 	if r.charged {
-		r.customer.queued = slices.Insert(r.customer.queued, 0, r)
+		c.queued = slices.Insert(c.queued, 0, r)
 	} else {
-		r.customer.queued = append(r.customer.queued, r)
+		c.queued = append(c.queued, r)
 	}
 }
 
-// removeQueued takes the i-th request out of its customer's queue.
-func (g *Gateway) removeQueued(c *customer, i int) {
+// dequeue takes a request out of its customer's queue, if it is there.
+func (g *Gateway) dequeue(r *request) {
+	c := r.customer
+	i := slices.Index(c.queued, r)
+	if i < 0 {
+		return
+	}
 	c.queued = slices.Delete(c.queued, i, i+1)
 	c.pendingReports = reportRepeats
 	if len(c.queued) == 0 {
-		g.queuedCustomers = slices.DeleteFunc(g.queuedCustomers, func(w *customer) bool { return w == c })
+		isCustomer := func(other *customer) bool { return other == c }
+		g.customers.queued = slices.DeleteFunc(g.customers.queued, isCustomer)
 	}
 }
 
-// releaseQueued sends up to n of a customer's held requests, oldest first. It is false
-// when no server had room.
-func (g *Gateway) releaseQueued(c *customer, n int) bool {
-	for ; n > 0 && len(c.queued) > 0; n-- {
+// releaseQueued starts attempts for up to limit queued requests of a customer, oldest first. It returns
+// false when no server had room.
+func (g *Gateway) releaseQueued(c *customer, limit int) bool {
+	for ; limit > 0 && len(c.queued) > 0; limit-- {
 		r := c.queued[0]
 		g.refill(c)
 		if !g.withinQuota(r) {
 			g.reject(r, g.quotaRejection(r))
 			continue
 		}
-		if !g.hasInFlightRoom(c, false) {
+		if !g.hasRoom(c) {
 			return true
 		}
 		if !g.startAttempt(r) {
 			return false
 		}
-		g.removeQueued(c, 0)
+		g.dequeue(r)
 	}
 	return true
 }
 
-// releaseAfterResult lets held requests go at an outcome: the customer's own while its
-// live count and the heard means stay under the cap, then others that waited
-// for a server.
+// releaseAfterResult releases queued requests when an attempt has ended: those of its customer while there
+// is room under the cap, then one of each other customer, the longest waiting first, while servers
+// have room.
 func (g *Gateway) releaseAfterResult(c *customer) {
-	if !g.releaseQueued(c, 1<<30) || len(g.queuedCustomers) == 0 {
+	if !g.releaseQueued(c, allQueued) || len(g.customers.queued) == 0 {
 		return
 	}
-	rest := slices.Clone(g.queuedCustomers)
-	slices.SortStableFunc(rest, func(a, b *customer) int {
+	others := slices.Clone(g.customers.queued)
+	slices.SortStableFunc(others, func(a, b *customer) int {
 		return cmp.Compare(a.queued[0].arrivedAt, b.queued[0].arrivedAt)
 	})
-	for _, w := range rest {
-		if w != c && !g.releaseQueued(w, 1) {
+	for _, other := range others {
+		if other != c && !g.releaseQueued(other, 1) {
 			return
 		}
 	}
 }
 
-// rejectExpired refuses held requests that can no longer meet their aim, while a retry
-// can still help, and in any case before the deadline.
+// serveQueue rejects and releases queued requests of a customer at a tick.
+func (g *Gateway) serveQueue(c *customer) {
+	g.refill(c)
+	g.rejectExpired(c)
+	if len(c.queued) > 0 {
+		g.releaseQueued(c, g.releaseShare(c))
+	}
+}
+
+// releaseShare is how many queued requests this gateway releases at a tick: its share of the free places by
+// queue length, rounded at random so that the gateways together fill them.
+func (g *Gateway) releaseShare(c *customer) int {
+	if c.plan.MaxInFlight == 0 {
+		return allQueued
+	}
+	peerInFlight, peerQueued := g.peerLoad(c)
+	free := float64(c.plan.MaxInFlight-c.inFlight.count) - peerInFlight
+	share := free / (1 + peerQueued/float64(len(c.queued)))
+	return int(math.Floor(max(share, 0) + g.rng.Float64()))
+}
+
+// rejectExpired rejects queued requests that can no longer meet their objective, while a retry can still
+// help, and in any case before the deadline.
 func (g *Gateway) rejectExpired(c *customer) {
 	for _, r := range slices.Clone(c.queued) {
-		longest := time.Duration(queueTimeShare * float64(r.class.LatencyObjective))
-		if g.now-r.arrivedAt > longest || g.now+2*g.tickInterval >= r.deadline {
+		expired := g.now-r.arrivedAt > r.class.queueTime()
+		lastChance := g.now+2*g.tick.interval >= r.deadline
+		if expired || lastChance {
 			g.reject(r, g.queueRejection(r))
 		}
 	}
 }
+
+// queueTime is the longest time for which a request of the class is queued.
+func (c *requestClass) queueTime() time.Duration {
+	return time.Duration(queueTimeShare * float64(c.LatencyObjective))
+}
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -5,7 +5,15 @@
 	"time"
 )
 
-// startAttempt sends the request to a server if one has room for it.
+// attemptTimeoutNumerator over attemptTimeoutDenominator is the least timeout of an attempt, as a
+// share of the latency objective, where attempts cannot be cancelled.
+const (
+	attemptTimeoutNumerator   = 3
+	attemptTimeoutDenominator = 5
+)
+
+// startAttempt sends a request to a server, and returns false when none has room. A remote request is
+// granted its lease.
 func (g *Gateway) startAttempt(r *request) bool {
 	if r.remote {
 		g.grantLease(r)
@@ -13,45 +21,66 @@
 	}
 	s := g.selectServer(r)
 	if s == nil {
-		g.lastShortageAt = g.now
+		g.selector.lastShortageAt = g.now
 		return false
 	}
 	c := r.customer
 	if !r.charged {
 		r.charged = true
 		c.charge(r)
-		g.retryBudget = min(maxRetryBudget, g.retryBudget+retryBudgetEarned)
+		g.retryBudget.earn()
 	}
 	c.pendingReports = reportRepeats
 	g.recordAttemptStart(r, s)
-	if g.warmFraction(s) < 1 {
-		s.coldSends = append(s.coldSends, g.now)
-	} else {
-		g.warmSendRate++
-	}
-	var timeout time.Duration
-	if !g.settings.CanCancel && r.class.Idempotency == Idempotent && !r.class.Streaming {
-		timeout = max(r.class.LatencyObjective*3/5, r.deadline-g.now-r.class.LatencyObjective)
-	}
-	g.do(StartAttempt{ID: r.id, Server: s.ID, Timeout: timeout})
+	g.countSend(s)
+	g.do(StartAttempt{ID: r.id, Server: s.ID, Timeout: g.attemptTimeout(r)})
 	return true
 }
 
-// recordAttemptStart and ended keep the lists of attempts out.
+// attemptTimeout leaves time for a retry where a stalled attempt cannot be cancelled. 0: until the
+// deadline.
+func (g *Gateway) attemptTimeout(r *request) time.Duration {
+	mayRepeat := r.class.Idempotency == Idempotent && !r.class.Streaming
+	if g.settings.CanCancel || !mayRepeat {
+		return 0
+	}
+	objective := r.class.LatencyObjective
+	least := objective * attemptTimeoutNumerator / attemptTimeoutDenominator
+	return max(least, r.deadline-g.now-objective)
+}
+
 func (g *Gateway) recordAttemptStart(r *request, s *server) {
-	r.customer.addInFlight(g.now, 1)
-	r.server, r.lastServer, r.sentAt, r.loadAtSend, r.cancelRequested = s, s, g.now, g.loadAt(s), false
+	r.customer.inFlight.add(g.now, 1)
+	r.current = attemptState{server: s, sentAt: g.now, loadAtSend: s.load()}
+	r.lastServer = s
 	r.attempts++
-	s.inFlight, g.inFlight = s.inFlight+1, g.inFlight+1
+	s.inFlight++
 	s.attempts = append(s.attempts, r)
 }
 
+func (g *Gateway) recordAttemptEnd(r *request, code ResultCode) {
+	s := r.current.server
+	if !code.NeverRan() && !r.firstRun.happened {
+		r.firstRun = runState{happened: true, zone: s.Zone, cell: s.Cell, at: r.current.sentAt}
+	}
+	r.current.server = nil
+	r.current.responseStarted = false
+	s.inFlight--
+	r.customer.inFlight.add(g.now, -1)
+	if i := slices.Index(s.attempts, r); i >= 0 {
+		s.attempts = slices.Delete(s.attempts, i, i+1)
+	}
+}
+
+// handleAttemptResult learns from an attempt that has ended, finishes or retries its request, and releases
+// what waited for the place.
 func (g *Gateway) handleAttemptResult(ev AttemptResult) {
 	r := g.requests[ev.ID]
-	if r == nil || r.server == nil || ev.Attempt != r.attempts-1 {
+	if r == nil || r.current.server == nil || ev.Attempt != r.attempts-1 {
 		return
 	}
-	s, c := r.server, r.customer
+	c := r.customer
+	s := r.current.server
 	g.refill(c)
 	c.pendingReports = reportRepeats
 	g.recordAttemptEnd(r, ev.Code)
@@ -59,26 +88,27 @@
 	if ev.Code == OK && ev.ActualUnits > 0 && ev.ActualUnits != r.units {
 		c.settle(ev.ActualUnits - r.units)
 	}
+	g.continueRequest(r, ev)
+	g.releaseAfterResult(c)
+}
+
+// continueRequest decides what follows the end of an attempt.
+func (g *Gateway) continueRequest(r *request, ev AttemptResult) {
+	answered := r.done || ev.Answered || ev.Code == OK
+	tooLate := ev.Code == TooLate || g.now >= r.deadline
 	switch {
-	case r.done || ev.Answered || ev.Code == OK:
+	case answered:
 		g.finish(r)
-	case ev.Code == TooLate || g.now >= r.deadline || !g.mayRetry(r, ev.Code):
+	case tooLate || !g.mayRetry(r, ev.Code):
 		g.reject(r, ReasonAttemptsExhausted)
-	case !g.hasInFlightRoom(c, false) || !g.startAttempt(r):
+	case !g.hasRoom(r.customer) || !g.startAttempt(r):
 		g.enqueue(r)
 	}
-	g.releaseAfterResult(c)
 }
 
-func (g *Gateway) recordAttemptEnd(r *request, code ResultCode) {
-	s := r.server
-	if !code.NeverRan() && !r.mayHaveRun {
-		r.mayHaveRun, r.firstRunZone, r.firstRunCell, r.firstRunAt = true, s.Zone, s.Cell, r.sentAt
-	}
-	r.server, r.responseStarted = nil, false
-	s.inFlight, g.inFlight = s.inFlight-1, g.inFlight-1
-	r.customer.addInFlight(g.now, -1)
-	if i := slices.Index(s.attempts, r); i >= 0 {
-		s.attempts = slices.Delete(s.attempts, i, i+1)
+func (g *Gateway) handleResponseStarted(ev ResponseStarted) {
+	r := g.requests[ev.ID]
+	if r != nil && r.attempts == ev.Attempt+1 && r.current.server != nil {
+		r.current.responseStarted = true
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -44,7 +44,7 @@
 						if t, ok := a.(SendPeerMessage); ok && gateways > 24 {
 							// A root that grants at once.
 							if m, ok := decode(t.Data).(leaseRequest); ok {
-								for _, a := range g.Handle(now, PeerMessage{From: t.To, Data: encode(leaseResponse{m.Tag, leaseGranted, 250, 0, 250})}, nil) {
+								for _, a := range g.Handle(now, PeerMessage{From: t.To, Data: leaseResponse{m.Tag, leaseGranted, 250, 0, 250}.encode()}, nil) {
 									if s, ok := a.(StartAttempt); ok {
 										send = &s
 									}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -5,160 +5,205 @@
 	"time"
 )
 
+// customer is what a gateway knows of one customer.
 type customer struct {
-	key              uint64
-	reportHash       uint32 // in reports
-	plan             *customerPlan
-	firstGateway     int // its gateways: spread of them, counted round from first
-	gatewaySpread    int
-	requestedSpread  int     // as asked for, whatever the number of gateways
-	leaders          []int   // the gateways that sum its counts, where this one does not
-	admittedShare    float64 // of what is asked for fits, as its root said
-	admittedShareAt  time.Duration
-	grantsLeases     bool               // others ask it here, as its root or deputy
-	leases           map[leaseKey]lease // granted to others and not told of as ended
-	peerViews        []*peerView        // its other gateways
-	ceilingDivisor   float64            // its gateways, this one included
-	queued           []*request         // waiting, in arrival order
-	inFlight         int
-	lastRequestAt    time.Duration // its last request
-	inFlightIntegral float64       // integral of out over the tick, for its mean
-	integratedAt     time.Duration
-	meanInFlight     float64
-
-	refilledAt       time.Duration // time of the stores below
-	tokens           float64       // estimate of the quota's store
-	tokensKnown      bool          // the estimate rests on more than a fresh start
-	externalLevelAt  time.Duration // when another witness last told the store, unheard as it was
-	ceilingTokens    float64       // own hard part of the ceiling
-	admittedUnits    uint16        // running totals of units, told to peers
-	demand           float64       // own asked units, decayed over demandSpan
-	pendingReports   int           // ticks for which a change is still told
-	lastExchangeTick uint32        // tick of the last report
-	reportedUnits    uint16        // passed, as last told
-	reportPriority   float64       // its place in the report
-	active           bool          // in the list of those that ticks look at
-	ringIndex        int           // in the ring
-}
-
-// customerPlan is a plan with its place in the settings.
+	key           uint64 // names the customer in lease messages
+	reportHash    uint32 // names the customer in load reports
+	plan          *customerPlan
+	lastRequestAt time.Duration
+	active        bool // listed in customerTable.active
+	ringIndex     int  // position in customerTable.ring
+	queued        []*request
+	inFlight      inFlightCounter
+
+	// The gateways through which the customer comes in: gatewaySpread of them, counted round from
+	// firstGateway.
+	firstGateway    int
+	requestedSpread int // as announced, whatever the number of gateways
+	gatewaySpread   int // at least 1 and at most the number of gateways
+
+	// The token buckets; quota.go has the rules.
+	refilledAt      time.Duration // time of the figures below
+	tokens          float64       // estimate of the rate quota's bucket, in units
+	tokensKnown     bool          // the estimate rests on more than a fresh start
+	externalLevelAt time.Duration // last UsageLevel that was taken while isolated; 0: none
+	ceilingTokens   float64       // own share of the ceiling's bucket, in units
+	ceilingDivisor  float64       // own share of the ceiling is one over this
+	demand          float64       // units requested here, decayed over demandWindow
+
+	// Leases; lease.go has the rules.
+	leaders         []int              // the leader and the standby to ask; nil: the bucket is kept here
+	grantsLeases    bool               // other gateways request leases here
+	leases          map[leaseKey]lease // granted and not returned
+	admittedShare   float64            // share of the requested units that fits, as the leader last told
+	admittedShareAt time.Duration
+
+	// Load reports; load_report.go has the rules.
+	peerViews        []*peerView // the other gateways that keep the customer's counts
+	admittedUnits    uint16      // running total of units, wraps around
+	reportedUnits    uint16      // admittedUnits as last reported
+	pendingReports   int         // reports in which the last change is still to be told
+	lastExchangeTick uint32      // tick of the last report or lease response; 0: none
+	reportPriority   float64     // for the ranking at hand
+}
+
+// customerPlan is a plan with its position in the settings.
 type customerPlan struct {
 	Plan
 	index byte
 }
 
-// customerKey names a customer in messages, shortOf in reports.
+// inFlightCounter counts a customer's attempts in flight and their mean over a tick.
+type inFlightCounter struct {
+	count        int
+	integral     float64 // of count over the tick so far, in attempt seconds
+	integratedAt time.Duration
+	mean         float64 // over the last tick
+}
+
+func (n *inFlightCounter) add(now time.Duration, attempts int) {
+	n.integral += float64(n.count) * (now - n.integratedAt).Seconds()
+	n.integratedAt = now
+	n.count += attempts
+}
+
+// endTick sets the mean of the tick that ends.
+func (n *inFlightCounter) endTick(now, elapsed time.Duration) {
+	n.add(now, 0)
+	n.mean = n.integral / elapsed.Seconds()
+	n.integral = 0
+}
+
+func (n *inFlightCounter) isZero() bool { return n.count <= 0 && n.integral <= 0 && n.mean <= 0 }
+
+// customerKey is the FNV-1a hash of a customer's name. All gateways must compute the same.
 func customerKey(name string) uint64 {
-	h := uint64(14695981039346656037) // FNV-1a
+	const offset, prime = 14695981039346656037, 1099511628211
+	hash := uint64(offset)
 	for i := range len(name) {
-		h = (h ^ uint64(name[i])) * 1099511628211
+		hash = (hash ^ uint64(name[i])) * prime
 	}
-	return h
+	return hash
 }
 
+// customerReportHash is the short form of a customer's key, of 24 bits.
 func customerReportHash(key uint64) uint32 { return uint32(key >> 40) }
 
-// customerOf finds the customer of a request.
-func (g *Gateway) customerOf(r *Request) *customer {
-	key := customerKey(r.Customer)
-	if c := g.customers[key]; c != nil {
-		return c
-	}
-	plan := g.plans[r.Plan]
-	if plan == nil {
-		plan = &customerPlan{Plan: Plan{Name: r.Plan}}
-	}
-	return g.addCustomer(key, plan, r.FirstGateway, r.GatewaySpread)
+// customerTable holds the known customers.
+type customerTable struct {
+	byKey  map[uint64]*customer
+	byHash map[uint32]*customer // nil where two customers share a hash: neither can be told in reports
+	ring   []*customer          // all, in order of arrival
+	active []*customer          // those that something happened to lately: ticks pass over all others
+	queued []*customer          // those with queued requests
 }
 
-// addCustomer starts a customer's counts. Those who sum them come first: in a
-// small fleet all its gateways, in a large one its roots. The others ask.
-func (g *Gateway) addCustomer(key uint64, plan *customerPlan, first, spread int) *customer {
-	c := &customer{key: key, reportHash: customerReportHash(key), plan: plan, tokens: plan.Burst,
-		admittedShare: 1, leases: map[leaseKey]lease{}, firstGateway: first, requestedSpread: spread,
-		refilledAt: g.now, integratedAt: g.now}
-	g.assignLeaders(c)
-	// A restarted root knows nothing: it must not grant a whole store again.
-	if g.leaderMode && plan.Rate > 0 && (g.now-g.startedAt).Seconds() < plan.Burst/plan.Rate {
-		c.tokens *= restartedLeaderFill
-	}
-	// The ceiling's own part starts empty at the gateway's start: after a
-	// restart it must not be granted a second time.
-	c.ceilingTokens = min(plan.HardBurst, plan.HardRate*(g.now-g.startedAt).Seconds()) / c.ceilingDivisor
-	g.indexCustomer(c)
-	return c
+func newCustomerTable() customerTable {
+	return customerTable{byKey: map[uint64]*customer{}, byHash: map[uint32]*customer{}}
 }
 
-// indexCustomer puts a customer in the tables. Two of one short hash can't be told
-// apart in reports: none is taken for either.
-func (g *Gateway) indexCustomer(c *customer) {
-	g.customers[c.key] = c
-	if _, twice := g.customersByHash[c.reportHash]; twice {
-		g.customersByHash[c.reportHash] = nil
+func (t *customerTable) add(c *customer) {
+	t.byKey[c.key] = c
+	if _, taken := t.byHash[c.reportHash]; taken {
+		t.byHash[c.reportHash] = nil
 	} else {
-		g.customersByHash[c.reportHash] = c
+		t.byHash[c.reportHash] = c
 	}
-	c.ringIndex = len(g.customerRing)
-	g.customerRing = append(g.customerRing, c)
+	c.ringIndex = len(t.ring)
+	t.ring = append(t.ring, c)
 }
 
-// forgetIdleCustomers drops the customers that have nothing out or held and made no
-// request since a time.
-func (g *Gateway) forgetIdleCustomers(since time.Duration) {
-	g.customerRing = slices.DeleteFunc(g.customerRing, func(c *customer) bool {
-		if c.lastRequestAt >= since || c.inFlight > 0 || len(c.queued) > 0 || c.active {
+// forgetIdle drops the customers that are not in use and made no request since a time.
+func (t *customerTable) forgetIdle(since time.Duration) {
+	t.ring = slices.DeleteFunc(t.ring, func(c *customer) bool {
+		inUse := c.inFlight.count > 0 || len(c.queued) > 0 || c.active
+		if inUse || c.lastRequestAt >= since {
 			return false
 		}
-		if g.customersByHash[c.reportHash] == c {
-			delete(g.customersByHash, c.reportHash)
-		}
-		for _, v := range c.peerViews {
-			v.peer.customerViews = slices.DeleteFunc(v.peer.customerViews,
-				func(o *peerView) bool { return o == v })
-		}
+		t.unlink(c)
 		return true
 	})
-	for i, c := range g.customerRing {
+	for i, c := range t.ring {
 		c.ringIndex = i
 	}
-	if len(g.customerRing) < len(g.customers) {
-		clear(g.customers)
-		for _, c := range g.customerRing {
-			g.customers[c.key] = c
+	if len(t.ring) < len(t.byKey) {
+		clear(t.byKey)
+		for _, c := range t.ring {
+			t.byKey[c.key] = c
 		}
 	}
 }
 
-func (c *customer) addInFlight(now time.Duration, d int) {
-	c.inFlightIntegral += float64(c.inFlight) * (now - c.integratedAt).Seconds()
-	c.integratedAt = now
-	c.inFlight += d
+// unlink removes a customer from the reports' hashes and from its peers.
+func (t *customerTable) unlink(c *customer) {
+	if t.byHash[c.reportHash] == c {
+		delete(t.byHash, c.reportHash)
+	}
+	for _, view := range c.peerViews {
+		isView := func(other *peerView) bool { return other == view }
+		view.peer.customerViews = slices.DeleteFunc(view.peer.customerViews, isView)
+	}
 }
 
-// updateMeanInFlight takes each customer's mean of attempts out over a tick.
-func (g *Gateway) updateMeanInFlight(dt time.Duration) {
-	kept := g.activeCustomers[:0]
-	for _, c := range g.activeCustomers {
-		if c.inFlight > 0 || c.inFlightIntegral > 0 || c.meanInFlight > 0 {
-			c.expireLeases(g.now)
-			c.addInFlight(g.now, 0)
-			c.meanInFlight, c.inFlightIntegral = c.inFlightIntegral/dt.Seconds(), 0
+func (t *customerTable) markActive(c *customer) {
+	if !c.active {
+		c.active = true
+		t.active = append(t.active, c)
+	}
+}
+
+// updateActive ends the tick of the active customers, and drops those with nothing in flight, queued or to
+// be reported.
+func (t *customerTable) updateActive(now, elapsed time.Duration) {
+	kept := t.active[:0]
+	for _, c := range t.active {
+		if !c.inFlight.isZero() {
+			c.expireLeases(now)
+			c.inFlight.endTick(now, elapsed)
 		}
-		c.active = c.inFlight > 0 || c.meanInFlight > 0 || len(c.queued) > 0 || c.pendingReports > 0 &&
-			len(c.peerViews) > 0
+		c.active = c.isBusy() || c.hasChanges()
 		if c.active {
 			kept = append(kept, c)
 		}
 	}
-	clear(g.activeCustomers[len(kept):])
-	g.activeCustomers = kept
+	clear(t.active[len(kept):])
+	t.active = kept
 }
 
-// markActive notes a customer that something happens to: ticks pass over all others,
-// who have nothing out, held or to be told.
-func (g *Gateway) markActive(c *customer) {
-	if !c.active {
-		c.active = true
-		g.activeCustomers = append(g.activeCustomers, c)
+// isBusy reports whether the customer has attempts in flight, or had some in the last tick, or has queued
+// requests.
+func (c *customer) isBusy() bool {
+	return c.inFlight.count > 0 || c.inFlight.mean > 0 || len(c.queued) > 0
+}
+
+// customerOf finds the customer of a request, or adds it. A plan that is not in the settings has no quotas.
+func (g *Gateway) customerOf(r *Request) *customer {
+	key := customerKey(r.Customer)
+	if c := g.customers.byKey[key]; c != nil {
+		return c
+	}
+	plan := g.plans[r.Plan]
+	if plan == nil {
+		plan = &customerPlan{Plan: Plan{Name: r.Plan}}
 	}
+	return g.addCustomer(key, plan, r.FirstGateway, r.GatewaySpread)
+}
+
+// addCustomer adds a customer that is not known.
+func (g *Gateway) addCustomer(key uint64, plan *customerPlan, firstGateway, spread int) *customer {
+	c := &customer{
+		key:             key,
+		reportHash:      customerReportHash(key),
+		plan:            plan,
+		inFlight:        inFlightCounter{integratedAt: g.now},
+		firstGateway:    firstGateway,
+		requestedSpread: spread,
+		refilledAt:      g.now,
+		leases:          map[leaseKey]lease{},
+		admittedShare:   1,
+	}
+	g.assignLeaders(c)
+	g.fillBuckets(c)
+	g.customers.add(c)
+	return c
 }
--- /dev/null
+++ b/policy/doc.go
@@ -0,0 +1,37 @@
+// Package policy makes every decision of an API gateway that shares customers' quotas with other gateways:
+// which requests to admit, queue or reject, which server gets an attempt, when to retry, and what to tell
+// the other gateways.
+//
+// # Mechanism
+//
+// The mechanism is a distributed virtual waiting room. Each customer has a token bucket (a rate quota), an
+// optional hard ceiling and an optional cap on attempts in flight. The gateways of the fleet share them
+// without a central store:
+//
+//   - In a small fleet each gateway sends load reports to all others once a tick (full mesh). From the
+//     reports a gateway estimates the bucket and the attempts in flight, and spends the part of the tokens
+//     that matches its share of the demand (quota.go, load_report.go).
+//   - When full mesh reports would be more than the gateways can receive, the fleet is in leader mode: for
+//     each customer a few gateways, the quota leaders, keep the bucket. The others request a lease for each
+//     request; a standby leader answers when a leader does not (quota_leader.go, lease.go).
+//   - A request beyond the cap waits in the queue of its customer, in order of arrival, and is released
+//     when an attempt ends or at a tick (admission.go).
+//
+// Servers are chosen by power of several choices on predicted latency, or by a weighted draw in leader mode
+// (server_selection.go). Servers that have just started get little work (slow_start.go), failing
+// servers are ejected and probed (outlier_detection.go), a retry budget bounds retries (retry.go),
+// and when latencies come near their objectives a part of the requests is shed (load_shedding.go).
+//
+// # Use
+//
+// A Gateway is a state machine without I/O: Handle takes one event with the current time and returns the
+// actions that the caller must carry out. The package reads no clock, starts no goroutine and draws random
+// numbers only from the seed given to New, so equal settings, seeds and events give equal actions.
+// A Gateway is not safe for concurrent use, and Handle never blocks. The caller keeps ownership of the
+// slices in events until Handle returns; the slices in actions belong to the caller.
+//
+// # Units
+//
+// Times are time.Duration since an arbitrary origin that is the same for all events of one Gateway. Quotas
+// count units: the cost of a request, as the caller defines it. Latencies inside the package are seconds.
+package policy
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -6,71 +6,117 @@
 	"time"
 )
 
+// server is what a gateway knows of a server.
 type server struct {
 	Server
-	reportHash     uint16
-	inFlight       int
-	latencyRatio   float64                         // latency against the fleet's, at equal load
-	peersInFlight  float64                         // attempts out there, as the peers last said
-	attempts       []*request                      // attempts out, oldest first
-	rejectingUntil map[*customerPlan]time.Duration // until then it is taken to turn this plan away
-	coldSends      []time.Duration                 // while cold: recent sends
+	reportHash     uint16 // names the server in load reports
+	inFlight       int    // own attempts
+	peersInFlight  float64
+	attempts       []*request                      // own attempts in flight, oldest first
+	rejectingUntil map[*customerPlan]time.Duration // plans that the server has rejected lately
+	coldSends      []time.Duration                 // own attempts while warming up, of the last window
+	drawWeight     float64                         // scratch of a weighted draw
 
-	drawWeight float64 // in the draw at hand
-	// the gateways that judge it for all; the second only whether it can be reached
-	monitors       [2]int
-	health         []classHealth // by class
-	reportBudget   float64       // its watcher may send now
+	monitors       [2]int  // the gateways that judge the server for all
+	latencyRatio   float64 // its latency against the other servers', at equal load
+	observedRatio  float64 // latencyRatio as its monitor observes it
+	health         []classHealth
+	reportBudget   float64 // outlier reports that may be sent now
 	reportBudgetAt time.Duration
-	observedRatio  float64 // latency against the fleet's, as the watcher learns it
 }
 
+// endpointList holds the known servers.
+type endpointList struct {
+	byID       map[ServerID]*server
+	list       []*server // by ID
+	meanWeight float64
+	watching   bool // the list is requested
+}
+
+func newEndpointList() endpointList { return endpointList{byID: map[ServerID]*server{}} }
+
+// serverHash spreads server IDs over serverHashBits bits. All gateways must compute the same.
+func serverHash(id ServerID) uint32 {
+	const multiplier = 0x9e3779b1 // Knuth's multiplicative hash
+	return uint32(id) * multiplier >> (32 - serverHashBits)
+}
+
+// requestEndpoints asks for the server list where that is required, once.
+func (g *Gateway) requestEndpoints() {
+	if g.settings.MustWatchEndpoints && !g.endpoints.watching {
+		g.endpoints.watching = true
+		g.do(WatchEndpoints{})
+	}
+}
+
+// handleEndpointUpdate takes the server list or changes to it.
 func (g *Gateway) handleEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == WatchFailed {
-		g.watching = false
+		g.endpoints.watching = false // the next tick asks again
 		return
 	}
 	if ev.Kind != DeltaUpdate {
-		for _, s := range g.endpoints {
-			s.State = Removed
-		}
+		g.endpoints.markAllRemoved()
 	}
-	for _, m := range ev.Servers {
-		s := g.servers[m.ID]
-		if s == nil {
-			h := uint32(m.ID) * 0x9e3779b1 >> (32 - serverHashBits)
-			s = &server{reportHash: uint16(h), latencyRatio: 1, observedRatio: 1,
-				reportBudget: maxReportBudget, reportBudgetAt: g.now,
-				health:         make([]classHealth, len(g.settings.Classes)),
-				rejectingUntil: map[*customerPlan]time.Duration{}, monitors: g.monitorsOf(h)}
-			g.servers[m.ID] = s
-			g.endpoints = append(g.endpoints, s)
-		} else if m.HasStartTime && m.StartedAt != s.StartedAt {
-			s.latencyRatio, s.observedRatio = 1, 1
-			clear(s.health)
-		}
-		s.Server = m
+	for _, listed := range ev.Servers {
+		g.updateServer(listed)
+	}
+	g.endpoints.dropRemoved()
+	g.endpoints.updateMeanWeight()
+	slices.SortFunc(g.endpoints.list, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
+}
+
+// updateServer takes one line of the server list. A server that was restarted has nothing known of it.
+func (g *Gateway) updateServer(listed Server) {
+	s := g.endpoints.byID[listed.ID]
+	switch {
+	case s == nil:
+		s = g.newServer(listed.ID)
+		g.endpoints.byID[listed.ID] = s
+		g.endpoints.list = append(g.endpoints.list, s)
+	case listed.HasStartTime && listed.StartedAt != s.StartedAt:
+		s.latencyRatio = 1
+		s.observedRatio = 1
+		clear(s.health)
 	}
-	// What has gone and has nothing out is forgotten: a fleet whose servers are replaced
-	// would grow for ever, and each would count as one that could bear a part.
-	g.endpoints = slices.DeleteFunc(g.endpoints, func(s *server) bool {
-		gone := s.State == Removed && s.inFlight == 0
-		if gone {
-			delete(g.servers, s.ID)
+	s.Server = listed
+}
+
+func (g *Gateway) newServer(id ServerID) *server {
+	hash := serverHash(id)
+	return &server{
+		reportHash:     uint16(hash),
+		rejectingUntil: map[*customerPlan]time.Duration{},
+		monitors:       g.monitorsOf(hash),
+		latencyRatio:   1,
+		observedRatio:  1,
+		health:         make([]classHealth, len(g.settings.Classes)),
+		reportBudget:   maxReportBudget,
+		reportBudgetAt: g.now,
+	}
+}
+
+func (l *endpointList) markAllRemoved() {
+	for _, s := range l.list {
+		s.State = Removed
+	}
+}
+
+// dropRemoved forgets removed servers without attempts in flight: otherwise the list would grow with each
+// server that is replaced, and each would count as one that could take load.
+func (l *endpointList) dropRemoved() {
+	l.list = slices.DeleteFunc(l.list, func(s *server) bool {
+		drop := s.State == Removed && s.inFlight == 0
+		if drop {
+			delete(l.byID, s.ID)
 		}
-		return gone
+		return drop
 	})
-	g.meanWeight = 0
-	for _, s := range g.endpoints {
-		g.meanWeight += s.Weight / float64(len(g.endpoints))
-	}
-	slices.SortFunc(g.endpoints, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// requestEndpoints asks for the server list where it must be asked for, once.
-func (g *Gateway) requestEndpoints() {
-	if g.settings.MustWatchEndpoints && !g.watching {
-		g.watching = true
-		g.do(WatchEndpoints{})
+func (l *endpointList) updateMeanWeight() {
+	l.meanWeight = 0
+	for _, s := range l.list {
+		l.meanWeight += s.Weight / float64(len(l.list))
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -25,7 +25,7 @@
 	if g.previousSize.gateways != 0 {
 		return 1 / c.ceilingDivisor
 	}
-	return 1 / g.ceilingDivisorAt(c, fleetSize{g.settings.Gateways, g.leaderMode})
+	return 1 / g.ceilingDivisorIn(c, g.size)
 }
 
 // A fleet changes its size, over the border between reports from all to all and
@@ -44,7 +44,7 @@
 			spreads[name] = [2]int{rng.IntN(6), 1 + rng.IntN(16)}
 		}
 		enter := func(g *Gateway, name string) *customer {
-			if c := g.customers[customerKey(name)]; c != nil {
+			if c := g.customers.byKey[customerKey(name)]; c != nil {
 				return c
 			}
 			return g.addCustomer(customerKey(name), g.plans["p"], spreads[name][0], spreads[name][1])
@@ -112,7 +112,7 @@
 		s, _ := ask(10*time.Second + time.Duration(i)*time.Millisecond)
 		passed += s
 	}
-	c := g.customers[customerKey("c")]
+	c := g.customers.byKey[customerKey("c")]
 	store := c.tokens
 	g.Handle(10*time.Second+20*time.Millisecond, FleetResized{Gateways: 4, PreviousSize: 3}, nil)
 	if c.tokens < store || c.tokens > store+1 || c.admittedUnits != uint16(passed) || len(c.peerViews) != 2 {
@@ -145,7 +145,7 @@
 			carry(g.Handle(now, Request{ID: id, Customer: fmt.Sprint("c", id%7), Plan: "p", Class: "lookup", Units: 1,
 				Remaining: 2 * time.Second, FirstGateway: 2, GatewaySpread: 8}, nil))
 		}
-		carry(g.Handle(now, FleetResized{Gateways: n, PreviousSize: g.settings.Gateways}, nil))
+		carry(g.Handle(now, FleetResized{Gateways: n, PreviousSize: g.size.gateways}, nil))
 		for range 100 {
 			now += 25 * time.Millisecond
 			carry(g.Handle(now, TimerFired{Token: "tick"}, nil))
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -1,10 +1,3 @@
-// Package policy decides for a gateway that keeps customers' quotas on a shared API.
-//
-// The mechanism is a distributed waiting room. Requests beyond a customer's
-// cap on attempts out wait in arrival order; gateways report to each other
-// once a tick, sum the attempts out from these reports, and release the free
-// room at ticks and at their own outcomes. A rate companion keeps an estimate
-// of each customer's store of units and lets a gateway pass its part of it.
 package policy
 
 import (
@@ -14,89 +7,75 @@
 	"time"
 )
 
-// Tuned values. None is fitted to a deployment: they are shares, counts of
-// ticks, or times that people and networks set.
 const (
-	loadReportShare                  = 0.75 // part of a gateway's mail intake that reports may fill
-	minTickInterval, maxTickInterval = 25 * time.Millisecond, 250 * time.Millisecond
-	customerIdleTimeout              = 10 * time.Minute // a customer not seen for so long is forgotten
+	// customerIdleTimeout is how long a customer without requests stays known.
+	customerIdleTimeout = 10 * time.Minute
+
+	// seedStream is the second half of the random generator's seed.
+	seedStream = 0x9e3779b97f4a7c15
 )
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
+// Tokens of the timers that a gateway sets.
+const (
+	tickTimer  = "tick"
+	leaseTimer = "ask"
+)
+
+// Gateway decides for one gateway of a fleet. New makes one; Handle is its only input.
+// It is not safe for concurrent use.
 type Gateway struct {
-	settings          Settings
-	rng               *rand.Rand
-	incarnation       uint32
-	reportSequence    uint32
-	tickInterval      time.Duration
-	tickCount         uint32
-	started           bool
-	startedAt         time.Duration
-	now               time.Duration
-	lastTickAt        time.Duration
-	classes           map[string]*requestClass
-	plans             map[string]*customerPlan
-	customers         map[uint64]*customer
-	customersByHash   map[uint32]*customer
-	customerRing      []*customer
-	activeCustomers   []*customer // those that ticks look at
-	reportRanking     ranking     // scratch of report
-	candidateScratch  []*server   // scratch of pick
-	ejectedScratch    []*server
-	queuedCustomers   []*customer
-	requests          map[RequestID]*request
-	servers           map[ServerID]*server
-	endpoints         []*server
-	peers             []*peer
-	retryBudget       float64
-	inFlight          int           // own attempts out, at all servers
-	overload          float64       // average of latency over aim
-	lastShortageAt    time.Duration // when a request last found no server with room
-	warmSendRate      float64       // own sends to warm servers, decayed over FallTime
-	actions           []Action
-	watching          bool
-	meanWeight        float64 // mean weight in the list
-	idleLatency       float64 // seconds an idle server takes, over all classes
-	shortestObjective float64 // the shortest aim, in seconds
-	responseRate      float64 // share of asks that are answered
-	outcomeWeight     float64 // weight of an outcome in a server's pace here
-	idleOverload      float64 // the least mean latency over its aim so far, of all classes; 0: not known
-	admitProbability  float64 // part of the requests let in
-	leaderMode        bool    // reports from all to all would be too many
-	pendingLeases     map[uint32]*request
-	leaseWaiters      []*request // in the order asked, answered ones too
-	lastLeaseTag      uint32
-	meanResponseTime  time.Duration // mean time to an answer
-	previousSize      fleetSize     // of the fleet, until all have heard that it changed
+	settings    Settings
+	rng         *rand.Rand
+	incarnation uint32 // drawn at each start: tells peers that running totals begin anew
+	started     bool
+	startedAt   time.Duration
+	now         time.Duration // time of the event at hand
+	actions     []Action      // what the event at hand leads to
+
+	tick      ticker
+	classes   map[string]*requestClass
+	plans     map[string]*customerPlan
+	customers customerTable
+	requests  map[RequestID]*request // local requests that are not finished or have an attempt in flight
+
+	size         fleetSize
+	previousSize fleetSize // until all gateways have heard of the last change; no gateways: none under way
+	peers        []*peer   // by number; nil: not needed in leader mode so far
+
+	endpoints   endpointList
+	latency     latencyModel
+	selector    serverSelector
+	retryBudget retryBudget
+	shedder     loadShedder
+	leases      leaseClient
+	reporter    loadReporter
 }
 
-// New returns a gateway that has seen nothing yet. The seed feeds its random
-// choices; equal settings, seeds and events give equal actions.
+// ticker holds what is known of the periodic work.
+type ticker struct {
+	interval time.Duration
+	count    uint32
+	lastAt   time.Duration
+}
+
+// New returns a gateway that has seen nothing yet. The seed feeds its random choices. The error is a
+// *SettingError.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	g := newGateway(s, seed)
-	g.retryBudget, g.shortestObjective = maxRetryBudget, math.Inf(1)
-	for _, c := range g.classes {
-		c.idleLatency = c.LatencyObjective.Seconds() / initialLatencyDivisor
-		g.idleLatency, g.shortestObjective = max(g.idleLatency, c.idleLatency),
-			min(g.shortestObjective, c.LatencyObjective.Seconds())
+	g := &Gateway{
+		settings:    s,
+		rng:         rand.New(rand.NewPCG(seed, seedStream)),
+		classes:     map[string]*requestClass{},
+		plans:       map[string]*customerPlan{},
+		customers:   newCustomerTable(),
+		requests:    map[RequestID]*request{},
+		peers:       make([]*peer, s.Gateways),
+		endpoints:   newEndpointList(),
+		retryBudget: maxRetryBudget,
+		shedder:     loadShedder{admitProbability: 1},
 	}
-	g.admitProbability, g.responseRate = 1, 1
-	g.lastLeaseTag, g.meanResponseTime = g.rng.Uint32(), minResponseWait
-	g.applyFleetSize()
-	return g, nil
-}
-
-// newGateway returns a gateway with empty tables.
-func newGateway(s Settings, seed uint64) *Gateway {
-	g := &Gateway{settings: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		classes: map[string]*requestClass{}, plans: map[string]*customerPlan{},
-		customers:       map[uint64]*customer{},
-		pendingLeases:   map[uint32]*request{},
-		customersByHash: map[uint32]*customer{}, requests: map[RequestID]*request{},
-		servers: map[ServerID]*server{}}
 	g.incarnation = g.rng.Uint32()
 	for i, p := range s.Plans {
 		g.plans[p.Name] = &customerPlan{p, byte(i)}
@@ -104,38 +83,48 @@
 	for i, c := range s.Classes {
 		g.classes[c.Name] = &requestClass{Class: c, index: i}
 	}
-	g.peers = make([]*peer, s.Gateways)
-	return g
+	g.latency = newLatencyModel(g.classes)
+	g.leases = newLeaseClient(g.rng.Uint32())
+	g.applyFleetSize(s.Gateways)
+	return g, nil
 }
 
-// Handle takes one event at a time and appends what is to be done to out.
+// Handle takes the next event and appends the actions that it leads to to out. Times must not decrease
+// from call to call. Events that name unknown requests, servers or timers change nothing.
 func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
 	g.now, g.actions = now, out
 	if !g.started {
-		g.started, g.startedAt, g.lastTickAt = true, now, now
-		g.do(SetTimer{Token: "tick", After: time.Duration(g.rng.Int64N(int64(g.tickInterval))) + 1})
-		g.requestEndpoints()
+		g.start()
 	}
+	g.dispatch(ev)
+	out, g.actions = g.actions, nil
+	return out
+}
+
+// start begins the ticks at a random phase, so that the gateways of a fleet do not tick at once.
+func (g *Gateway) start() {
+	g.started = true
+	g.startedAt = g.now
+	g.tick.lastAt = g.now
+	phase := time.Duration(g.rng.Int64N(int64(g.tick.interval))) + 1
+	g.do(SetTimer{Token: tickTimer, After: phase})
+	g.requestEndpoints()
+}
+
+func (g *Gateway) dispatch(ev Event) {
 	switch ev := ev.(type) {
 	case Request:
 		g.handleRequest(g.newLocalRequest(ev))
 	case AttemptResult:
 		g.handleAttemptResult(ev)
 	case ResponseStarted:
-		if r := g.requests[ev.ID]; r != nil && r.attempts == ev.Attempt+1 && r.server != nil {
-			r.responseStarted = true
-		}
+		g.handleResponseStarted(ev)
 	case ClientDisconnected:
 		if r := g.requests[ev.ID]; r != nil {
 			g.finish(r)
 		}
 	case TimerFired:
-		if ev.Token == "tick" && now > g.lastTickAt {
-			g.handleTick()
-		}
-		if ev.Token == "ask" {
-			g.handleLeaseTimer()
-		}
+		g.handleTimer(ev)
 	case PeerMessage:
 		g.handlePeerMessage(ev)
 	case EndpointUpdate:
@@ -149,56 +138,58 @@
 			g.handleFleetResized(ev)
 		}
 	}
-	out, g.actions = g.actions, nil
-	return out
 }
 
+func (g *Gateway) handleTimer(ev TimerFired) {
+	switch ev.Token {
+	case tickTimer:
+		if g.now > g.tick.lastAt {
+			g.handleTick()
+		}
+	case leaseTimer:
+		g.handleLeaseTimer()
+	}
+}
+
+// handleTick does the periodic work.
 func (g *Gateway) handleTick() {
-	dt := g.now - g.lastTickAt
-	g.lastTickAt, g.tickCount = g.now, g.tickCount+1
-	g.do(SetTimer{Token: "tick", After: g.tickInterval})
-	if g.tickCount%uint32(max(1, time.Second/g.tickInterval)) == 0 {
+	elapsed := g.now - g.tick.lastAt
+	g.tick.lastAt = g.now
+	g.tick.count++
+	g.do(SetTimer{Token: tickTimer, After: g.tick.interval})
+	if g.tick.everySecond() {
 		g.requestEndpoints()
-		g.forgetIdleCustomers(g.now - customerIdleTimeout)
-	}
-	if g.settings.ColdOverloadTime > 0 {
-		g.warmSendRate *= math.Exp(-float64(dt) / float64(g.settings.ColdOverloadTime))
+		g.customers.forgetIdle(g.now - customerIdleTimeout)
 	}
+	g.decayWarmSendRate(elapsed)
 	g.sumPeerLoads()
-	g.updateAdmitProbability(dt)
-	for _, s := range g.endpoints {
-		// What is not tried is not learned: an old judgement wears off.
-		s.decayJudgment(min(1, dt.Seconds()/judgmentDecayTime.Seconds()))
+	g.updateAdmitProbability(elapsed)
+	for _, s := range g.endpoints.list {
+		s.decayJudgment(elapsed)
 		g.detectStalledAttempts(s)
 		if slices.Contains(s.monitors[:], g.settings.SelfIndex) {
 			g.publishOutlierReport(s)
 		}
 	}
-	g.updateMeanInFlight(dt)
-	for _, c := range slices.Clone(g.queuedCustomers) {
-		g.refill(c)
-		g.rejectExpired(c)
-		if len(c.queued) == 0 {
-			continue
-		}
-		n := 1 << 30
-		if c.plan.MaxInFlight > 0 {
-			out, held := g.peerLoad(c)
-			part := (float64(c.plan.MaxInFlight-c.inFlight) - out) / (1 + held/float64(len(c.queued)))
-			n = int(math.Floor(max(part, 0) + g.rng.Float64()))
-		}
-		g.releaseQueued(c, n)
+	g.customers.updateActive(g.now, elapsed)
+	for _, c := range slices.Clone(g.customers.queued) {
+		g.serveQueue(c)
 	}
-	if g.settings.CanMessagePeers && (!g.leaderMode || g.tickCount%leaderReportTicks == 0) {
+	if g.reportIsDue() {
 		g.sendLoadReports()
 	}
 }
 
+// everySecond reports whether the current tick is the one in about a second that does the rarer work.
+func (t *ticker) everySecond() bool {
+	ticksPerSecond := uint32(max(1, time.Second/t.interval))
+	return t.count%ticksPerSecond == 0
+}
+
+// do adds an action to those of the event at hand.
 func (g *Gateway) do(a Action) { g.actions = append(g.actions, a) }
 
-func either(yes bool, a, b Reason) Reason {
-	if yes {
-		return a
-	}
-	return b
+// decay returns the part that is left after a time of what decays to 1/e within a time constant.
+func decay(elapsed, timeConstant time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -11,7 +11,7 @@
 func TestPeerMessagesHaveGoldenBytes(t *testing.T) {
 	for _, c := range []struct {
 		name, bytes string
-		message     any
+		message     peerMessage
 	}{
 		{"ask", "0300" + "0102030405060708" + "1112" + "2122" + "31" + "32" + "4142" + "5152" + "61626364" + "71" + "72" + "01",
 			leaseRequest{Customer: 0x0102030405060708, FirstGateway: 0x1112, GatewaySpread: 0x2122, Plan: 0x31, Class: 0x32, Units: 0x4142, RemainingMS: 0x5152,
@@ -43,13 +43,7 @@
 			if m := decode(b); !reflect.DeepEqual(m, c.message) {
 				t.Errorf("decoded to %#v, want %#v", m, c.message)
 			}
-			var out []byte
-			if r, ok := c.message.(loadReport); ok {
-				out = r.encode()
-			} else {
-				out = encode(c.message)
-			}
-			if got := hex.EncodeToString(out); got != c.bytes {
+			if got := hex.EncodeToString(c.message.encode()); got != c.bytes {
 				t.Errorf("encoded to %s, want %s", got, c.bytes)
 			}
 		})
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -141,7 +141,7 @@
 func TestStandbyLeaderGrantsWhenLeaderIsLost(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(20))
 	c := w.gateways[0].addCustomer(customerKey("k"), w.gateways[0].plans["rate"], 0, 50)
-	roots, deputy := w.gateways[0].quotaLeaders(c)
+	roots, deputy := w.gateways[0].quotaLeaders(c, w.gateways[0].size)
 	w.lost = func(from, to int) bool { return to == roots[0] || from == roots[0] }
 	asked := 0
 	w.advance(8*time.Second, func(at time.Duration) {
@@ -162,7 +162,7 @@
 	servers[0].HasStartTime, servers[0].StartedAt = true, 10*time.Second
 	w := newGatewayFleet(t, 300, servers)
 	for _, g := range w.gateways { // the warm ones are all slow
-		for _, s := range g.endpoints[1:] {
+		for _, s := range g.endpoints.list[1:] {
 			s.latencyRatio = maxLatencyRatio
 		}
 	}
@@ -190,7 +190,7 @@
 // classes still go there.
 func TestMonitorEjectsOneClass(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(10))
-	s := w.gateways[0].servers[3]
+	s := w.gateways[0].endpoints.byID[3]
 	id := 0
 	for range 6 {
 		for i := range 12 {
@@ -198,9 +198,9 @@
 			w.handle(from, PeerMessage{From: s.monitors[0], Data: []byte{shortMessageVersion}}) // foreign: nothing
 			g := w.gateways[from]
 			w.handle(s.monitors[0], PeerMessage{From: from,
-				Data: encode(outcomeReport{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5})})
+				Data: outcomeReport{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5}.encode()})
 			w.handle(s.monitors[0], PeerMessage{From: from,
-				Data: encode(outcomeReport{uint32(s.ID), byte(g.classes["once"].index), byte(OK), 80})})
+				Data: outcomeReport{uint32(s.ID), byte(g.classes["once"].index), byte(OK), 80}.encode()})
 		}
 	}
 	w.advance(100*ms, nil)
@@ -230,12 +230,12 @@
 // to a second.
 func TestSecondMonitorReportsUnreachableServer(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(10))
-	s := w.gateways[0].servers[3]
+	s := w.gateways[0].endpoints.byID[3]
 	w.lost = func(from, to int) bool { return from == s.monitors[0] || to == s.monitors[0] }
 	cl := w.gateways[70].classes["safe"]
 	for range 6 {
 		w.gateways[70].now, w.gateways[70].actions = w.now, nil
-		w.gateways[70].reportOutcome(w.gateways[70].servers[3], cl, ConnectFailed, 250*ms)
+		w.gateways[70].reportOutcome(w.gateways[70].endpoints.byID[3], cl, ConnectFailed, 250*ms)
 		acts := w.gateways[70].actions
 		for _, a := range actionsOf[SendPeerMessage](acts) {
 			if a.To == s.monitors[1] {
@@ -244,7 +244,7 @@
 		}
 	}
 	w.advance(100*ms, nil)
-	if v := w.gateways[20].healthOf(w.gateways[20].servers[3], cl); !v.ejected {
+	if v := w.gateways[20].endpoints.byID[3].healthFor(cl); !v.ejected {
 		t.Error("a gateway far off has not heard of it")
 	}
 }
@@ -254,12 +254,12 @@
 func TestRepeatedLeaseRequestIsChargedOnce(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(10))
 	c := w.gateways[0].addCustomer(customerKey("k"), w.gateways[0].plans["rate"], 0, 50)
-	roots, _ := w.gateways[0].quotaLeaders(c)
-	m := encode(leaseRequest{Customer: customerKey("k"), GatewaySpread: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, Chance: 250, Fill: unknownFill})
+	roots, _ := w.gateways[0].quotaLeaders(c, w.gateways[0].size)
+	m := leaseRequest{Customer: customerKey("k"), GatewaySpread: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, Chance: 250, Fill: unknownFill}.encode()
 	for range 3 {
 		w.handle(roots[0], PeerMessage{From: 99, Data: m})
 	}
-	if got := w.gateways[roots[0]].customers[customerKey("k")].admittedUnits; got != 4 || w.messages != 3 {
+	if got := w.gateways[roots[0]].customers.byKey[customerKey("k")].admittedUnits; got != 4 || w.messages != 3 {
 		t.Errorf("%d units counted, %d answers", got, w.messages)
 	}
 }
@@ -280,7 +280,7 @@
 func TestLeaseTimerMayFireEarly(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(10))
 	c := w.gateways[0].addCustomer(customerKey("k"), w.gateways[0].plans["rate"], 0, 50)
-	roots, deputy := w.gateways[0].quotaLeaders(c)
+	roots, deputy := w.gateways[0].quotaLeaders(c, w.gateways[0].size)
 	i := 0
 	for i == roots[0] || i == deputy {
 		i++
@@ -339,9 +339,9 @@
 func TestOverloadThresholdFollowsIdleLatency(t *testing.T) {
 	g := newGatewayFleet(t, 60, testServers(20)).gateways[0]
 	closes := func(strain float64) bool {
-		g.admitProbability, g.overload = 1, strain
+		g.shedder.admitProbability, g.shedder.overload = 1, strain
 		g.updateAdmitProbability(time.Second)
-		return g.admitProbability < 1
+		return g.shedder.admitProbability < 1
 	}
 	if !closes(0.3) || closes(0.2) {
 		t.Error("the gate's threshold before anything is known")
@@ -366,8 +366,8 @@
 	servers := testServers(20)
 	servers[0].HasStartTime, servers[0].StartedAt = true, 10*time.Second
 	w := newGatewayFleet(t, 60, servers)
-	g := w.gateways[w.gateways[0].servers[1].monitors[0]]
-	s := g.servers[1]
+	g := w.gateways[w.gateways[0].endpoints.byID[1].monitors[0]]
+	s := g.endpoints.byID[1]
 	for range 100 {
 		g.observeOutcome(s, 0, OK, time.Duration(g.classes["safe"].idleLatency/g.warmFraction(s)*float64(time.Second)))
 	}
--- /dev/null
+++ b/policy/latency_model.go
@@ -0,0 +1,117 @@
+package policy
+
+import "math"
+
+const (
+	// initialLatencyDivisor is the latency objective of a class over the latency first guessed for it.
+	initialLatencyDivisor = 8.0
+
+	// maxLatencyFactor bounds what one result counts for in the idle latency of a class, in idle latencies.
+	maxLatencyFactor = 4.0
+
+	// maxLatencyRatio bounds what one result counts for in the latency ratio of a server.
+	maxLatencyRatio = 12.0
+
+	// learningWeight is the weight of one result in the latency ratio of a server, and of one lease
+	// response in what is known of the leaders.
+	learningWeight = 0.1
+
+	// classLatencyWeight is the weight of one result in the idle latency of a class.
+	classLatencyWeight = 0.03
+
+	// queueingPerAttempt is what each attempt in flight adds to the latency of a server, in idle latencies.
+	queueingPerAttempt = 0.5
+)
+
+// requestClass is a class with its position in the settings and its learned latency.
+type requestClass struct {
+	Class
+	index       int
+	idleLatency float64 // seconds that an idle warm server of average speed takes
+	outcomes    float64 // results that idleLatency rests on
+}
+
+// latencyModel is what is known of latencies over all classes.
+type latencyModel struct {
+	idle              float64 // seconds that an idle server takes, over all classes
+	shortestObjective float64 // seconds
+}
+
+// newLatencyModel guesses the idle latencies of all classes.
+func newLatencyModel(classes map[string]*requestClass) latencyModel {
+	m := latencyModel{shortestObjective: math.Inf(1)}
+	for _, c := range classes {
+		objective := c.LatencyObjective.Seconds()
+		c.idleLatency = objective / initialLatencyDivisor
+		m.idle = max(m.idle, c.idleLatency)
+		m.shortestObjective = min(m.shortestObjective, objective)
+	}
+	return m
+}
+
+// load is the number of attempts in flight at a server: those of this gateway, and those of the others as
+// last reported.
+func (s *server) load() float64 { return float64(s.inFlight) + s.peersInFlight }
+
+// queueingFactor is the factor by which a number of attempts in flight lengthens the latency of a server.
+func (g *Gateway) queueingFactor(s *server, load float64) float64 {
+	return 1 + queueingPerAttempt*load/g.relativeCapacity(s)
+}
+
+// predictedLatency is the latency in seconds expected of a server for a class.
+func (g *Gateway) predictedLatency(s *server, class *requestClass) float64 {
+	return class.idleLatency * s.latencyRatio * g.queueingFactor(s, s.load()) / g.warmFraction(s)
+}
+
+// relativeCapacity is the capacity of a server's machine against the mean of the list, where the list
+// tells it.
+func (g *Gateway) relativeCapacity(s *server) float64 {
+	if g.settings.WeightIsCapacity && s.Weight > 0 && g.endpoints.meanWeight > 0 {
+		return s.Weight / g.endpoints.meanWeight
+	}
+	return 1
+}
+
+// learnFromResult takes the result of an attempt into the latencies, the overload and the outlier
+// detection.
+func (g *Gateway) learnFromResult(s *server, r *request, ev AttemptResult) {
+	if ev.Code != TooLate && ev.Code != Cancelled {
+		g.reportOutcome(s, r.class, ev.Code, ev.Latency)
+	}
+	if ev.Code == OK || ev.Code == TimedOut {
+		g.shedder.observe(min(1, ev.Latency.Seconds()/r.class.LatencyObjective.Seconds()))
+	}
+	switch ev.Code {
+	case OK:
+		if h := s.healthFor(r.class); h != nil {
+			h.lastSuccessAt = g.now
+		}
+		g.learnLatency(s, r, ev.Latency.Seconds())
+	case Rejected:
+		// The server may reject one plan only: requests of this plan go elsewhere for a while.
+		s.rejectingUntil[r.customer.plan] = g.now + planRejectionBackoff
+		g.shedder.observe(1)
+	}
+}
+
+// learnLatency takes a latency in seconds into those of the server and of the class.
+func (g *Gateway) learnLatency(s *server, r *request, latency float64) {
+	slowdown := g.queueingFactor(s, r.current.loadAtSend) / g.warmFraction(s)
+	idle := latency / slowdown
+	class := r.class
+	ratio := min(idle/class.idleLatency, maxLatencyRatio)
+	s.latencyRatio += g.latencyRatioWeight() * (ratio - s.latencyRatio)
+	g.latency.idle += classLatencyWeight * (class.idleLatency - g.latency.idle)
+	class.outcomes++
+	weight := max(classLatencyWeight, 1/(class.outcomes+1)) // the first results count for more
+	class.idleLatency += weight * (min(idle, maxLatencyFactor*class.idleLatency) - class.idleLatency)
+}
+
+// latencyRatioWeight is the weight of one result in a server's latency ratio. In leader mode the
+// ratio comes from the server's monitor, which sees more results.
+func (g *Gateway) latencyRatioWeight() float64 {
+	if g.size.leaderMode {
+		return 0
+	}
+	return learningWeight
+}
--- a/policy/lease.go
+++ b/policy/lease.go
@@ -6,104 +6,192 @@
 	"time"
 )
 
+// In leader mode a gateway that does not keep a customer's buckets requests a lease from the
+// customer's leader for each request. The leader treats it like a request of its own: it grants,
+// queues or rejects it.
+
 const (
-	leaderAttempts     = 2                     // times a root is asked before its deputy is
-	minResponseWait    = 30 * time.Millisecond // an answer is waited for this long at least
-	responseWaitFactor = 2.5                   // and for this many mean times
-	// what no root answers passes with this power of the share answered
-	unansweredPower  = 4.0
-	minResponseRate  = 0.5              // with fewer asks answered another witness is heeded
-	admittedShareTTL = 20 * time.Second // a root's word of what part fits is heeded so long
-	// an attempt not told of as ended counts for this part of its aim
+	// leaderAttempts is how often the leader is asked before the standby leader is.
+	leaderAttempts = 2
+
+	// minResponseWait is the least time for which a lease response is awaited.
+	minResponseWait = 30 * time.Millisecond
+
+	// responseWaitFactor is that time in mean response times.
+	responseWaitFactor = 2.5
+
+	// unansweredPower shapes the chance of a request that no leader answers: it is admitted with
+	// the response rate to this power, and after the first lease request also with one minus the
+	// response rate to it.
+	unansweredPower = 4.0
+
+	// minResponseRate is the share of answered lease requests below which this gateway is isolated.
+	minResponseRate = 0.5
+
+	// admittedShareTTL is the time in which a leader's word of what share fits is forgotten.
+	admittedShareTTL = 20 * time.Second
+
+	// leaseObjectives is the life of a lease that is not returned, in latency objectives.
 	leaseObjectives = 1.0
 )
 
-// leaseKey names a request that another gateway asked for.
-type leaseKey struct {
-	gateway int
-	tag     uint32
-}
-
+// lease is one that this gateway has granted.
 type lease struct {
 	expiresAt time.Duration
 	request   *request
 }
 
-// requestLease sends a request to the customer's root, again if that or the answer is
-// lost, and then to the deputy. No answer from either leaves it to the last
-// fill heard, but under a ceiling: lost roots must not stop customers far below
-// their quotas.
+// leaseClient is the state of the lease requests of this gateway.
+type leaseClient struct {
+	pending          map[uint32]*request // by tag
+	waiting          []*request          // in order of request; answered ones leave at the next timer
+	lastTag          uint32
+	responseRate     float64 // average share of requests that are answered
+	meanResponseTime time.Duration
+}
+
+func newLeaseClient(firstTag uint32) leaseClient {
+	return leaseClient{
+		pending:          map[uint32]*request{},
+		lastTag:          firstTag,
+		responseRate:     1,
+		meanResponseTime: minResponseWait,
+	}
+}
+
+// isolationChance is the chance that this gateway is cut off from the leaders rather than the leaders being
+// flooded: near 1 when none answers, near 0 when half do.
+func (l *leaseClient) isolationChance() float64 { return math.Pow(1-l.responseRate, unansweredPower) }
+
+func (l *leaseClient) recordUnanswered() { l.responseRate -= learningWeight * l.responseRate }
+
+func (l *leaseClient) recordResponse() { l.responseRate += learningWeight * (1 - l.responseRate) }
+
+func (l *leaseClient) recordResponseTime(d time.Duration) {
+	l.meanResponseTime += time.Duration(learningWeight * float64(d-l.meanResponseTime))
+}
+
+// responseWait is the time for which a response is awaited.
+func (l *leaseClient) responseWait() time.Duration {
+	return max(minResponseWait, time.Duration(responseWaitFactor*float64(l.meanResponseTime)))
+}
+
+// leaseChance is the chance with which a lease is requested at all. Of a customer far above its quota only
+// the share that fits is requested: its leader could not receive more.
+func (g *Gateway) leaseChance(c *customer) float64 {
+	if c.plan.Rate <= 0 || c.lastExchangeTick == 0 {
+		return 1
+	}
+	return min(1, c.admittedShare+(g.now-c.admittedShareAt).Seconds()/admittedShareTTL.Seconds())
+}
+
+// requestLease requests a lease from the customer's leader, again when there is no response in
+// time, and then from the standby leader. Without any response admitWithoutLease decides.
 func (g *Gateway) requestLease(r *request) {
 	c := r.customer
-	if len(c.leaders) == 0 { // its counts have moved here
-		delete(g.pendingLeases, r.leaseTag)
+	delete(g.leases.pending, r.lease.key.tag)
+	if len(c.leaders) == 0 { // the buckets have moved here
 		g.admit(r)
 		return
 	}
-	cut := math.Pow(1-g.responseRate, unansweredPower)
-	late := r.leaseAttempts > leaderAttempts || g.now+2*g.settings.Resolution >= r.deadline
-	if delete(g.pendingLeases, r.leaseTag); late || r.leaseAttempts > 0 && g.rng.Float64() < cut {
-		// Much mail lost: roots are flooded, few may pass unheard. All lost: cut off, the own part passes.
-		pass := math.Pow(g.responseRate, unansweredPower) + cut
-		if c.externalLevelAt > 0 && g.now-c.externalLevelAt < externalLevelTTL {
-			pass = 1
-		}
-		if r.queuedAtLeader || g.now >= r.deadline || g.rng.Float64() > pass || c.plan.HardRate > 0 ||
-			!g.withinQuota(r) || !g.startAttempt(r) {
-			g.reject(r, either(r.queuedAtLeader, ReasonInFlightLimit, ReasonNoQuotaLeader))
-		}
+	isolationChance := g.leases.isolationChance()
+	tooLate := r.lease.requests > leaderAttempts || g.now+g.timerMargin() >= r.deadline
+	if tooLate || r.lease.requests > 0 && g.rng.Float64() < isolationChance {
+		g.admitWithoutLease(r, isolationChance)
 		return
 	}
-	to := c.leaders[0]
-	if r.leaseAttempts == leaderAttempts {
-		to = c.leaders[1]
+	leader := c.leaders[0]
+	if r.lease.requests == leaderAttempts {
+		leader = c.leaders[1]
 	}
-	if to == g.settings.SelfIndex {
+	if leader == g.settings.SelfIndex {
 		g.admit(r)
 		return
 	}
-	if r.leaseAttempts != 1 || r.leader != to { // the same name when the same root is asked again
-		g.lastLeaseTag++
-		r.leaseTag = g.lastLeaseTag
+	g.sendLeaseRequest(r, leader)
+}
+
+// sendLeaseRequest sends a lease request and sets the timer for its response.
+func (g *Gateway) sendLeaseRequest(r *request, leader int) {
+	l := &r.lease
+	sameAgain := l.requests == 1 && l.key.gateway == leader
+	if !sameAgain { // a leader that is asked again must see the same tag, or it would grant twice
+		g.leases.lastTag++
+		l.key.tag = g.leases.lastTag
 	}
-	if r.leaseAttempts > 0 {
-		g.responseRate -= learningWeight * g.responseRate
+	if l.requests > 0 {
+		g.leases.recordUnanswered()
 	}
-	r.leader, r.leaseRequestedAt = to, g.now
-	r.leaseAttempts++
-	wait := max(minResponseWait, time.Duration(responseWaitFactor*float64(g.meanResponseTime)))
-	r.leaseWaitUntil = min(g.now+wait, r.deadline-2*g.settings.Resolution)
-	g.pendingLeases[r.leaseTag] = r
-	g.leaseWaiters = append(g.leaseWaiters, r)
-	g.do(SendPeerMessage{To: r.leader, Data: encode(g.newLeaseRequest(r))})
-	g.do(SetTimer{Token: "ask", After: r.leaseWaitUntil - g.now})
+	l.key.gateway = leader
+	l.requestedAt = g.now
+	l.requests++
+	l.waitUntil = min(g.now+g.leases.responseWait(), r.deadline-g.timerMargin())
+	g.leases.pending[l.key.tag] = r
+	g.leases.waiting = append(g.leases.waiting, r)
+	g.do(SendPeerMessage{To: leader, Data: g.newLeaseRequest(r).encode()})
+	g.do(SetTimer{Token: leaseTimer, After: l.waitUntil - g.now})
 }
 
-// newLeaseRequest makes the message that asks for a request.
 func (g *Gateway) newLeaseRequest(r *request) leaseRequest {
-	c, left := r.customer, (r.deadline - g.now).Milliseconds()
-	m := leaseRequest{Customer: c.key, FirstGateway: uint16(c.firstGateway),
-		GatewaySpread: uint16(min(c.requestedSpread, 65535)), Plan: c.plan.index,
-		Class: byte(r.class.index), Units: uint16(r.units), RemainingMS: uint16(min(max(0, left),
-			math.MaxUint16)),
-		Tag: r.leaseTag, ClientRetry: r.clientRetry, Fill: unknownFill, Chance: saturatingByte(250 *
-			r.leaseChance)}
+	c := r.customer
+	m := leaseRequest{
+		Customer:      c.key,
+		FirstGateway:  uint16(c.firstGateway),
+		GatewaySpread: uint16(min(c.requestedSpread, math.MaxUint16)),
+		Plan:          c.plan.index,
+		Class:         byte(r.class.index),
+		Units:         uint16(r.units),
+		RemainingMS:   milliseconds(r.deadline - g.now),
+		Tag:           r.lease.key.tag,
+		Chance:        encodeShare(r.lease.chance),
+		Fill:          unknownFill,
+		ClientRetry:   r.clientRetry,
+	}
 	if c.lastExchangeTick > 0 {
-		m.Fill = saturatingByte(250 * max(0, c.tokens) / max(1, c.plan.Burst))
+		m.Fill = c.fillByte()
 	}
 	return m
 }
 
-// handleLeaseTimer asks again, elsewhere, for what was not answered.
+// admitWithoutLease decides on a request that no leader answers, by the last fill heard. When many messages
+// are lost the leaders are flooded, and few requests may be admitted unheard. When all are lost
+// this gateway is isolated, and lost leaders must not stop customers far below their quotas.
+func (g *Gateway) admitWithoutLease(r *request, isolationChance float64) {
+	if r.lease.queuedAtLeader {
+		g.reject(r, ReasonInFlightLimit)
+		return
+	}
+	if !g.mayAdmitWithoutLease(r, isolationChance) || !g.startAttempt(r) {
+		g.reject(r, ReasonNoQuotaLeader)
+	}
+}
+
+func (g *Gateway) mayAdmitWithoutLease(r *request, isolationChance float64) bool {
+	if g.now >= r.deadline {
+		return false
+	}
+	c := r.customer
+	chance := math.Pow(g.leases.responseRate, unansweredPower) + isolationChance
+	if c.externalLevelAt > 0 && g.now-c.externalLevelAt < externalLevelTTL {
+		chance = 1
+	}
+	if g.rng.Float64() > chance {
+		return false
+	}
+	return c.plan.HardRate <= 0 && g.withinQuota(r) // a ceiling is the leader's alone
+}
+
+// handleLeaseTimer requests again, elsewhere, the leases that had no response in time.
 func (g *Gateway) handleLeaseTimer() {
-	list := g.leaseWaiters
-	g.leaseWaiters = nil
-	for _, r := range list {
+	waiting := g.leases.waiting
+	g.leases.waiting = nil
+	for _, r := range waiting {
+		answered := r.done || r.lease.granted || g.leases.pending[r.lease.key.tag] != r
 		switch {
-		case r.done || r.leaseGranted || g.pendingLeases[r.leaseTag] != r:
-		case g.now+g.settings.Resolution <= r.leaseWaitUntil: // a timer may come a rounding early
-			g.leaseWaiters = append(g.leaseWaiters, r)
-		case r.queuedAtLeader:
+		case answered:
+		case g.now+g.settings.Resolution <= r.lease.waitUntil: // the timer may be early by its resolution
+			g.leases.waiting = append(g.leases.waiting, r)
+		case r.lease.queuedAtLeader:
 			g.reject(r, ReasonInFlightLimit)
 		default:
 			g.requestLease(r)
@@ -112,129 +200,157 @@
 }
 
 func (g *Gateway) handleLeaseResponse(from int, m leaseResponse) {
-	r := g.pendingLeases[m.Tag]
-	if r == nil || r.leader != from || r.done {
+	r := g.leases.pending[m.Tag]
+	if r == nil || r.lease.key.gateway != from || r.done {
 		return
 	}
-	c := r.customer
-	if !r.queuedAtLeader {
-		g.meanResponseTime += time.Duration(learningWeight *
-			float64(g.now-r.leaseRequestedAt-g.meanResponseTime))
-	}
-	g.refill(c)
-	g.responseRate += learningWeight * (1 - g.responseRate)
-	g.overload += overloadWeight * (float64(m.Overload)/100 - g.overload)
-	c.admittedShare, c.admittedShareAt = float64(m.AdmittedShare)/250, g.now
-	c.tokens, c.lastExchangeTick = float64(m.Fill)/250*c.plan.Burst, g.tickCount+1
+	g.learnFromLeader(r, m)
 	if m.Decision == leaseQueued {
-		longest := time.Duration(queueTimeShare * float64(r.class.LatencyObjective))
-		r.queuedAtLeader, r.leaseWaitUntil = true, min(r.arrivedAt+longest, r.deadline-g.tickInterval)
-		g.do(SetTimer{Token: "ask", After: max(g.settings.Resolution, r.leaseWaitUntil-g.now)})
+		r.lease.queuedAtLeader = true
+		r.lease.waitUntil = min(r.arrivedAt+r.class.queueTime(), r.deadline-g.tick.interval)
+		after := max(g.settings.Resolution, r.lease.waitUntil-g.now)
+		g.do(SetTimer{Token: leaseTimer, After: after})
 		return
 	}
-	delete(g.pendingLeases, m.Tag)
+	delete(g.leases.pending, m.Tag)
 	if m.Decision != leaseGranted {
 		g.reject(r, Reason(m.Decision>>reasonShift))
 		return
 	}
-	if r.leaseGranted = true; !g.withinQuota(r) {
+	r.lease.granted = true
+	switch {
+	case !g.withinQuota(r):
 		g.reject(r, g.quotaRejection(r))
-	} else if !g.startAttempt(r) {
+	case !g.startAttempt(r):
 		g.enqueue(r)
 	}
 }
 
-// handleLeaseRequest takes a member's request into the customer's counts as if it had come
-// in here.
+// learnFromLeader takes over what a lease response tells beyond its decision.
+func (g *Gateway) learnFromLeader(r *request, m leaseResponse) {
+	if !r.lease.queuedAtLeader {
+		g.leases.recordResponseTime(g.now - r.lease.requestedAt)
+	}
+	c := r.customer
+	g.refill(c)
+	g.leases.recordResponse()
+	g.shedder.observe(float64(m.Overload) / overloadPercent)
+	c.admittedShare = decodeShare(m.AdmittedShare)
+	c.admittedShareAt = g.now
+	c.tokens = decodeShare(m.Fill) * c.plan.Burst
+	c.lastExchangeTick = g.tick.count + 1
+}
+
+// returnLease tells the leader that a granted lease is over. A used one matters only where attempts in
+// flight are capped; the others expire.
+func (g *Gateway) returnLease(r *request) {
+	unused := !r.charged
+	isCapped := r.customer.plan.MaxInFlight > 0
+	if !r.lease.granted || !isCapped && !unused {
+		return
+	}
+	r.lease.granted = false
+	m := leaseReturn{Customer: r.customer.key, Tag: r.lease.key.tag, Unused: unused}
+	g.do(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
+}
+
+// handleLeaseRequest takes another gateway's request into the customer's buckets as if it had arrived here.
 func (g *Gateway) handleLeaseRequest(from int, m leaseRequest) {
-	c := g.customers[m.Customer]
-	fresh := c == nil
-	if fresh {
-		c = g.addCustomer(m.Customer, g.plans[g.settings.Plans[m.Plan].Name], int(m.FirstGateway),
-			int(m.GatewaySpread))
-	}
-	// One that counts for a root it can't hear goes by what the root last told.
-	if m.Fill != unknownFill && (fresh || len(c.leaders) > 0) {
-		c.tokens = min(c.tokens, float64(m.Fill)/250*c.plan.Burst)
-	}
-	if r, held := c.findLease(from, m.Tag); r != nil || held {
-		if r != nil {
-			g.sendLeaseResponse(r, leaseGranted) // the first answer was lost
-		}
+	isKnown := int(m.Plan) < len(g.settings.Plans) && int(m.Class) < len(g.settings.Classes)
+	if !isKnown || m.GatewaySpread == 0 {
+		return
+	}
+	c := g.customers.byKey[m.Customer]
+	isNew := c == nil
+	if isNew {
+		plan := g.plans[g.settings.Plans[m.Plan].Name]
+		c = g.addCustomer(m.Customer, plan, int(m.FirstGateway), int(m.GatewaySpread))
+	}
+	// A gateway that stands in for a leader it does not hear goes by what the leader told others.
+	if m.Fill != unknownFill && (isNew || len(c.leaders) > 0) {
+		c.tokens = min(c.tokens, decodeShare(m.Fill)*c.plan.Burst)
+	}
+	if g.repeatLeaseResponse(c, leaseKey{from, m.Tag}) {
 		return
 	}
 	g.refill(c)
-	c.lastRequestAt, c.grantsLeases = g.now, true
-	c.demand += float64(m.Units) * 250 / float64(max(1, m.Chance))
+	c.lastRequestAt = g.now
+	c.grantsLeases = true
+	c.demand += float64(m.Units) * wholeShare / float64(max(1, m.Chance))
 	g.admit(g.newRemoteRequest(c, from, m))
 }
 
-// newRemoteRequest makes the request that another gateway asks for.
-func (g *Gateway) newRemoteRequest(c *customer, from int, m leaseRequest) *request {
-	return &request{customer: c, class: g.classes[g.settings.Classes[m.Class].Name],
-		units: float64(m.Units), arrivedAt: g.now,
-		deadline: g.now + time.Duration(m.RemainingMS)*time.Millisecond, clientRetry: m.ClientRetry,
-		remote: true, leader: from,
-		leaseTag: m.Tag}
-}
-
-// findLease finds a request that another gateway has asked for before: granted, or
-// held here.
-func (c *customer) findLease(from int, tag uint32) (r *request, held bool) {
-	if l, ok := c.leases[leaseKey{from, tag}]; ok {
-		return l.request, false
+// repeatLeaseResponse reports whether a lease was requested before. If it was granted, the response is sent
+// again: the first one may have been lost.
+func (g *Gateway) repeatLeaseResponse(c *customer, key leaseKey) bool {
+	if granted, ok := c.leases[key]; ok {
+		g.sendLeaseResponse(granted.request, leaseGranted)
+		return true
 	}
-	return nil, slices.ContainsFunc(c.queued, func(r *request) bool {
-		return r.remote && r.leader == from && r.leaseTag == tag
-	})
+	isSame := func(r *request) bool { return r.remote && r.lease.key == key }
+	return slices.ContainsFunc(c.queued, isSame)
 }
 
-// grantLease counts a member's request and tells it to go.
+// grantLease charges a remote request and tells its gateway to go on.
 func (g *Gateway) grantLease(r *request) {
 	c := r.customer
 	c.charge(r)
-	c.leases[leaseKey{r.leader, r.leaseTag}] = lease{g.now +
-		time.Duration(leaseObjectives*float64(r.class.LatencyObjective)), r}
-	c.addInFlight(g.now, 1)
-	r.charged, r.done = true, true
+	life := time.Duration(leaseObjectives * float64(r.class.LatencyObjective))
+	c.leases[r.lease.key] = lease{expiresAt: g.now + life, request: r}
+	c.inFlight.add(g.now, 1)
+	r.charged = true
+	r.done = true
 	g.sendLeaseResponse(r, leaseGranted)
 }
 
-func (g *Gateway) sendLeaseResponse(r *request, v byte) {
-	fill := saturatingByte(250 * max(0, r.customer.tokens) / max(1, r.customer.plan.Burst))
-	part := 1.0
-	if r.customer.tokens < firstAttemptReserve*r.customer.plan.Burst {
-		part = min(1, r.customer.plan.Rate*demandWindow.Seconds()/max(r.customer.demand, 1))
+func (g *Gateway) sendLeaseResponse(r *request, decision byte) {
+	m := leaseResponse{
+		Tag:           r.lease.key.tag,
+		Decision:      decision,
+		Fill:          r.customer.fillByte(),
+		Overload:      saturatingByte(overloadPercent * g.shedder.overload),
+		AdmittedShare: encodeShare(r.customer.shareThatFits()),
 	}
-	m := leaseResponse{r.leaseTag, v, fill, saturatingByte(100 * g.overload), saturatingByte(250 * part)}
-	g.do(SendPeerMessage{To: r.leader, Data: encode(m)})
+	g.do(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
 }
 
-// expireLeases drops the leases that have run out.
-func (c *customer) expireLeases(now time.Duration) {
-	for l, v := range c.leases {
-		if now > v.expiresAt {
-			delete(c.leases, l)
-			c.addInFlight(now, -1)
-		}
+// shareThatFits is the share of the demand that the rate quota admits, while the bucket is low.
+func (c *customer) shareThatFits() float64 {
+	if c.tokens >= firstAttemptReserve*c.plan.Burst {
+		return 1
 	}
+	return min(1, c.plan.Rate*demandWindow.Seconds()/max(c.demand, 1))
 }
 
-// handleLeaseReturn frees what a member's attempt held, and gives back what it never used.
+// fillByte is the fill of the bucket as messages carry it.
+func (c *customer) fillByte() byte { return encodeFill(c.tokens, max(1, c.plan.Burst)) }
+
+// handleLeaseReturn ends a lease, and gives back the units of one that was never used.
 func (g *Gateway) handleLeaseReturn(from int, m leaseReturn) {
-	c := g.customers[m.Customer]
+	c := g.customers.byKey[m.Customer]
 	if c == nil {
 		return
 	}
-	l, ok := c.leases[leaseKey{from, m.Tag}]
+	key := leaseKey{from, m.Tag}
+	returned, ok := c.leases[key]
 	if !ok {
 		return
 	}
-	delete(c.leases, leaseKey{from, m.Tag})
-	c.addInFlight(g.now, -1)
+	delete(c.leases, key)
+	c.inFlight.add(g.now, -1)
 	g.refill(c)
 	if m.Unused {
-		c.tokens = min(c.plan.Burst, c.tokens+l.request.units)
+		c.tokens = min(c.plan.Burst, c.tokens+returned.request.units)
 	}
 	g.releaseAfterResult(c)
 }
+
+// expireLeases drops the leases whose life is over.
+func (c *customer) expireLeases(now time.Duration) {
+	for key, granted := range c.leases {
+		if now > granted.expiresAt {
+			delete(c.leases, key)
+			c.inFlight.add(now, -1)
+		}
+	}
+}
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -1,46 +1,55 @@
 package policy
 
-import (
-	"math"
-	"slices"
-	"time"
-)
+import "time"
 
 const (
-	priorityPerUnreportedTick = 0.01 // what a tick untold adds to a place in the report
-	reportRepeats             = 3    // a change is told in this many reports
-	leaderReportTicks         = 2    // roots of a customer report to each other every so many ticks
+	// reportRepeats is the number of reports in which a change is told, against lost ones.
+	reportRepeats = 3
+
+	// leaderReportTicks is the number of ticks between the reports of a customer's leaders to each other.
+	leaderReportTicks = 2
+
+	// priorityPerUnreportedTick is what each tick without a report adds to the priority of a customer, so
+	// that all are told in the end.
+	priorityPerUnreportedTick = 0.01
 )
 
+// peer is what one other gateway last reported.
 type peer struct {
 	index            int
+	hasReport        bool
 	incarnation      uint32
 	sequence         uint32
 	reportedAt       time.Duration
-	hasReport        bool
-	complete         bool               // its last report named all customers with news
-	inFlightByServer map[uint16]float64 // attempts out by server
-	customerViews    []*peerView        // what it said of each customer
+	complete         bool // the report named all customers with changes
+	inFlightByServer map[uint16]float64
+	customerViews    []*peerView
 }
 
-// peerView is what one other gateway last said of one customer.
+// peerView is what one other gateway last reported of one customer.
 type peerView struct {
 	peer          *peer
-	reportedAt    time.Duration
 	hasReport     bool
 	incarnation   uint32
+	reportedAt    time.Duration
 	inFlight      float64
 	queued        float64
-	admittedUnits uint16
-	demand        float64 // asked units, decayed
+	admittedUnits uint16  // running total, wraps around
+	demand        float64 // units requested there, decayed over demandWindow
+}
+
+// loadReporter is the state of the reports that this gateway sends.
+type loadReporter struct {
+	sequence uint32
+	ranking  ranking
 }
 
-// peerAt returns what is known of a gateway.
-func (g *Gateway) peerAt(num int) *peer {
-	if g.peers[num] == nil {
-		g.peers[num] = &peer{index: num}
+// peerAt returns what is known of a gateway, and begins to know it.
+func (g *Gateway) peerAt(index int) *peer {
+	if g.peers[index] == nil {
+		g.peers[index] = &peer{index: index}
 	}
-	return g.peers[num]
+	return g.peers[index]
 }
 
 func (g *Gateway) createPeers() {
@@ -49,163 +58,217 @@
 	}
 }
 
-// assignPeerViews makes room for what each of the others says of a customer.
-func (g *Gateway) assignPeerViews(c *customer, others []int) {
+// assignPeerViews sets which other gateways keep a customer's counts. Views that there are stay.
+func (g *Gateway) assignPeerViews(c *customer, gateways []int) {
 	old := c.peerViews
 	c.peerViews = nil
-	for _, num := range others {
-		if num != g.settings.SelfIndex {
-			v := &peerView{peer: g.peerAt(num)}
-			if i := slices.IndexFunc(old, func(o *peerView) bool { return o.peer == v.peer }); i >= 0 {
-				v = old[i]
-			}
-			c.peerViews, v.peer.customerViews = append(c.peerViews, v), append(v.peer.customerViews, v)
+	for _, index := range gateways {
+		if index == g.settings.SelfIndex {
+			continue
+		}
+		p := g.peerAt(index)
+		view := viewOf(old, p)
+		if view == nil {
+			view = &peerView{peer: p}
 		}
+		c.peerViews = append(c.peerViews, view)
+		p.customerViews = append(p.customerViews, view)
 	}
 }
 
-// sendLoadReports tells each peer what has changed.
-func (g *Gateway) sendLoadReports() {
-	g.reportSequence++
-	list := &g.reportRanking
-	list.reset()
-	for _, c := range g.activeCustomers {
-		if c.hasChanges() {
-			c.reportPriority = g.priorityOf(c)
-			list.rest = append(list.rest, c)
+// viewOf finds the view of a peer, or nil.
+func viewOf(views []*peerView, p *peer) *peerView {
+	for _, view := range views {
+		if view.peer == p {
+			return view
 		}
 	}
-	none := len(list.rest) == 0
-	list.heapify()
+	return nil
+}
+
+// reportIsDue reports whether load reports go out at the current tick.
+func (g *Gateway) reportIsDue() bool {
+	if !g.settings.CanMessagePeers {
+		return false
+	}
+	return !g.size.leaderMode || g.tick.count%leaderReportTicks == 0
+}
+
+// sendLoadReports sends a report to each peer. In leader mode only those get one for whom there are
+// customers.
+func (g *Gateway) sendLoadReports() {
+	g.reporter.sequence++
+	ranked := g.rankCustomers()
+	if g.size.leaderMode && ranked.isEmpty() {
+		return
+	}
 	for _, p := range g.peers {
-		if p == nil || p.index == g.settings.SelfIndex || g.leaderMode && none {
+		if p == nil || p.index == g.settings.SelfIndex {
 			continue
 		}
-		if m := g.newLoadReport(p, list); !g.leaderMode || len(m.customers) > 0 {
+		m := g.newLoadReport(p, ranked)
+		if !g.size.leaderMode || len(m.customers) > 0 {
 			g.do(SendPeerMessage{To: p.index, Data: m.encode()})
 		}
 	}
-	for _, c := range list.top {
-		if c.lastExchangeTick == g.tickCount {
-			c.pendingReports, c.reportedUnits = max(0, c.pendingReports-1), c.admittedUnits
+	for _, c := range ranked.sorted {
+		if c.lastExchangeTick == g.tick.count {
+			c.pendingReports = max(0, c.pendingReports-1)
+			c.reportedUnits = c.admittedUnits
 		}
 	}
 }
 
-// newLoadReport makes the report for one peer: the servers this gateway has attempts
-// out at, then the customers that come in through both, busiest first.
-func (g *Gateway) newLoadReport(p *peer, list *ranking) *loadReport {
-	m := &loadReport{incarnation: g.incarnation, sequence: g.reportSequence, complete: true}
-	for _, s := range g.endpoints {
-		if s.inFlight > 0 && len(m.servers) < maxReportedServers && !g.leaderMode {
-			m.servers = append(m.servers, reportedServer{s.reportHash, byte(min(s.inFlight,
-				maxReportedInFlight))})
+// rankCustomers ranks the customers that peers must hear of.
+func (g *Gateway) rankCustomers() *ranking {
+	ranked := &g.reporter.ranking
+	ranked.reset()
+	for _, c := range g.customers.active {
+		if c.hasChanges() {
+			c.reportPriority = g.reportPriority(c)
+			ranked.add(c)
 		}
 	}
+	ranked.heapify()
+	return ranked
+}
+
+// hasChanges reports whether peers must hear of a customer.
+func (c *customer) hasChanges() bool {
+	return len(c.peerViews) > 0 && (c.isBusy() || c.pendingReports > 0)
+}
+
+// reportPriority ranks a customer in reports: queued requests and units not reported yet, as a share of the
+// bucket, and then the time since the last report.
+func (g *Gateway) reportPriority(c *customer) float64 {
+	unreported := float64(c.admittedUnits-c.reportedUnits) / (c.plan.Burst + 1)
+	waited := float64(g.tick.count - c.lastExchangeTick)
+	return float64(len(c.queued)) + unreported + priorityPerUnreportedTick*waited
+}
+
+// newLoadReport makes the report for one peer: the servers at which this gateway has attempts in
+// flight, then the customers that come in through both gateways, by priority, as many as fit.
+func (g *Gateway) newLoadReport(p *peer, ranked *ranking) loadReport {
+	m := loadReport{
+		incarnation: g.incarnation,
+		sequence:    g.reporter.sequence,
+		complete:    true,
+		servers:     g.reportedServers(),
+	}
 	for k := 0; ; k++ {
-		c := list.at(k)
+		c := ranked.at(k)
 		if c == nil {
-			break
+			return m
 		}
-		i := slices.IndexFunc(c.peerViews, func(v *peerView) bool { return v.peer == p })
-		if i < 0 {
+		if viewOf(c.peerViews, p) == nil {
 			continue
 		}
-		if !m.fits() {
+		if !m.hasRoom() {
 			m.complete = false
-			break
+			return m
 		}
 		g.refill(c)
-		e := reportedCustomer{hash: c.reportHash, queued: byte(min(len(c.queued), maxReportedQueued)),
-			inFlight:      byte(min(math.Round(inFlightScale*math.Sqrt(c.meanInFlight)), 15)),
-			admittedUnits: c.admittedUnits, fill: unknownFill,
-			demand: min(maxReportedDemand,
-				saturatingByte(demandScale*math.Log2(1+c.demand/demandWindow.Seconds())))}
-		if c.tokensKnown && c.plan.Burst > 0 {
-			e.fill = saturatingByte(250 * max(c.tokens, 0) / c.plan.Burst)
-		}
-		m.customers = append(m.customers, e)
-		c.lastExchangeTick = g.tickCount
+		m.customers = append(m.customers, c.reported())
+		c.lastExchangeTick = g.tick.count
 	}
-	return m
 }
 
-// hasChanges tells whether peers must hear of a customer.
-func (c *customer) hasChanges() bool {
-	return len(c.peerViews) > 0 && (c.inFlight > 0 || c.meanInFlight > 0 || len(c.queued) > 0 ||
-		c.pendingReports > 0)
+// reportedServers lists the attempts in flight at servers. Reports of leaders have none.
+func (g *Gateway) reportedServers() (list []reportedServer) {
+	if g.size.leaderMode {
+		return nil
+	}
+	for _, s := range g.endpoints.list {
+		if s.inFlight > 0 && len(list) < maxReportedServers {
+			inFlight := byte(min(s.inFlight, maxReportedInFlight))
+			list = append(list, reportedServer{hash: s.reportHash, inFlight: inFlight})
+		}
+	}
+	return list
 }
 
-// priorityOf orders a report, busiest first: held, and units not told yet, against
-// what may be used at once; then those not told for longest.
-func (g *Gateway) priorityOf(c *customer) float64 {
-	units := float64(c.admittedUnits-c.reportedUnits) / (c.plan.Burst + 1)
-	return float64(len(c.queued)) + units +
-		priorityPerUnreportedTick*float64(g.tickCount-c.lastExchangeTick)
+// reported is the part of a report on a customer.
+func (c *customer) reported() reportedCustomer {
+	m := reportedCustomer{
+		hash:          c.reportHash,
+		inFlight:      encodeInFlight(c.inFlight.mean),
+		queued:        byte(min(len(c.queued), maxReportedQueued)),
+		admittedUnits: c.admittedUnits,
+		demand:        encodeDemand(c.demand / demandWindow.Seconds()),
+		fill:          unknownFill,
+	}
+	if c.tokensKnown && c.plan.Burst > 0 {
+		m.fill = encodeFill(c.tokens, c.plan.Burst)
+	}
+	return m
 }
 
+// handleLoadReport takes a peer's report, unless a later one is here already, which told all it says.
 func (g *Gateway) handleLoadReport(p *peer, m loadReport) {
 	if p == nil {
 		return
 	}
-	if p.hasReport && p.incarnation == m.incarnation && int32(m.sequence-p.sequence) <= 0 {
-		return // old or repeated: the later report holds all it said
+	isRestarted := p.incarnation != m.incarnation
+	if p.hasReport && !isRestarted && int32(m.sequence-p.sequence) <= 0 {
+		return
 	}
-	if m.complete || p.incarnation != m.incarnation {
-		for _, v := range p.customerViews {
-			v.inFlight, v.queued = 0, 0
+	if m.complete || isRestarted {
+		for _, view := range p.customerViews {
+			view.inFlight = 0
+			view.queued = 0
 		}
 	}
-	p.hasReport, p.incarnation, p.sequence, p.reportedAt, p.complete = true, m.incarnation, m.sequence,
-		g.now, m.complete
+	p.hasReport = true
+	p.incarnation = m.incarnation
+	p.sequence = m.sequence
+	p.reportedAt = g.now
+	p.complete = m.complete
 	p.inFlightByServer = map[uint16]float64{}
-	for _, o := range m.servers {
-		p.inFlightByServer[o.hash] = float64(o.inFlight)
+	for _, s := range m.servers {
+		p.inFlightByServer[s.hash] = float64(s.inFlight)
 	}
 	g.sumPeerLoads()
-	for _, e := range m.customers {
-		if c := g.customersByHash[e.hash]; c != nil {
-			g.mergePeerLoad(c, p, e)
+	for _, reported := range m.customers {
+		if c := g.customers.byHash[reported.hash]; c != nil {
+			g.mergePeerLoad(c, p, reported)
 		}
 	}
 }
 
-// mergePeerLoad takes in what a peer says of a customer. Running totals heal lost
-// reports; a total that jumps oddly (the peer started anew) is a new base.
-func (g *Gateway) mergePeerLoad(c *customer, p *peer, e reportedCustomer) {
-	i := slices.IndexFunc(c.peerViews, func(v *peerView) bool { return v.peer == p })
-	if i < 0 {
+// mergePeerLoad takes what a peer reports of a customer. Running totals make up for lost reports; the total
+// of a peer that has restarted begins at 0.
+func (g *Gateway) mergePeerLoad(c *customer, p *peer, reported reportedCustomer) {
+	view := viewOf(c.peerViews, p)
+	if view == nil {
 		return
 	}
 	g.refill(c)
-	v := c.peerViews[i]
-	v.update(e, g.now)
-	if v.hasReport && v.incarnation != p.incarnation {
-		v.admittedUnits = 0
-	}
-	if v.hasReport {
-		d := float64(int16(e.admittedUnits - v.admittedUnits)) // settled units may take it back
-		c.tokens = min(c.plan.Burst, max(0, c.tokens-d))
+	view.reportedAt = g.now
+	view.demand = decodeDemand(reported.demand) * demandWindow.Seconds()
+	view.inFlight = decodeInFlight(reported.inFlight)
+	view.queued = float64(reported.queued)
+	if view.hasReport {
+		if view.incarnation != p.incarnation {
+			view.admittedUnits = 0
+		}
+		admitted := float64(int16(reported.admittedUnits - view.admittedUnits)) // below 0 after settlements
+		c.tokens = min(c.plan.Burst, max(0, c.tokens-admitted))
 	}
-	v.hasReport, v.incarnation, v.admittedUnits = true, p.incarnation, e.admittedUnits
-	if !c.tokensKnown && e.fill != unknownFill {
+	view.hasReport = true
+	view.incarnation = p.incarnation
+	view.admittedUnits = reported.admittedUnits
+	if !c.tokensKnown && reported.fill != unknownFill {
 		c.tokensKnown = true
-		c.tokens = min(c.tokens, float64(e.fill)/250*c.plan.Burst)
+		c.tokens = min(c.tokens, decodeShare(reported.fill)*c.plan.Burst)
 	}
 }
 
-// update takes over an entry's figures.
-func (v *peerView) update(e reportedCustomer, now time.Duration) {
-	v.reportedAt, v.demand = now, (math.Exp2(float64(e.demand)/demandScale)-1)*demandWindow.Seconds()
-	v.inFlight, v.queued = math.Pow(float64(e.inFlight)/inFlightScale, 2), float64(e.queued)
-}
-
-// sumPeerLoads sums the peers' attempts out at each server; old counts are let go.
+// sumPeerLoads sums the peers' attempts in flight at each server.
 func (g *Gateway) sumPeerLoads() {
-	if g.leaderMode {
-		return // its reports tell of no servers
+	if g.size.leaderMode {
+		return // reports of leaders tell of no servers
 	}
-	for _, s := range g.endpoints {
+	for _, s := range g.endpoints.list {
 		s.peersInFlight = 0
 		for _, p := range g.peers {
 			if p != nil && !g.isStale(p) {
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -2,49 +2,96 @@
 
 import (
 	"cmp"
-	"math"
 	"time"
 )
 
+// Thresholds of overload, which is the mean latency over its objective.
 const (
-	overloadThreshold           = 0.4  // mean latency over aim above which the gate closes
-	leaderModeOverloadThreshold = 0.25 // and where gateways don't see the load at servers, or
-	idleOverloadFactor          = 1.8  // so many idle latencies over their aims, if more
-	minIdleOutcomes             = 20   // outcomes of each class that those rest on
+	// overloadThreshold is the overload above which load is shed.
+	overloadThreshold = 0.4
 
-	admitDecayTime, admitRecoveryTime = 3 * time.Second, 8 * time.Second // to 1/e in this time, and opens
-	// enough to learn from when all is well again
+	// leaderModeOverloadThreshold replaces it in leader mode, where gateways do not see the load at servers
+	// and have to act earlier.
+	leaderModeOverloadThreshold = 0.25
+
+	// idleOverloadFactor raises the threshold of leader mode to this multiple of the idle overload, for
+	// objectives near the latencies of idle servers.
+	idleOverloadFactor = 1.8
+
+	// minIdleOutcomes is the number of results of each class that the idle overload rests on.
+	minIdleOutcomes = 20
+)
+
+// Speed of load shedding.
+const (
+	// admitDecayTime is the time constant with which the admit probability falls during overload.
+	admitDecayTime = 3 * time.Second
+
+	// admitRecoveryTime is the time in which it rises from 0 to 1 afterwards.
+	admitRecoveryTime = 8 * time.Second
+
+	// minAdmitProbability bounds the admit probability from below: without results there would be no sign
+	// of recovery.
 	minAdmitProbability = 0.25
-	// how fast an old strain is forgotten
+
+	// overloadDecayTime is the time constant with which overload is forgotten.
 	overloadDecayTime = 12 * time.Second
-	// weight of an outcome or a root's word in it
+
+	// overloadWeight is the weight of one result, or of a leader's word, in the overload.
 	overloadWeight = 0.15
 )
 
-// updateAdmitProbability moves the gate by how near latencies come to their aims: a part of the
-// requests is refused. Guards against load this gateway is not told of, on all
-// servers: peers unheard, slow fleets. Harms where aims are near idle latencies.
-func (g *Gateway) updateAdmitProbability(dt time.Duration) {
-	g.updateIdleOverload()
-	if g.overload > overloadThreshold || g.leaderMode && g.overload > max(leaderModeOverloadThreshold,
-		idleOverloadFactor*g.idleOverload) {
-		g.admitProbability = max(minAdmitProbability,
-			g.admitProbability*math.Exp(-dt.Seconds()/admitDecayTime.Seconds()))
+// loadShedder sets the share of requests that are admitted. It acts on load that no report tells of: of
+// gateways that are not heard, or on servers that have become slow.
+type loadShedder struct {
+	admitProbability float64
+	overload         float64 // average of latency over objective, each at most 1
+	idleOverload     float64 // least mean of the classes' idle latency over objective so far; 0: not known
+}
+
+// observe takes one sample of overload, from 0 to 1.
+func (s *loadShedder) observe(sample float64) { s.overload += overloadWeight * (sample - s.overload) }
+
+// observeIdle takes a mean of idle latency over objective.
+func (s *loadShedder) observeIdle(ratio float64) {
+	s.idleOverload = min(ratio, cmp.Or(s.idleOverload, ratio))
+}
+
+func (s *loadShedder) isOverloaded(leaderMode bool) bool {
+	if s.overload > overloadThreshold {
+		return true
+	}
+	return leaderMode && s.overload > max(leaderModeOverloadThreshold, idleOverloadFactor*s.idleOverload)
+}
+
+// update moves the admit probability by the overload of the time that has elapsed.
+func (s *loadShedder) update(elapsed time.Duration, leaderMode bool) {
+	if s.isOverloaded(leaderMode) {
+		s.admitProbability = max(minAdmitProbability, s.admitProbability*decay(elapsed, admitDecayTime))
 	} else {
-		g.admitProbability = min(1, g.admitProbability+dt.Seconds()/admitRecoveryTime.Seconds())
+		recovered := elapsed.Seconds() / admitRecoveryTime.Seconds()
+		s.admitProbability = min(1, s.admitProbability+recovered)
+	}
+	s.overload *= decay(elapsed, overloadDecayTime)
+}
+
+// updateAdmitProbability updates load shedding at a tick.
+func (g *Gateway) updateAdmitProbability(elapsed time.Duration) {
+	if ratio, known := g.idleOverload(); known {
+		g.shedder.observeIdle(ratio)
 	}
-	g.overload *= math.Exp(-dt.Seconds() / overloadDecayTime.Seconds())
+	g.shedder.update(elapsed, g.size.leaderMode)
 }
 
-// updateIdleOverload notes how near an idle fleet's latencies come to their aims.
-func (g *Gateway) updateIdleOverload() {
-	near := 0.0
-	for _, set := range g.settings.Classes {
-		c := g.classes[set.Name]
+// idleOverload is the mean over all classes of idle latency over objective, known once each class has had
+// enough results.
+func (g *Gateway) idleOverload() (ratio float64, known bool) {
+	for _, class := range g.settings.Classes {
+		c := g.classes[class.Name]
 		if c.outcomes < minIdleOutcomes {
-			return
+			return 0, false
 		}
-		near += c.idleLatency / c.LatencyObjective.Seconds() / float64(len(g.classes))
+		ratio += c.idleLatency / c.LatencyObjective.Seconds() / float64(len(g.classes))
 	}
-	g.idleOverload = min(near, cmp.Or(g.idleOverload, near))
+	return ratio, true
 }
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -3,259 +3,256 @@
 import (
 	"encoding/binary"
 	"math"
-	"slices"
 	"time"
 )
 
-// leaseRequest asks a customer's root to count a request.
+// Messages between gateways. Numbers are big endian. The formats must stay as they are: gateways of
+// different builds run side by side while a fleet is updated.
+
+// peerMessage is a message to another gateway.
+type peerMessage interface {
+	// encode returns the message's bytes, at most maxMessageBytes.
+	encode() []byte
+}
+
+const (
+	// maxMessageBytes is the largest message that SendPeerMessage takes.
+	maxMessageBytes = 256
+
+	// shortMessageVersion is the first byte of every message but load reports; a messageKind follows.
+	shortMessageVersion = 3
+
+	// shortMessageHeaderBytes is the size of version and kind.
+	shortMessageHeaderBytes = 2
+
+	// shortMessageCapacity holds any short message.
+	shortMessageCapacity = 48
+)
+
+// messageKind is the second byte of a short message.
+type messageKind byte
+
+const (
+	kindLeaseRequest messageKind = iota
+	kindLeaseResponse
+	kindLeaseReturn
+	kindOutcomeReport
+	kindOutlierReport
+)
+
+// shortMessageLengths are the lengths of short messages, by kind, without their header.
+var shortMessageLengths = [...]int{
+	kindLeaseRequest:  8 + 2 + 2 + 1 + 1 + 2 + 2 + 4 + 1 + 1 + 1,
+	kindLeaseResponse: 4 + 1 + 1 + 1 + 1,
+	kindLeaseReturn:   8 + 4 + 1,
+	kindOutcomeReport: 4 + 1 + 1 + 2,
+	kindOutlierReport: 4 + 1 + 1,
+}
+
+// leaseRequest asks a customer's leader to charge and permit a request.
 type leaseRequest struct {
-	Customer                    uint64
-	FirstGateway, GatewaySpread uint16
-	Plan, Class                 byte
-	Units, RemainingMS          uint16 // Left: milliseconds until the client gives up
-	Tag                         uint32
-	Chance                      byte // with what chance it was asked for, 250 certain
-	Fill                        byte // of the store as last heard, 250 full
-	ClientRetry                 bool
+	Customer      uint64 // customerKey
+	FirstGateway  uint16
+	GatewaySpread uint16
+	Plan          byte // position in the settings
+	Class         byte // position in the settings
+	Units         uint16
+	RemainingMS   uint16 // milliseconds until the client gives up
+	Tag           uint32 // names the lease between the two gateways
+	Chance        byte   // share with which a lease was requested at all
+	Fill          byte   // fill of the bucket as last heard, or unknownFill
+	ClientRetry   bool
 }
 
-// leaseResponse is the root's.
+// leaseResponse answers a leaseRequest. After leaseQueued another one follows.
 type leaseResponse struct {
-	Tag            uint32
-	Decision, Fill byte
-	Overload       byte // the root's latency over aim, 100 alike
-	AdmittedShare  byte // of what is asked for fits, 250 all
+	Tag           uint32
+	Decision      byte // leaseGranted, leaseQueued, or leaseRejected plus a Reason shifted by reasonShift
+	Fill          byte // fill of the bucket
+	Overload      byte // overload of the leader in hundredths
+	AdmittedShare byte // share of the requested units that fits
 }
 
+// Decisions of lease responses.
 const (
 	leaseGranted  byte = iota
-	leaseRejected      // and above it the reason, which an older gateway reads as refused too
-	leaseQueued        // held at the root, another answer follows
+	leaseRejected      // the higher bits hold the Reason
+	leaseQueued
 
 	reasonShift = 2
 )
 
-// leaseReturn tells the root that a granted attempt is over, or was never made.
+// leaseReturn tells the leader that a lease is over.
 type leaseReturn struct {
-	Customer uint64
+	Customer uint64 // customerKey
 	Tag      uint32
-	Unused   bool
+	Unused   bool // no attempt was made: the units are to be given back
 }
 
-// outcomeReport tells a server's watcher of an outcome.
+// outcomeReport tells a server's monitor of the result of an attempt.
 type outcomeReport struct {
 	Server    uint32
-	Class     byte
-	Code      byte
-	LatencyMS uint16 // milliseconds
+	Class     byte // position in the settings
+	Code      byte // ResultCode
+	LatencyMS uint16
 }
 
-// outlierReport is the watcher's on a server and class, for all.
+// outlierReport tells all gateways what the monitor of a server has found.
 type outlierReport struct {
 	Server         uint32
-	EjectedClasses byte // a bit for each of the first classes
-	LatencyRatio   byte // latency against the fleet's: 16 * (4 + its log2)
+	EjectedClasses byte // a bit for each of the first eight classes
+	LatencyRatio   byte // as encodeLatencyRatio
 }
 
-const shortMessageVersion = 3
-
-func encode(m any) []byte {
-	b := make([]byte, 2, 48)
-	b[0] = shortMessageVersion
-	be := binary.BigEndian
-	switch m := m.(type) {
-	case leaseRequest:
-		b = be.AppendUint64(b, m.Customer)
-		b = be.AppendUint16(be.AppendUint16(b, m.FirstGateway), m.GatewaySpread)
-		b = append(b, m.Plan, m.Class)
-		b = be.AppendUint16(be.AppendUint16(b, m.Units), m.RemainingMS)
-		b = append(be.AppendUint32(b, m.Tag), m.Chance, m.Fill, boolByte(m.ClientRetry))
-	case leaseResponse:
-		b[1] = 1
-		b = append(be.AppendUint32(b, m.Tag), m.Decision, m.Fill, m.Overload, m.AdmittedShare)
-	case leaseReturn:
-		b[1] = 2
-		b = append(be.AppendUint32(be.AppendUint64(b, m.Customer), m.Tag), boolByte(m.Unused))
-	case outcomeReport:
-		b[1] = 3
-		b = be.AppendUint16(append(be.AppendUint32(b, m.Server), m.Class, m.Code), m.LatencyMS)
-	case outlierReport:
-		b[1] = 4
-		b = append(be.AppendUint32(b, m.Server), m.EjectedClasses, m.LatencyRatio)
-	default:
-		panic("policy: not a message of this file")
-	}
-	return b
+func (m leaseRequest) encode() []byte {
+	b := newShortMessage(kindLeaseRequest)
+	b = binary.BigEndian.AppendUint64(b, m.Customer)
+	b = binary.BigEndian.AppendUint16(b, m.FirstGateway)
+	b = binary.BigEndian.AppendUint16(b, m.GatewaySpread)
+	b = append(b, m.Plan, m.Class)
+	b = binary.BigEndian.AppendUint16(b, m.Units)
+	b = binary.BigEndian.AppendUint16(b, m.RemainingMS)
+	b = binary.BigEndian.AppendUint32(b, m.Tag)
+	return append(b, m.Chance, m.Fill, boolByte(m.ClientRetry))
 }
 
-func boolByte(v bool) byte {
-	if v {
-		return 1
-	}
-	return 0
+func (m leaseResponse) encode() []byte {
+	b := newShortMessage(kindLeaseResponse)
+	b = binary.BigEndian.AppendUint32(b, m.Tag)
+	return append(b, m.Decision, m.Fill, m.Overload, m.AdmittedShare)
 }
 
-func saturatingByte(v float64) byte { return byte(min(math.Round(v), 255)) }
-
-// shortMessageLengths of the messages without version and kind, by kind.
-var shortMessageLengths = [...]int{8 + 2 + 2 + 1 + 1 + 2 + 2 + 4 + 3, 4 + 4, 8 + 4 + 1, 4 + 2 + 2, 4 + 2}
-
-// decode reads a message; it is nil for anything but a whole, well-formed one.
-func decode(b []byte) any {
-	if len(b) < 2 || b[0] != shortMessageVersion {
-		if m, ok := decodeReport(b); ok {
-			return m
-		}
-		return nil
-	}
-	kind := b[1]
-	if b = b[2:]; int(kind) >= len(shortMessageLengths) || len(b) != shortMessageLengths[kind] {
-		return nil
-	}
-	be := binary.BigEndian
-	switch kind {
-	case 0:
-		return leaseRequest{Customer: be.Uint64(b), FirstGateway: be.Uint16(b[8:]),
-			GatewaySpread: be.Uint16(b[10:]),
-			Plan:          b[12], Class: b[13], Units: be.Uint16(b[14:]), RemainingMS: be.Uint16(b[16:]),
-			Tag: be.Uint32(b[18:]), Chance: b[22], Fill: b[23], ClientRetry: b[24] != 0}
-	case 1:
-		return leaseResponse{Tag: be.Uint32(b), Decision: b[4], Fill: b[5], Overload: b[6],
-			AdmittedShare: b[7]}
-	case 2:
-		return leaseReturn{Customer: be.Uint64(b), Tag: be.Uint32(b[8:]), Unused: b[12] != 0}
-	case 3:
-		return outcomeReport{Server: be.Uint32(b), Class: b[4], Code: b[5], LatencyMS: be.Uint16(b[6:])}
-	}
-	return outlierReport{Server: be.Uint32(b), EjectedClasses: b[4], LatencyRatio: b[5]}
+func (m leaseReturn) encode() []byte {
+	b := newShortMessage(kindLeaseReturn)
+	b = binary.BigEndian.AppendUint64(b, m.Customer)
+	b = binary.BigEndian.AppendUint32(b, m.Tag)
+	return append(b, boolByte(m.Unused))
 }
 
-// loadReport is what a gateway tells a peer once a tick. On the wire: version,
-// incarnation, sequence number, flags, number of servers, servers, customers.
-type loadReport struct {
-	incarnation uint32 // drawn anew at each start of the sender
-	sequence    uint32
-	complete    bool // customers not named have none out and none held
-	servers     []reportedServer
-	customers   []reportedCustomer
+func (m outcomeReport) encode() []byte {
+	b := newShortMessage(kindOutcomeReport)
+	b = binary.BigEndian.AppendUint32(b, m.Server)
+	b = append(b, m.Class, m.Code)
+	return binary.BigEndian.AppendUint16(b, m.LatencyMS)
 }
 
-// reportedServer is the sender's attempts out at a server, up to maxOut; the hash
-// has serverBits bits.
-type reportedServer struct {
-	hash     uint16
-	inFlight byte
+func (m outlierReport) encode() []byte {
+	b := newShortMessage(kindOutlierReport)
+	b = binary.BigEndian.AppendUint32(b, m.Server)
+	return append(b, m.EjectedClasses, m.LatencyRatio)
 }
 
-// reportedCustomer is a report's part on one customer.
-type reportedCustomer struct {
-	hash          uint32 // 24 bits
-	inFlight      byte   // mean attempts out over the tick: outScale times its root, up to 15
-	queued        byte   // up to maxHeld
-	admittedUnits uint16 // running total of units passed
-	demand        byte   // units asked for a second: rateScale * log2(1 + rate), up to maxRate
-	fill          byte   // estimate of the store, 250 full
+func newShortMessage(kind messageKind) []byte {
+	b := make([]byte, 0, shortMessageCapacity)
+	return append(b, shortMessageVersion, byte(kind))
 }
 
-const (
-	reportVersion         = 4
-	flagComplete          = 1
-	maxReportedDemand     = 0x7f
-	maxReportedQueued     = 15
-	maxReportedInFlight   = 31
-	serverHashBits        = 11
-	inFlightScale         = 4
-	maxReportedServers    = 36
-	unknownFill           = 255
-	maxMessageBytes       = 256
-	reportHeaderBytes     = 11
-	reportedServerBytes   = 2
-	reportedCustomerBytes = 8
-	demandScale           = 8
-)
-
-// fits tells whether one more customer fits in.
-func (m *loadReport) fits() bool {
-	n := reportHeaderBytes + reportedServerBytes*len(m.servers) + reportedCustomerBytes*(len(m.customers)+1)
-	return n <= maxMessageBytes
-}
-
-func (m *loadReport) encode() []byte {
-	b := make([]byte, 0, maxMessageBytes)
-	b = append(b, reportVersion)
-	b = binary.BigEndian.AppendUint32(b, m.incarnation)
-	b = binary.BigEndian.AppendUint32(b, m.sequence)
-	flags := byte(0)
-	if m.complete {
-		flags = flagComplete
-	}
-	b = append(b, flags, byte(len(m.servers)))
-	for _, s := range m.servers {
-		b = binary.BigEndian.AppendUint16(b, s.hash<<(16-serverHashBits)|uint16(s.inFlight))
+// decode reads a message. It returns nil for anything but a whole, well-formed one.
+func decode(b []byte) peerMessage {
+	if len(b) < shortMessageHeaderBytes || b[0] != shortMessageVersion {
+		if m, ok := decodeLoadReport(b); ok {
+			return m
+		}
+		return nil
 	}
-	for _, e := range m.customers {
-		b = append(b, byte(e.hash>>16), byte(e.hash>>8), byte(e.hash), e.inFlight<<4|e.queued)
-		b = binary.BigEndian.AppendUint16(b, e.admittedUnits)
-		b = append(b, e.demand, e.fill)
+	kind := messageKind(b[1])
+	b = b[shortMessageHeaderBytes:]
+	if int(kind) >= len(shortMessageLengths) || len(b) != shortMessageLengths[kind] {
+		return nil
 	}
-	return b
+	return decodeShortMessage(kind, b)
 }
 
-// decodeReport reads a report; anything but a whole, well-formed one is not ok.
-func decodeReport(b []byte) (m loadReport, ok bool) {
-	if len(b) < reportHeaderBytes || len(b) > maxMessageBytes || b[0] != reportVersion {
-		return m, false
-	}
-	m.incarnation, m.sequence = binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:])
-	m.complete = b[9]&flagComplete != 0
-	n := int(b[10])
-	b = b[reportHeaderBytes:]
-	if len(b) < n*reportedServerBytes {
-		return m, false
-	}
-	for range n {
-		v := binary.BigEndian.Uint16(b)
-		m.servers = append(m.servers, reportedServer{v >> (16 - serverHashBits),
-			byte(v & maxReportedInFlight)})
-		b = b[reportedServerBytes:]
-	}
-	for len(b) > 0 {
-		if len(b) < reportedCustomerBytes {
-			return m, false
+// decodeShortMessage reads the fields of a short message of the right length.
+func decodeShortMessage(kind messageKind, b []byte) peerMessage {
+	number := binary.BigEndian
+	switch kind {
+	case kindLeaseRequest:
+		return leaseRequest{
+			Customer:      number.Uint64(b),
+			FirstGateway:  number.Uint16(b[8:]),
+			GatewaySpread: number.Uint16(b[10:]),
+			Plan:          b[12],
+			Class:         b[13],
+			Units:         number.Uint16(b[14:]),
+			RemainingMS:   number.Uint16(b[16:]),
+			Tag:           number.Uint32(b[18:]),
+			Chance:        b[22],
+			Fill:          b[23],
+			ClientRetry:   b[24] != 0,
 		}
-		e := reportedCustomer{hash: uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]),
-			inFlight: b[3] >> 4, queued: b[3] & maxReportedQueued,
-			admittedUnits: binary.BigEndian.Uint16(b[4:]), demand: b[6] & maxReportedDemand, fill: b[7]}
-		b = b[reportedCustomerBytes:]
-		m.customers = append(m.customers, e)
+	case kindLeaseResponse:
+		return leaseResponse{
+			Tag:           number.Uint32(b),
+			Decision:      b[4],
+			Fill:          b[5],
+			Overload:      b[6],
+			AdmittedShare: b[7],
+		}
+	case kindLeaseReturn:
+		return leaseReturn{Customer: number.Uint64(b), Tag: number.Uint32(b[8:]), Unused: b[12] != 0}
+	case kindOutcomeReport:
+		return outcomeReport{Server: number.Uint32(b), Class: b[4], Code: b[5],
+			LatencyMS: number.Uint16(b[6:])}
+	case kindOutlierReport:
+		return outlierReport{Server: number.Uint32(b), EjectedClasses: b[4], LatencyRatio: b[5]}
 	}
-	return m, true
+	return nil
 }
 
+// handlePeerMessage takes a message of another gateway. Malformed ones are dropped.
 func (g *Gateway) handlePeerMessage(ev PeerMessage) {
 	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.settings.SelfIndex {
 		return
 	}
 	switch m := decode(ev.Data).(type) {
 	case leaseRequest:
-		if int(m.Plan) < len(g.settings.Plans) && int(m.Class) < len(g.settings.Classes) &&
-			m.GatewaySpread > 0 {
-			g.handleLeaseRequest(ev.From, m)
-		}
+		g.handleLeaseRequest(ev.From, m)
 	case leaseResponse:
 		g.handleLeaseResponse(ev.From, m)
 	case leaseReturn:
 		g.handleLeaseReturn(ev.From, m)
 	case outcomeReport:
-		s := g.servers[ServerID(m.Server)]
-		if s != nil && slices.Contains(s.monitors[:], g.settings.SelfIndex) &&
-			int(m.Class) < len(s.health) {
-			g.observeOutcome(s, int(m.Class), ResultCode(m.Code),
-				time.Duration(m.LatencyMS)*time.Millisecond)
-		}
+		g.handleOutcomeReport(m)
 	case outlierReport:
 		g.applyOutlierReport(m)
 	case loadReport:
 		g.handleLoadReport(g.peers[ev.From], m)
 	}
 }
+
+// Scales of one-byte figures.
+const (
+	// wholeShare stands for a share of 1.
+	wholeShare = 250
+
+	// unknownFill stands for a fill that the sender does not know.
+	unknownFill = 255
+
+	// overloadPercent stands for an overload of 1.
+	overloadPercent = 100
+)
+
+func encodeShare(share float64) byte { return saturatingByte(wholeShare * share) }
+
+func decodeShare(b byte) float64 { return float64(b) / wholeShare }
+
+// encodeFill is the share of a bucket's capacity that its tokens are.
+func encodeFill(tokens, capacity float64) byte {
+	return saturatingByte(wholeShare * max(0, tokens) / capacity)
+}
+
+// saturatingByte rounds to the next whole number up to 255. The value must not be below 0.
+func saturatingByte(value float64) byte { return byte(min(math.Round(value), math.MaxUint8)) }
+
+func boolByte(v bool) byte {
+	if v {
+		return 1
+	}
+	return 0
+}
+
+// milliseconds is a time in whole milliseconds, as far as 16 bits hold it.
+func milliseconds(d time.Duration) uint16 {
+	return uint16(min(max(0, d.Milliseconds()), math.MaxUint16))
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"errors"
 	"fmt"
 	"go/ast"
 	"go/parser"
@@ -72,7 +73,7 @@
 // advance lets time go by, with the gateway's ticks, and returns what was done.
 func (w *harness) advance(d time.Duration) (acts []Action) {
 	for end := w.now + d; w.now < end; {
-		w.now += min(w.g.tickInterval, end-w.now)
+		w.now += min(w.g.tick.interval, end-w.now)
 		acts = append(acts, w.handle(TimerFired{Token: "tick"})...)
 	}
 	return acts
@@ -210,7 +211,7 @@
 					note(w.handle(Request{ID: w.lastID, Customer: "c", Plan: plan, Class: "safe", Units: 1,
 						Remaining: remaining, GatewaySpread: 2}))
 				}
-				if w.now-w.g.lastTickAt >= w.g.tickInterval {
+				if w.now-w.g.tick.lastAt >= w.g.tick.interval {
 					note(w.handle(TimerFired{Token: "tick"}))
 				}
 				for id := RequestID(1); id <= w.lastID; id++ {
@@ -270,8 +271,8 @@
 		}
 	}
 	w.handle(EndpointUpdate{Kind: SnapshotUpdate, Servers: testServers(4)[:2]})
-	if most := 3; len(w.g.endpoints) > most || len(w.g.servers) != len(w.g.endpoints) {
-		t.Errorf("%d servers known, %d listed", len(w.g.servers), len(w.g.endpoints))
+	if most := 3; len(w.g.endpoints.list) > most || len(w.g.endpoints.byID) != len(w.g.endpoints.list) {
+		t.Errorf("%d servers known, %d listed", len(w.g.endpoints.byID), len(w.g.endpoints.list))
 	}
 	acts := w.handle(AttemptResult{ID: held.ID, Server: held.Server, Code: Reset, Latency: w.now})
 	if len(acts) == 0 {
@@ -330,7 +331,7 @@
 					w.finishAttempt(x, 0, OK)
 				}
 			}
-			if w.now-w.g.lastTickAt >= w.g.tickInterval {
+			if w.now-w.g.tick.lastAt >= w.g.tick.interval {
 				for _, tell := range actionsOf[SendPeerMessage](w.handle(TimerFired{Token: "tick"})) {
 					if rng.IntN(5) > 0 {
 						gs[tell.To].handle(PeerMessage{From: k, Data: tell.Data})
@@ -577,7 +578,7 @@
 		}
 	}
 	w.finishAttempt(s, 0, OK)
-	if acts := w.finishAttempt(s, 0, OK); len(acts) != 0 || w.g.endpoints[0].inFlight+w.g.endpoints[1].inFlight+w.g.endpoints[2].inFlight != 0 {
+	if acts := w.finishAttempt(s, 0, OK); len(acts) != 0 || w.g.endpoints.list[0].inFlight+w.g.endpoints.list[1].inFlight+w.g.endpoints.list[2].inFlight != 0 {
 		t.Errorf("a second outcome led to %v", acts)
 	}
 }
@@ -626,9 +627,14 @@
 	} {
 		s := baseSettings()
 		spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), key+":") {
+		_, err := New(s, 1)
+		if err == nil || !strings.Contains(err.Error(), key+":") {
 			t.Errorf("%s: %v", key, err)
 		}
+		var setting *SettingError
+		if !errors.As(err, &setting) || setting.Field != key || setting.Problem == "" {
+			t.Errorf("%s: not a setting error: %#v", key, err)
+		}
 	}
 }
 
@@ -658,11 +664,11 @@
 		w := newHarness(t, baseSettings(), testServers(2))
 		w.request("safe", "hard", "c", 1)
 		w.handle(PeerMessage{From: 1, Data: b})
-		if m, ok := decodeReport(b); ok {
+		if m, ok := decodeLoadReport(b); ok {
 			if len(b) > maxMessageBytes {
 				t.Fatal("too long")
 			}
-			if m2, ok := decodeReport(m.encode()); !ok || !reflect.DeepEqual(m, m2) {
+			if m2, ok := decodeLoadReport(m.encode()); !ok || !reflect.DeepEqual(m, m2) {
 				t.Fatal("a report does not survive its own encoding")
 			}
 		}
@@ -849,11 +855,11 @@
 	}
 	w.advance(9 * time.Minute)
 	w.admitUnits(1, "rate")
-	if n := len(w.g.customers); n != 51 {
+	if n := len(w.g.customers.byKey); n != 51 {
 		t.Fatalf("%d customers known, want 51", n)
 	}
 	w.advance(2 * time.Minute)
-	if n := len(w.g.customers) + len(w.g.customerRing) + len(w.g.customersByHash) + len(w.g.peers[1].customerViews); n != 4 {
+	if n := len(w.g.customers.byKey) + len(w.g.customers.ring) + len(w.g.customers.byHash) + len(w.g.peers[1].customerViews); n != 4 {
 		t.Fatalf("%d places still name customers, want 4", n)
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,208 +1,276 @@
 package policy
 
 import (
-	"math"
 	"slices"
 	"time"
 )
 
+// Estimates of what other gateways do.
 const (
-	staleReportTicks     = 6    // a report older than this gives way to the demand split
-	minStaleDemandFactor = 0.33 // a silent peer's demand fades to this part of it
-	staleDemandFadeTime  = 10 * time.Second
-	demandWindow         = 2 * time.Second       // memory of the demand rates
-	reportTravelTime     = 25 * time.Millisecond // time a report travels
-	// part of the store that clients' repeats leave to first tries
-	firstAttemptReserve = 0.7
+	// staleReportTicks is the age, in ticks, beyond which a peer's report is not used.
+	staleReportTicks = 6
+
+	// minStaleDemandFactor is what the assumed demand of a stale peer fades to, as a share of the
+	// demand here.
+	minStaleDemandFactor = 0.33
+
+	// staleDemandFadeTime is the time constant of that fading.
+	staleDemandFadeTime = 10 * time.Second
 
-	// demand of each gateway taken for granted: of the rate, units
-	baselineDemandRateShare, baselineDemandUnits = 0.02, 0.05
-	// parts of a place that count as one, at arrival and later
-	arrivalSlack, releaseSlack = 0.5, 0.25
+	// demandWindow is the time constant over which demand is averaged.
+	demandWindow = 2 * time.Second
+
+	// reportTravelTime is the time that a report takes from one gateway to another.
+	reportTravelTime = 25 * time.Millisecond
+
+	// externalLevelTTL is how long a UsageLevel replaces the leaders' word while they do not answer.
+	externalLevelTTL = 3 * time.Second
+)
+
+// Shares of quotas.
+const (
+	// baselineDemandRateShare and baselineDemandUnits (units a second) make up the demand that each gateway
+	// is assumed to have, so that the split of a fresh customer is even.
+	baselineDemandRateShare = 0.02
+	baselineDemandUnits     = 0.05
+
+	// arrivalSlack and releaseSlack are the fractions of a free place under a cap that count as a
+	// whole one. Reported figures are rounded; without slack the last place would stay empty.
+	arrivalSlack = 0.5
+	releaseSlack = 0.25
+
+	// firstAttemptReserve is the share of a bucket that clients' retries leave to first attempts.
+	firstAttemptReserve = 0.7
 
-	restartedLeaderFill = 0.8             // part of a store that a root just started presumes
-	externalLevelTTL    = 3 * time.Second // another witness is heeded for so long
+	// restartedLeaderFill is the fill that a leader presumes for a bucket it may have granted from before
+	// it was restarted.
+	restartedLeaderFill = 0.8
 )
 
-// refill brings a customer's stores up to now. A peer long silent is taken
-// to use its demand-split part of the rate: it may only be cut off.
+// fillBuckets sets the buckets of a new customer.
+func (g *Gateway) fillBuckets(c *customer) {
+	sinceStart := (g.now - g.startedAt).Seconds()
+	c.tokens = c.plan.Burst
+	if g.size.leaderMode && c.plan.Rate > 0 && sinceStart < c.plan.Burst/c.plan.Rate {
+		c.tokens *= restartedLeaderFill
+	}
+	// The share of the ceiling is empty when the gateway starts: an earlier process may have used it up.
+	c.ceilingTokens = min(c.plan.HardBurst, c.plan.HardRate*sinceStart) / c.ceilingDivisor
+}
+
+// refill brings a customer's buckets and demand up to now.
 func (g *Gateway) refill(c *customer) {
-	g.markActive(c)
-	dt := (g.now - c.refilledAt).Seconds()
-	if dt <= 0 {
+	g.customers.markActive(c)
+	elapsed := g.now - c.refilledAt
+	seconds := elapsed.Seconds()
+	if seconds <= 0 {
 		return
 	}
 	c.refilledAt = g.now
-	unheard := 0.0
-	for _, v := range c.peerViews {
-		if g.isStale(v.peer) {
-			unheard += g.peerDemand(c, v)
-		}
-	}
-	share := 1 - unheard/g.totalDemand(c)
-	if len(c.leaders) > 0 && !c.grantsLeases {
-		share = 1 / float64(c.gatewaySpread) // what others pass is the root's to know
-	}
-	c.tokens = min(c.plan.Burst, c.tokens+c.plan.Rate*dt*share)
-	c.ceilingTokens = min(c.plan.HardBurst/c.ceilingDivisor,
-		c.ceilingTokens+c.plan.HardRate/c.ceilingDivisor*dt)
-	k := math.Exp(-dt / demandWindow.Seconds())
-	c.demand *= k
-	for _, v := range c.peerViews {
-		v.demand *= k
+	c.tokens = min(c.plan.Burst, c.tokens+c.plan.Rate*seconds*g.refillShare(c))
+	ceilingRate := c.plan.HardRate / c.ceilingDivisor
+	c.ceilingTokens = min(c.plan.HardBurst/c.ceilingDivisor, c.ceilingTokens+ceilingRate*seconds)
+	left := decay(elapsed, demandWindow)
+	c.demand *= left
+	for _, view := range c.peerViews {
+		view.demand *= left
 	}
 	if !c.tokensKnown && c.plan.Rate > 0 && (g.now-g.startedAt).Seconds() > c.plan.Burst/c.plan.Rate {
 		c.tokensKnown = true
 	}
 }
 
-// isStale tells whether a peer's counts are too old to be used.
+// refillShare is the share of the rate that refills the bucket here. A stale peer is assumed to use its
+// share of the rate: it may be cut off and still serve the customer.
+func (g *Gateway) refillShare(c *customer) float64 {
+	if len(c.leaders) > 0 && !c.grantsLeases {
+		return 1 / float64(c.gatewaySpread) // the leader alone knows what the other gateways use
+	}
+	stale := 0.0
+	for _, view := range c.peerViews {
+		if g.isStale(view.peer) {
+			stale += g.peerDemand(c, view)
+		}
+	}
+	return 1 - stale/g.totalDemand(c)
+}
+
+// isStale reports whether a peer's last report is too old to be used.
 func (g *Gateway) isStale(p *peer) bool {
-	return !p.hasReport || g.now-p.reportedAt > staleReportTicks*g.tickInterval
+	return !p.hasReport || g.now-p.reportedAt > staleReportTicks*g.tick.interval
 }
 
-// baselineDemand is the demand taken for granted: a fresh customer's split is even.
+// baselineDemand is the demand in units a second that each gateway is assumed to have.
 func (g *Gateway) baselineDemand(c *customer) float64 {
 	return baselineDemandRateShare*c.plan.Rate + baselineDemandUnits
 }
 
-// peerDemand is a peer's demand in the demand split. One not heard for long counts
-// as much as this gateway, then less, but never nothing: it may be cut off and
-// passing its part, or dead for good.
-func (g *Gateway) peerDemand(c *customer, v *peerView) float64 {
-	w := v.demand
-	if g.isStale(v.peer) {
-		fade := math.Exp(-(g.now - max(v.peer.reportedAt,
-			g.startedAt)).Seconds() / staleDemandFadeTime.Seconds())
-		if !g.settings.CanMessagePeers {
-			fade = 1 // its silence says nothing
+// ownDemand is this gateway's demand in units a second.
+func (g *Gateway) ownDemand(c *customer) float64 {
+	return c.demand/demandWindow.Seconds() + g.baselineDemand(c)
+}
+
+// peerDemand is a peer's demand in units a second. A stale peer is assumed to have the demand of this
+// gateway, then less, but never none: it may be cut off and serving, or gone for good.
+func (g *Gateway) peerDemand(c *customer, view *peerView) float64 {
+	demand := view.demand
+	if g.isStale(view.peer) {
+		fading := 1.0
+		if g.settings.CanMessagePeers {
+			lastSign := max(view.peer.reportedAt, g.startedAt)
+			fading = decay(g.now-lastSign, staleDemandFadeTime)
 		}
-		w = max(w, c.demand) * (minStaleDemandFactor + (1-minStaleDemandFactor)*fade)
+		demand = max(demand, c.demand) * (minStaleDemandFactor + (1-minStaleDemandFactor)*fading)
 	}
-	return w/demandWindow.Seconds() + g.baselineDemand(c)
+	return demand/demandWindow.Seconds() + g.baselineDemand(c)
 }
 
-// totalDemand is all gateways' demand in units a second, this one's included.
+// totalDemand is the demand of all gateways in units a second.
 func (g *Gateway) totalDemand(c *customer) float64 {
-	sum := c.demand/demandWindow.Seconds() + g.baselineDemand(c)
-	for _, v := range c.peerViews {
-		sum += g.peerDemand(c, v)
+	sum := g.ownDemand(c)
+	for _, view := range c.peerViews {
+		sum += g.peerDemand(c, view)
 	}
 	return sum
 }
 
-func (g *Gateway) demandShare(c *customer) float64 {
-	return (c.demand/demandWindow.Seconds() + g.baselineDemand(c)) / g.totalDemand(c)
-}
+// demandShare is this gateway's share of the demand.
+func (g *Gateway) demandShare(c *customer) float64 { return g.ownDemand(c) / g.totalDemand(c) }
 
-// spendableTokens is what this gateway may pass of the customer's store now: its
-// demand-split part, or what is left once the peers have passed all they may
-// be asked for before they are heard again, whichever is more.
+// spendableTokens is the number of units that this gateway may admit now: its share of the bucket
+// by demand, or what is left once the peers have spent all that may be requested of them before
+// they are heard again, whichever is more.
 func (g *Gateway) spendableTokens(c *customer) float64 {
-	// Where none is heard nobody else uses its own part, which takes in whole requests.
-	if share := g.demandShare(c); len(c.leaders) == 0 && g.isolated(c) {
-		return max(c.tokens*share, c.tokens-c.plan.Burst+max(c.plan.Burst*share,
-			g.settings.MaxRequestUnits))
+	share := g.demandShare(c)
+	if len(c.leaders) == 0 && g.isolated(c) {
+		// No other gateway uses this one's share, which must hold one request at least.
+		ownBurst := max(c.plan.Burst*share, g.settings.MaxRequestUnits)
+		return max(c.tokens*share, c.tokens-c.plan.Burst+ownBurst)
 	}
-	blind := (g.tickInterval + reportTravelTime).Seconds()
 	unseen := 0.0
-	for _, v := range c.peerViews {
-		wait := blind
-		if !v.peer.complete {
-			wait += min(g.now-v.reportedAt, staleReportTicks*g.tickInterval).Seconds()
-		}
-		unseen += g.peerDemand(c, v) * wait
+	for _, view := range c.peerViews {
+		unseen += g.peerDemand(c, view) * g.reportDelay(view)
 	}
-	return max(c.tokens*g.demandShare(c), c.tokens-unseen)
+	return max(c.tokens*share, c.tokens-unseen)
 }
 
-// peerLoad sums the attempts out and held that the peers report. A silent
-// peer's count gives way to its demand-split part of the cap.
-func (g *Gateway) peerLoad(c *customer) (out, held float64) {
-	for _, v := range c.peerViews {
-		if g.isStale(v.peer) {
-			out += float64(c.plan.MaxInFlight) * g.peerDemand(c, v) / g.totalDemand(c)
+// reportDelay is the time in seconds for which a peer may spend before its report is here. A peer whose
+// report was cut short may have left the customer out.
+func (g *Gateway) reportDelay(view *peerView) float64 {
+	delay := (g.tick.interval + reportTravelTime).Seconds()
+	if !view.peer.complete {
+		delay += min(g.now-view.reportedAt, staleReportTicks*g.tick.interval).Seconds()
+	}
+	return delay
+}
+
+// peerLoad sums the attempts in flight and the queued requests that the peers report. In place of a stale
+// peer's figures its share of the cap by demand is taken.
+func (g *Gateway) peerLoad(c *customer) (inFlight, queued float64) {
+	for _, view := range c.peerViews {
+		if g.isStale(view.peer) {
+			inFlight += float64(c.plan.MaxInFlight) * g.peerDemand(c, view) / g.totalDemand(c)
 			continue
 		}
-		out += v.inFlight
-		held += v.queued
+		inFlight += view.inFlight
+		queued += view.queued
 	}
-	return out, held
+	return inFlight, queued
 }
 
-// hasInFlightRoom tells whether one more attempt of the customer fits under its cap.
-// An arrival stays under its demand-split part, at least one.
-func (g *Gateway) hasInFlightRoom(c *customer, arrival bool) bool {
-	if c.plan.MaxInFlight == 0 || c.inFlight == 0 && g.isolated(c) {
+// hasRoomOnArrival reports whether a request that arrives may have an attempt under the customer's
+// cap: this gateway keeps to its share of the free places by demand, but takes at least one.
+func (g *Gateway) hasRoomOnArrival(c *customer) bool {
+	if g.inFlightUnlimited(c) {
 		return true
 	}
-	out, _ := g.peerLoad(c)
-	free := float64(c.plan.MaxInFlight) - out
-	next := float64(c.inFlight + 1)
-	if arrival {
-		return next <= max(free*g.demandShare(c), min(1, free+arrivalSlack))
-	}
-	return next <= free+releaseSlack
+	free := g.freeInFlight(c)
+	allowed := max(free*g.demandShare(c), min(1, free+arrivalSlack))
+	return float64(c.inFlight.count+1) <= allowed
 }
 
-// withinQuota tells whether quota and ceiling have the request's units.
-func (g *Gateway) withinQuota(r *request) bool {
+// hasRoom reports whether one more attempt fits under the customer's cap.
+func (g *Gateway) hasRoom(c *customer) bool {
+	return g.inFlightUnlimited(c) || float64(c.inFlight.count+1) <= g.freeInFlight(c)+releaseSlack
+}
+
+// inFlightUnlimited reports whether the customer has no cap, or this gateway is isolated and has
+// none of its attempts in flight: one attempt is then allowed, so that isolation does not stop the
+// customer.
+func (g *Gateway) inFlightUnlimited(c *customer) bool {
+	return c.plan.MaxInFlight == 0 || c.inFlight.count == 0 && g.isolated(c)
+}
+
+// freeInFlight is the part of the cap that the peers leave.
+func (g *Gateway) freeInFlight(c *customer) float64 {
+	peers, _ := g.peerLoad(c)
+	return float64(c.plan.MaxInFlight) - peers
+}
+
+// lacksTokens reports whether the rate quota does not hold the request's units.
+func (g *Gateway) lacksTokens(r *request) bool {
 	c := r.customer
+	return c.plan.Rate > 0 && !r.lease.granted && g.spendableTokens(c) < r.units
+}
+
+// withinQuota reports whether the rate quota and the ceiling hold the request's units.
+func (g *Gateway) withinQuota(r *request) bool {
 	if r.charged {
 		return true
 	}
-	if c.plan.Rate > 0 && !r.leaseGranted && g.spendableTokens(c) < r.units {
+	if g.lacksTokens(r) {
 		return false
 	}
-	return c.plan.HardRate == 0 || r.leaseGranted || c.ceilingTokens >= r.units
+	c := r.customer
+	return c.plan.HardRate == 0 || r.lease.granted || c.ceilingTokens >= r.units
 }
 
-// quotaRejection names the quota that a request does not fit in.
+// quotaRejection names the quota that a request is not within.
 func (g *Gateway) quotaRejection(r *request) Reason {
-	if c := r.customer; c.plan.Rate > 0 && !r.leaseGranted && g.spendableTokens(c) < r.units {
+	if g.lacksTokens(r) {
 		return ReasonQuotaExceeded
 	}
 	return ReasonCeilingExceeded
 }
 
-// charge takes a request's units from the stores.
+// charge takes a request's units from the buckets.
 func (c *customer) charge(r *request) {
 	c.tokens = max(0, c.tokens-r.units)
-	if !r.leaseGranted {
+	if !r.lease.granted { // the ceiling of a leased request is the leader's
 		c.ceilingTokens -= r.units
 	}
 	c.admittedUnits += uint16(r.units)
 }
 
-// settle takes or gives back units after a guess.
+// settle takes the difference between a request's actual and charged units, which may be negative.
 func (c *customer) settle(units float64) {
 	c.tokens -= units
 	c.admittedUnits += uint16(int(units))
 }
 
-// handleUsageLevel takes a customer's store from another witness while this gateway has run too
-// shortly to know it, or hears none of those who could tell. Guards against a quota granted twice
-// after restarts, and without mail; harms when the witness is behind, by what was passed since.
+// handleUsageLevel takes the fill of a customer's bucket from an external counter. It counts only while the
+// gateway has run too shortly to know the fill, or is isolated: otherwise a quota could be granted twice.
 func (g *Gateway) handleUsageLevel(ev UsageLevel) {
-	c := g.customers[customerKey(ev.Customer)]
+	c := g.customers.byKey[customerKey(ev.Customer)]
 	if c == nil || c.tokensKnown && !g.isolated(c) {
 		return
 	}
 	g.refill(c)
 	if c.tokensKnown {
 		c.externalLevelAt = g.now
-		for _, v := range c.peerViews { // what they will say was passed is in the level
-			v.hasReport = false
+		for _, view := range c.peerViews {
+			view.hasReport = false // the level holds what the peers will report as admitted
 		}
 	}
-	c.tokensKnown, c.tokens = true, min(c.plan.Burst, max(0, ev.Units))
+	c.tokensKnown = true
+	c.tokens = min(c.plan.Burst, max(0, ev.Units))
 }
 
-// isolated tells whether none is heard who could tell of a customer's use elsewhere.
+// isolated reports whether no gateway is heard that could tell of the customer's use elsewhere.
 func (g *Gateway) isolated(c *customer) bool {
 	if len(c.leaders) > 0 {
-		return g.responseRate < minResponseRate
+		return g.leases.responseRate < minResponseRate
 	}
-	return len(c.peerViews) > 0 && !slices.ContainsFunc(c.peerViews,
-		func(v *peerView) bool { return !g.isStale(v.peer) })
+	isHeard := func(view *peerView) bool { return !g.isStale(view.peer) }
+	return len(c.peerViews) > 0 && !slices.ContainsFunc(c.peerViews, isHeard)
 }
--- a/policy/quota_leader.go
+++ b/policy/quota_leader.go
@@ -3,146 +3,99 @@
 import (
 	"math"
 	"slices"
-	"time"
 )
 
 const (
-	leaderModeTickFactor = 2    // the mail would stretch the longest tick by this factor
-	leaderMessageShare   = 0.5  // part of its mail intake that a root spends on one customer
-	leaderPeakFactor     = 2.0  // asks it must bear, as a multiple of those inside the quota
-	standbyCeilingShare  = 0.25 // part of a hard ceiling that the deputy holds
-)
+	// leaderMessageShare is the part of the messages a gateway can receive that a leader spends on one
+	// customer.
+	leaderMessageShare = 0.5
 
-// fleetSize is what follows from a number of gateways.
-type fleetSize struct {
-	gateways   int
-	leaderMode bool
-}
+	// leaderPeakFactor is the number of lease requests that leaders must bear, as a multiple of
+	// those within the quota.
+	leaderPeakFactor = 2.0
 
-// applyFleetSize sets what follows from how many gateways there are.
-func (g *Gateway) applyFleetSize() {
-	mail := max(g.settings.PeerMessagesPerSecond*loadReportShare, 1)
-	g.tickInterval = time.Duration(float64(max(g.settings.Gateways-1, 1)) / mail * float64(time.Second))
-	g.outcomeWeight = learningWeight
-	if g.leaderMode = g.tickInterval > leaderModeTickFactor*maxTickInterval &&
-		g.settings.CanMessagePeers; g.leaderMode {
-		g.outcomeWeight = 0 // what the watchers tell is more than what this gateway sees
-	} else {
-		g.createPeers()
+	// standbyCeilingShare is the share of a hard ceiling that the standby leader holds.
+	standbyCeilingShare = 0.25
+)
+
+// assignLeaders sets which gateways keep a customer's buckets, and the share of its ceiling held here.
+func (g *Gateway) assignLeaders(c *customer) {
+	c.gatewaySpread = c.spreadIn(g.size)
+	leaders, standby := g.quotaLeaders(c, g.size)
+	isLeader := slices.Contains(leaders, g.settings.SelfIndex)
+	hasQuota := c.plan.Rate > 0 || c.plan.MaxInFlight > 0
+	c.leaders = nil
+	switch {
+	case isLeader || !g.size.leaderMode:
+		g.assignPeerViews(c, leaders)
+	case hasQuota:
+		c.leaders = []int{leaders[g.settings.SelfIndex%len(leaders)], standby}
 	}
-	g.tickInterval = max(min(max(g.tickInterval, minTickInterval), maxTickInterval), g.settings.Resolution)
+	c.ceilingDivisor = g.ceilingDivisor(c, len(leaders))
 }
 
-// leaderModeAt tells whether a fleet of a size reports by roots.
-func (g *Gateway) leaderModeAt(n int) bool {
-	now := g.settings.Gateways
-	g.settings.Gateways = n
-	g.applyFleetSize()
-	tree := g.leaderMode
-	g.settings.Gateways = now
-	g.applyFleetSize()
-	return tree
-}
+// spreadIn is the number of gateways through which the customer comes in, in a fleet of a size.
+func (c *customer) spreadIn(size fleetSize) int { return max(1, min(c.requestedSpread, size.gateways)) }
 
-// quotaLeaders are the gateways that sum a customer's counts: as few as can take in
-// what its gateways ask of them, all where reports go from all to all. The
-// deputy steps in for a root that is silent.
-func (g *Gateway) quotaLeaders(c *customer) (nums []int, deputy int) {
-	k := c.gatewaySpread
-	if g.leaderMode {
-		asks := leaderPeakFactor * c.plan.Rate
-		if c.plan.MaxInFlight > 0 {
-			asks += c.plan.Rate // those that pass tell their ends too
-		}
-		asks /= max(1, g.settings.MaxRequestUnits/2)
-		k = min(max(1, int(math.Ceil(asks/max(1,
-			g.settings.PeerMessagesPerSecond*leaderMessageShare)))), c.gatewaySpread)
+// quotaLeaders names the gateways that keep a customer's buckets in a fleet of a size: as few as
+// can receive the lease requests of the others, or all where load reports go in full mesh. The
+// standby leader steps in for a leader that does not answer.
+func (g *Gateway) quotaLeaders(c *customer, size fleetSize) (leaders []int, standby int) {
+	spread := c.spreadIn(size)
+	count := spread
+	if size.leaderMode {
+		count = min(g.leadersNeeded(c), spread)
 	}
-	base, step := int(c.key>>33)%c.gatewaySpread, max(1, c.gatewaySpread/(k+1))
-	for i := range k + 1 {
-		deputy = (c.firstGateway + (base+i*step)%c.gatewaySpread) % g.settings.Gateways
-		if i < k {
-			nums = append(nums, deputy)
-		}
+	first := int(c.key>>33) % spread
+	step := max(1, spread/(count+1))
+	gateway := func(i int) int { return (c.firstGateway + (first+i*step)%spread) % size.gateways }
+	for i := range count {
+		leaders = append(leaders, gateway(i))
 	}
-	return nums, deputy
+	return leaders, gateway(count)
 }
 
-// assignLeaders says who sums a customer's counts, and what part of its ceiling is held here.
-func (g *Gateway) assignLeaders(c *customer) {
-	c.gatewaySpread = max(1, min(c.requestedSpread, g.settings.Gateways))
-	roots, deputy := g.quotaLeaders(c)
-	c.ceilingDivisor, c.leaders = float64(c.gatewaySpread), nil
-	if slices.Contains(roots, g.settings.SelfIndex) || !g.leaderMode {
-		g.assignPeerViews(c, roots)
-	} else if c.plan.Rate > 0 || c.plan.MaxInFlight > 0 {
-		c.leaders = []int{roots[g.settings.SelfIndex%len(roots)], deputy}
-	}
-	if g.leaderMode {
-		// All ceiling parts are with those who grant.
-		c.ceilingDivisor = float64(len(roots)) / (1 - standbyCeilingShare)
-		if len(c.leaders) > 0 {
-			c.ceilingDivisor = 1 / standbyCeilingShare
-		}
-	}
-	if g.previousSize.gateways != 0 {
-		c.ceilingDivisor = max(g.ceilingDivisorAt(c, g.previousSize), g.ceilingDivisorAt(c,
-			fleetSize{g.settings.Gateways, g.leaderMode}))
+// leadersNeeded is the number of leaders that can receive the lease requests for a customer.
+func (g *Gateway) leadersNeeded(c *customer) int {
+	units := leaderPeakFactor * c.plan.Rate
+	if c.plan.MaxInFlight > 0 {
+		units += c.plan.Rate // each lease within the quota is returned by a message of its own
 	}
+	messages := units / max(1, g.settings.MaxRequestUnits/2)
+	perLeader := max(1, g.settings.PeerMessagesPerSecond*leaderMessageShare)
+	return max(1, int(math.Ceil(messages/perLeader)))
 }
 
-// ceilingDivisorAt is one over the part of a ceiling held here in a fleet of a size: infinite where
-// none is.
-func (g *Gateway) ceilingDivisorAt(c *customer, z fleetSize) float64 {
-	if z.gateways < 0 {
-		return math.Inf(1)
+// ceilingDivisor is one over the share of a customer's ceiling that this gateway may use now.
+func (g *Gateway) ceilingDivisor(c *customer, leaders int) float64 {
+	if g.previousSize.gateways != 0 {
+		return max(g.ceilingDivisorIn(c, g.previousSize), g.ceilingDivisorIn(c, g.size))
 	}
-	now, spread := fleetSize{g.settings.Gateways, g.leaderMode}, c.gatewaySpread
-	g.settings.Gateways, g.leaderMode, c.gatewaySpread = z.gateways, z.leaderMode, max(1,
-		min(c.requestedSpread, z.gateways))
-	roots, deputy := g.quotaLeaders(c)
-	g.settings.Gateways, g.leaderMode, c.gatewaySpread = now.gateways, now.leaderMode, spread
-	switch n := float64(len(roots)); {
-	case slices.Contains(roots, g.settings.SelfIndex) && z.leaderMode:
-		return n / (1 - standbyCeilingShare)
-	case slices.Contains(roots, g.settings.SelfIndex):
-		return n
-	case z.leaderMode && deputy == g.settings.SelfIndex:
+	switch {
+	case !g.size.leaderMode:
+		return float64(c.gatewaySpread)
+	case len(c.leaders) > 0:
 		return 1 / standbyCeilingShare
 	}
-	return math.Inf(1)
-}
-
-// handleFleetResized takes a new number of gateways. Counts carry over; parts of ceilings are the
-// smaller of the old and the new until all are known to have heard: the old ones sum to the whole,
-// and the new ones do.
-func (g *Gateway) handleFleetResized(ev FleetResized) {
-	if ev.PreviousSize == 0 {
-		g.previousSize = fleetSize{}
-	} else if g.previousSize.gateways == 0 {
-		g.previousSize = fleetSize{ev.PreviousSize, g.leaderModeAt(ev.PreviousSize)}
-	}
-	g.resizeFleet(ev.Gateways)
-	for _, c := range g.customerRing {
-		g.refill(c)
-		g.assignLeaders(c)
-		c.ceilingTokens = min(c.ceilingTokens, c.plan.HardBurst/c.ceilingDivisor)
-	}
+	return float64(leaders) / (1 - standbyCeilingShare)
 }
 
-// resizeFleet makes room for a number of gateways, and forgets those beyond.
-func (g *Gateway) resizeFleet(n int) {
-	g.settings.Gateways = n
-	peers := make([]*peer, max(n, g.settings.SelfIndex+1))
-	copy(peers, g.peers)
-	g.peers = peers
-	for _, p := range g.peers {
-		if p != nil {
-			p.customerViews = nil
-		}
+// ceilingDivisorIn is one over the share of a customer's ceiling that this gateway holds in a fleet
+// of a size. It is infinite where it holds none.
+func (g *Gateway) ceilingDivisorIn(c *customer, size fleetSize) float64 {
+	if size.gateways < 0 {
+		return math.Inf(1)
 	}
-	g.applyFleetSize()
-	for _, s := range g.endpoints {
-		s.monitors = g.monitorsOf(uint32(s.ID) * 0x9e3779b1 >> (32 - serverHashBits))
+	leaders, standby := g.quotaLeaders(c, size)
+	isLeader := slices.Contains(leaders, g.settings.SelfIndex)
+	count := float64(len(leaders))
+	switch {
+	case isLeader && size.leaderMode:
+		return count / (1 - standbyCeilingShare)
+	case isLeader:
+		return count
+	case size.leaderMode && standby == g.settings.SelfIndex:
+		return 1 / standbyCeilingShare
 	}
+	return math.Inf(1)
 }
--- a/policy/report_ranking.go
+++ b/policy/report_ranking.go
@@ -1,53 +1,66 @@
 package policy
 
-// ranking gives customers by urgency, then by place in the ring. A report has
-// room for few of many: what is not asked for is not sorted.
+// ranking gives customers by report priority, then by position in the ring. A report has room for few of
+// many customers, so only those that are asked for are sorted.
 type ranking struct {
-	top  []*customer // in order
-	rest []*customer // a heap
+	sorted []*customer
+	heap   []*customer
 }
 
-func (r *ranking) reset() { r.top, r.rest = r.top[:0], r.rest[:0] }
+func (r *ranking) reset() {
+	r.sorted = r.sorted[:0]
+	r.heap = r.heap[:0]
+}
+
+// add adds a customer; heapify must follow before at.
+func (r *ranking) add(c *customer) { r.heap = append(r.heap, c) }
 
-func rankedBefore(a, b *customer) bool {
-	return a.reportPriority > b.reportPriority || a.reportPriority == b.reportPriority &&
-		a.ringIndex < b.ringIndex
+func (r *ranking) isEmpty() bool { return len(r.sorted)+len(r.heap) == 0 }
+
+// ranksBefore reports whether a customer comes before another.
+func (c *customer) ranksBefore(other *customer) bool {
+	if c.reportPriority > other.reportPriority {
+		return true
+	}
+	return c.reportPriority == other.reportPriority && c.ringIndex < other.ringIndex
 }
 
 func (r *ranking) heapify() {
-	for i := len(r.rest)/2 - 1; i >= 0; i-- {
-		r.down(i)
+	for i := len(r.heap)/2 - 1; i >= 0; i-- {
+		r.siftDown(i)
 	}
 }
 
-func (r *ranking) down(i int) {
-	for h := r.rest; ; {
-		k := 2*i + 1
-		if k >= len(h) {
+// siftDown restores the heap below a position.
+func (r *ranking) siftDown(i int) {
+	h := r.heap
+	for {
+		child := 2*i + 1
+		if child >= len(h) {
 			return
 		}
-		if k+1 < len(h) && rankedBefore(h[k+1], h[k]) {
-			k++
+		if child+1 < len(h) && h[child+1].ranksBefore(h[child]) {
+			child++
 		}
-		if !rankedBefore(h[k], h[i]) {
+		if !h[child].ranksBefore(h[i]) {
 			return
 		}
-		h[i], h[k] = h[k], h[i]
-		i = k
+		h[i], h[child] = h[child], h[i]
+		i = child
 	}
 }
 
-// at returns the k-th, or nil where there are fewer.
+// at returns the k-th customer, or nil where there are fewer.
 func (r *ranking) at(k int) *customer {
-	for len(r.top) <= k {
-		n := len(r.rest) - 1
-		if n < 0 {
+	for len(r.sorted) <= k {
+		last := len(r.heap) - 1
+		if last < 0 {
 			return nil
 		}
-		r.top = append(r.top, r.rest[0])
-		r.rest[0] = r.rest[n]
-		r.rest = r.rest[:n]
-		r.down(0)
+		r.sorted = append(r.sorted, r.heap[0])
+		r.heap[0] = r.heap[last]
+		r.heap = r.heap[:last]
+		r.siftDown(0)
 	}
-	return r.top[k]
+	return r.sorted[k]
 }
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -7,162 +7,167 @@
 )
 
 const (
-	predictionJitter      = 0.2  // spread of a prediction, so that none is left untried
-	candidateCount        = 4    // servers compared for an attempt
-	crossZoneServiceTimes = 25.0 // service times that a charge of one for another zone is worth
-	otherZoneWeight       = 0.7  // weight of a server in another zone
-	queueingPerAttempt    = 0.5  // what each attempt out adds to a server's latency, in service times
-	saturationWaitShare   = 0.15 // a server is full when the wait passes this part of the shortest aim
-	minSaturationInFlight = 2.0  // but not below this many attempts out
-	maxEjectedShare       = 0.7  // when more are out of use they are used all the same
-	planRejectionBackoff  = 2 * time.Second
+	// candidateCount is the number of servers compared for an attempt.
+	candidateCount = 4
+
+	// predictionJitter is the spread of predicted latencies, so that no server is left untried.
+	predictionJitter = 0.2
+
+	// crossZoneServiceTimes is what a cross-zone charge of 1 counts for in the comparison, in idle
+	// latencies.
+	crossZoneServiceTimes = 25.0
+
+	// otherZoneWeight is the weight of a server of another zone in a weighted draw.
+	otherZoneWeight = 0.7
+
+	// saturationWaitShare is the wait at a server, as a share of the shortest latency objective,
+	// beyond which it is saturated.
+	saturationWaitShare = 0.15
+
+	// minSaturationInFlight is the number of attempts in flight below which a server is never saturated.
+	minSaturationInFlight = 2.0
+
+	// maxEjectedShare is the share of ejected servers above which all are used: so many do not fail each
+	// for itself.
+	maxEjectedShare = 0.7
+
+	// planRejectionBackoff is how long a server gets no requests of a plan that it has rejected.
+	planRejectionBackoff = 2 * time.Second
 )
 
-type requestClass struct {
-	Class
-	index       int     // place in the settings
-	idleLatency float64 // seconds an idle server of the fleet takes
-	outcomes    float64 // outcomes it rests on
+// serverSelector is the state of server selection.
+type serverSelector struct {
+	lastShortageAt time.Duration // when a request last found no server with room; 0: never
+	warmSendRate   float64       // own attempts at warm servers, decayed over ColdOverloadTime
+
+	// Scratch space of candidates.
+	healthy []*server
+	ejected []*server
 }
 
-// selectServer chooses a server, or nil when none has room. Those out of use for the
-// class are left out while they are not too many; a watcher tries them now and
-// then. A small fleet's gateway takes the best of a few random ones by predicted
-// latency and zone price.
+// selectServer chooses the server of the next attempt. It returns nil when none has room.
 func (g *Gateway) selectServer(r *request) *server {
-	ok, doubted := g.candidateScratch[:0], g.ejectedScratch[:0]
-	for _, s := range g.endpoints {
+	healthy, ejected, probe := g.candidates(r)
+	if probe != nil {
+		return probe
+	}
+	if float64(len(ejected)) > maxEjectedShare*float64(len(healthy)+len(ejected)) {
+		healthy = append(healthy, ejected...)
+	}
+	if g.size.leaderMode {
+		return g.drawByCapacity(healthy)
+	}
+	return g.bestOfRandom(healthy, r.class)
+}
+
+// candidates lists the servers that may get the attempt, or names one that is due for a probe with it. The
+// lists are valid until the next call.
+func (g *Gateway) candidates(r *request) (healthy, ejected []*server, probe *server) {
+	healthy, ejected = g.selector.healthy[:0], g.selector.ejected[:0]
+	for _, s := range g.endpoints.list {
 		if s == r.lastServer || !g.isCandidate(s, r) {
 			continue
 		}
-		if v := g.healthOf(s, r.class); v != nil && v.ejected && g.now < v.ejectedUntil {
-			// Its watcher alone tries a server that is out of use.
-			if s.monitors[0] == g.settings.SelfIndex && g.now >= v.nextProbeAt && r.attempts == 0 &&
-				r.class.Idempotency != NonIdempotent {
-				v.probeInterval = min(2*v.probeInterval+probeIntervalStep, maxProbeInterval)
-				v.nextProbeAt = g.now + v.probeInterval
-				return s
-			}
-			doubted = append(doubted, s)
-			continue
+		h := s.healthFor(r.class)
+		switch {
+		case !h.isEjected(g.now):
+			healthy = append(healthy, s)
+		case g.mayProbe(s, h, r):
+			h.scheduleProbe(g.now)
+			return nil, nil, s
+		default:
+			ejected = append(ejected, s)
 		}
-		ok = append(ok, s)
-	}
-	g.candidateScratch, g.ejectedScratch = ok, doubted
-	if float64(len(doubted)) > maxEjectedShare*float64(len(ok)+len(doubted)) {
-		ok = append(ok, doubted...)
 	}
-	if g.leaderMode {
-		return g.drawByCapacity(ok)
+	g.selector.healthy, g.selector.ejected = healthy, ejected
+	return healthy, ejected, nil
+}
+
+// isCandidate reports whether a request may go to a server at all, ejected or not.
+func (g *Gateway) isCandidate(s *server, r *request) bool {
+	if s.State != Running || g.now < s.rejectingUntil[r.customer.plan] {
+		return false
 	}
+	return r.mayRunAgainAt(s, g.now) && g.hasColdBudget(s)
+}
+
+// bestOfRandom compares a few random servers by predicted latency and zone charge.
+func (g *Gateway) bestOfRandom(servers []*server, class *requestClass) *server {
 	var best *server
-	low := math.Inf(1)
-	for k := 0; k < candidateCount && len(ok) > 0; {
-		i := g.rng.IntN(len(ok))
-		s := ok[i]
-		ok = slices.Delete(ok, i, i+1)
+	lowest := math.Inf(1)
+	for compared := 0; compared < candidateCount && len(servers) > 0; {
+		i := g.rng.IntN(len(servers))
+		s := servers[i]
+		servers = slices.Delete(servers, i, i+1)
 		if g.isSaturated(s) {
 			continue
 		}
-		p := g.predictedLatency(s, r.class) * (1 - predictionJitter/2 + predictionJitter*g.rng.Float64())
-		k++
+		compared++
+		cost := g.predictedLatency(s, class) * (1 - predictionJitter/2 + predictionJitter*g.rng.Float64())
 		if s.Zone != g.settings.Zone {
-			p += r.class.idleLatency * g.settings.CrossZoneCost * crossZoneServiceTimes
+			cost += class.idleLatency * g.settings.CrossZoneCost * crossZoneServiceTimes
 		}
-		if p < low {
-			best, low = s, p
+		if cost < lowest {
+			best, lowest = s, cost
 		}
 	}
 	return best
 }
 
-// isCandidate tells whether a request may go to a server at all: running, not
-// ejected (but for a trial), inside its group and window once it may have
-// run, and inside the budget of a cold server.
-func (g *Gateway) isCandidate(s *server, r *request) bool {
-	if s.State != Running || g.now < s.rejectingUntil[r.customer.plan] ||
-		r.mayHaveRun && r.class.Idempotency == IdempotentWithKey &&
-			(g.now-r.firstRunAt >= r.class.DedupWindow || !r.inDedupScope(s)) {
+// isSaturated reports whether the wait at a server would pass a share of the shortest objective. More
+// requests are queued here, where they can still go elsewhere or be rejected.
+func (g *Gateway) isSaturated(s *server) bool {
+	load := s.load() / g.relativeCapacity(s)
+	if load < minSaturationInFlight {
 		return false
 	}
-	if cold := g.warmFraction(s); cold < 1 {
-		// A budget for every window, shared by all gateways: what warm servers
-		// bear, times the share of capacity the server surely has.
-		s.coldSends = slices.DeleteFunc(s.coldSends, func(t time.Duration) bool {
-			return g.now-t > g.settings.ColdOverloadTime
-		})
-		warm := g.warmSendRate / max(1, float64(len(g.endpoints)))
-		return float64(len(s.coldSends)) < max(1, warm*cold*g.settings.ColdOverloadFactor*coldBudgetSafety)
-	}
-	return true
+	wait := g.latency.idle * s.latencyRatio / g.warmFraction(s) * queueingPerAttempt * load
+	return wait > saturationWaitShare*g.latency.shortestObjective
 }
 
-// drawByCapacity chooses a server by its share of the fleet's capacity. A large fleet's
-// gateways don't see the load there; were each to take the best of a few, all
-// would crowd onto the same servers. However slow the warm ones are, a cold one
-// gets no more than its part of an even share; what is left over waits.
-func (g *Gateway) drawByCapacity(ok []*server) *server {
-	all := 0.0
-	for _, s := range ok {
-		s.drawWeight = g.relativeCapacity(s) / max(s.latencyRatio, 1) / float64(1+s.inFlight)
-		if s.Zone != g.settings.Zone {
-			s.drawWeight *= otherZoneWeight
-		}
-		s.drawWeight *= min(1, g.warmFraction(s))
-		all += s.drawWeight
+// drawByCapacity draws a server by its share of the fleet's capacity. In leader mode gateways do
+// not see the load at servers: were each to take the best of a few, all would crowd onto the same
+// ones. A cold server gets no more than its part of an even share; what is left over is queued.
+func (g *Gateway) drawByCapacity(servers []*server) *server {
+	total := 0.0
+	for _, s := range servers {
+		s.drawWeight = g.capacityWeight(s)
+		total += s.drawWeight
 	}
+	count := float64(len(servers))
 	least := 0.0
-	for _, s := range ok {
-		if cold := g.warmFraction(s); cold < 1 {
-			s.drawWeight = min(s.drawWeight, cold*all/float64(len(ok)))
-			least = max(least, s.drawWeight*float64(len(ok))/(cold*coldBudgetSafety*max(1,
-				g.settings.ColdOverloadFactor)))
+	for _, s := range servers {
+		if warm := g.warmFraction(s); warm < 1 {
+			s.drawWeight = min(s.drawWeight, warm*total/count)
+			allowed := warm * coldBudgetSafety * max(1, g.settings.ColdOverloadFactor)
+			least = max(least, s.drawWeight*count/allowed)
 		}
 	}
-	return g.drawWeighted(ok, least)
+	return g.drawWeighted(servers, least)
 }
 
-// drawWeighted draws a server by weight, of a sum of at least so much: none for the rest.
-func (g *Gateway) drawWeighted(list []*server, least float64) *server {
+// capacityWeight is the weight of a server in a draw.
+func (g *Gateway) capacityWeight(s *server) float64 {
+	weight := g.relativeCapacity(s) / max(s.latencyRatio, 1) / float64(1+s.inFlight)
+	if s.Zone != g.settings.Zone {
+		weight *= otherZoneWeight
+	}
+	return weight * min(1, g.warmFraction(s))
+}
+
+// drawWeighted draws a server by drawWeight. Where the weights sum to less than least, the rest stands for
+// no server.
+func (g *Gateway) drawWeighted(servers []*server, least float64) *server {
 	sum := 0.0
-	for _, s := range list {
+	for _, s := range servers {
 		sum += s.drawWeight
 	}
-	at := g.rng.Float64() * max(sum, least)
-	for _, s := range list {
-		if at -= s.drawWeight; at < 0 {
+	position := g.rng.Float64() * max(sum, least)
+	for _, s := range servers {
+		position -= s.drawWeight
+		if position < 0 {
 			return s
 		}
 	}
 	return nil
 }
-
-// predictedLatency is the latency in seconds expected of a server for a class.
-func (g *Gateway) predictedLatency(s *server, cl *requestClass) float64 {
-	return cl.idleLatency * s.latencyRatio * (1 +
-		queueingPerAttempt*g.loadAt(s)/g.relativeCapacity(s)) / g.warmFraction(s)
-}
-
-// isSaturated tells whether a server has all the work it can turn round in time: the
-// wait there would pass a share of the shortest aim. Beyond that requests are
-// held here, where they can still go elsewhere or be refused.
-func (g *Gateway) isSaturated(s *server) bool {
-	load := g.loadAt(s) / g.relativeCapacity(s)
-	return load >= minSaturationInFlight &&
-		g.idleLatency*s.latencyRatio/g.warmFraction(s)*queueingPerAttempt*load >
-			saturationWaitShare*g.shortestObjective
-}
-
-// loadAt is the attempts out at a server: own, and the peers' as last reported,
-// or its own load report where that says more.
-func (g *Gateway) loadAt(s *server) float64 {
-	return float64(s.inFlight) + s.peersInFlight
-}
-
-// size is a server's size against the fleet's mean, where the list tells it.
-func (g *Gateway) relativeCapacity(s *server) float64 {
-	if g.settings.WeightIsCapacity && s.Weight > 0 && g.meanWeight > 0 {
-		return s.Weight / g.meanWeight
-	}
-	return 1
-}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,108 +5,244 @@
 	"time"
 )
 
-// Settings is what a gateway is told at its start.
-type Settings struct {
-	SelfIndex int // number of this gateway, from 0
-	Gateways  int // how many gateways there are
-	Zone      string
-	Classes   []Class
-	Plans     []Plan
-
-	Resolution            time.Duration // least time between two events in sequence
-	MaxAttempts           int           // attempts allowed for one request; 0: any number
-	CanCancel             bool          // Cancel is permitted
-	CanMessagePeers       bool          // Tell is permitted
-	PeerMessagesPerSecond float64       // peer messages a gateway takes in a second
-	MaxRequestUnits       float64       // most units of one request
-	MaxRetryAfter         time.Duration // longest advice clients heed; 0: no advice
-	MustWatchEndpoints    bool          // server changes come only to those that Watch
-	WeightIsCapacity      bool          // Server.Weight is the size of the machine
-	CrossZoneCost         float64       // charge for an attempt that crosses zones
-	LoadMetricNames       []string      // names of the values in Load
-
-	ResponseGrace      time.Duration // final answers are in time this long after a deadline
-	InitialCapacity    float64       // a starting server has at least this share of its capacity
-	WarmupTime         time.Duration // and all of it this long after its start
-	ColdOverloadFactor float64       // a cold server falls when sent this multiple of its capacity
-	ColdOverloadTime   time.Duration // for this long
-}
-
-// Class holds the settings of a class of request.
-type Class struct {
-	Name             string
-	LatencyObjective time.Duration // an answer within it earns full worth
-	Deadline         time.Duration // a client waits this long, over all its tries
-	Idempotency      Idempotency
-	DedupScope       DedupScope    // for Keyed
-	DedupWindow      time.Duration // for Keyed: how long repeats are remembered
-	Streaming        bool          // the answer is a stream, announced by Started
-}
-
-// Plan holds the quotas of each customer on a plan, over all gateways.
-type Plan struct {
-	Name           string
-	Rate           float64 // units a second; 0: no rate quota
-	Burst          float64 // most units the quota's store holds
-	MaxInFlight    int     // most attempts out at once; 0: no such quota
-	OverQuotaValue float64 // share of the worth earned beyond the quota
-	OverQuotaCost  float64 // share of the worth charged beyond the quota
-	HardRate       float64 // units a second of the hard ceiling; 0: none
-	HardBurst      float64 // most units the ceiling's store holds
-}
-
-// Idempotency says what a repeat of a request does.
+// Idempotency says what happens when a request runs more than once.
 type Idempotency int
 
-// The kinds of effect.
+// The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // repeats are dropped inside a group of servers, for a time
+	IdempotentWithKey                    // servers of a DedupScope drop repeats for a DedupWindow
 	NonIdempotent                        // must not run twice
 )
 
-// DedupScope says which servers drop repeats of a keyed request.
+// DedupScope says which servers drop repeats of a request that is IdempotentWithKey.
 type DedupScope int
 
-// The groups.
+// The scopes of deduplication.
 const (
-	DedupAllServers DedupScope = iota // all servers
-	DedupZone                         // those of one zone
-	DedupCell                         // those of one cell
+	DedupAllServers DedupScope = iota // all servers share the keys
+	DedupZone                         // the servers of one zone share them
+	DedupCell                         // the servers of one cell share them
 )
 
-// Names of load report values the module understands.
+// Class holds the settings of a class of requests.
+type Class struct {
+	// Name is what Request.Class refers to. It must not be empty.
+	Name string
+
+	// LatencyObjective is the time within which a response should arrive. It must be above 0. Queueing,
+	// load shedding and the detection of stalled attempts are measured against it: too short, and healthy
+	// load is shed; too long, and overload is noticed late.
+	LatencyObjective time.Duration
+
+	// Deadline is how long a client waits, over all its attempts. It must be above 0.
+	Deadline time.Duration
+
+	// Idempotency decides which failed attempts may be retried. The zero value is Idempotent: a request
+	// that must not run twice has to say so.
+	Idempotency Idempotency
+
+	// DedupScope names the servers that drop repeats. It counts only with IdempotentWithKey; the zero value
+	// is DedupAllServers.
+	DedupScope DedupScope
+
+	// DedupWindow is how long servers remember a key, from the first attempt that may have run. It counts
+	// only with IdempotentWithKey; with 0 such a request is never retried once it may have run.
+	DedupWindow time.Duration
+
+	// Streaming says that the response is a stream, whose begin is told by ResponseStarted. Attempts of
+	// other classes that take far too long may be cancelled.
+	Streaming bool
+}
+
+// Plan holds the quotas of each customer on a plan, over all gateways.
+type Plan struct {
+	// Name is what Request.Plan refers to. It must not be empty.
+	Name string
+
+	// Rate is the rate quota in units a second. 0: no rate quota.
+	Rate float64
+
+	// Burst is the capacity of the rate quota's token bucket, in units.
+	Burst float64
+
+	// MaxInFlight caps the attempts in flight. 0: no cap.
+	MaxInFlight int
+
+	// OverQuotaValue is the share of the value that a request beyond the quota still earns. No decision
+	// rests on it today.
+	OverQuotaValue float64
+
+	// OverQuotaCost is the share of the value that a request beyond the quota costs. No decision rests on
+	// it today.
+	OverQuotaCost float64
+
+	// HardRate is the rate of the hard ceiling in units a second. 0: no ceiling. Unlike the rate quota the
+	// ceiling is split into fixed shares and never exceeded, not even while gateways do not hear
+	// each other.
+	HardRate float64
+
+	// HardBurst is the capacity of the ceiling's token bucket, in units.
+	HardBurst float64
+}
+
+// Settings configure a Gateway. They are copied by New and stay as they are, but for the number of
+// gateways, which FleetResized changes.
+type Settings struct {
+	// SelfIndex is the number of this gateway, from 0 to Gateways-1. Two gateways with one number would
+	// both use its share of each quota.
+	SelfIndex int
+
+	// Gateways is the number of gateways in the fleet, at least 1. All gateways must agree on it, since the
+	// shares of quotas and the quota leaders follow from it.
+	Gateways int
+
+	// Zone is the zone of this gateway. Servers of other zones are chosen less.
+	Zone string
+
+	// Classes are the classes of requests, at least one, in the same order at all gateways: messages name
+	// a class by its position.
+	Classes []Class
+
+	// Plans are the plans of customers, at least one, in the same order at all gateways.
+	Plans []Plan
+
+	// Resolution is the least time between two events in sequence, and how early or late a timer may
+	// fire. It must be above 0.
+	Resolution time.Duration
+
+	// MaxAttempts is the number of attempts allowed for one request. 0: any number.
+	MaxAttempts int
+
+	// CanCancel permits CancelAttempt. Without it idempotent attempts carry a timeout instead.
+	CanCancel bool
+
+	// CanMessagePeers permits SendPeerMessage. Without it each gateway keeps to its own share of
+	// each quota.
+	CanMessagePeers bool
+
+	// PeerMessagesPerSecond is the number of peer messages that one gateway can receive in a second.
+	// The tick interval and the change to leader mode follow from it: too high, and messages are lost;
+	// too low, and gateways know less of each other than they could. It must not be negative.
+	PeerMessagesPerSecond float64
+
+	// MaxRequestUnits is the largest cost of one request, in units. A gateway that hears no other still
+	// admits one request of this size.
+	MaxRequestUnits float64
+
+	// MaxRetryAfter is the longest Retry-After that clients heed. 0: no advice is given.
+	MaxRetryAfter time.Duration
+
+	// MustWatchEndpoints says that server changes come only after WatchEndpoints.
+	MustWatchEndpoints bool
+
+	// WeightIsCapacity says that Server.Weight tells the capacity of the machine. Without it all servers
+	// count alike.
+	WeightIsCapacity bool
+
+	// CrossZoneCost is the charge for an attempt that crosses zones, as a share of the value of a request.
+	CrossZoneCost float64
+
+	// LoadMetricNames are the names of the values in AttemptResult.LoadMetrics. No decision rests on these
+	// values today.
+	LoadMetricNames []string
+
+	// ResponseGrace is how long after its deadline a final response still counts as in time.
+	ResponseGrace time.Duration
+
+	// InitialCapacity is the share of its capacity that a server has at its start. 0: servers are warm at
+	// once.
+	InitialCapacity float64
+
+	// WarmupTime is the time after which a started server has all its capacity. 0: servers are warm
+	// at once.
+	WarmupTime time.Duration
+
+	// ColdOverloadFactor is the multiple of its present capacity at which a cold server fails.
+	ColdOverloadFactor float64
+
+	// ColdOverloadTime is how long such an overload must last to make a cold server fail. It is the window
+	// in which attempts at cold servers are counted.
+	ColdOverloadTime time.Duration
+}
+
+// Names of load metrics with an agreed meaning.
 const (
 	LoadActive  = "active"  // requests in progress
 	LoadWaiting = "waiting" // requests queued
 )
 
-// check refuses settings that cannot be meant, and names the key.
+// SettingError reports a setting that New does not accept.
+type SettingError struct {
+	Field   string // path of the setting: "Plans[1].Rate"
+	Problem string // what is wrong with it: "negative"
+}
+
+// Error names the setting and the problem.
+func (e *SettingError) Error() string { return "policy: setting " + e.Field + ": " + e.Problem }
+
+// check returns a *SettingError for the first setting that cannot be used.
 func (s *Settings) check() error {
-	var err error
-	need := func(ok bool, key string, args ...any) {
-		if !ok && err == nil {
-			err = fmt.Errorf("policy: setting "+key, args...)
+	if err := s.checkFleet(); err != nil {
+		return err
+	}
+	for i := range s.Plans {
+		if err := s.Plans[i].check(fmt.Sprintf("Plans[%d].", i)); err != nil {
+			return err
 		}
 	}
-	need(s.Resolution > 0, "Resolution: not above 0")
-	need(s.Gateways >= 1, "Gateways: below 1")
-	need(s.SelfIndex >= 0 && s.SelfIndex < max(s.Gateways, 1), "SelfIndex: outside 0 to Gateways-1")
-	need(s.PeerMessagesPerSecond >= 0, "PeerMessagesPerSecond: negative")
-	need(len(s.Plans) > 0, "Plans: none")
-	need(len(s.Classes) > 0, "Classes: none")
-	for i, p := range s.Plans {
-		need(p.Name != "", "Plans[%d].Name: empty", i)
-		need(p.Rate >= 0, "Plans[%d].Rate: negative", i)
-		need(p.Burst >= 0, "Plans[%d].Burst: negative", i)
-		need(p.MaxInFlight >= 0, "Plans[%d].MaxInFlight: negative", i)
-		need(p.HardRate >= 0, "Plans[%d].HardRate: negative", i)
-		need(p.HardBurst >= 0, "Plans[%d].HardBurst: negative", i)
+	for i := range s.Classes {
+		if err := s.Classes[i].check(fmt.Sprintf("Classes[%d].", i)); err != nil {
+			return err
+		}
 	}
-	for i, c := range s.Classes {
-		need(c.Name != "", "Classes[%d].Name: empty", i)
-		need(c.LatencyObjective > 0, "Classes[%d].LatencyObjective: not above 0", i)
-		need(c.Deadline > 0, "Classes[%d].Deadline: not above 0", i)
+	return nil
+}
+
+func (s *Settings) checkFleet() error {
+	switch {
+	case s.Resolution <= 0:
+		return &SettingError{"Resolution", "not above 0"}
+	case s.Gateways < 1:
+		return &SettingError{"Gateways", "below 1"}
+	case s.SelfIndex < 0 || s.SelfIndex >= s.Gateways:
+		return &SettingError{"SelfIndex", "outside 0 to Gateways-1"}
+	case !(s.PeerMessagesPerSecond >= 0):
+		return &SettingError{"PeerMessagesPerSecond", "negative"}
+	case len(s.Plans) == 0:
+		return &SettingError{"Plans", "none"}
+	case len(s.Classes) == 0:
+		return &SettingError{"Classes", "none"}
+	}
+	return nil
+}
+
+func (p *Plan) check(prefix string) error {
+	if p.Name == "" {
+		return &SettingError{prefix + "Name", "empty"}
+	}
+	for _, f := range []struct {
+		name  string
+		value float64
+	}{
+		{"Rate", p.Rate}, {"Burst", p.Burst}, {"MaxInFlight", float64(p.MaxInFlight)},
+		{"HardRate", p.HardRate}, {"HardBurst", p.HardBurst},
+	} {
+		if !(f.value >= 0) { // NaN is refused too
+			return &SettingError{prefix + f.name, "negative"}
+		}
+	}
+	return nil
+}
+
+func (c *Class) check(prefix string) error {
+	switch {
+	case c.Name == "":
+		return &SettingError{prefix + "Name", "empty"}
+	case c.LatencyObjective <= 0:
+		return &SettingError{prefix + "LatencyObjective", "not above 0"}
+	case c.Deadline <= 0:
+		return &SettingError{prefix + "Deadline", "not above 0"}
 	}
-	return err
+	return nil
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,12 +1,51 @@
 package policy
 
-const coldBudgetSafety = 0.5 // part of the cold budget used
+import (
+	"math"
+	"slices"
+	"time"
+)
 
-// warmFraction is the least share of its capacity a server surely has.
+// coldBudgetSafety is the part of a cold server's budget that is used: warmFraction is a lower bound, but
+// gateways know each other's attempts only late.
+const coldBudgetSafety = 0.5
+
+// warmFraction is the least share of its capacity that a server surely has. It grows linearly from
+// InitialCapacity to 1 in WarmupTime.
 func (g *Gateway) warmFraction(s *server) float64 {
-	if !s.HasStartTime || g.settings.WarmupTime <= 0 || g.settings.InitialCapacity <= 0 {
+	initial := g.settings.InitialCapacity
+	if !s.HasStartTime || g.settings.WarmupTime <= 0 || initial <= 0 {
 		return 1
 	}
-	age := float64(g.now-s.StartedAt) / float64(g.settings.WarmupTime)
-	return min(1, g.settings.InitialCapacity+(1-g.settings.InitialCapacity)*max(age, 0))
+	warmedUp := float64(g.now-s.StartedAt) / float64(g.settings.WarmupTime)
+	return min(1, initial+(1-initial)*max(warmedUp, 0))
+}
+
+// hasColdBudget reports whether a server may get another attempt while it warms up: in each window of
+// ColdOverloadTime what a warm server gets, times its warm fraction, but at least one.
+func (g *Gateway) hasColdBudget(s *server) bool {
+	warm := g.warmFraction(s)
+	if warm >= 1 {
+		return true
+	}
+	outsideWindow := func(sentAt time.Duration) bool { return g.now-sentAt > g.settings.ColdOverloadTime }
+	s.coldSends = slices.DeleteFunc(s.coldSends, outsideWindow)
+	perWarmServer := g.selector.warmSendRate / max(1, float64(len(g.endpoints.list)))
+	budget := max(1, perWarmServer*warm*g.settings.ColdOverloadFactor*coldBudgetSafety)
+	return float64(len(s.coldSends)) < budget
+}
+
+// countSend counts an attempt for the budgets of cold servers.
+func (g *Gateway) countSend(s *server) {
+	if g.warmFraction(s) < 1 {
+		s.coldSends = append(s.coldSends, g.now)
+	} else {
+		g.selector.warmSendRate++
+	}
+}
+
+func (g *Gateway) decayWarmSendRate(elapsed time.Duration) {
+	if window := g.settings.ColdOverloadTime; window > 0 {
+		g.selector.warmSendRate *= math.Exp(-float64(elapsed) / float64(window))
+	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -1,61 +1,76 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// CustomerSnapshot is what outlives a process of a customer whose store is not full.
+// CustomerSnapshot is the state of a customer's rate quota that outlives the process, if its bucket
+// is not full. Its JSON form is stored; the field names there must stay.
 type CustomerSnapshot struct {
-	Key           uint64  `json:"Key"`
-	Plan          string  `json:"Plan"`
-	FirstGateway  int     `json:"First"`
-	GatewaySpread int     `json:"Spread"`
-	Tokens        float64 `json:"Store"` // units
+	Key           uint64  `json:"Key"`    // hash of the customer's name
+	Plan          string  `json:"Plan"`   // Plan.Name
+	FirstGateway  int     `json:"First"`  // as Request.FirstGateway
+	GatewaySpread int     `json:"Spread"` // as Request.GatewaySpread
+	Tokens        float64 `json:"Store"`  // units in the bucket
 }
 
-// RestoreSnapshot brings back what an earlier process of this gateway remembered, Age ago.
-// It comes before any request.
+// RestoreSnapshot brings back what SaveSnapshot gave an earlier process of this gateway, a time of Age ago.
+// It comes before any request; customers that are known already, or whose plan is not in the settings, are
+// left out. Without it a quota may be granted a second time after a restart.
 type RestoreSnapshot struct {
-	Age       time.Duration
+	Age       time.Duration // below 0 counts as 0
 	Customers []CustomerSnapshot
 }
 
 func (RestoreSnapshot) event() {}
 
-// SaveSnapshot appends what is to outlive the process, of at most so many customers from
-// a place on; next is the place to go on from, 0 where that was all. It changes
-// nothing.
-func (g *Gateway) SaveSnapshot(now time.Duration, from, most int, out []CustomerSnapshot) (
+// SaveSnapshot appends to out what is to outlive the process, of at most limit customers from a
+// position on. The first position is 0; next is the position to go on from, or 0 when that was all.
+// It changes nothing, but like Handle it must not run concurrently with other calls.
+func (g *Gateway) SaveSnapshot(now time.Duration, from, limit int, out []CustomerSnapshot) (
 	list []CustomerSnapshot, next int) {
-	to := min(len(g.customerRing), from+most)
-	for _, c := range g.customerRing[min(from, to):to] {
-		store := min(c.plan.Burst, c.tokens+c.plan.Rate*max(0, now-c.refilledAt).Seconds())
-		if c.plan.Rate > 0 && store < c.plan.Burst-1 {
-			m := CustomerSnapshot{Key: c.key, Plan: c.plan.Name, FirstGateway: c.firstGateway,
-				GatewaySpread: c.requestedSpread, Tokens: store}
-			out = append(out, m)
+	ring := g.customers.ring
+	to := min(len(ring), from+limit)
+	for _, c := range ring[min(from, to):to] {
+		tokens := c.tokensAt(now)
+		if c.plan.Rate > 0 && tokens < c.plan.Burst-1 {
+			out = append(out, c.snapshot(tokens))
 		}
 	}
-	if to == len(g.customerRing) {
+	if to == len(ring) {
 		to = 0
 	}
 	return out, to
 }
 
+// tokensAt estimates the tokens at a time without changing anything.
+func (c *customer) tokensAt(now time.Duration) float64 {
+	refilled := c.plan.Rate * max(0, now-c.refilledAt).Seconds()
+	return min(c.plan.Burst, c.tokens+refilled)
+}
+
+func (c *customer) snapshot(tokens float64) CustomerSnapshot {
+	return CustomerSnapshot{
+		Key:           c.key,
+		Plan:          c.plan.Name,
+		FirstGateway:  c.firstGateway,
+		GatewaySpread: c.requestedSpread,
+		Tokens:        tokens,
+	}
+}
+
 func (g *Gateway) handleRestoreSnapshot(ev RestoreSnapshot) {
-	for _, m := range ev.Customers {
-		plan := g.plans[m.Plan]
-		if plan == nil || g.customers[m.Key] != nil || m.FirstGateway < 0 {
+	for _, saved := range ev.Customers {
+		plan := g.plans[saved.Plan]
+		if plan == nil || g.customers.byKey[saved.Key] != nil || saved.FirstGateway < 0 {
 			continue
 		}
-		c := g.addCustomer(m.Key, plan, m.FirstGateway, m.GatewaySpread)
+		c := g.addCustomer(saved.Key, plan, saved.FirstGateway, saved.GatewaySpread)
 		c.lastRequestAt = g.now
-		c.restoreTokens(m.Tokens, max(0, ev.Age))
+		c.restoreTokens(saved.Tokens, max(0, ev.Age))
 	}
 }
 
-// restoreTokens takes a customer's store as it was some time before this process. It has filled up
-// since, but for what others passed, who will tell. Guards against a quota granted twice after restarts.
-func (c *customer) restoreTokens(store float64, age time.Duration) {
-	c.tokens = min(c.tokens, max(0, store)+c.plan.Rate*age.Seconds())
+// restoreTokens takes the tokens as they were some time ago. The bucket has been refilled since,
+// but for what other gateways admitted, which they will report.
+func (c *customer) restoreTokens(tokens float64, age time.Duration) {
+	c.tokens = min(c.tokens, max(0, tokens)+c.plan.Rate*age.Seconds())
 }
