--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,85 +1,95 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// Action is something a gateway wants done.
+// Action is something that the caller of Handle must carry out, in order. The types of this package that
+// implement it are all there are.
 type Action interface{ action() }
 
-// StartAttempt starts an attempt. Timeout 0 means until the client gives up.
+// StartAttempt starts an attempt of a request at a server. An AttemptResult must follow.
 type StartAttempt struct {
 	ID      RequestID
 	Server  ServerID
-	Timeout time.Duration
+	Timeout time.Duration // 0: until the client gives up
 }
 
-// CancelAttempt stops waiting for an attempt; its Outcome still comes.
+// CancelAttempt stops waiting for an attempt, if it has not ended. Its AttemptResult must still follow.
 type CancelAttempt struct {
 	ID      RequestID
-	Attempt int
+	Attempt int // attempts of a request count from 0
 }
 
-// Reason says why a request was not served. It explains a decision to clients
-// and operators; no decision rests on it.
+// Reason says why a request was not served. It explains a decision to clients and operators; no decision
+// rests on it. The numbers are part of messages between gateways.
 type Reason byte
 
 // The reasons.
 const (
-	ReasonNone              Reason = iota
-	ReasonQuotaExceeded            // the customer's rate quota has no room
-	ReasonInFlightLimit            // its cap on attempts out at once was full for too long
-	ReasonCeilingExceeded          // its hard ceiling has no room
-	ReasonLoadShed                 // the gate lets in only a part, or a repeat gives way to first tries
-	ReasonNoServer                 // no server could take it in time
-	ReasonNoTime                   // too little time was left
-	ReasonNoQuotaLeader            // who keeps the customer's counts did not answer
-	ReasonAttemptsExhausted        // attempts were made and no further one may be
+	ReasonNone Reason = iota
+
+	// ReasonQuotaExceeded: the customer's rate quota does not hold the request's units.
+	ReasonQuotaExceeded
+
+	// ReasonInFlightLimit: the customer's cap on attempts in flight was full for too long.
+	ReasonInFlightLimit
+
+	// ReasonCeilingExceeded: the customer's hard ceiling does not hold the request's units.
+	ReasonCeilingExceeded
+
+	// ReasonLoadShed: a part of the requests is shed, or clients' retries give way to first attempts.
+	ReasonLoadShed
+
+	// ReasonNoServer: no server had room in time.
+	ReasonNoServer
+
+	// ReasonNoTime: too little time was left when the request arrived.
+	ReasonNoTime
+
+	// ReasonNoQuotaLeader: the quota leaders of the customer did not answer.
+	ReasonNoQuotaLeader
+
+	// ReasonAttemptsExhausted: attempts were made, and no further one is allowed.
+	ReasonAttemptsExhausted
 )
 
-// Reject is the final answer that says a retry is harmless.
+// Reject is a final response which promises that a retry is harmless.
 type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration // advice to the client; 0: none
 	Reason     Reason
 }
 
-// Fail is the final answer that promises nothing.
+// Fail is a final response that promises nothing: the request may have run.
 type Fail struct {
 	ID     RequestID
 	Reason Reason
 }
 
-// SetTimer asks for a Timer event after a time.
+// SetTimer requests a TimerFired after a time, early or late by at most Settings.Resolution.
+// Several timers may run with one token.
 type SetTimer struct {
 	Token string
 	After time.Duration
 }
 
-// SendPeerMessage sends at most 256 bytes to another gateway; it may be lost.
+// SendPeerMessage sends at most 256 bytes to another gateway. The message may be lost, delayed or
+// reordered.
 type SendPeerMessage struct {
-	To   int
+	To   int // number of the gateway; below 0: all others
 	Data []byte
 }
 
-// WatchEndpoints asks for the server list and its changes from now on.
+// WatchEndpoints requests the server list, and its changes from now on, as EndpointUpdate events.
 type WatchEndpoints struct{}
 
 // Log writes a line for the operators.
 type Log struct{ Text string }
 
-func (StartAttempt) action() {}
-
-func (CancelAttempt) action() {}
-
-func (Reject) action() {}
-
-func (Fail) action() {}
-
-func (SetTimer) action() {}
-
+func (StartAttempt) action()    {}
+func (CancelAttempt) action()   {}
+func (Reject) action()          {}
+func (Fail) action()            {}
+func (SetTimer) action()        {}
 func (SendPeerMessage) action() {}
-
-func (WatchEndpoints) action() {}
-
-func (Log) action() {}
+func (WatchEndpoints) action()  {}
+func (Log) action()             {}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -35,7 +35,8 @@
 	// load is shed; too long, and overload is noticed late.
 	LatencyObjective time.Duration
 
-	// Deadline is how long a client waits, over all its attempts. It must be above 0.
+	// Deadline is how long a client waits, over all its attempts. It must be above 0. Decisions rest on
+	// Request.Remaining, which is what is left of it.
 	Deadline time.Duration
 
 	// Idempotency decides which failed attempts may be retried. The zero value is Idempotent: a request
@@ -50,8 +51,8 @@
 	// only with IdempotentWithKey; with 0 such a request is never retried once it may have run.
 	DedupWindow time.Duration
 
-	// Streaming says that the response is a stream, whose begin is told by ResponseStarted. Attempts of
-	// other classes that take far too long may be cancelled.
+	// Streaming says that the response is a stream, whose begin is told by ResponseStarted. Its attempts
+	// have no timeout of their own, and once the response has begun they are never taken for stalled.
 	Streaming bool
 }
 
@@ -147,7 +148,8 @@
 	// values today.
 	LoadMetricNames []string
 
-	// ResponseGrace is how long after its deadline a final response still counts as in time.
+	// ResponseGrace is how long after its deadline a final response still counts as in time. No decision
+	// rests on it today: the gateway keeps to the deadline.
 	ResponseGrace time.Duration
 
 	// InitialCapacity is the share of its capacity that a server has at its start. 0: servers are warm at
