--- a/policy/fleet_test.go
+++ b/policy/fleet_size_test.go
@@ -8,18 +8,6 @@
 	"time"
 )
 
-func newFleetMember(t *testing.T, me, n int, mail float64) *Gateway {
-	t.Helper()
-	g, err := New(Settings{SelfIndex: me, Gateways: n, Resolution: time.Millisecond, MaxAttempts: 2, CanCancel: true, CanMessagePeers: true,
-		PeerMessagesPerSecond: mail, MaxRequestUnits: 1, Plans: []Plan{{Name: "p", Rate: 5, Burst: 10, HardRate: 10, HardBurst: 20}},
-		Classes: []Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second}}}, uint64(me)+1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	g.Handle(0, EndpointUpdate{Kind: SnapshotUpdate, Servers: []Server{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}}}, nil)
-	return g
-}
-
 // ceilingShare is the part of the ceiling of a customer that a gateway may grant.
 func ceilingShare(g *Gateway, c *customer) float64 {
 	if g.previousSize.gateways != 0 {
--- a/policy/golden_test.go
+++ b/policy/peer_messages_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/hex"
-	"encoding/json"
 	"reflect"
 	"testing"
 )
@@ -71,26 +70,21 @@
 	}
 }
 
-// Customers are named by the same hashes at all gateways, of whatever build.
-func TestCustomerHashesAreGolden(t *testing.T) {
-	key := customerKey("bibl-a")
-	if want := uint64(0x79ba5150b1712e5c); key != want {
-		t.Errorf("key %#x, want %#x", key, want)
-	}
-	if short, want := customerReportHash(key), uint32(0x79ba51); short != want {
-		t.Errorf("short %#x, want %#x", short, want)
-	}
-}
-
-// A customer's remembered store has exactly these JSON fields.
-func TestSnapshotHasGoldenJSON(t *testing.T) {
-	const golden = `{"Key":17446744073709551557,"Plan":"basic","First":2,"Spread":5,"Store":12.5}`
-	want := CustomerSnapshot{Key: 17446744073709551557, Plan: "basic", FirstGateway: 2, GatewaySpread: 5, Tokens: 12.5}
-	var got CustomerSnapshot
-	if err := json.Unmarshal([]byte(golden), &got); err != nil || got != want {
-		t.Errorf("decoded to %+v, %v", got, err)
-	}
-	if b, err := json.Marshal(want); err != nil || string(b) != golden {
-		t.Errorf("encoded to %s, %v", b, err)
-	}
+func FuzzPeerMessage(f *testing.F) {
+	f.Add((&loadReport{incarnation: 1, sequence: 2, complete: true, servers: []reportedServer{{1, 2}},
+		customers: []reportedCustomer{{hash: 3}, {hash: 5}}}).encode())
+	f.Add([]byte{1})
+	f.Fuzz(func(t *testing.T, b []byte) {
+		w := newHarness(t, baseSettings(), testServers(2))
+		w.request("safe", "hard", "c", 1)
+		w.handle(PeerMessage{From: 1, Data: b})
+		if m, ok := decodeLoadReport(b); ok {
+			if len(b) > maxMessageBytes {
+				t.Fatal("too long")
+			}
+			if m2, ok := decodeLoadReport(m.encode()); !ok || !reflect.DeepEqual(m, m2) {
+				t.Fatal("a report does not survive its own encoding")
+			}
+		}
+	})
 }
--- /dev/null
+++ b/policy/quota_test.go
@@ -0,0 +1,225 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+func TestQuotaBoundsAdmittedUnits(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.receiveReport(1, 1, 1, true)
+	if n := w.admitUnits(40, "rate"); n < 5 || n > 10 {
+		t.Fatalf("%d units passed of a store of 10", n)
+	}
+}
+
+func TestReportedUnitsAreDeducted(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		tell func(w *harness)
+		most int
+	}{
+		{"told", func(w *harness) {
+			w.receiveReport(1, 1, 2, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 8, fill: unknownFill})
+		}, 2},
+		{"repeated", func(w *harness) {
+			for range 3 {
+				w.receiveReport(1, 1, 2, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 4, fill: unknownFill})
+			}
+		}, 6},
+		{"lost, then told", func(w *harness) {
+			w.receiveReport(1, 1, 9, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 8, fill: unknownFill})
+			w.receiveReport(1, 1, 3, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 4, fill: unknownFill})
+		}, 2},
+		{"restarted", func(w *harness) {
+			w.receiveReport(1, 2, 1, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 8, fill: unknownFill})
+		}, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			w := newHarness(t, baseSettings(), testServers(8))
+			w.admitUnits(1, "rate")
+			w.advance(600 * ms)
+			w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), fill: unknownFill})
+			c.tell(w)
+			if n := w.admitUnits(30, "rate"); n > c.most || n == 0 && c.most > 3 {
+				t.Fatalf("%d units passed, at most %d are left", n, c.most)
+			}
+		})
+	}
+}
+
+func TestRestartAdoptsReportedTokens(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.admitUnits(1, "rate")
+	w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 100, fill: 25})
+	if n := w.admitUnits(20, "rate"); n > 1 {
+		t.Fatalf("%d units passed though a peer knows of one", n)
+	}
+}
+
+func TestStalePeerNeitherFreesNorBlocksTheCap(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.admitUnits(1, "open")
+	w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), inFlight: 6, queued: 3, fill: unknownFill})
+	w.advance(3 * time.Second)
+	if n := w.admitUnits(1, "open"); n != 1 {
+		t.Fatal("a silent peer's old count blocks the customer")
+	}
+	_, a := w.request("safe", "open", "c", 1)
+	_, b := w.request("safe", "open", "c", 1)
+	acts := append(append(a, b...), w.advance(100*ms)...)
+	if n := len(actionsOf[StartAttempt](acts)); n > 1 {
+		t.Fatalf("a silent peer's room was freed: %d out", n)
+	}
+}
+
+func TestActualUnitsAreDeducted(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.receiveReport(1, 1, 1, true)
+	s := w.startAttempt("safe", "rate")
+	w.handle(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, ActualUnits: 9})
+	if n := w.admitUnits(5, "rate"); n > 1 {
+		t.Fatalf("%d more passed after 9 of 10 units were settled", n)
+	}
+}
+
+// A peer cut off or never heard leaves this gateway its part, not the whole.
+func TestSilentPeerKeepsItsShare(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	w.admitUnits(1, "rate")
+	w.advance(60 * time.Second)
+	w.admitUnits(10, "rate")
+	n := 0
+	for range 100 {
+		w.advance(100 * ms)
+		n += w.admitUnits(3, "rate")
+	}
+	if n < 50 || n > 85 {
+		t.Fatalf("%d of 100 units passed beside a peer never heard", n)
+	}
+}
+
+// A fleet whose gateways can't tell each other anything: each passes its own part of a
+// quota, also where that holds less than one request, and together they pass no more than
+// the rate and one request for each of them.
+func TestQuotaSharesBelowOneRequest(t *testing.T) {
+	const n = 60
+	for _, c := range []struct {
+		name        string
+		every       int // a request in each such step of 10 ms
+		least, most float64
+	}{{"inside the quota", 20, 0.4 * 100, 100}, {"far above it", 2, 0.8 * 200, 200 + n}} {
+		w := &gatewayFleet{t: t, now: 10 * time.Second, lost: func(int, int) bool { return false }}
+		for i := range n {
+			s := baseSettings()
+			s.SelfIndex, s.Gateways, s.CanMessagePeers, s.PeerMessagesPerSecond, s.MaxRequestUnits = i, n, false, 0, 1
+			g, err := New(s, uint64(i+1))
+			if err != nil {
+				t.Fatal(err)
+			}
+			w.gateways = append(w.gateways, g)
+			w.handle(i, EndpointUpdate{Kind: CachedUpdate, Servers: testServers(20)})
+		}
+		next, step := RequestID(0), 0
+		w.advance(20*time.Second, func(time.Duration) {
+			if step++; step%c.every == 0 {
+				next++
+				w.request(int(next*7919)%n, next, "k", "rate", "safe", n)
+			}
+		})
+		if got := float64(len(w.sends)); got < c.least || got > c.most {
+			t.Errorf("%s: %v of %d passed, %v to %v wanted", c.name, got, next, c.least, c.most)
+		}
+		if w.messages > 0 {
+			t.Errorf("%d messages", w.messages)
+		}
+	}
+}
+
+// A cap on attempts out leaves each gateway that hears none one attempt.
+func TestIsolatedGatewayKeepsOneAttempt(t *testing.T) {
+	s := baseSettings()
+	s.Gateways, s.CanMessagePeers, s.PeerMessagesPerSecond = 60, false, 0
+	g, err := New(s, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	g.Handle(time.Second, EndpointUpdate{Kind: SnapshotUpdate, Servers: testServers(20)}, nil)
+	sends := 0
+	for id := range 3 {
+		for _, a := range g.Handle(time.Second, Request{ID: RequestID(id + 1), Customer: "k", Plan: "open", Class: "safe", Units: 1,
+			Remaining: time.Second, GatewaySpread: 60}, nil) {
+			if _, ok := a.(StartAttempt); ok {
+				sends++
+			}
+		}
+	}
+	if sends != 1 {
+		t.Errorf("%d attempts out", sends)
+	}
+}
+
+func TestPeerAttemptsCountAgainstInFlightCap(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	s := w.startAttempt("safe", "open")
+	w.finishAttempt(s, 0, OK)
+	w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), inFlight: 6, fill: unknownFill})
+	if _, acts := w.request("safe", "open", "c", 1); len(acts) != 0 {
+		t.Fatalf("the peer has 2 out under a cap of 2, yet %v", acts)
+	}
+	w.receiveReport(1, 1, 2, true)
+	if got := actionsOf[StartAttempt](w.advance(100 * ms)); len(got) != 1 {
+		t.Fatalf("the peer has none out, yet %v", got)
+	}
+}
+
+// The sum of the gateways' parts never passes the ceiling, whatever is asked
+// and however often they restart.
+func TestCeilingHoldsOverRestarts(t *testing.T) {
+	s := baseSettings()
+	level, worst := 20.0, 20.0
+	var gs [2]*harness
+	for i := range gs {
+		s.SelfIndex = i
+		gs[i] = newHarness(t, s, testServers(8))
+	}
+	rng := rand.New(rand.NewPCG(1, 1))
+	for i := range 3000 {
+		level = min(20, level+10*0.004)
+		for k, w := range gs {
+			w.now += 4 * ms
+			if i == 1600+200*k || i == 2300+150*k {
+				s.SelfIndex = k
+				n := newHarness(t, s, testServers(8))
+				n.now, n.lastID = w.now, w.lastID
+				g, _ := New(s, uint64(i))
+				n.g = g
+				n.handle(EndpointUpdate{Kind: CachedUpdate, Servers: testServers(8)})
+				gs[k], w = n, n
+			}
+			var acts []Action
+			if i > 1000 && (rng.IntN(2) == k || i%1000 < 300) {
+				_, acts = w.request("safe", "hard", "c", 1)
+				for _, x := range actionsOf[StartAttempt](acts) {
+					level--
+					w.finishAttempt(x, 0, OK)
+				}
+			}
+			if w.now-w.g.tick.lastAt >= w.g.tick.interval {
+				for _, tell := range actionsOf[SendPeerMessage](w.handle(TimerFired{Token: "tick"})) {
+					if rng.IntN(5) > 0 {
+						gs[tell.To].handle(PeerMessage{From: k, Data: tell.Data})
+					}
+				}
+			}
+		}
+		worst = min(worst, level)
+	}
+	if worst < 0 {
+		t.Fatalf("the ceiling's store fell to %.1f", worst)
+	}
+	if worst > 12 {
+		t.Fatalf("the store never fell below %.1f: the test asks for too little", worst)
+	}
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,65 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestRetriesByResultAndIdempotency(t *testing.T) {
+	const (
+		again = iota
+		refused
+		failed
+	)
+	for _, c := range []struct {
+		class string
+		code  ResultCode
+		want  int
+	}{
+		{"safe", Error, again}, {"safe", TimedOut, again}, {"safe", TooLate, refused},
+		{"once", Error, failed}, {"once", TimedOut, failed}, {"once", Rejected, again},
+		{"once", ConnectFailed, again}, {"once", Reset, failed}, {"once", TooLate, refused},
+		{"cell", Error, again}, {"cell", Rejected, again}, {"all", Reset, again},
+	} {
+		t.Run(fmt.Sprint(c.class, c.code), func(t *testing.T) {
+			w := newHarness(t, baseSettings(), testServers(4))
+			s := w.startAttempt(c.class, "free")
+			w.now += 20 * ms
+			acts := w.finishAttempt(s, 0, c.code)
+			sends, ref, fail := actionsOf[StartAttempt](acts), actionsOf[Reject](acts), actionsOf[Fail](acts)
+			got := -1
+			switch {
+			case len(sends) == 1 && len(ref)+len(fail) == 0:
+				got = again
+			case len(ref) == 1 && len(sends)+len(fail) == 0:
+				got = refused
+			case len(fail) == 1 && len(sends)+len(ref) == 0:
+				got = failed
+			}
+			if got != c.want {
+				t.Fatalf("got %v", acts)
+			}
+			if got == again && c.class == "cell" && !c.code.NeverRan() &&
+				(sends[0].Server-1)/2 != (s.Server-1)/2 {
+				t.Fatalf("left the cell: %v then %v", s, sends[0])
+			}
+			if got == again && sends[0].Server == s.Server {
+				t.Fatal("sent to the server that just failed")
+			}
+		})
+	}
+}
+
+func TestKeyedRequestOutsideDedupWindowFails(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(4))
+	w.lastID++
+	acts := w.handle(Request{ID: w.lastID, Customer: "c", Plan: "free", Class: "cell", Units: 1,
+		Remaining: 5 * time.Second, GatewaySpread: 2})
+	s := actionsOf[StartAttempt](acts)[0]
+	w.now += 2100 * ms
+	acts = w.finishAttempt(s, 0, Error)
+	if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[StartAttempt](acts))+len(actionsOf[Reject](acts)) != 0 {
+		t.Fatalf("a keyed request past its window was not failed: %v", acts)
+	}
+}
--- /dev/null
+++ b/policy/settings_test.go
@@ -0,0 +1,29 @@
+package policy
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+func TestNewNamesTheInvalidSetting(t *testing.T) {
+	for key, spoil := range map[string]func(*Settings){
+		"Resolution":                  func(s *Settings) { s.Resolution = 0 },
+		"Plans":                       func(s *Settings) { s.Plans = nil },
+		"Plans[1].Name":               func(s *Settings) { s.Plans[1].Name = "" },
+		"Plans[1].Rate":               func(s *Settings) { s.Plans[1].Rate = -1 },
+		"Classes[0].LatencyObjective": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"SelfIndex":                   func(s *Settings) { s.SelfIndex = 2 },
+	} {
+		s := baseSettings()
+		spoil(&s)
+		_, err := New(s, 1)
+		if err == nil || !strings.Contains(err.Error(), key+":") {
+			t.Errorf("%s: %v", key, err)
+		}
+		var setting *SettingError
+		if !errors.As(err, &setting) || setting.Field != key || setting.Problem == "" {
+			t.Errorf("%s: not a setting error: %#v", key, err)
+		}
+	}
+}
--- /dev/null
+++ b/policy/snapshot_test.go
@@ -0,0 +1,19 @@
+package policy
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// A customer's remembered store has exactly these JSON fields.
+func TestSnapshotHasGoldenJSON(t *testing.T) {
+	const golden = `{"Key":17446744073709551557,"Plan":"basic","First":2,"Spread":5,"Store":12.5}`
+	want := CustomerSnapshot{Key: 17446744073709551557, Plan: "basic", FirstGateway: 2, GatewaySpread: 5, Tokens: 12.5}
+	var got CustomerSnapshot
+	if err := json.Unmarshal([]byte(golden), &got); err != nil || got != want {
+		t.Errorf("decoded to %+v, %v", got, err)
+	}
+	if b, err := json.Marshal(want); err != nil || string(b) != golden {
+		t.Errorf("encoded to %s, %v", b, err)
+	}
+}
