--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -9,7 +9,7 @@
 func TestIdleCustomersAreForgotten(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(2))
 	for i := range 50 {
-		_, acts := w.request("safe", "rate", fmt.Sprint(i), 1)
+		acts := w.request("safe", "rate", fmt.Sprint(i), 1)
 		w.finishAttempt(actionsOf[StartAttempt](acts)[0], 0, OK)
 		w.now += 20 * ms
 	}
@@ -20,7 +20,7 @@
 	}
 	w.advance(2 * time.Minute)
 	if n := len(w.g.customers.byKey) + len(w.g.customers.ring) + len(w.g.customers.byHash) + len(w.g.peers[1].customerViews); n != 4 {
-		t.Fatalf("%d places still name customers, want 4", n)
+		t.Fatalf("%d entries are left of customers, want 4", n)
 	}
 }
 
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// gatewayFleet drives hundreds of gateways by hand, a message taking 20 ms.
+// gatewayFleet drives hundreds of gateways. A message takes 20 ms, an attempt 50 ms.
 type gatewayFleet struct {
 	t         *testing.T
 	now       time.Duration
@@ -13,11 +13,11 @@
 	inTransit []messageInTransit
 	lost      func(from, to int) bool
 
-	messages int // messages, by receiver
+	messages int // one for each receiver
 	sends    []StartAttempt
 	senders  []int
 	sentAt   []time.Duration
-	finished int // sends that have ended
+	finished int // attempts that have ended
 	rejected int
 }
 
@@ -48,7 +48,7 @@
 		switch a := a.(type) {
 		case SendPeerMessage:
 			if len(a.Data) > 256 || a.To >= len(c.gateways) || a.To == i {
-				c.t.Fatalf("gateway %d tells %d %d bytes", i, a.To, len(a.Data))
+				c.t.Fatalf("gateway %d sends %d a message of %d bytes", i, a.To, len(a.Data))
 			}
 			for to := range c.gateways {
 				if to == a.To || a.To < 0 && to != i {
@@ -66,7 +66,7 @@
 	}
 }
 
-// advance lets time go by in steps of 10 ms, each attempt ending well after 50.
+// advance lets time go by in steps of 10 ms, and calls step in each.
 func (c *gatewayFleet) advance(d time.Duration, step func(at time.Duration)) {
 	for end := c.now + d; c.now < end; {
 		c.now += 10 * ms
@@ -98,11 +98,12 @@
 		Remaining: 2 * time.Second, GatewaySpread: spread})
 }
 
-func newFleetMember(t *testing.T, me, n int, mail float64) *Gateway {
+// newFleetMember returns one of n gateways that can receive so many messages a second.
+func newFleetMember(t *testing.T, self, n int, messagesPerSecond float64) *Gateway {
 	t.Helper()
-	g, err := New(Settings{SelfIndex: me, Gateways: n, Resolution: time.Millisecond, MaxAttempts: 2, CanCancel: true, CanMessagePeers: true,
-		PeerMessagesPerSecond: mail, MaxRequestUnits: 1, Plans: []Plan{{Name: "p", Rate: 5, Burst: 10, HardRate: 10, HardBurst: 20}},
-		Classes: []Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second}}}, uint64(me)+1)
+	g, err := New(Settings{SelfIndex: self, Gateways: n, Resolution: time.Millisecond, MaxAttempts: 2, CanCancel: true, CanMessagePeers: true,
+		PeerMessagesPerSecond: messagesPerSecond, MaxRequestUnits: 1, Plans: []Plan{{Name: "p", Rate: 5, Burst: 10, HardRate: 10, HardBurst: 20}},
+		Classes: []Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second}}}, uint64(self)+1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ceilingShare is the part of the ceiling of a customer that a gateway may grant.
+// ceilingShare is the part of a customer's ceiling that a gateway may grant.
 func ceilingShare(g *Gateway, c *customer) float64 {
 	if g.previousSize.gateways != 0 {
 		return 1 / c.ceilingDivisor
@@ -16,135 +16,170 @@
 	return 1 / g.ceilingDivisorIn(c, g.size)
 }
 
-// A fleet changes its size, over the border between reports from all to all and
-// roots or not, again and again; each gateway hears of it at its own time. At no
-// moment do the parts of any ceiling sum to more than the whole, and once all have
-// heard they sum to it again, but for the deputy's where there is none.
+// A fleet changes its size, into leader mode and out of it, again and again; each gateway hears of it at its own
+// time. At no moment do the shares of any ceiling sum to more than the whole, and once all have heard they sum
+// to it again, but for the standby leader's where there is none.
 func TestCeilingSharesNeverExceedTheWhole(t *testing.T) {
 	for seed := range uint64(60) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		mail := []float64{20, 200}[rng.IntN(2)] // with 20, fleets of 9 have roots
-		n := 1 + rng.IntN(14)
-		all := map[int]*Gateway{}
-		names := []string{"a", "b", "c", "d", "e", "f"}
-		spreads := map[string][2]int{}
-		for _, name := range names {
-			spreads[name] = [2]int{rng.IntN(6), 1 + rng.IntN(16)}
-		}
-		enter := func(g *Gateway, name string) *customer {
-			if c := g.customers.byKey[customerKey(name)]; c != nil {
-				return c
-			}
-			return g.addCustomer(customerKey(name), g.plans["p"], spreads[name][0], spreads[name][1])
-		}
-		sums := func(want bool, what string) {
-			t.Helper()
-			for _, name := range names {
-				sum := 0.0
-				for _, g := range all {
-					sum += ceilingShare(g, enter(g, name))
-				}
-				// A customer of one gateway has no deputy: that part is nobody's.
-				if sum > 1+1e-9 || want && sum < 1-standbyCeilingShare-1e-9 {
-					t.Fatalf("seed %d, %s: the parts of %s sum to %v", seed, what, name, sum)
-				}
-			}
-		}
-		for i := range n {
-			all[i] = newFleetMember(t, i, n, mail)
-		}
-		sums(true, "at first")
+		f := newResizingFleet(t, seed)
+		f.check(true, "at first")
 		for change := range 5 {
-			to := 1 + rng.IntN(14)
-			for i := n; i < to; i++ { // those that join start in the middle of the change
-				all[i] = newFleetMember(t, i, to, mail)
-				all[i].Handle(0, FleetResized{Gateways: to, PreviousSize: []int{n, -1}[rng.IntN(2)]}, nil)
-			}
-			for _, i := range rng.Perm(n) {
-				all[i].Handle(time.Second, FleetResized{Gateways: to, PreviousSize: n}, nil)
-				sums(false, fmt.Sprint("change ", change, " from ", n, " to ", to, ", hearing"))
-			}
-			for i := to; i < n; i++ {
-				delete(all, i)
-			}
-			for _, i := range rng.Perm(to) {
-				all[i].Handle(2*time.Second, FleetResized{Gateways: to}, nil)
-				sums(false, fmt.Sprint("change ", change, ", over at some"))
-			}
-			sums(true, fmt.Sprint("change ", change, " over"))
-			n = to
+			f.resize(change, 1+f.rng.IntN(14))
 		}
 	}
 }
 
-// What a gateway knew carries over a change; requests that are held or asked for
-// are answered all the same.
-func TestStateCarriesOverFleetResizes(t *testing.T) {
-	g := newFleetMember(t, 0, 3, 200)
-	id := RequestID(0)
-	ask := func(now time.Duration) (sent, refused int) {
-		id++
-		for _, a := range g.Handle(now, Request{ID: id, Customer: "c", Plan: "p", Class: "lookup", Units: 1, Remaining: 2 * time.Second,
-			FirstGateway: 0, GatewaySpread: 3}, nil) {
-			switch a.(type) {
-			case StartAttempt:
-				sent++
-			case Reject:
-				refused++
-			}
+// resizingFleet is a fleet with some customers, whose gateways hear of a new size one after the other.
+type resizingFleet struct {
+	t                 *testing.T
+	seed              uint64
+	rng               *rand.Rand
+	messagesPerSecond float64
+	size              int
+	gateways          map[int]*Gateway
+	customers         []string
+	spreads           map[string][2]int // first gateway, and number of gateways
+}
+
+func newResizingFleet(t *testing.T, seed uint64) *resizingFleet {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(seed, 1))
+	f := &resizingFleet{
+		t:                 t,
+		seed:              seed,
+		rng:               rng,
+		messagesPerSecond: []float64{20, 200}[rng.IntN(2)], // with 20, fleets of 9 are in leader mode
+		size:              1 + rng.IntN(14),
+		gateways:          map[int]*Gateway{},
+		customers:         []string{"a", "b", "c", "d", "e", "f"},
+		spreads:           map[string][2]int{},
+	}
+	for _, name := range f.customers {
+		f.spreads[name] = [2]int{rng.IntN(6), 1 + rng.IntN(16)}
+	}
+	for i := range f.size {
+		f.gateways[i] = newFleetMember(t, i, f.size, f.messagesPerSecond)
+	}
+	return f
+}
+
+func (f *resizingFleet) customerAt(g *Gateway, name string) *customer {
+	if c := g.customers.byKey[customerKey(name)]; c != nil {
+		return c
+	}
+	return g.addCustomer(customerKey(name), g.plans["p"], f.spreads[name][0], f.spreads[name][1])
+}
+
+// check sums the shares of each ceiling. A customer of one gateway has no standby leader: that share is nobody's.
+func (f *resizingFleet) check(whole bool, what string) {
+	f.t.Helper()
+	for _, name := range f.customers {
+		sum := 0.0
+		for _, g := range f.gateways {
+			sum += ceilingShare(g, f.customerAt(g, name))
 		}
-		return sent, refused
+		if sum > 1+1e-9 || whole && sum < 1-standbyCeilingShare-1e-9 {
+			f.t.Fatalf("seed %d, %s: the shares of %s sum to %v", f.seed, what, name, sum)
+		}
+	}
+}
+
+func (f *resizingFleet) resize(change, size int) {
+	f.t.Helper()
+	before := f.size
+	for i := before; i < size; i++ { // those that join start in the middle of the change
+		f.gateways[i] = newFleetMember(f.t, i, size, f.messagesPerSecond)
+		joined := FleetResized{Gateways: size, PreviousSize: []int{before, -1}[f.rng.IntN(2)]}
+		f.gateways[i].Handle(0, joined, nil)
+	}
+	for _, i := range f.rng.Perm(before) {
+		f.gateways[i].Handle(time.Second, FleetResized{Gateways: size, PreviousSize: before}, nil)
+		f.check(false, fmt.Sprint("change ", change, " from ", before, " to ", size, ", hearing"))
 	}
-	passed := 0
+	for i := size; i < before; i++ {
+		delete(f.gateways, i)
+	}
+	for _, i := range f.rng.Perm(size) {
+		f.gateways[i].Handle(2*time.Second, FleetResized{Gateways: size}, nil)
+		f.check(false, fmt.Sprint("change ", change, ", over at some"))
+	}
+	f.check(true, fmt.Sprint("change ", change, " over"))
+	f.size = size
+}
+
+// What a gateway knew carries over a change; requests that are queued, or wait for a lease, are answered all the
+// same.
+func TestStateCarriesOverFleetResizes(t *testing.T) {
+	m := &memberDriver{g: newFleetMember(t, 0, 3, 200), owed: map[RequestID]bool{}}
+	g := m.g
+	admitted := 0
 	for i := range 10 {
-		s, _ := ask(10*time.Second + time.Duration(i)*time.Millisecond)
-		passed += s
+		now := 10*time.Second + time.Duration(i)*time.Millisecond
+		admitted += len(actionsOf[StartAttempt](m.request(now, "c", 0, 3)))
 	}
 	c := g.customers.byKey[customerKey("c")]
-	store := c.tokens
+	tokens := c.tokens
 	g.Handle(10*time.Second+20*time.Millisecond, FleetResized{Gateways: 4, PreviousSize: 3}, nil)
-	if c.tokens < store || c.tokens > store+1 || c.admittedUnits != uint16(passed) || len(c.peerViews) != 2 {
-		t.Errorf("store %v, was %v; passed %d of %d; %d views", c.tokens, store, c.admittedUnits, passed, len(c.peerViews))
+	if c.tokens < tokens || c.tokens > tokens+1 || c.admittedUnits != uint16(admitted) || len(c.peerViews) != 2 {
+		t.Errorf("tokens %v, was %v; admitted %d of %d; %d views", c.tokens, tokens, c.admittedUnits, admitted, len(c.peerViews))
 	}
 	if c.ceilingDivisor != 3 {
-		t.Errorf("part 1/%v", c.ceilingDivisor)
-	}
-	// Into a fleet with roots and back, with requests out at roots: each ends.
-	owed := map[RequestID]bool{}
-	now := 11 * time.Second
-	carry := func(acts []Action) {
-		for _, a := range acts {
-			switch a := a.(type) {
-			case StartAttempt:
-				delete(owed, a.ID)
-				g.Handle(now, AttemptResult{ID: a.ID, Server: a.Server, Code: OK, Latency: time.Millisecond, Answered: true}, nil)
-			case Reject:
-				delete(owed, a.ID)
-			case Fail:
-				delete(owed, a.ID)
-			}
-		}
+		t.Errorf("share 1/%v", c.ceilingDivisor)
 	}
+	// Into leader mode and back, with requests that wait for a lease: each ends.
+	m.now = 11 * time.Second
 	for _, n := range []int{400, 4, 400, 1, 4} {
-		for range 20 {
-			id++
-			owed[id] = true
-			now += 5 * time.Millisecond
-			carry(g.Handle(now, Request{ID: id, Customer: fmt.Sprint("c", id%7), Plan: "p", Class: "lookup", Units: 1,
-				Remaining: 2 * time.Second, FirstGateway: 2, GatewaySpread: 8}, nil))
-		}
-		carry(g.Handle(now, FleetResized{Gateways: n, PreviousSize: g.size.gateways}, nil))
-		for range 100 {
-			now += 25 * time.Millisecond
-			carry(g.Handle(now, TimerFired{Token: "tick"}, nil))
-			carry(g.Handle(now, TimerFired{Token: "ask"}, nil))
-		}
-		carry(g.Handle(now, FleetResized{Gateways: n}, nil))
-		if len(owed) > 0 {
-			t.Fatalf("at %d gateways: %d requests without an answer", n, len(owed))
+		m.resize(n)
+		if len(m.owed) > 0 {
+			t.Fatalf("at %d gateways: %d requests without a response", n, len(m.owed))
 		}
 	}
 	if math.IsInf(c.ceilingDivisor, 1) || c.ceilingDivisor <= 0 {
-		t.Errorf("part 1/%v", c.ceilingDivisor)
+		t.Errorf("share 1/%v", c.ceilingDivisor)
+	}
+}
+
+// memberDriver drives one gateway of a fleet whose size changes, with servers that answer at once.
+type memberDriver struct {
+	g      *Gateway
+	now    time.Duration
+	lastID RequestID
+	owed   map[RequestID]bool // a final response
+}
+
+func (m *memberDriver) request(now time.Duration, customer string, firstGateway, spread int) []Action {
+	m.lastID++
+	return m.g.Handle(now, Request{ID: m.lastID, Customer: customer, Plan: "p", Class: "lookup", Units: 1,
+		Remaining: 2 * time.Second, FirstGateway: firstGateway, GatewaySpread: spread}, nil)
+}
+
+// resize sends requests, changes the size and lets time go by until all are over.
+func (m *memberDriver) resize(size int) {
+	for range 20 {
+		m.now += 5 * time.Millisecond
+		m.owed[m.lastID+1] = true
+		m.settle(m.request(m.now, fmt.Sprint("c", (m.lastID+1)%7), 2, 8))
+	}
+	m.settle(m.g.Handle(m.now, FleetResized{Gateways: size, PreviousSize: m.g.size.gateways}, nil))
+	for range 100 {
+		m.now += 25 * time.Millisecond
+		m.settle(m.g.Handle(m.now, TimerFired{Token: "tick"}, nil))
+		m.settle(m.g.Handle(m.now, TimerFired{Token: "ask"}, nil))
+	}
+	m.settle(m.g.Handle(m.now, FleetResized{Gateways: size}, nil))
+}
+
+// settle strikes off the requests that are answered.
+func (m *memberDriver) settle(actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case StartAttempt:
+			delete(m.owed, a.ID)
+			m.g.Handle(m.now, AttemptResult{ID: a.ID, Server: a.Server, Code: OK, Latency: time.Millisecond, Answered: true}, nil)
+		case Reject:
+			delete(m.owed, a.ID)
+		case Fail:
+			delete(m.owed, a.ID)
+		}
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -7,7 +7,13 @@
 
 const ms = time.Millisecond
 
-// harness drives gateways by hand: it keeps the clock and remembers actions.
+// testCustomer is the customer of most requests, and testPeer the other gateway of a harness.
+const (
+	testCustomer = "c"
+	testPeer     = 1
+)
+
+// harness drives one gateway of two: it keeps the clock and numbers the requests.
 type harness struct {
 	t      *testing.T
 	g      *Gateway
@@ -15,6 +21,7 @@
 	lastID RequestID
 }
 
+// baseSettings has a class of each kind of idempotency and a plan of each kind of quota.
 func baseSettings() Settings {
 	return Settings{SelfIndex: 0, Gateways: 2, Zone: "a", Resolution: 2 * ms, MaxAttempts: 5, CanCancel: true,
 		CanMessagePeers: true, PeerMessagesPerSecond: 60, MaxRequestUnits: 4, MaxRetryAfter: 500 * ms,
@@ -37,6 +44,7 @@
 		ColdOverloadTime: time.Second}
 }
 
+// testServers lists n servers of one zone, two in each cell.
 func testServers(n int) []Server {
 	var l []Server
 	for i := range n {
@@ -56,6 +64,17 @@
 	return w
 }
 
+// restart replaces the gateway by a new one that remembers nothing.
+func (w *harness) restart(s Settings, seed uint64) {
+	w.t.Helper()
+	g, err := New(s, seed)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	w.g = g
+	w.handle(EndpointUpdate{Kind: CachedUpdate, Servers: testServers(8)})
+}
+
 func (w *harness) handle(ev Event) []Action { return w.g.Handle(w.now, ev, nil) }
 
 // advance lets time go by, with the gateway's ticks, and returns what was done.
@@ -67,50 +86,52 @@
 	return acts
 }
 
-func (w *harness) request(class, plan, customer string, units float64) (RequestID, []Action) {
+// request sends a request and returns what was done.
+func (w *harness) request(class, plan, customer string, units float64) []Action {
 	w.lastID++
-	return w.lastID, w.handle(Request{ID: w.lastID, Customer: customer, Plan: plan, Class: class, Units: units,
+	return w.handle(Request{ID: w.lastID, Customer: customer, Plan: plan, Class: class, Units: units,
 		Remaining: 2 * time.Second, GatewaySpread: 2})
 }
 
+// startAttempt sends a request that must lead to an attempt at once.
 func (w *harness) startAttempt(class, plan string) StartAttempt {
 	w.t.Helper()
-	_, acts := w.request(class, plan, "c", 1)
+	acts := w.request(class, plan, testCustomer, 1)
 	s := actionsOf[StartAttempt](acts)
 	if len(s) != 1 {
-		w.t.Fatalf("want one Send, got %v", acts)
+		w.t.Fatalf("want one attempt, got %v", acts)
 	}
 	return s[0]
 }
 
+// finishAttempt gives the gateway the result of an attempt.
 func (w *harness) finishAttempt(s StartAttempt, attempt int, code ResultCode) []Action {
 	return w.handle(AttemptResult{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
 		Answered: code == OK})
 }
 
-// admitUnits asks for n requests of one unit and counts those passed.
+// admitUnits sends n requests of one unit and counts those admitted.
 func (w *harness) admitUnits(n int, plan string) int {
-	passed := 0
+	admitted := 0
 	for range n {
-		_, acts := w.request("safe", plan, "c", 1)
+		acts := w.request("safe", plan, testCustomer, 1)
 		for _, s := range actionsOf[StartAttempt](acts) {
-			passed++
+			admitted++
 			w.finishAttempt(s, 0, OK)
 		}
 	}
-	return passed
+	return admitted
 }
 
-// receiveReport gives a gateway a peer's report.
-func (w *harness) receiveReport(from int, inc, seq uint32, complete bool, entries ...reportedCustomer) {
-	m := loadReport{incarnation: inc, sequence: seq, complete: complete, customers: entries}
-	w.handle(PeerMessage{From: from, Data: m.encode()})
+// receiveReport gives the gateway a complete report of the test peer.
+func (w *harness) receiveReport(incarnation, sequence uint32, customers ...reportedCustomer) {
+	m := loadReport{incarnation: incarnation, sequence: sequence, complete: true, customers: customers}
+	w.handle(PeerMessage{From: testPeer, Data: m.encode()})
 }
 
-func reportHashOf(name string) uint32 {
-	return customerReportHash(customerKey(name))
-}
+func testCustomerHash() uint32 { return customerReportHash(customerKey(testCustomer)) }
 
+// actionsOf returns the actions of one type.
 func actionsOf[T Action](acts []Action) (l []T) {
 	for _, a := range acts {
 		if x, ok := a.(T); ok {
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Hundreds of gateways, each seeing few requests of a customer that asks five
-// times its quota, pass no more than the quota together and leave little of it
-// unused, with a few messages a request.
+// Hundreds of gateways, each with few requests of a customer that requests five times its
+// quota, together admit no more than the quota and leave little of it unused, with a few
+// messages for each request.
 func TestHundredsOfGatewaysKeepTheQuota(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -15,64 +15,64 @@
 		lost  int // a message in so many is lost
 		least int
 	}{
-		{"far above", 2, 1 << 30, 85}, {"far above, mail lost", 2, 12, 85}, {"inside", 20, 1 << 30, 50},
+		{"far above", 2, 1 << 30, 85}, {"far above, messages lost", 2, 12, 85}, {"inside", 20, 1 << 30, 50},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newGatewayFleet(t, 300, testServers(40))
 			n := 0
 			w.lost = func(int, int) bool { n++; return n%c.lost == 0 }
-			asked := 0
+			requested := 0
 			w.advance(10*time.Second, func(at time.Duration) {
 				if int(at/ms/10)%c.every == 0 && at < 19*time.Second {
-					asked++
-					w.request(asked*37%200, RequestID(asked), "k", "rate", "safe", 200)
+					requested++
+					w.request(requested*37%200, RequestID(requested), "k", "rate", "safe", 200)
 				}
 			})
-			passed := len(w.sends)
-			if most := 10 + 10*10; passed > most*23/20 || passed < min(c.least, asked) {
-				t.Errorf("%d of %d passed, the quota holds %d", passed, asked, most)
+			admitted := len(w.sends)
+			if most := 10 + 10*10; admitted > most*23/20 || admitted < min(c.least, requested) {
+				t.Errorf("%d of %d admitted, the quota holds %d", admitted, requested, most)
 			}
-			if passed+w.rejected != asked {
-				t.Errorf("%d passed and %d refused of %d", passed, w.rejected, asked)
+			if admitted+w.rejected != requested {
+				t.Errorf("%d admitted and %d rejected of %d", admitted, w.rejected, requested)
 			}
-			if w.messages > 6*asked {
-				t.Errorf("%d messages for %d requests", w.messages, asked)
+			if w.messages > 6*requested {
+				t.Errorf("%d messages for %d requests", w.messages, requested)
 			}
 		})
 	}
 }
 
-// A root that answers nothing must not stop its customers: the deputy counts
-// for it.
+// A leader that answers nothing must not stop its customers: the standby leader grants in its
+// place.
 func TestStandbyLeaderGrantsWhenLeaderIsLost(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(20))
 	c := w.gateways[0].addCustomer(customerKey("k"), w.gateways[0].plans["rate"], 0, 50)
-	roots, deputy := w.gateways[0].quotaLeaders(c, w.gateways[0].size)
-	w.lost = func(from, to int) bool { return to == roots[0] || from == roots[0] }
-	asked := 0
+	leaders, standby := w.gateways[0].quotaLeaders(c, w.gateways[0].size)
+	w.lost = func(from, to int) bool { return to == leaders[0] || from == leaders[0] }
+	requested := 0
 	w.advance(8*time.Second, func(at time.Duration) {
-		if i := asked * 7 % 50; int(at/ms/10)%5 == 0 && at < 17*time.Second && i != roots[0] {
-			w.request(i, RequestID(asked+1), "k", "rate", "safe", 50)
+		if i := requested * 7 % 50; int(at/ms/10)%5 == 0 && at < 17*time.Second && i != leaders[0] {
+			w.request(i, RequestID(requested+1), "k", "rate", "safe", 50)
 		}
-		asked++
+		requested++
 	})
 	if n := len(w.sends); n < 45 || n > 120 {
-		t.Errorf("%d passed with root %v lost and deputy %d, the quota holds 90", n, roots, deputy)
+		t.Errorf("%d admitted with leader %v lost and standby %d, the quota holds 90", n, leaders, standby)
 	}
 }
 
-// An ask that comes twice counts once, and is answered twice: the first answer
+// A lease request that comes again is charged once and answered each time: the first response
 // may be lost.
 func TestRepeatedLeaseRequestIsChargedOnce(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(10))
 	c := w.gateways[0].addCustomer(customerKey("k"), w.gateways[0].plans["rate"], 0, 50)
-	roots, _ := w.gateways[0].quotaLeaders(c, w.gateways[0].size)
+	leaders, _ := w.gateways[0].quotaLeaders(c, w.gateways[0].size)
 	m := leaseRequest{Customer: customerKey("k"), GatewaySpread: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, Chance: 250, Fill: unknownFill}.encode()
 	for range 3 {
-		w.handle(roots[0], PeerMessage{From: 99, Data: m})
+		w.handle(leaders[0], PeerMessage{From: 99, Data: m})
 	}
-	if got := w.gateways[roots[0]].customers.byKey[customerKey("k")].admittedUnits; got != 4 || w.messages != 3 {
-		t.Errorf("%d units counted, %d answers", got, w.messages)
+	if got := w.gateways[leaders[0]].customers.byKey[customerKey("k")].admittedUnits; got != 4 || w.messages != 3 {
+		t.Errorf("%d units charged, %d responses", got, w.messages)
 	}
 }
 
@@ -81,9 +81,9 @@
 func TestLeaseTimerMayFireEarly(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(10))
 	c := w.gateways[0].addCustomer(customerKey("k"), w.gateways[0].plans["rate"], 0, 50)
-	roots, deputy := w.gateways[0].quotaLeaders(c, w.gateways[0].size)
+	leaders, standby := w.gateways[0].quotaLeaders(c, w.gateways[0].size)
 	i := 0
-	for i == roots[0] || i == deputy {
+	for i == leaders[0] || i == standby {
 		i++
 	}
 	acts := w.gateways[i].Handle(w.now, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 1,
@@ -94,43 +94,43 @@
 	}
 	acts = w.gateways[i].Handle(w.now+timers[0].After-time.Microsecond/2, TimerFired{Token: "ask"}, nil)
 	if len(actionsOf[SendPeerMessage](acts)) != 1 || len(actionsOf[SetTimer](acts)) != 1 {
-		t.Errorf("not asked again: %v", acts)
+		t.Errorf("no second lease request: %v", acts)
 	}
 }
 
-// Gateways that hear no root at all are cut off: customers far below their quotas go on
-// being served there, within them, and without waiting for asks that nobody answers. Where
-// a part of the mail is lost the roots are flooded, and few pass unheard.
+// Gateways that hear no leader at all are isolated: customers far below their quotas go on being
+// served there, without waiting for responses. Where a part of the messages is lost the leaders
+// are flooded, and few requests are admitted unheard.
 func TestIsolatedGatewaysKeepServing(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		lost        int // of four messages
 		least, most float64
-	}{{"cut off", 4, 0.7, 1}, {"flooded", 3, 0, 0.75}} {
+	}{{"isolated", 4, 0.7, 1}, {"flooded", 3, 0, 0.75}} {
 		w := newGatewayFleet(t, 60, testServers(20))
-		id, cut := 0, false
-		w.lost = func(int, int) bool { id += 7919; return cut && id/7919%4 < c.lost }
-		asked, next := 0, RequestID(0)
+		sent, lossy := 0, false
+		w.lost = func(int, int) bool { sent++; return lossy && sent%4 < c.lost }
+		requested, next := 0, RequestID(0)
 		load := func(at time.Duration) {
 			if at/ms%100 != 0 {
 				return
 			}
 			for i := 50; i < 53; i++ {
 				next++
-				asked++
+				requested++
 				w.request(i, next, "k"+string(rune('a'+next%20)), "rate", "safe", 60)
 			}
 		}
 		w.advance(3*time.Second, load)
-		cut = true
+		lossy = true
 		w.advance(4*time.Second, load)
-		asked = 0
+		requested = 0
 		before := len(w.sends)
 		w.advance(4*time.Second, load)
 		w.advance(time.Second, nil)
-		got := float64(len(w.sends)-before) / float64(asked)
+		got := float64(len(w.sends)-before) / float64(requested)
 		if got < c.least || got > c.most {
-			t.Errorf("%s: %.2f of what was asked far inside the quotas passed; %.2f to %.2f wanted", c.name, got, c.least, c.most)
+			t.Errorf("%s: %.2f of what was requested far inside the quotas was admitted; %.2f to %.2f wanted", c.name, got, c.least, c.most)
 		}
 	}
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// When all servers fail alike, verdicts against them are not heeded.
+// When all servers fail alike, ejections are ignored.
 func TestSharedFailureEjectsNobody(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(9))
 	late := map[ServerID]int{}
@@ -60,7 +60,7 @@
 
 func TestHungServerIsAvoided(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(6))
-	called, late := 0, 0
+	cancelled, late := 0, 0
 	for i := range 300 {
 		s := w.startAttempt("safe", "free")
 		if s.Server != 1 {
@@ -70,15 +70,15 @@
 		}
 		for _, a := range w.advance(25 * ms) {
 			if c, ok := a.(CancelAttempt); ok {
-				called++
+				cancelled++
 				for _, s := range actionsOf[StartAttempt](w.handle(AttemptResult{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
 					w.finishAttempt(s, c.Attempt+1, OK)
 				}
 			}
 		}
 	}
-	if called == 0 || late > 6 {
-		t.Fatalf("%d called back, %d sent later on", called, late)
+	if cancelled == 0 || late > 6 {
+		t.Fatalf("%d cancelled, %d sent later on", cancelled, late)
 	}
 }
 
@@ -87,12 +87,12 @@
 	s := w.startAttempt("stream", "free")
 	w.handle(ResponseStarted{ID: s.ID, Server: s.Server})
 	if acts := w.advance(10 * time.Second); len(actionsOf[CancelAttempt](acts))+len(actionsOf[Fail](acts))+len(actionsOf[Reject](acts)) > 0 {
-		t.Fatal("a begun stream was ended")
+		t.Fatal("a started stream was ended")
 	}
 }
 
-// A watcher hears of one class failing on a server and tells all; the other
-// classes still go there.
+// A monitor hears that one class fails on a server and reports it to all; the other classes still go
+// there.
 func TestMonitorEjectsOneClass(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(10))
 	s := w.gateways[0].endpoints.byID[3]
@@ -131,16 +131,15 @@
 	}
 }
 
-// The watcher may be lost with the server: one that can't be reached is told
-// to a second.
+// The monitor may be lost with the server: one that cannot be reached is reported to a second one.
 func TestSecondMonitorReportsUnreachableServer(t *testing.T) {
 	w := newGatewayFleet(t, 100, testServers(10))
 	s := w.gateways[0].endpoints.byID[3]
 	w.lost = func(from, to int) bool { return from == s.monitors[0] || to == s.monitors[0] }
-	cl := w.gateways[70].classes["safe"]
+	class := w.gateways[70].classes["safe"]
 	for range 6 {
 		w.gateways[70].now, w.gateways[70].actions = w.now, nil
-		w.gateways[70].reportOutcome(w.gateways[70].endpoints.byID[3], cl, ConnectFailed, 250*ms)
+		w.gateways[70].reportOutcome(w.gateways[70].endpoints.byID[3], class, ConnectFailed, 250*ms)
 		acts := w.gateways[70].actions
 		for _, a := range actionsOf[SendPeerMessage](acts) {
 			if a.To == s.monitors[1] {
@@ -149,13 +148,13 @@
 		}
 	}
 	w.advance(100*ms, nil)
-	if v := w.gateways[20].endpoints.byID[3].healthFor(cl); !v.ejected {
+	if v := w.gateways[20].endpoints.byID[3].healthFor(class); !v.ejected {
 		t.Error("a gateway far off has not heard of it")
 	}
 }
 
-// A cold server's longer latency is its coldness: its watcher must not take it for a slow
-// one beyond that.
+// A server that warms up has longer latencies: its monitor must not take it for a slow one beyond
+// that.
 func TestMonitorAllowsForWarmup(t *testing.T) {
 	servers := testServers(20)
 	servers[0].HasStartTime, servers[0].StartedAt = true, 10*time.Second
@@ -166,6 +165,6 @@
 		g.observeOutcome(s, 0, OK, time.Duration(g.classes["safe"].idleLatency/g.warmFraction(s)*float64(time.Second)))
 	}
 	if s.observedRatio > 1.2 || s.observedRatio < 0.8 {
-		t.Errorf("a pace of %.2f", s.observedRatio)
+		t.Errorf("a latency ratio of %.2f", s.observedRatio)
 	}
 }
--- a/policy/peer_messages_test.go
+++ b/policy/peer_messages_test.go
@@ -12,26 +12,26 @@
 		name, bytes string
 		message     peerMessage
 	}{
-		{"ask", "0300" + "0102030405060708" + "1112" + "2122" + "31" + "32" + "4142" + "5152" + "61626364" + "71" + "72" + "01",
+		{"lease request of a retry", "0300" + "0102030405060708" + "1112" + "2122" + "31" + "32" + "4142" + "5152" + "61626364" + "71" + "72" + "01",
 			leaseRequest{Customer: 0x0102030405060708, FirstGateway: 0x1112, GatewaySpread: 0x2122, Plan: 0x31, Class: 0x32, Units: 0x4142, RemainingMS: 0x5152,
 				Tag: 0x61626364, Chance: 0x71, Fill: 0x72, ClientRetry: true}},
-		{"ask for a first try", "0300" + "0102030405060708" + "1112" + "2122" + "31" + "32" + "4142" + "5152" + "61626364" + "71" + "72" + "00",
+		{"lease request", "0300" + "0102030405060708" + "1112" + "2122" + "31" + "32" + "4142" + "5152" + "61626364" + "71" + "72" + "00",
 			leaseRequest{Customer: 0x0102030405060708, FirstGateway: 0x1112, GatewaySpread: 0x2122, Plan: 0x31, Class: 0x32, Units: 0x4142, RemainingMS: 0x5152,
 				Tag: 0x61626364, Chance: 0x71, Fill: 0x72}},
-		{"answer", "0301" + "01020304" + "05" + "06" + "07" + "08", leaseResponse{Tag: 0x01020304, Decision: 5, Fill: 6, Overload: 7, AdmittedShare: 8}},
-		{"ended", "0302" + "0102030405060708" + "11121314" + "00", leaseReturn{Customer: 0x0102030405060708, Tag: 0x11121314}},
-		{"ended, unused", "0302" + "0102030405060708" + "11121314" + "01",
+		{"lease response", "0301" + "01020304" + "05" + "06" + "07" + "08", leaseResponse{Tag: 0x01020304, Decision: 5, Fill: 6, Overload: 7, AdmittedShare: 8}},
+		{"lease return", "0302" + "0102030405060708" + "11121314" + "00", leaseReturn{Customer: 0x0102030405060708, Tag: 0x11121314}},
+		{"lease return, unused", "0302" + "0102030405060708" + "11121314" + "01",
 			leaseReturn{Customer: 0x0102030405060708, Tag: 0x11121314, Unused: true}},
-		{"sight", "0303" + "01020304" + "05" + "06" + "0708", outcomeReport{Server: 0x01020304, Class: 5, Code: 6, LatencyMS: 0x0708}},
-		{"verdict", "0304" + "01020304" + "05" + "06", outlierReport{Server: 0x01020304, EjectedClasses: 5, LatencyRatio: 6}},
-		{"report", "04" + "01020304" + "11121314" + "01" + "02" + // header, 2 servers
-			"2465" + "ffff" + // hashes of 11 bits, attempts out of 5 bits
+		{"outcome report", "0303" + "01020304" + "05" + "06" + "0708", outcomeReport{Server: 0x01020304, Class: 5, Code: 6, LatencyMS: 0x0708}},
+		{"outlier report", "0304" + "01020304" + "05" + "06", outlierReport{Server: 0x01020304, EjectedClasses: 5, LatencyRatio: 6}},
+		{"load report", "04" + "01020304" + "11121314" + "01" + "02" + // header, 2 servers
+			"2465" + "ffff" + // hashes of 11 bits, attempts in flight of 5 bits
 			"a1a2a3" + "4c" + "5152" + "61" + "fa" + // a customer
 			"b1b2b3" + "f0" + "0001" + "7f" + "ff",
 			loadReport{incarnation: 0x01020304, sequence: 0x11121314, complete: true, servers: []reportedServer{{hash: 0x123, inFlight: 5}, {hash: 0x7ff, inFlight: 31}},
 				customers: []reportedCustomer{{hash: 0xa1a2a3, inFlight: 4, queued: 12, admittedUnits: 0x5152, demand: 0x61, fill: 250},
 					{hash: 0xb1b2b3, inFlight: 15, queued: 0, admittedUnits: 1, demand: maxReportedDemand, fill: unknownFill}}}},
-		{"report, cut short by its size", "04" + "01020304" + "11121314" + "00" + "00",
+		{"load report, cut short by its size", "04" + "01020304" + "11121314" + "00" + "00",
 			loadReport{incarnation: 0x01020304, sequence: 0x11121314}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -55,13 +55,13 @@
 		name      string
 		got, want int
 	}{
-		{"verdict granted", int(leaseGranted), 0}, {"verdict refused", int(leaseRejected), 1}, {"verdict waits", int(leaseQueued), 2},
-		{"shift of the reason in a verdict", reasonShift, 2},
-		{"NoReason", int(ReasonNone), 0}, {"OverQuota", int(ReasonQuotaExceeded), 1}, {"OverCap", int(ReasonInFlightLimit), 2}, {"OverHard", int(ReasonCeilingExceeded), 3},
-		{"Shed", int(ReasonLoadShed), 4}, {"NoServer", int(ReasonNoServer), 5}, {"NoTime", int(ReasonNoTime), 6}, {"NoRoot", int(ReasonNoQuotaLeader), 7},
-		{"Attempted", int(ReasonAttemptsExhausted), 8},
-		{"OK", int(OK), 0}, {"Error", int(Error), 1}, {"Full", int(Rejected), 2}, {"TimedOut", int(TimedOut), 3},
-		{"ConnectFailed", int(ConnectFailed), 4}, {"Reset", int(Reset), 5}, {"Cancelled", int(Cancelled), 6}, {"Moot", int(TooLate), 7},
+		{"lease granted", int(leaseGranted), 0}, {"lease rejected", int(leaseRejected), 1}, {"lease queued", int(leaseQueued), 2},
+		{"shift of the reason in a decision", reasonShift, 2},
+		{"ReasonNone", int(ReasonNone), 0}, {"ReasonQuotaExceeded", int(ReasonQuotaExceeded), 1}, {"ReasonInFlightLimit", int(ReasonInFlightLimit), 2}, {"ReasonCeilingExceeded", int(ReasonCeilingExceeded), 3},
+		{"ReasonLoadShed", int(ReasonLoadShed), 4}, {"ReasonNoServer", int(ReasonNoServer), 5}, {"ReasonNoTime", int(ReasonNoTime), 6}, {"ReasonNoQuotaLeader", int(ReasonNoQuotaLeader), 7},
+		{"ReasonAttemptsExhausted", int(ReasonAttemptsExhausted), 8},
+		{"OK", int(OK), 0}, {"Error", int(Error), 1}, {"Rejected", int(Rejected), 2}, {"TimedOut", int(TimedOut), 3},
+		{"ConnectFailed", int(ConnectFailed), 4}, {"Reset", int(Reset), 5}, {"Cancelled", int(Cancelled), 6}, {"TooLate", int(TooLate), 7},
 		{"Running", int(Running), 0}, {"Draining", int(Draining), 1}, {"Removed", int(Removed), 2},
 	} {
 		if c.got != c.want {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -8,42 +8,42 @@
 
 func TestQuotaBoundsAdmittedUnits(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(8))
-	w.receiveReport(1, 1, 1, true)
+	w.receiveReport(1, 1)
 	if n := w.admitUnits(40, "rate"); n < 5 || n > 10 {
-		t.Fatalf("%d units passed of a store of 10", n)
+		t.Fatalf("%d units admitted of a bucket of 10", n)
 	}
 }
 
 func TestReportedUnitsAreDeducted(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		tell func(w *harness)
-		most int
+		name   string
+		report func(w *harness)
+		most   int
 	}{
-		{"told", func(w *harness) {
-			w.receiveReport(1, 1, 2, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 8, fill: unknownFill})
+		{"reported", func(w *harness) {
+			w.receiveReport(1, 2, reportedCustomer{hash: testCustomerHash(), admittedUnits: 8, fill: unknownFill})
 		}, 2},
 		{"repeated", func(w *harness) {
 			for range 3 {
-				w.receiveReport(1, 1, 2, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 4, fill: unknownFill})
+				w.receiveReport(1, 2, reportedCustomer{hash: testCustomerHash(), admittedUnits: 4, fill: unknownFill})
 			}
 		}, 6},
-		{"lost, then told", func(w *harness) {
-			w.receiveReport(1, 1, 9, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 8, fill: unknownFill})
-			w.receiveReport(1, 1, 3, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 4, fill: unknownFill})
+		{"lost, then reported", func(w *harness) {
+			w.receiveReport(1, 9, reportedCustomer{hash: testCustomerHash(), admittedUnits: 8, fill: unknownFill})
+			w.receiveReport(1, 3, reportedCustomer{hash: testCustomerHash(), admittedUnits: 4, fill: unknownFill})
 		}, 2},
 		{"restarted", func(w *harness) {
-			w.receiveReport(1, 2, 1, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 8, fill: unknownFill})
+			w.receiveReport(2, 1, reportedCustomer{hash: testCustomerHash(), admittedUnits: 8, fill: unknownFill})
 		}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newHarness(t, baseSettings(), testServers(8))
 			w.admitUnits(1, "rate")
 			w.advance(600 * ms)
-			w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), fill: unknownFill})
-			c.tell(w)
+			w.receiveReport(1, 1, reportedCustomer{hash: testCustomerHash(), fill: unknownFill})
+			c.report(w)
 			if n := w.admitUnits(30, "rate"); n > c.most || n == 0 && c.most > 3 {
-				t.Fatalf("%d units passed, at most %d are left", n, c.most)
+				t.Fatalf("%d units admitted, at most %d are left", n, c.most)
 			}
 		})
 	}
@@ -52,39 +52,39 @@
 func TestRestartAdoptsReportedTokens(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(8))
 	w.admitUnits(1, "rate")
-	w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), admittedUnits: 100, fill: 25})
+	w.receiveReport(1, 1, reportedCustomer{hash: testCustomerHash(), admittedUnits: 100, fill: 25})
 	if n := w.admitUnits(20, "rate"); n > 1 {
-		t.Fatalf("%d units passed though a peer knows of one", n)
+		t.Fatalf("%d units admitted though a peer knows of one", n)
 	}
 }
 
 func TestStalePeerNeitherFreesNorBlocksTheCap(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(8))
 	w.admitUnits(1, "open")
-	w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), inFlight: 6, queued: 3, fill: unknownFill})
+	w.receiveReport(1, 1, reportedCustomer{hash: testCustomerHash(), inFlight: 6, queued: 3, fill: unknownFill})
 	w.advance(3 * time.Second)
 	if n := w.admitUnits(1, "open"); n != 1 {
-		t.Fatal("a silent peer's old count blocks the customer")
+		t.Fatal("a stale peer's old count blocks the customer")
 	}
-	_, a := w.request("safe", "open", "c", 1)
-	_, b := w.request("safe", "open", "c", 1)
+	a := w.request("safe", "open", "c", 1)
+	b := w.request("safe", "open", "c", 1)
 	acts := append(append(a, b...), w.advance(100*ms)...)
 	if n := len(actionsOf[StartAttempt](acts)); n > 1 {
-		t.Fatalf("a silent peer's room was freed: %d out", n)
+		t.Fatalf("a stale peer's places were freed: %d in flight", n)
 	}
 }
 
 func TestActualUnitsAreDeducted(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(8))
-	w.receiveReport(1, 1, 1, true)
+	w.receiveReport(1, 1)
 	s := w.startAttempt("safe", "rate")
 	w.handle(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, ActualUnits: 9})
 	if n := w.admitUnits(5, "rate"); n > 1 {
-		t.Fatalf("%d more passed after 9 of 10 units were settled", n)
+		t.Fatalf("%d more admitted after 9 of 10 units were settled", n)
 	}
 }
 
-// A peer cut off or never heard leaves this gateway its part, not the whole.
+// A peer that was never heard keeps its share of the quota.
 func TestSilentPeerKeepsItsShare(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(8))
 	w.admitUnits(1, "rate")
@@ -96,13 +96,13 @@
 		n += w.admitUnits(3, "rate")
 	}
 	if n < 50 || n > 85 {
-		t.Fatalf("%d of 100 units passed beside a peer never heard", n)
+		t.Fatalf("%d of 100 units admitted beside a peer that was never heard", n)
 	}
 }
 
-// A fleet whose gateways can't tell each other anything: each passes its own part of a
-// quota, also where that holds less than one request, and together they pass no more than
-// the rate and one request for each of them.
+// In a fleet whose gateways cannot message each other each admits its own share of a quota, also
+// where that holds less than one request; together they admit no more than the rate and one
+// request for each of them.
 func TestQuotaSharesBelowOneRequest(t *testing.T) {
 	const n = 60
 	for _, c := range []struct {
@@ -129,7 +129,7 @@
 			}
 		})
 		if got := float64(len(w.sends)); got < c.least || got > c.most {
-			t.Errorf("%s: %v of %d passed, %v to %v wanted", c.name, got, next, c.least, c.most)
+			t.Errorf("%s: %v of %d admitted, %v to %v wanted", c.name, got, next, c.least, c.most)
 		}
 		if w.messages > 0 {
 			t.Errorf("%d messages", w.messages)
@@ -137,7 +137,7 @@
 	}
 }
 
-// A cap on attempts out leaves each gateway that hears none one attempt.
+// A cap on attempts in flight leaves each isolated gateway one attempt.
 func TestIsolatedGatewayKeepsOneAttempt(t *testing.T) {
 	s := baseSettings()
 	s.Gateways, s.CanMessagePeers, s.PeerMessagesPerSecond = 60, false, 0
@@ -156,7 +156,7 @@
 		}
 	}
 	if sends != 1 {
-		t.Errorf("%d attempts out", sends)
+		t.Errorf("%d attempts in flight", sends)
 	}
 }
 
@@ -164,52 +164,42 @@
 	w := newHarness(t, baseSettings(), testServers(8))
 	s := w.startAttempt("safe", "open")
 	w.finishAttempt(s, 0, OK)
-	w.receiveReport(1, 1, 1, true, reportedCustomer{hash: reportHashOf("c"), inFlight: 6, fill: unknownFill})
-	if _, acts := w.request("safe", "open", "c", 1); len(acts) != 0 {
-		t.Fatalf("the peer has 2 out under a cap of 2, yet %v", acts)
+	w.receiveReport(1, 1, reportedCustomer{hash: testCustomerHash(), inFlight: 6, fill: unknownFill})
+	if acts := w.request("safe", "open", "c", 1); len(acts) != 0 {
+		t.Fatalf("the peer has 2 in flight under a cap of 2, yet %v", acts)
 	}
-	w.receiveReport(1, 1, 2, true)
+	w.receiveReport(1, 2)
 	if got := actionsOf[StartAttempt](w.advance(100 * ms)); len(got) != 1 {
-		t.Fatalf("the peer has none out, yet %v", got)
+		t.Fatalf("the peer has none in flight, yet %v", got)
 	}
 }
 
-// The sum of the gateways' parts never passes the ceiling, whatever is asked
-// and however often they restart.
+// The gateways' shares of the ceiling never sum to more than the whole, whatever is requested and
+// however often they restart.
 func TestCeilingHoldsOverRestarts(t *testing.T) {
 	s := baseSettings()
 	level, worst := 20.0, 20.0
-	var gs [2]*harness
-	for i := range gs {
+	var gateways [2]*harness
+	for i := range gateways {
 		s.SelfIndex = i
-		gs[i] = newHarness(t, s, testServers(8))
+		gateways[i] = newHarness(t, s, testServers(8))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 3000 {
 		level = min(20, level+10*0.004)
-		for k, w := range gs {
+		for k, w := range gateways {
 			w.now += 4 * ms
 			if i == 1600+200*k || i == 2300+150*k {
 				s.SelfIndex = k
-				n := newHarness(t, s, testServers(8))
-				n.now, n.lastID = w.now, w.lastID
-				g, _ := New(s, uint64(i))
-				n.g = g
-				n.handle(EndpointUpdate{Kind: CachedUpdate, Servers: testServers(8)})
-				gs[k], w = n, n
+				w.restart(s, uint64(i))
 			}
-			var acts []Action
 			if i > 1000 && (rng.IntN(2) == k || i%1000 < 300) {
-				_, acts = w.request("safe", "hard", "c", 1)
-				for _, x := range actionsOf[StartAttempt](acts) {
-					level--
-					w.finishAttempt(x, 0, OK)
-				}
+				level -= float64(w.admitUnits(1, "hard"))
 			}
 			if w.now-w.g.tick.lastAt >= w.g.tick.interval {
-				for _, tell := range actionsOf[SendPeerMessage](w.handle(TimerFired{Token: "tick"})) {
+				for _, message := range actionsOf[SendPeerMessage](w.handle(TimerFired{Token: "tick"})) {
 					if rng.IntN(5) > 0 {
-						gs[tell.To].handle(PeerMessage{From: k, Data: tell.Data})
+						gateways[message.To].handle(PeerMessage{From: k, Data: message.Data})
 					}
 				}
 			}
@@ -217,9 +207,9 @@
 		worst = min(worst, level)
 	}
 	if worst < 0 {
-		t.Fatalf("the ceiling's store fell to %.1f", worst)
+		t.Fatalf("the ceiling's bucket fell to %.1f", worst)
 	}
 	if worst > 12 {
-		t.Fatalf("the store never fell below %.1f: the test asks for too little", worst)
+		t.Fatalf("the bucket never fell below %.1f: the test requests too little", worst)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -9,7 +9,7 @@
 func TestRetriesByResultAndIdempotency(t *testing.T) {
 	const (
 		again = iota
-		refused
+		rejected
 		failed
 	)
 	for _, c := range []struct {
@@ -17,9 +17,9 @@
 		code  ResultCode
 		want  int
 	}{
-		{"safe", Error, again}, {"safe", TimedOut, again}, {"safe", TooLate, refused},
+		{"safe", Error, again}, {"safe", TimedOut, again}, {"safe", TooLate, rejected},
 		{"once", Error, failed}, {"once", TimedOut, failed}, {"once", Rejected, again},
-		{"once", ConnectFailed, again}, {"once", Reset, failed}, {"once", TooLate, refused},
+		{"once", ConnectFailed, again}, {"once", Reset, failed}, {"once", TooLate, rejected},
 		{"cell", Error, again}, {"cell", Rejected, again}, {"all", Reset, again},
 	} {
 		t.Run(fmt.Sprint(c.class, c.code), func(t *testing.T) {
@@ -27,14 +27,14 @@
 			s := w.startAttempt(c.class, "free")
 			w.now += 20 * ms
 			acts := w.finishAttempt(s, 0, c.code)
-			sends, ref, fail := actionsOf[StartAttempt](acts), actionsOf[Reject](acts), actionsOf[Fail](acts)
+			sends, reject, fail := actionsOf[StartAttempt](acts), actionsOf[Reject](acts), actionsOf[Fail](acts)
 			got := -1
 			switch {
-			case len(sends) == 1 && len(ref)+len(fail) == 0:
+			case len(sends) == 1 && len(reject)+len(fail) == 0:
 				got = again
-			case len(ref) == 1 && len(sends)+len(fail) == 0:
-				got = refused
-			case len(fail) == 1 && len(sends)+len(ref) == 0:
+			case len(reject) == 1 && len(sends)+len(fail) == 0:
+				got = rejected
+			case len(fail) == 1 && len(sends)+len(reject) == 0:
 				got = failed
 			}
 			if got != c.want {
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// A server that turns one plan away stays in use for the others.
+// A server that rejects one plan stays in use for the others.
 func TestServerRejectionAppliesToOnePlan(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(2))
 	for range 200 {
@@ -25,7 +25,7 @@
 	}
 	others := 0
 	for range 20 {
-		_, acts := w.request("safe", "rate", "d", 0)
+		acts := w.request("safe", "rate", "d", 0)
 		for _, s := range actionsOf[StartAttempt](acts) {
 			if s.Server == 1 {
 				others++
@@ -34,6 +34,6 @@
 		}
 	}
 	if first != 1 || others < 3 {
-		t.Fatalf("%d to the server that turns the plan away, %d of another plan", first, others)
+		t.Fatalf("%d to the server that rejects the plan, %d of another plan", first, others)
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -33,7 +33,7 @@
 	cold := 0
 	for range 60 {
 		w.now += 10 * ms
-		_, acts := w.request("once", "free", "c", 1)
+		acts := w.request("once", "free", "c", 1)
 		for len(acts) > 0 {
 			s, more := acts[0], []Action(nil)
 			if s, ok := s.(StartAttempt); ok && s.Server == 1 {
@@ -48,8 +48,7 @@
 	}
 }
 
-// Least parts of one each would let hundreds of gateways push a cold server
-// over together.
+// At least one attempt each would let hundreds of gateways together overload a cold server.
 func TestColdServerShareIsBoundedOverTheFleet(t *testing.T) {
 	servers := testServers(20)
 	servers[0].HasStartTime, servers[0].StartedAt = true, 10*time.Second
@@ -72,23 +71,22 @@
 			cold++
 		}
 	}
-	// An even share is 60; the server has a fifth of its capacity, and falls
-	// at twice that.
+	// An even share is 60; the server has a fifth of its capacity, and fails at twice that.
 	if cold > 24 {
 		t.Errorf("%d of %d sent to a server that bears %d", cold, len(w.sends), 24)
 	}
 }
 
-// What all gateways send a cold server in the time in which it may fall stays under what
-// the settings allow it, with a margin for chance, however many gateways there are, and
-// while a part of them has just started and knows nothing of the load.
+// What all gateways send a cold server in the window in which it may fail stays under what the
+// settings allow, with a margin for chance, however many gateways there are, and while a part of
+// them has just started and knows nothing of the load.
 func TestColdServerBudgetHoldsWithManyGateways(t *testing.T) {
 	const servers, each = 20, 25.0 // requests a second that a warm server turns round
 	for _, n := range []int{3, 12, 22, 23, 30, 300} {
 		list := testServers(servers)
 		w := newGatewayFleet(t, n, list)
 		next := RequestID(0)
-		load := func(at time.Duration) {
+		load := func(time.Duration) {
 			for range 4 { // 400 a second: four fifths of what the fleet bears
 				next++
 				w.request(int(next*7919)%n, next, "k", "free", "safe", n)
