--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -10,74 +10,92 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Append writes one action of an instance as a line.
-func Append(b []byte, node string, a policy.Action) []byte {
-	start := func(verb string) {
-		b = append(b, verb...)
-		b = append(b, ' ')
-		b = append(b, node...)
-	}
+// Append appends one action of an instance to b as a line. It panics for an action that package policy does
+// not have.
+func Append(b []byte, instance string, a policy.Action) []byte {
 	switch a := a.(type) {
 	case policy.StartAttempt:
-		start("SEND")
+		b = appendVerb(b, "SEND", instance)
 		b = appendID(b, a.ID)
-		b = append(b, ' ')
-		b = strconv.AppendUint(b, uint64(a.Server), 10)
-		b = appendMS(b, a.Timeout)
+		b = appendUnsigned(b, uint64(a.Server))
+		b = appendMilliseconds(b, a.Timeout)
 	case policy.CancelAttempt:
-		start("UNDO_SEND")
+		b = appendVerb(b, "UNDO_SEND", instance)
 		b = appendID(b, a.ID)
-		b = append(b, ' ')
-		b = strconv.AppendInt(b, int64(a.Attempt), 10)
+		b = appendInteger(b, a.Attempt)
 	case policy.Reject:
-		start("PUSH_BACK")
+		b = appendVerb(b, "PUSH_BACK", instance)
 		b = appendID(b, a.ID)
-		b = appendMS(b, a.RetryAfter)
+		b = appendMilliseconds(b, a.RetryAfter)
 	case policy.Fail:
-		start("REPORT_FAILURE")
+		b = appendVerb(b, "REPORT_FAILURE", instance)
 		b = appendID(b, a.ID)
 	case policy.SetTimer:
-		start("SET_ALARM")
-		b = append(b, ' ')
-		b = append(b, a.Token...)
-		b = appendMS(b, a.After)
+		b = appendVerb(b, "SET_ALARM", instance)
+		b = appendText(b, a.Token)
+		b = appendMilliseconds(b, a.After)
 	case policy.SendPeerMessage:
-		start("POST")
-		b = append(b, ' ')
-		b = strconv.AppendInt(b, int64(a.To), 10)
-		b = append(b, ' ')
-		if len(a.Data) == 0 {
-			b = append(b, '-')
-		}
-		b = base64.StdEncoding.AppendEncode(b, a.Data)
+		b = appendVerb(b, "POST", instance)
+		b = appendInteger(b, a.To)
+		b = appendBytes(b, a.Data)
 	case policy.WatchEndpoints:
-		start("LISTEN")
-		b = append(b, " 1"...)
+		b = appendVerb(b, "LISTEN", instance)
+		b = appendInteger(b, 1)
 	case policy.Log:
-		start("SAY_LOG")
-		b = append(b, ' ')
-		b = append(b, oneLine(a.Text)...)
+		b = appendVerb(b, "SAY_LOG", instance)
+		b = appendText(b, oneLine(a.Text))
 	default:
 		panic(fmt.Sprintf("wire: no line for %T", a))
 	}
 	return append(b, '\n')
 }
 
-// AppendCrash writes that an instance's decisions broke, and why.
-func AppendCrash(b []byte, node, reason string) []byte {
-	return append(b, "CRASH "+node+" "+oneLine(reason)+"\n"...)
+// AppendCrash appends the line that tells that an instance's decisions broke, and why.
+func AppendCrash(b []byte, instance, reason string) []byte {
+	b = appendVerb(b, "CRASH", instance)
+	b = appendText(b, oneLine(reason))
+	return append(b, '\n')
 }
 
-// AppendEnd ends a reply.
+// AppendEnd appends the line that ends the reply to a batch.
 func AppendEnd(b []byte) []byte { return append(b, "FINISHED\n"...) }
 
-func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
+func appendVerb(b []byte, verb, instance string) []byte {
+	b = append(b, verb...)
+	return appendText(b, instance)
+}
+
+func appendText(b []byte, text string) []byte {
+	b = append(b, ' ')
+	return append(b, text...)
+}
 
 func appendID(b []byte, id policy.RequestID) []byte {
 	return fmt.Appendf(b, " %016x", uint64(id))
 }
 
-func appendMS(b []byte, d time.Duration) []byte {
+func appendInteger(b []byte, v int) []byte {
+	b = append(b, ' ')
+	return strconv.AppendInt(b, int64(v), 10)
+}
+
+func appendUnsigned(b []byte, v uint64) []byte {
+	b = append(b, ' ')
+	return strconv.AppendUint(b, v, 10)
+}
+
+func appendMilliseconds(b []byte, d time.Duration) []byte {
 	b = append(b, ' ')
 	return strconv.AppendFloat(b, float64(d)/float64(time.Millisecond), 'f', 3, 64)
 }
+
+func appendBytes(b, data []byte) []byte {
+	b = append(b, ' ')
+	if len(data) == 0 {
+		return append(b, absent...)
+	}
+	return base64.StdEncoding.AppendEncode(b, data)
+}
+
+// oneLine joins the lines and words of a text with single spaces.
+func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -1,6 +1,7 @@
 package wire
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -9,98 +10,158 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// facts holds the settings of a CONFIGURE line; unknown keys are ignored.
-type facts struct {
-	m   map[string]string
-	err error
-}
+// maxListSetting bounds the number of classes and of plans.
+const maxListSetting = 1000
 
-func (f *facts) num(key string) float64 {
-	w, have := f.m[key]
-	if !have {
-		return 0
-	}
-	p := parser{words: []string{w}}
-	v := p.num()
-	if p.err != nil && f.err == nil {
-		f.err = fmt.Errorf("%s: %v", key, p.err)
-	}
-	return v
+// idempotencies are the words of "semantics" settings.
+var idempotencies = map[string]policy.Idempotency{
+	"repeatable": policy.Idempotent,
+	"by_key":     policy.IdempotentWithKey,
+	"once":       policy.NonIdempotent,
 }
 
-func (f *facts) ms(key string) time.Duration { return duration(f.num(key)) }
-func (f *facts) int(key string) int          { return int(f.num(key)) }
-func (f *facts) bool(key string) bool        { return f.m[key] == "true" || f.m[key] == "1" }
-
-var effects = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentWithKey,
-	"once": policy.NonIdempotent}
-
-var groups = map[string]policy.DedupScope{"": policy.DedupAllServers, "all": policy.DedupAllServers,
-	"zone": policy.DedupZone, "cell": policy.DedupCell}
+// dedupScopes are the words of "group" settings.
+var dedupScopes = map[string]policy.DedupScope{
+	"":     policy.DedupAllServers,
+	"all":  policy.DedupAllServers,
+	"zone": policy.DedupZone,
+	"cell": policy.DedupCell,
+}
 
-// settings reads the pairs of a CONFIGURE line.
+// settings reads the key=value pairs of a CONFIGURE line.
 func settings(pairs []string) (policy.Settings, error) {
-	m := make(map[string]string, len(pairs))
-	for _, p := range pairs {
-		if p == "" {
+	values := make(map[string]string, len(pairs))
+	for _, pair := range pairs {
+		if pair == "" {
 			continue
 		}
-		k, v, ok := strings.Cut(p, "=")
+		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return policy.Settings{}, fmt.Errorf("setting %q has no value", clip(p))
+			return policy.Settings{}, fmt.Errorf("setting %q has no value", clip(pair))
 		}
-		m[k] = v
+		values[key] = value
 	}
-	return Settings(m)
+	return Settings(values)
 }
 
-// Settings reads settings by their paths: "caps.cancel", "classes.0.name". The
-// error names the key.
-func Settings(m map[string]string) (policy.Settings, error) {
-	f := facts{m: m}
+// Settings reads settings by their paths: "caps.cancel", "classes.0.name". Keys that it does not know are
+// ignored, and those that are missing have the zero value. The error is a *SettingError.
+func Settings(values map[string]string) (policy.Settings, error) {
+	r := settingReader{values: values}
 	s := policy.Settings{
-		SelfIndex: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
-		Resolution: f.ms("tick_ms"), MaxAttempts: f.int("caps.max_attempts"),
-		CanCancel: f.bool("caps.cancel"), CanMessagePeers: f.bool("caps.peers"),
-		PeerMessagesPerSecond: f.num("family_info.mail_per_s"), MaxRequestUnits: f.num("family_info.largest"),
-		MustWatchEndpoints: f.m["discovery"] == "ask",
-		WeightIsCapacity:   f.m["weight_kind"] == "nominal" || f.m["weight_kind"] == "rough",
-		CrossZoneCost:      f.num("charges.cross_zone"),
-		ResponseGrace:      f.ms("rules.answer_slack_ms"), InitialCapacity: f.num("rules.cold_share"),
-		WarmupTime: f.ms("rules.warm_within_ms"), ColdOverloadFactor: f.num("rules.fall_multiple"),
-		ColdOverloadTime: f.ms("rules.fall_ms"),
+		SelfIndex:             r.integer("me"),
+		Gateways:              r.integer("balancers"),
+		Zone:                  r.text("zone"),
+		Resolution:            r.milliseconds("tick_ms"),
+		MaxAttempts:           r.integer("caps.max_attempts"),
+		CanCancel:             r.boolean("caps.cancel"),
+		CanMessagePeers:       r.boolean("caps.peers"),
+		PeerMessagesPerSecond: r.number("family_info.mail_per_s"),
+		MaxRequestUnits:       r.number("family_info.largest"),
+		MustWatchEndpoints:    r.text("discovery") == "ask",
+		WeightIsCapacity:      r.text("weight_kind") == "nominal" || r.text("weight_kind") == "rough",
+		CrossZoneCost:         r.number("charges.cross_zone"),
+		ResponseGrace:         r.milliseconds("rules.answer_slack_ms"),
+		InitialCapacity:       r.number("rules.cold_share"),
+		WarmupTime:            r.milliseconds("rules.warm_within_ms"),
+		ColdOverloadFactor:    r.number("rules.fall_multiple"),
+		ColdOverloadTime:      r.milliseconds("rules.fall_ms"),
 	}
-	if f.bool("caps.retry_after") {
-		s.MaxRetryAfter = f.ms("caps.max_retry_after_ms")
+	if r.boolean("caps.retry_after") {
+		s.MaxRetryAfter = r.milliseconds("caps.max_retry_after_ms")
 	}
-	if names := f.m["report.names"]; names != "" {
+	if names := r.text("report.names"); names != "" {
 		s.LoadMetricNames = strings.Split(names, ",")
 	}
-	count := func(key string) int {
-		n := f.int(key)
-		if (n < 0 || n > 1000) && f.err == nil {
-			f.err = fmt.Errorf("%s: %d", key, n)
-			return 0
-		}
-		return n
+	for i := range r.count("classes.count") {
+		s.Classes = append(s.Classes, r.class("classes."+strconv.Itoa(i)+"."))
 	}
-	for i := range count("classes.count") {
-		k := "classes." + strconv.Itoa(i) + "."
-		effect, known := effects[f.m[k+"semantics"]]
-		group, grouped := groups[f.m[k+"group"]]
-		if (!known || !grouped) && f.err == nil {
-			f.err = fmt.Errorf("%ssemantics or %sgroup: unknown", k, k)
-		}
-		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], LatencyObjective: f.ms(k + "aim_ms"),
-			Deadline: f.ms(k + "hard_limit_ms"), Idempotency: effect, DedupScope: group,
-			DedupWindow: f.ms(k + "window_ms"), Streaming: f.bool(k + "stream")})
+	for i := range r.count("plans.count") {
+		s.Plans = append(s.Plans, r.plan("plans."+strconv.Itoa(i)+"."))
+	}
+	return s, r.err
+}
+
+// settingReader reads settings by key and keeps the first error.
+type settingReader struct {
+	values map[string]string
+	err    error
+}
+
+func (r *settingReader) fail(key string, err error) {
+	if r.err == nil {
+		r.err = &SettingError{key, err}
+	}
+}
+
+func (r *settingReader) text(key string) string { return r.values[key] }
+
+func (r *settingReader) number(key string) float64 {
+	word, found := r.values[key]
+	if !found {
+		return 0
+	}
+	f := fields{words: []string{word}}
+	v := f.number()
+	if f.err != nil {
+		r.fail(key, f.err)
 	}
-	for i := range count("plans.count") {
-		k := "plans." + strconv.Itoa(i) + "."
-		s.Plans = append(s.Plans, policy.Plan{Name: f.m[k+"name"], Rate: f.num(k + "rate"),
-			Burst: f.num(k + "store_size"), MaxInFlight: f.int(k + "parallel"),
-			OverQuotaValue: f.num(k + "beyond_earns"), OverQuotaCost: f.num(k + "beyond_costs"),
-			HardRate: f.num(k + "hard_rate"), HardBurst: f.num(k + "hard_burst")})
+	return v
+}
+
+func (r *settingReader) milliseconds(key string) time.Duration { return duration(r.number(key)) }
+
+func (r *settingReader) integer(key string) int { return int(r.number(key)) }
+
+func (r *settingReader) boolean(key string) bool {
+	word := r.values[key]
+	return word == "true" || word == "1"
+}
+
+// count reads the length of a list.
+func (r *settingReader) count(key string) int {
+	n := r.integer(key)
+	if n < 0 || n > maxListSetting {
+		r.fail(key, errors.New(strconv.Itoa(n)))
+		return 0
 	}
-	return s, f.err
+	return n
 }
+
+// class reads the class whose keys begin with a prefix.
+func (r *settingReader) class(prefix string) policy.Class {
+	idempotency, known := idempotencies[r.text(prefix+"semantics")]
+	if !known {
+		r.fail(prefix+"semantics", errUnknown)
+	}
+	scope, known := dedupScopes[r.text(prefix+"group")]
+	if !known {
+		r.fail(prefix+"group", errUnknown)
+	}
+	return policy.Class{
+		Name:             r.text(prefix + "name"),
+		LatencyObjective: r.milliseconds(prefix + "aim_ms"),
+		Deadline:         r.milliseconds(prefix + "hard_limit_ms"),
+		Idempotency:      idempotency,
+		DedupScope:       scope,
+		DedupWindow:      r.milliseconds(prefix + "window_ms"),
+		Streaming:        r.boolean(prefix + "stream"),
+	}
+}
+
+// plan reads the plan whose keys begin with a prefix.
+func (r *settingReader) plan(prefix string) policy.Plan {
+	return policy.Plan{
+		Name:           r.text(prefix + "name"),
+		Rate:           r.number(prefix + "rate"),
+		Burst:          r.number(prefix + "store_size"),
+		MaxInFlight:    r.integer(prefix + "parallel"),
+		OverQuotaValue: r.number(prefix + "beyond_earns"),
+		OverQuotaCost:  r.number(prefix + "beyond_costs"),
+		HardRate:       r.number(prefix + "hard_rate"),
+		HardBurst:      r.number(prefix + "hard_burst"),
+	}
+}
+
+// errUnknown reports a word that a setting does not have.
+var errUnknown = errors.New("unknown")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -88,6 +88,10 @@
 		if !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
+		var line *LineError
+		if !errors.As(err, &line) || line.Line != d.Line() {
+			t.Errorf("%s: %v does not name line %d", name, err, d.Line())
+		}
 	}
 }
 
@@ -107,6 +111,22 @@
 	}
 }
 
+func TestMalformedSettingsNameTheKey(t *testing.T) {
+	for key, pairs := range map[string]string{
+		"tick_ms":             "tick_ms=x",
+		"classes.count":       "classes.count=-1",
+		"plans.count":         "plans.count=1001",
+		"classes.0.semantics": "classes.count=1 classes.0.semantics=maybe",
+		"classes.0.group":     "classes.count=1 classes.0.semantics=once classes.0.group=all-of-them",
+		"plans.0.rate":        "plans.count=1 plans.0.rate=much",
+	} {
+		var setting *SettingError
+		if _, err := settings(strings.Split(pairs, " ")); !errors.As(err, &setting) || setting.Key != key {
+			t.Errorf("%s: %v", key, err)
+		}
+	}
+}
+
 func TestAppend(t *testing.T) {
 	for want, a := range map[string]policy.Action{
 		"SEND n/1 00000000000000ff 7 80.500":   policy.StartAttempt{ID: 255, Server: 7, Timeout: 80500 * time.Microsecond},
@@ -130,7 +150,7 @@
 func FuzzDecoder(f *testing.F) {
 	f.Add("FRAME 1\nTABLE 0 1\nM - 1 a 0 Running k 1\nMEMBERSHIP n all 1 0\nEOF_BATCH\n")
 	f.Add("FRAME 1\nVERDICT n 365762575d3a91c4 0 86 18.5 7 1 3 OK -\nEOF_BATCH\n")
-	f.Fuzz(func(t *testing.T, in string) {
+	f.Fuzz(func(_ *testing.T, in string) {
 		d := NewDecoder(strings.NewReader(in))
 		for {
 			if _, err := d.Next(); err != nil {
