--- a/policy/actions.go
+++ b/policy/actions.go
@@ -65,8 +65,8 @@
 	Reason Reason
 }
 
-// SetTimer requests a TimerFired after a time, early or late by at most Settings.Resolution.
-// Several timers may run with one token.
+// SetTimer requests a TimerFired after a time, early or late by at most Settings.Resolution. Several
+// timers may run with one token.
 type SetTimer struct {
 	Token string
 	After time.Duration
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -158,8 +158,8 @@
 	return true
 }
 
-// releaseAfterResult releases queued requests when an attempt has ended: those of its customer while there
-// is room under the cap, then one of each other customer, the longest waiting first, while servers
+// releaseAfterResult releases queued requests when an attempt has ended: those of its customer while
+// there is room under the cap, then one of each other customer, the longest waiting first, while servers
 // have room.
 func (g *Gateway) releaseAfterResult(c *customer) {
 	if !g.releaseQueued(c, allQueued) || len(g.customers.queued) == 0 {
@@ -185,8 +185,8 @@
 	}
 }
 
-// releaseShare is how many queued requests this gateway releases at a tick: its share of the free places by
-// queue length, rounded at random so that the gateways together fill them.
+// releaseShare is how many queued requests this gateway releases at a tick: its share of the free places
+// by queue length, rounded at random so that the gateways together fill them.
 func (g *Gateway) releaseShare(c *customer) int {
 	if c.plan.MaxInFlight == 0 {
 		return allQueued
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// attemptTimeoutNumerator over attemptTimeoutDenominator is the least timeout of an attempt, as a
-// share of the latency objective, where attempts cannot be cancelled.
+// attemptTimeoutNumerator over attemptTimeoutDenominator is the least timeout of an attempt, as a share
+// of the latency objective, where attempts cannot be cancelled.
 const (
 	attemptTimeoutNumerator   = 3
 	attemptTimeoutDenominator = 5
@@ -72,8 +72,8 @@
 	}
 }
 
-// handleAttemptResult learns from an attempt that has ended, finishes or retries its request, and releases
-// what waited for the place.
+// handleAttemptResult learns from an attempt that has ended, finishes or retries its request, and
+// releases what waited for the place.
 func (g *Gateway) handleAttemptResult(ev AttemptResult) {
 	r := g.requests[ev.ID]
 	if r == nil || r.current.server == nil || ev.Attempt != r.attempts-1 {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -41,7 +41,7 @@
 			out = g.Handle(now+5*time.Millisecond, result, out[:0])
 		}
 		if id%500 == 0 {
-			out = g.Handle(now, TimerFired{Token: "tick"}, out[:0])
+			out = g.Handle(now, TimerFired{Token: tickTimer}, out[:0])
 		}
 	}
 }
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -31,18 +31,18 @@
 	ceilingDivisor  float64       // own share of the ceiling is one over this
 	demand          float64       // units requested here, decayed over demandWindow
 
-	// Leases; lease.go has the rules.
-	leaders         []int              // the leader and the standby to ask; nil: the bucket is kept here
+	// Leases; lease_client.go and lease_grant.go have the rules.
+	leaders         []int              // the leader and the standby leader; nil: the bucket is kept here
 	grantsLeases    bool               // other gateways request leases here
 	leases          map[leaseKey]lease // granted and not returned
-	admittedShare   float64            // share of the requested units that fits, as the leader last told
+	admittedShare   float64            // share of the requested units that fits, as the leader last reported
 	admittedShareAt time.Duration
 
 	// Load reports; load_report.go has the rules.
 	peerViews        []*peerView // the other gateways that keep the customer's counts
 	admittedUnits    uint16      // running total of units, wraps around
 	reportedUnits    uint16      // admittedUnits as last reported
-	pendingReports   int         // reports in which the last change is still to be told
+	pendingReports   int         // reports that must still carry the last change
 	lastExchangeTick uint32      // tick of the last report or lease response; 0: none
 	reportPriority   float64     // for the ranking at hand
 }
@@ -53,29 +53,6 @@
 	index byte
 }
 
-// inFlightCounter counts a customer's attempts in flight and their mean over a tick.
-type inFlightCounter struct {
-	count        int
-	integral     float64 // of count over the tick so far, in attempt seconds
-	integratedAt time.Duration
-	mean         float64 // over the last tick
-}
-
-func (n *inFlightCounter) add(now time.Duration, attempts int) {
-	n.integral += float64(n.count) * (now - n.integratedAt).Seconds()
-	n.integratedAt = now
-	n.count += attempts
-}
-
-// endTick sets the mean of the tick that ends.
-func (n *inFlightCounter) endTick(now, elapsed time.Duration) {
-	n.add(now, 0)
-	n.mean = n.integral / elapsed.Seconds()
-	n.integral = 0
-}
-
-func (n *inFlightCounter) isZero() bool { return n.count <= 0 && n.integral <= 0 && n.mean <= 0 }
-
 // customerKey is the FNV-1a hash of a customer's name. All gateways must compute the same.
 func customerKey(name string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
@@ -92,7 +69,7 @@
 // customerTable holds the known customers.
 type customerTable struct {
 	byKey  map[uint64]*customer
-	byHash map[uint32]*customer // nil where two customers share a hash: neither can be told in reports
+	byHash map[uint32]*customer // nil where two customers share a hash: reports name neither
 	ring   []*customer          // all, in order of arrival
 	active []*customer          // those that something happened to lately: ticks pass over all others
 	queued []*customer          // those with queued requests
@@ -152,8 +129,8 @@
 	}
 }
 
-// updateActive ends the tick of the active customers, and drops those with nothing in flight, queued or to
-// be reported.
+// updateActive ends the tick of the active customers, and drops those with nothing in flight, queued or
+// to be reported.
 func (t *customerTable) updateActive(now, elapsed time.Duration) {
 	kept := t.active[:0]
 	for _, c := range t.active {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,6 +1,6 @@
 // Package policy makes every decision of an API gateway that shares customers' quotas with other gateways:
-// which requests to admit, queue or reject, which server gets an attempt, when to retry, and what to tell
-// the other gateways.
+// which requests to admit, queue or reject, which server gets an attempt, when to retry, and what to report
+// to the other gateways.
 //
 // # Mechanism
 //
@@ -9,18 +9,20 @@
 // without a central store:
 //
 //   - In a small fleet each gateway sends load reports to all others once a tick (full mesh). From the
-//     reports a gateway estimates the bucket and the attempts in flight, and spends the part of the tokens
+//     reports a gateway estimates the bucket and the attempts in flight, and spends the share of the tokens
 //     that matches its share of the demand (quota.go, load_report.go).
 //   - When full mesh reports would be more than the gateways can receive, the fleet is in leader mode: for
 //     each customer a few gateways, the quota leaders, keep the bucket. The others request a lease for each
-//     request; a standby leader answers when a leader does not (quota_leader.go, lease.go).
+//     request; a standby leader answers when a leader does not (quota_leader.go, lease_client.go,
+//     lease_grant.go).
 //   - A request beyond the cap waits in the queue of its customer, in order of arrival, and is released
-//     when an attempt ends or at a tick (admission.go).
+//     when an attempt ends or at a tick (admission.go, in_flight_limit.go).
 //
 // Servers are chosen by power of several choices on predicted latency, or by a weighted draw in leader mode
-// (server_selection.go). Servers that have just started get little work (slow_start.go), failing
-// servers are ejected and probed (outlier_detection.go), a retry budget bounds retries (retry.go),
-// and when latencies come near their objectives a part of the requests is shed (load_shedding.go).
+// (server_selection.go). Servers that have just started get little work (slow_start.go), failing servers
+// are ejected and probed (outlier_detection.go, outlier_monitor.go), a retry budget bounds retries
+// (retry.go), and when latencies come near their objectives a part of the requests is shed
+// (load_shedding.go).
 //
 // # Use
 //
@@ -28,7 +30,7 @@
 // actions that the caller must carry out. The package reads no clock, starts no goroutine and draws random
 // numbers only from the seed given to New, so equal settings, seeds and events give equal actions.
 // A Gateway is not safe for concurrent use, and Handle never blocks. The caller keeps ownership of the
-// slices in events until Handle returns; the slices in actions belong to the caller.
+// slices in events, which must not change until Handle returns; the slices in actions belong to the caller.
 //
 // # Units
 //
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -31,7 +31,7 @@
 // kind of list; an attempt that is out at one still ends as it should.
 func TestReplacedServersAreForgotten(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(4))
-	held := w.startAttempt("safe", "free")
+	last := w.startAttempt("safe", "free")
 	for i := range 1000 {
 		w.now += 50 * ms
 		old, next := ServerID(100+i), ServerID(101+i)
@@ -46,7 +46,7 @@
 	if most := 3; len(w.g.endpoints.list) > most || len(w.g.endpoints.byID) != len(w.g.endpoints.list) {
 		t.Errorf("%d servers known, %d listed", len(w.g.endpoints.byID), len(w.g.endpoints.list))
 	}
-	acts := w.handle(AttemptResult{ID: held.ID, Server: held.Server, Code: Reset, Latency: w.now})
+	acts := w.handle(AttemptResult{ID: last.ID, Server: last.Server, Code: Reset, Latency: w.now})
 	if len(acts) == 0 {
 		t.Error("an attempt at a server that has gone ended, and nothing was decided")
 	}
@@ -58,10 +58,10 @@
 	g, _ := New(s, 1)
 	w := &harness{t: t, g: g, now: time.Second}
 	if n := len(actionsOf[WatchEndpoints](w.handle(EndpointUpdate{Kind: CachedUpdate}))); n != 1 {
-		t.Fatalf("%d asks at the start", n)
+		t.Fatalf("%d requests at the start", n)
 	}
 	w.handle(EndpointUpdate{Kind: WatchFailed})
 	if n := len(actionsOf[WatchEndpoints](w.advance(3 * time.Second))); n != 1 {
-		t.Fatalf("%d asks after a failed one", n)
+		t.Fatalf("%d requests after a failed one", n)
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -8,11 +8,11 @@
 // ServerID names a server. It must be the same at all gateways.
 type ServerID uint32
 
-// Event is something that Handle is told. The types of this package that implement it are all there are.
+// Event is an input of Handle. The types of this package that implement it are all there are.
 type Event interface{ event() }
 
-// Request is a request of a client. Exactly one final response is owed for it: that of an attempt,
-// or a Reject or Fail. A client's retry is a new Request.
+// Request is a request of a client. Exactly one final response is owed for it: that of an attempt, or a
+// Reject or Fail. A client's retry is a new Request.
 type Request struct {
 	ID        RequestID
 	Customer  string        // whose quotas apply
@@ -22,22 +22,22 @@
 	Remaining time.Duration // until the client gives up
 
 	// The customer comes in through GatewaySpread gateways (at least 1), counted round from FirstGateway.
-	// This gateway must be among them, and all gateways must be told the same.
+	// This gateway must be among them, and all gateways must be given the same.
 	FirstGateway  int
 	GatewaySpread int
 
 	ClientRetry bool // the client marked the request as a retry: it gives way to first attempts
 }
 
-// ResponseStarted tells that the response of a streaming class has begun. The attempt is then not cancelled
-// any more.
+// ResponseStarted reports that the response of a streaming class has begun. The attempt is then not
+// cancelled any more.
 type ResponseStarted struct {
 	ID      RequestID
 	Attempt int // attempts of a request count from 0
 	Server  ServerID
 }
 
-// AttemptResult tells how an attempt ended. There must be exactly one for each StartAttempt, also after
+// AttemptResult reports how an attempt ended. There must be exactly one for each StartAttempt, also after
 // CancelAttempt and after the client has gone.
 type AttemptResult struct {
 	ID          RequestID
@@ -68,10 +68,10 @@
 // NeverRan reports whether the code proves that the attempt never ran.
 func (c ResultCode) NeverRan() bool { return c == Rejected || c == ConnectFailed || c == TooLate }
 
-// ClientDisconnected tells that the client has gone. No final response is owed any more.
+// ClientDisconnected reports that the client has gone. No final response is owed any more.
 type ClientDisconnected struct{ ID RequestID }
 
-// TimerFired tells that a timer of SetTimer has run out.
+// TimerFired reports that a timer of SetTimer has run out.
 type TimerFired struct{ Token string }
 
 // PeerMessage is what another gateway sent with SendPeerMessage. Malformed messages are dropped.
@@ -119,16 +119,15 @@
 	Servers []Server
 }
 
-// UsageLevel tells the fill of a customer's rate quota as an external counter knows it. It counts
-// only where this gateway cannot know the fill: shortly after its start, or while no other gateway
-// is heard.
+// UsageLevel reports the fill of a customer's rate quota as an external counter knows it. It counts only
+// where this gateway cannot know the fill: shortly after its start, or while no other gateway is heard.
 type UsageLevel struct {
 	Customer string
 	Units    float64 // left in the bucket
 }
 
-// FleetResized tells that the number of gateways has changed. Until a second one with PreviousSize 0 tells
-// that all gateways have heard of the change, the share of each hard ceiling held here is the
+// FleetResized reports that the number of gateways has changed. Until a second one with PreviousSize 0
+// reports that all gateways have heard of the change, the share of each hard ceiling held here is the
 // smaller of the old and the new one. A gateway whose number is not below Gateways is leaving.
 type FleetResized struct {
 	Gateways     int // below 1: the event is ignored
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -78,9 +78,9 @@
 			c.handle(l.to, PeerMessage{From: l.from, Data: l.data})
 		}
 		for i := range c.gateways {
-			c.handle(i, TimerFired{Token: "ask"})
+			c.handle(i, TimerFired{Token: leaseTimer})
 			if (c.now/ms/10+time.Duration(i))%25 == 0 {
-				c.handle(i, TimerFired{Token: "tick"})
+				c.handle(i, TimerFired{Token: tickTimer})
 			}
 		}
 		for ; c.finished < len(c.sends) && c.sentAt[c.finished]+50*ms <= c.now; c.finished++ {
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -10,8 +10,8 @@
 	minTickInterval = 25 * time.Millisecond
 	maxTickInterval = 250 * time.Millisecond
 
-	// leaderModeTickFactor is the tick interval, in maxTickInterval, beyond which full mesh reports
-	// would be too slow and the fleet is in leader mode.
+	// leaderModeTickFactor is the tick interval, in maxTickInterval, beyond which full mesh reports would
+	// be too slow and the fleet is in leader mode.
 	leaderModeTickFactor = 2
 )
 
@@ -43,9 +43,9 @@
 	g.tick.interval = max(interval, g.settings.Resolution)
 }
 
-// handleFleetResized takes a new number of gateways. Buckets and counts carry over. Until all gateways are
-// known to have heard of the change, the share of a ceiling held here is the smaller of the old and the new
-// one: the old shares sum to the whole, and so do the new ones, but a mixture could exceed it.
+// handleFleetResized takes a new number of gateways. Buckets and counts carry over. Until all gateways
+// are known to have heard of the change, the share of a ceiling held here is the smaller of the old and
+// the new one: the old shares sum to the whole, and so do the new ones, but a mixture could exceed it.
 func (g *Gateway) handleFleetResized(ev FleetResized) {
 	switch {
 	case ev.PreviousSize == 0:
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -163,8 +163,8 @@
 	m.settle(m.g.Handle(m.now, FleetResized{Gateways: size, PreviousSize: m.g.size.gateways}, nil))
 	for range 100 {
 		m.now += 25 * time.Millisecond
-		m.settle(m.g.Handle(m.now, TimerFired{Token: "tick"}, nil))
-		m.settle(m.g.Handle(m.now, TimerFired{Token: "ask"}, nil))
+		m.settle(m.g.Handle(m.now, TimerFired{Token: tickTimer}, nil))
+		m.settle(m.g.Handle(m.now, TimerFired{Token: leaseTimer}, nil))
 	}
 	m.settle(m.g.Handle(m.now, FleetResized{Gateways: size}, nil))
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -21,12 +21,12 @@
 	leaseTimer = "ask"
 )
 
-// Gateway decides for one gateway of a fleet. New makes one; Handle is its only input.
-// It is not safe for concurrent use.
+// Gateway decides for one gateway of a fleet. New makes one; Handle is its only input. It is not safe for
+// concurrent use.
 type Gateway struct {
 	settings    Settings
 	rng         *rand.Rand
-	incarnation uint32 // drawn at each start: tells peers that running totals begin anew
+	incarnation uint32 // drawn at each start: a new one shows peers that running totals begin anew
 	started     bool
 	startedAt   time.Duration
 	now         time.Duration // time of the event at hand
@@ -189,7 +189,8 @@
 // do adds an action to those of the event at hand.
 func (g *Gateway) do(a Action) { g.actions = append(g.actions, a) }
 
-// decay returns the part that is left after a time of what decays to 1/e within a time constant.
+// decay returns the fraction that is left, after a time, of a value that decays to 1/e within a time
+// constant.
 func decay(elapsed, timeConstant time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -59,7 +59,7 @@
 					ledger.request(plan, remaining)
 				}
 				if w.now-w.g.tick.lastAt >= w.g.tick.interval {
-					ledger.record(w.handle(TimerFired{Token: "tick"}))
+					ledger.record(w.handle(TimerFired{Token: tickTimer}))
 				}
 				ledger.checkDeadlines(fmt.Sprint(plan, ", ", remaining))
 			}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -81,7 +81,7 @@
 func (w *harness) advance(d time.Duration) (acts []Action) {
 	for end := w.now + d; w.now < end; {
 		w.now += min(w.g.tick.interval, end-w.now)
-		acts = append(acts, w.handle(TimerFired{Token: "tick"})...)
+		acts = append(acts, w.handle(TimerFired{Token: tickTimer})...)
 	}
 	return acts
 }
--- a/policy/latency_model.go
+++ b/policy/latency_model.go
@@ -63,8 +63,8 @@
 	return class.idleLatency * s.latencyRatio * g.queueingFactor(s, s.load()) / g.warmFraction(s)
 }
 
-// relativeCapacity is the capacity of a server's machine against the mean of the list, where the list
-// tells it.
+// relativeCapacity is the capacity of a server's machine against the mean of the list, where the list has
+// it.
 func (g *Gateway) relativeCapacity(s *server) float64 {
 	if g.settings.WeightIsCapacity && s.Weight > 0 && g.endpoints.meanWeight > 0 {
 		return s.Weight / g.endpoints.meanWeight
@@ -107,8 +107,8 @@
 	class.idleLatency += weight * (min(idle, maxLatencyFactor*class.idleLatency) - class.idleLatency)
 }
 
-// latencyRatioWeight is the weight of one result in a server's latency ratio. In leader mode the
-// ratio comes from the server's monitor, which sees more results.
+// latencyRatioWeight is the weight of one result in a server's latency ratio. In leader mode the ratio
+// comes from the server's monitor, which sees more results.
 func (g *Gateway) latencyRatioWeight() float64 {
 	if g.size.leaderMode {
 		return 0
--- a/policy/lease.go
+++ b/policy/lease_client.go
@@ -2,16 +2,14 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 )
 
-// In leader mode a gateway that does not keep a customer's buckets requests a lease from the
-// customer's leader for each request. The leader treats it like a request of its own: it grants,
-// queues or rejects it.
+// In leader mode a gateway that does not keep a customer's buckets requests a lease from the customer's
+// leader for each request. lease_grant.go is the leader's side.
 
 const (
-	// leaderAttempts is how often the leader is asked before the standby leader is.
+	// leaderAttempts is the number of lease requests to the leader before the standby leader gets one.
 	leaderAttempts = 2
 
 	// minResponseWait is the least time for which a lease response is awaited.
@@ -20,9 +18,9 @@
 	// responseWaitFactor is that time in mean response times.
 	responseWaitFactor = 2.5
 
-	// unansweredPower shapes the chance of a request that no leader answers: it is admitted with
-	// the response rate to this power, and after the first lease request also with one minus the
-	// response rate to it.
+	// unansweredPower shapes the chance of a request that no leader answers: it is admitted with the
+	// response rate to this power, and after the first lease request also with one minus the response
+	// rate to it.
 	unansweredPower = 4.0
 
 	// minResponseRate is the share of answered lease requests below which this gateway is isolated.
@@ -30,17 +28,8 @@
 
 	// admittedShareTTL is the time in which a leader's word of what share fits is forgotten.
 	admittedShareTTL = 20 * time.Second
-
-	// leaseObjectives is the life of a lease that is not returned, in latency objectives.
-	leaseObjectives = 1.0
 )
 
-// lease is one that this gateway has granted.
-type lease struct {
-	expiresAt time.Duration
-	request   *request
-}
-
 // leaseClient is the state of the lease requests of this gateway.
 type leaseClient struct {
 	pending          map[uint32]*request // by tag
@@ -59,8 +48,8 @@
 	}
 }
 
-// isolationChance is the chance that this gateway is cut off from the leaders rather than the leaders being
-// flooded: near 1 when none answers, near 0 when half do.
+// isolationChance is the chance that this gateway is cut off from the leaders rather than the leaders
+// being flooded: near 1 when none answers, near 0 when half do.
 func (l *leaseClient) isolationChance() float64 { return math.Pow(1-l.responseRate, unansweredPower) }
 
 func (l *leaseClient) recordUnanswered() { l.responseRate -= learningWeight * l.responseRate }
@@ -76,8 +65,8 @@
 	return max(minResponseWait, time.Duration(responseWaitFactor*float64(l.meanResponseTime)))
 }
 
-// leaseChance is the chance with which a lease is requested at all. Of a customer far above its quota only
-// the share that fits is requested: its leader could not receive more.
+// leaseChance is the chance with which a lease is requested at all. Of a customer far above its quota
+// only the share that fits is requested: its leader could not receive more.
 func (g *Gateway) leaseChance(c *customer) float64 {
 	if c.plan.Rate <= 0 || c.lastExchangeTick == 0 {
 		return 1
@@ -85,8 +74,8 @@
 	return min(1, c.admittedShare+(g.now-c.admittedShareAt).Seconds()/admittedShareTTL.Seconds())
 }
 
-// requestLease requests a lease from the customer's leader, again when there is no response in
-// time, and then from the standby leader. Without any response admitWithoutLease decides.
+// requestLease requests a lease from the customer's leader, again when there is no response in time, and
+// then from the standby leader. Without any response admitWithoutLease decides.
 func (g *Gateway) requestLease(r *request) {
 	c := r.customer
 	delete(g.leases.pending, r.lease.key.tag)
@@ -115,7 +104,7 @@
 func (g *Gateway) sendLeaseRequest(r *request, leader int) {
 	l := &r.lease
 	sameAgain := l.requests == 1 && l.key.gateway == leader
-	if !sameAgain { // a leader that is asked again must see the same tag, or it would grant twice
+	if !sameAgain { // with another tag a leader would grant twice
 		g.leases.lastTag++
 		l.key.tag = g.leases.lastTag
 	}
@@ -153,8 +142,8 @@
 	return m
 }
 
-// admitWithoutLease decides on a request that no leader answers, by the last fill heard. When many messages
-// are lost the leaders are flooded, and few requests may be admitted unheard. When all are lost
+// admitWithoutLease decides on a request that no leader answers, by the last fill heard. When many
+// messages are lost the leaders are flooded, and few requests may be admitted unheard. When all are lost
 // this gateway is isolated, and lost leaders must not stop customers far below their quotas.
 func (g *Gateway) admitWithoutLease(r *request, isolationChance float64) {
 	if r.lease.queuedAtLeader {
@@ -226,7 +215,7 @@
 	}
 }
 
-// learnFromLeader takes over what a lease response tells beyond its decision.
+// learnFromLeader takes over what a lease response reports beyond its decision.
 func (g *Gateway) learnFromLeader(r *request, m leaseResponse) {
 	if !r.lease.queuedAtLeader {
 		g.leases.recordResponseTime(g.now - r.lease.requestedAt)
@@ -241,7 +230,7 @@
 	c.lastExchangeTick = g.tick.count + 1
 }
 
-// returnLease tells the leader that a granted lease is over. A used one matters only where attempts in
+// returnLease notifies the leader that a granted lease is over. A used one matters only where attempts in
 // flight are capped; the others expire.
 func (g *Gateway) returnLease(r *request) {
 	unused := !r.charged
@@ -253,104 +242,3 @@
 	m := leaseReturn{Customer: r.customer.key, Tag: r.lease.key.tag, Unused: unused}
 	g.do(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
 }
-
-// handleLeaseRequest takes another gateway's request into the customer's buckets as if it had arrived here.
-func (g *Gateway) handleLeaseRequest(from int, m leaseRequest) {
-	isKnown := int(m.Plan) < len(g.settings.Plans) && int(m.Class) < len(g.settings.Classes)
-	if !isKnown || m.GatewaySpread == 0 {
-		return
-	}
-	c := g.customers.byKey[m.Customer]
-	isNew := c == nil
-	if isNew {
-		plan := g.plans[g.settings.Plans[m.Plan].Name]
-		c = g.addCustomer(m.Customer, plan, int(m.FirstGateway), int(m.GatewaySpread))
-	}
-	// A gateway that stands in for a leader it does not hear goes by what the leader told others.
-	if m.Fill != unknownFill && (isNew || len(c.leaders) > 0) {
-		c.tokens = min(c.tokens, decodeShare(m.Fill)*c.plan.Burst)
-	}
-	if g.repeatLeaseResponse(c, leaseKey{from, m.Tag}) {
-		return
-	}
-	g.refill(c)
-	c.lastRequestAt = g.now
-	c.grantsLeases = true
-	c.demand += float64(m.Units) * wholeShare / float64(max(1, m.Chance))
-	g.admit(g.newRemoteRequest(c, from, m))
-}
-
-// repeatLeaseResponse reports whether a lease was requested before. If it was granted, the response is sent
-// again: the first one may have been lost.
-func (g *Gateway) repeatLeaseResponse(c *customer, key leaseKey) bool {
-	if granted, ok := c.leases[key]; ok {
-		g.sendLeaseResponse(granted.request, leaseGranted)
-		return true
-	}
-	isSame := func(r *request) bool { return r.remote && r.lease.key == key }
-	return slices.ContainsFunc(c.queued, isSame)
-}
-
-// grantLease charges a remote request and tells its gateway to go on.
-func (g *Gateway) grantLease(r *request) {
-	c := r.customer
-	c.charge(r)
-	life := time.Duration(leaseObjectives * float64(r.class.LatencyObjective))
-	c.leases[r.lease.key] = lease{expiresAt: g.now + life, request: r}
-	c.inFlight.add(g.now, 1)
-	r.charged = true
-	r.done = true
-	g.sendLeaseResponse(r, leaseGranted)
-}
-
-func (g *Gateway) sendLeaseResponse(r *request, decision byte) {
-	m := leaseResponse{
-		Tag:           r.lease.key.tag,
-		Decision:      decision,
-		Fill:          r.customer.fillByte(),
-		Overload:      saturatingByte(overloadPercent * g.shedder.overload),
-		AdmittedShare: encodeShare(r.customer.shareThatFits()),
-	}
-	g.do(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
-}
-
-// shareThatFits is the share of the demand that the rate quota admits, while the bucket is low.
-func (c *customer) shareThatFits() float64 {
-	if c.tokens >= firstAttemptReserve*c.plan.Burst {
-		return 1
-	}
-	return min(1, c.plan.Rate*demandWindow.Seconds()/max(c.demand, 1))
-}
-
-// fillByte is the fill of the bucket as messages carry it.
-func (c *customer) fillByte() byte { return encodeFill(c.tokens, max(1, c.plan.Burst)) }
-
-// handleLeaseReturn ends a lease, and gives back the units of one that was never used.
-func (g *Gateway) handleLeaseReturn(from int, m leaseReturn) {
-	c := g.customers.byKey[m.Customer]
-	if c == nil {
-		return
-	}
-	key := leaseKey{from, m.Tag}
-	returned, ok := c.leases[key]
-	if !ok {
-		return
-	}
-	delete(c.leases, key)
-	c.inFlight.add(g.now, -1)
-	g.refill(c)
-	if m.Unused {
-		c.tokens = min(c.plan.Burst, c.tokens+returned.request.units)
-	}
-	g.releaseAfterResult(c)
-}
-
-// expireLeases drops the leases whose life is over.
-func (c *customer) expireLeases(now time.Duration) {
-	for key, granted := range c.leases {
-		if now > granted.expiresAt {
-			delete(c.leases, key)
-			c.inFlight.add(now, -1)
-		}
-	}
-}
--- /dev/null
+++ b/policy/lease_grant.go
@@ -0,0 +1,118 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// A leader treats a lease request like a request of its own: it grants, queues or rejects it.
+
+// leaseObjectives is the life of a lease that is not returned, in latency objectives.
+const leaseObjectives = 1.0
+
+// lease is one that this gateway has granted.
+type lease struct {
+	expiresAt time.Duration
+	request   *request
+}
+
+// handleLeaseRequest takes another gateway's request into the customer's buckets as if it had arrived here.
+func (g *Gateway) handleLeaseRequest(from int, m leaseRequest) {
+	isKnown := int(m.Plan) < len(g.settings.Plans) && int(m.Class) < len(g.settings.Classes)
+	if !isKnown || m.GatewaySpread == 0 {
+		return
+	}
+	c := g.customers.byKey[m.Customer]
+	isNew := c == nil
+	if isNew {
+		plan := g.plans[g.settings.Plans[m.Plan].Name]
+		c = g.addCustomer(m.Customer, plan, int(m.FirstGateway), int(m.GatewaySpread))
+	}
+	// A gateway that stands in for a leader it does not hear goes by what the leader reported to others.
+	if m.Fill != unknownFill && (isNew || len(c.leaders) > 0) {
+		c.tokens = min(c.tokens, decodeShare(m.Fill)*c.plan.Burst)
+	}
+	if g.repeatLeaseResponse(c, leaseKey{from, m.Tag}) {
+		return
+	}
+	g.refill(c)
+	c.lastRequestAt = g.now
+	c.grantsLeases = true
+	c.demand += float64(m.Units) * wholeShare / float64(max(1, m.Chance))
+	g.admit(g.newRemoteRequest(c, from, m))
+}
+
+// repeatLeaseResponse reports whether a lease was requested before. If it was granted, the response is
+// sent again: the first one may have been lost.
+func (g *Gateway) repeatLeaseResponse(c *customer, key leaseKey) bool {
+	if granted, ok := c.leases[key]; ok {
+		g.sendLeaseResponse(granted.request, leaseGranted)
+		return true
+	}
+	isSame := func(r *request) bool { return r.remote && r.lease.key == key }
+	return slices.ContainsFunc(c.queued, isSame)
+}
+
+// grantLease charges a remote request and notifies its gateway.
+func (g *Gateway) grantLease(r *request) {
+	c := r.customer
+	c.charge(r)
+	life := time.Duration(leaseObjectives * float64(r.class.LatencyObjective))
+	c.leases[r.lease.key] = lease{expiresAt: g.now + life, request: r}
+	c.inFlight.add(g.now, 1)
+	r.charged = true
+	r.done = true
+	g.sendLeaseResponse(r, leaseGranted)
+}
+
+func (g *Gateway) sendLeaseResponse(r *request, decision byte) {
+	m := leaseResponse{
+		Tag:           r.lease.key.tag,
+		Decision:      decision,
+		Fill:          r.customer.fillByte(),
+		Overload:      saturatingByte(overloadPercent * g.shedder.overload),
+		AdmittedShare: encodeShare(r.customer.shareThatFits()),
+	}
+	g.do(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
+}
+
+// shareThatFits is the share of the demand that the rate quota admits, while the bucket is low.
+func (c *customer) shareThatFits() float64 {
+	if c.tokens >= firstAttemptReserve*c.plan.Burst {
+		return 1
+	}
+	return min(1, c.plan.Rate*demandWindow.Seconds()/max(c.demand, 1))
+}
+
+// fillByte is the fill of the bucket as messages carry it.
+func (c *customer) fillByte() byte { return encodeFill(c.tokens, max(1, c.plan.Burst)) }
+
+// handleLeaseReturn ends a lease, and gives back the units of one that was never used.
+func (g *Gateway) handleLeaseReturn(from int, m leaseReturn) {
+	c := g.customers.byKey[m.Customer]
+	if c == nil {
+		return
+	}
+	key := leaseKey{from, m.Tag}
+	returned, ok := c.leases[key]
+	if !ok {
+		return
+	}
+	delete(c.leases, key)
+	c.inFlight.add(g.now, -1)
+	g.refill(c)
+	if m.Unused {
+		c.tokens = min(c.plan.Burst, c.tokens+returned.request.units)
+	}
+	g.releaseAfterResult(c)
+}
+
+// expireLeases drops the leases whose life is over.
+func (c *customer) expireLeases(now time.Duration) {
+	for key, granted := range c.leases {
+		if now > granted.expiresAt {
+			delete(c.leases, key)
+			c.inFlight.add(now, -1)
+		}
+	}
+}
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -92,7 +92,7 @@
 	if len(timers) != 1 {
 		t.Fatalf("got %v", acts)
 	}
-	acts = w.gateways[i].Handle(w.now+timers[0].After-time.Microsecond/2, TimerFired{Token: "ask"}, nil)
+	acts = w.gateways[i].Handle(w.now+timers[0].After-time.Microsecond/2, TimerFired{Token: leaseTimer}, nil)
 	if len(actionsOf[SendPeerMessage](acts)) != 1 || len(actionsOf[SetTimer](acts)) != 1 {
 		t.Errorf("no second lease request: %v", acts)
 	}
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// reportRepeats is the number of reports in which a change is told, against lost ones.
+	// reportRepeats is the number of reports that carry a change, since reports may be lost.
 	reportRepeats = 3
 
 	// leaderReportTicks is the number of ticks between the reports of a customer's leaders to each other.
 	leaderReportTicks = 2
 
 	// priorityPerUnreportedTick is what each tick without a report adds to the priority of a customer, so
-	// that all are told in the end.
+	// that all are reported in the end.
 	priorityPerUnreportedTick = 0.01
 )
 
@@ -138,16 +138,16 @@
 	return len(c.peerViews) > 0 && (c.isBusy() || c.pendingReports > 0)
 }
 
-// reportPriority ranks a customer in reports: queued requests and units not reported yet, as a share of the
-// bucket, and then the time since the last report.
+// reportPriority ranks a customer in reports: queued requests and units not reported yet, as a share of
+// the bucket, and then the time since the last report.
 func (g *Gateway) reportPriority(c *customer) float64 {
 	unreported := float64(c.admittedUnits-c.reportedUnits) / (c.plan.Burst + 1)
 	waited := float64(g.tick.count - c.lastExchangeTick)
 	return float64(len(c.queued)) + unreported + priorityPerUnreportedTick*waited
 }
 
-// newLoadReport makes the report for one peer: the servers at which this gateway has attempts in
-// flight, then the customers that come in through both gateways, by priority, as many as fit.
+// newLoadReport makes the report for one peer: the servers at which this gateway has attempts in flight,
+// then the customers that come in through both gateways, by priority, as many as fit.
 func (g *Gateway) newLoadReport(p *peer, ranked *ranking) loadReport {
 	m := loadReport{
 		incarnation: g.incarnation,
@@ -203,7 +203,7 @@
 	return m
 }
 
-// handleLoadReport takes a peer's report, unless a later one is here already, which told all it says.
+// handleLoadReport takes a peer's report, unless a later one is here already, which covers all it says.
 func (g *Gateway) handleLoadReport(p *peer, m loadReport) {
 	if p == nil {
 		return
@@ -235,8 +235,8 @@
 	}
 }
 
-// mergePeerLoad takes what a peer reports of a customer. Running totals make up for lost reports; the total
-// of a peer that has restarted begins at 0.
+// mergePeerLoad takes what a peer reports of a customer. Running totals make up for lost reports; the
+// total of a peer that has restarted begins at 0.
 func (g *Gateway) mergePeerLoad(c *customer, p *peer, reported reportedCustomer) {
 	view := viewOf(c.peerViews, p)
 	if view == nil {
@@ -266,7 +266,7 @@
 // sumPeerLoads sums the peers' attempts in flight at each server.
 func (g *Gateway) sumPeerLoads() {
 	if g.size.leaderMode {
-		return // reports of leaders tell of no servers
+		return // reports of leaders name no servers
 	}
 	for _, s := range g.endpoints.list {
 		s.peersInFlight = 0
--- a/policy/load_report_message.go
+++ b/policy/load_report_message.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// loadReport is what a gateway tells a peer once a tick. On the wire: version, incarnation,
-// sequence number, flags, number of servers, servers, customers.
+// loadReport is what a gateway reports to a peer once a tick. On the wire: version, incarnation, sequence
+// number, flags, number of servers, servers, customers.
 type loadReport struct {
 	incarnation uint32 // drawn anew at each start of the sender
 	sequence    uint32
@@ -51,8 +51,8 @@
 	// maxReportedDemand leaves the highest bit free.
 	maxReportedDemand = 0x7f
 
-	// inFlightScale times the root of the attempts in flight is reported, up to 15: small numbers exactly,
-	// large ones roughly.
+	// inFlightScale times the square root of the attempts in flight is reported, up to 15: small numbers
+	// exactly, large ones roughly.
 	inFlightScale      = 4
 	maxEncodedInFlight = 15
 
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -10,8 +10,8 @@
 	// overloadThreshold is the overload above which load is shed.
 	overloadThreshold = 0.4
 
-	// leaderModeOverloadThreshold replaces it in leader mode, where gateways do not see the load at servers
-	// and have to act earlier.
+	// leaderModeOverloadThreshold replaces it in leader mode, where gateways do not see the load at
+	// servers and have to act earlier.
 	leaderModeOverloadThreshold = 0.25
 
 	// idleOverloadFactor raises the threshold of leader mode to this multiple of the idle overload, for
@@ -41,7 +41,7 @@
 	overloadWeight = 0.15
 )
 
-// loadShedder sets the share of requests that are admitted. It acts on load that no report tells of: of
+// loadShedder sets the share of requests that are admitted. It acts on load that no report covers: of
 // gateways that are not heard, or on servers that have become slow.
 type loadShedder struct {
 	admitProbability float64
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Load that no report tells of shows in the latencies; a part of the requests is then shed.
+// Load that no report covers shows in the latencies; a part of the requests is then shed.
 func TestOverloadShedsLoad(t *testing.T) {
 	admitted := func(latency time.Duration) (n int) {
 		w := newHarness(t, baseSettings(), testServers(20))
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -82,14 +82,14 @@
 	reasonShift = 2
 )
 
-// leaseReturn tells the leader that a lease is over.
+// leaseReturn notifies the leader that a lease is over.
 type leaseReturn struct {
 	Customer uint64 // customerKey
 	Tag      uint32
 	Unused   bool // no attempt was made: the units are to be given back
 }
 
-// outcomeReport tells a server's monitor of the result of an attempt.
+// outcomeReport notifies a server's monitor of the result of an attempt.
 type outcomeReport struct {
 	Server    uint32
 	Class     byte // position in the settings
@@ -97,7 +97,7 @@
 	LatencyMS uint16
 }
 
-// outlierReport tells all gateways what the monitor of a server has found.
+// outlierReport notifies all gateways of what the monitor of a server has found.
 type outlierReport struct {
 	Server         uint32
 	EjectedClasses byte // a bit for each of the first eight classes
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -10,8 +10,8 @@
 	// staleReportTicks is the age, in ticks, beyond which a peer's report is not used.
 	staleReportTicks = 6
 
-	// minStaleDemandFactor is what the assumed demand of a stale peer fades to, as a share of the
-	// demand here.
+	// minStaleDemandFactor is what the assumed demand of a stale peer fades to, as a share of the demand
+	// here.
 	minStaleDemandFactor = 0.33
 
 	// staleDemandFadeTime is the time constant of that fading.
@@ -29,16 +29,11 @@
 
 // Shares of quotas.
 const (
-	// baselineDemandRateShare and baselineDemandUnits (units a second) make up the demand that each gateway
-	// is assumed to have, so that the split of a fresh customer is even.
+	// baselineDemandRateShare and baselineDemandUnits (units a second) make up the demand that each
+	// gateway is assumed to have, so that the split of a fresh customer is even.
 	baselineDemandRateShare = 0.02
 	baselineDemandUnits     = 0.05
 
-	// arrivalSlack and releaseSlack are the fractions of a free place under a cap that count as a
-	// whole one. Reported figures are rounded; without slack the last place would stay empty.
-	arrivalSlack = 0.5
-	releaseSlack = 0.25
-
 	// firstAttemptReserve is the share of a bucket that clients' retries leave to first attempts.
 	firstAttemptReserve = 0.7
 
@@ -137,9 +132,9 @@
 // demandShare is this gateway's share of the demand.
 func (g *Gateway) demandShare(c *customer) float64 { return g.ownDemand(c) / g.totalDemand(c) }
 
-// spendableTokens is the number of units that this gateway may admit now: its share of the bucket
-// by demand, or what is left once the peers have spent all that may be requested of them before
-// they are heard again, whichever is more.
+// spendableTokens is the number of units that this gateway may admit now: its share of the bucket by
+// demand, or what is left once the peers have spent all that may be requested of them before they are
+// heard again, whichever is more.
 func (g *Gateway) spendableTokens(c *customer) float64 {
 	share := g.demandShare(c)
 	if len(c.leaders) == 0 && g.isolated(c) {
@@ -164,49 +159,6 @@
 	return delay
 }
 
-// peerLoad sums the attempts in flight and the queued requests that the peers report. In place of a stale
-// peer's figures its share of the cap by demand is taken.
-func (g *Gateway) peerLoad(c *customer) (inFlight, queued float64) {
-	for _, view := range c.peerViews {
-		if g.isStale(view.peer) {
-			inFlight += float64(c.plan.MaxInFlight) * g.peerDemand(c, view) / g.totalDemand(c)
-			continue
-		}
-		inFlight += view.inFlight
-		queued += view.queued
-	}
-	return inFlight, queued
-}
-
-// hasRoomOnArrival reports whether a request that arrives may have an attempt under the customer's
-// cap: this gateway keeps to its share of the free places by demand, but takes at least one.
-func (g *Gateway) hasRoomOnArrival(c *customer) bool {
-	if g.inFlightUnlimited(c) {
-		return true
-	}
-	free := g.freeInFlight(c)
-	allowed := max(free*g.demandShare(c), min(1, free+arrivalSlack))
-	return float64(c.inFlight.count+1) <= allowed
-}
-
-// hasRoom reports whether one more attempt fits under the customer's cap.
-func (g *Gateway) hasRoom(c *customer) bool {
-	return g.inFlightUnlimited(c) || float64(c.inFlight.count+1) <= g.freeInFlight(c)+releaseSlack
-}
-
-// inFlightUnlimited reports whether the customer has no cap, or this gateway is isolated and has
-// none of its attempts in flight: one attempt is then allowed, so that isolation does not stop the
-// customer.
-func (g *Gateway) inFlightUnlimited(c *customer) bool {
-	return c.plan.MaxInFlight == 0 || c.inFlight.count == 0 && g.isolated(c)
-}
-
-// freeInFlight is the part of the cap that the peers leave.
-func (g *Gateway) freeInFlight(c *customer) float64 {
-	peers, _ := g.peerLoad(c)
-	return float64(c.plan.MaxInFlight) - peers
-}
-
 // lacksTokens reports whether the rate quota does not hold the request's units.
 func (g *Gateway) lacksTokens(r *request) bool {
 	c := r.customer
@@ -248,8 +200,9 @@
 	c.admittedUnits += uint16(int(units))
 }
 
-// handleUsageLevel takes the fill of a customer's bucket from an external counter. It counts only while the
-// gateway has run too shortly to know the fill, or is isolated: otherwise a quota could be granted twice.
+// handleUsageLevel takes the fill of a customer's bucket from an external counter. It counts only while
+// the gateway has run too shortly to know the fill, or is isolated: otherwise a quota could be granted
+// twice.
 func (g *Gateway) handleUsageLevel(ev UsageLevel) {
 	c := g.customers.byKey[customerKey(ev.Customer)]
 	if c == nil || c.tokensKnown && !g.isolated(c) {
--- a/policy/quota_leader.go
+++ b/policy/quota_leader.go
@@ -10,8 +10,8 @@
 	// customer.
 	leaderMessageShare = 0.5
 
-	// leaderPeakFactor is the number of lease requests that leaders must bear, as a multiple of
-	// those within the quota.
+	// leaderPeakFactor is the number of lease requests that leaders must bear, as a multiple of those
+	// within the quota.
 	leaderPeakFactor = 2.0
 
 	// standbyCeilingShare is the share of a hard ceiling that the standby leader holds.
@@ -37,9 +37,9 @@
 // spreadIn is the number of gateways through which the customer comes in, in a fleet of a size.
 func (c *customer) spreadIn(size fleetSize) int { return max(1, min(c.requestedSpread, size.gateways)) }
 
-// quotaLeaders names the gateways that keep a customer's buckets in a fleet of a size: as few as
-// can receive the lease requests of the others, or all where load reports go in full mesh. The
-// standby leader steps in for a leader that does not answer.
+// quotaLeaders names the gateways that keep a customer's buckets in a fleet of a size: as few as can
+// receive the lease requests of the others, or all where load reports go in full mesh. The standby leader
+// steps in for a leader that does not answer.
 func (g *Gateway) quotaLeaders(c *customer, size fleetSize) (leaders []int, standby int) {
 	spread := c.spreadIn(size)
 	count := spread
@@ -80,8 +80,8 @@
 	return float64(leaders) / (1 - standbyCeilingShare)
 }
 
-// ceilingDivisorIn is one over the share of a customer's ceiling that this gateway holds in a fleet
-// of a size. It is infinite where it holds none.
+// ceilingDivisorIn is one over the share of a customer's ceiling that this gateway holds in a fleet of a
+// size. It is infinite where it holds none.
 func (g *Gateway) ceilingDivisorIn(c *customer, size fleetSize) float64 {
 	if size.gateways < 0 {
 		return math.Inf(1)
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -197,7 +197,7 @@
 				level -= float64(w.admitUnits(1, "hard"))
 			}
 			if w.now-w.g.tick.lastAt >= w.g.tick.interval {
-				for _, message := range actionsOf[SendPeerMessage](w.handle(TimerFired{Token: "tick"})) {
+				for _, message := range actionsOf[SendPeerMessage](w.handle(TimerFired{Token: tickTimer})) {
 					if rng.IntN(5) > 0 {
 						gateways[message.To].handle(PeerMessage{From: k, Data: message.Data})
 					}
--- a/policy/request.go
+++ b/policy/request.go
@@ -34,8 +34,8 @@
 	granted        bool
 }
 
-// leaseKey names a lease: the gateway at its other end (the leader for a local request, the requester for a
-// remote one) and a tag drawn by the requester.
+// leaseKey names a lease: the gateway at its other end (the leader for a local request, the requester for
+// a remote one) and a tag drawn by the requester.
 type leaseKey struct {
 	gateway int
 	tag     uint32
@@ -50,7 +50,7 @@
 	cancelRequested bool
 }
 
-// runState tells of the first attempt that may have run, which fixes where and until when servers drop
+// runState describes the first attempt that may have run, which fixes where and until when servers drop
 // repeats.
 type runState struct {
 	happened bool
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -20,8 +20,8 @@
 	// otherZoneWeight is the weight of a server of another zone in a weighted draw.
 	otherZoneWeight = 0.7
 
-	// saturationWaitShare is the wait at a server, as a share of the shortest latency objective,
-	// beyond which it is saturated.
+	// saturationWaitShare is the wait at a server, as a share of the shortest latency objective, beyond
+	// which it is saturated.
 	saturationWaitShare = 0.15
 
 	// minSaturationInFlight is the number of attempts in flight below which a server is never saturated.
@@ -60,8 +60,8 @@
 	return g.bestOfRandom(healthy, r.class)
 }
 
-// candidates lists the servers that may get the attempt, or names one that is due for a probe with it. The
-// lists are valid until the next call.
+// candidates lists the servers that may get the attempt, or names one that is due for a probe with it.
+// The lists are valid until the next call.
 func (g *Gateway) candidates(r *request) (healthy, ejected []*server, probe *server) {
 	healthy, ejected = g.selector.healthy[:0], g.selector.ejected[:0]
 	for _, s := range g.endpoints.list {
@@ -125,9 +125,9 @@
 	return wait > saturationWaitShare*g.latency.shortestObjective
 }
 
-// drawByCapacity draws a server by its share of the fleet's capacity. In leader mode gateways do
-// not see the load at servers: were each to take the best of a few, all would crowd onto the same
-// ones. A cold server gets no more than its part of an even share; what is left over is queued.
+// drawByCapacity draws a server by its share of the fleet's capacity. In leader mode gateways do not see
+// the load at servers: were each to take the best of a few, all would crowd onto the same ones. A cold
+// server gets no more than its part of an even share; what is left over is queued.
 func (g *Gateway) drawByCapacity(servers []*server) *server {
 	total := 0.0
 	for _, s := range servers {
@@ -155,8 +155,8 @@
 	return weight * min(1, g.warmFraction(s))
 }
 
-// drawWeighted draws a server by drawWeight. Where the weights sum to less than least, the rest stands for
-// no server.
+// drawWeighted draws a server by drawWeight. Where the weights sum to less than least, the rest stands
+// for no server.
 func (g *Gateway) drawWeighted(servers []*server, least float64) *server {
 	sum := 0.0
 	for _, s := range servers {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -43,15 +43,15 @@
 	// that must not run twice has to say so.
 	Idempotency Idempotency
 
-	// DedupScope names the servers that drop repeats. It counts only with IdempotentWithKey; the zero value
-	// is DedupAllServers.
+	// DedupScope names the servers that drop repeats. It counts only with IdempotentWithKey; the zero
+	// value is DedupAllServers.
 	DedupScope DedupScope
 
 	// DedupWindow is how long servers remember a key, from the first attempt that may have run. It counts
 	// only with IdempotentWithKey; with 0 such a request is never retried once it may have run.
 	DedupWindow time.Duration
 
-	// Streaming says that the response is a stream, whose begin is told by ResponseStarted. Its attempts
+	// Streaming says that the response is a stream, whose begin ResponseStarted reports. Its attempts
 	// have no timeout of their own, and once the response has begun they are never taken for stalled.
 	Streaming bool
 }
@@ -78,9 +78,9 @@
 	// it today.
 	OverQuotaCost float64
 
-	// HardRate is the rate of the hard ceiling in units a second. 0: no ceiling. Unlike the rate quota the
-	// ceiling is split into fixed shares and never exceeded, not even while gateways do not hear
-	// each other.
+	// HardRate is the rate of the hard ceiling in units a second. 0: no ceiling. Unlike the rate quota
+	// the ceiling is split into fixed shares and never exceeded, not even while gateways do not hear each
+	// other.
 	HardRate float64
 
 	// HardBurst is the capacity of the ceiling's token bucket, in units.
@@ -94,8 +94,8 @@
 	// both use its share of each quota.
 	SelfIndex int
 
-	// Gateways is the number of gateways in the fleet, at least 1. All gateways must agree on it, since the
-	// shares of quotas and the quota leaders follow from it.
+	// Gateways is the number of gateways in the fleet, at least 1. All gateways must agree on it, since
+	// the shares of quotas and the quota leaders follow from it.
 	Gateways int
 
 	// Zone is the zone of this gateway. Servers of other zones are chosen less.
@@ -118,13 +118,13 @@
 	// CanCancel permits CancelAttempt. Without it idempotent attempts carry a timeout instead.
 	CanCancel bool
 
-	// CanMessagePeers permits SendPeerMessage. Without it each gateway keeps to its own share of
-	// each quota.
+	// CanMessagePeers permits SendPeerMessage. Without it each gateway keeps to its own share of each
+	// quota.
 	CanMessagePeers bool
 
-	// PeerMessagesPerSecond is the number of peer messages that one gateway can receive in a second.
-	// The tick interval and the change to leader mode follow from it: too high, and messages are lost;
-	// too low, and gateways know less of each other than they could. It must not be negative.
+	// PeerMessagesPerSecond is the number of peer messages that one gateway can receive in a second. The
+	// tick interval and the change to leader mode follow from it: too high, and messages are lost; too
+	// low, and gateways know less of each other than they could. It must not be negative.
 	PeerMessagesPerSecond float64
 
 	// MaxRequestUnits is the largest cost of one request, in units. A gateway that hears no other still
@@ -137,15 +137,15 @@
 	// MustWatchEndpoints says that server changes come only after WatchEndpoints.
 	MustWatchEndpoints bool
 
-	// WeightIsCapacity says that Server.Weight tells the capacity of the machine. Without it all servers
+	// WeightIsCapacity says that Server.Weight is the capacity of the machine. Without it all servers
 	// count alike.
 	WeightIsCapacity bool
 
 	// CrossZoneCost is the charge for an attempt that crosses zones, as a share of the value of a request.
 	CrossZoneCost float64
 
-	// LoadMetricNames are the names of the values in AttemptResult.LoadMetrics. No decision rests on these
-	// values today.
+	// LoadMetricNames are the names of the values in AttemptResult.LoadMetrics. No decision rests on
+	// these values today.
 	LoadMetricNames []string
 
 	// ResponseGrace is how long after its deadline a final response still counts as in time. No decision
@@ -156,15 +156,15 @@
 	// once.
 	InitialCapacity float64
 
-	// WarmupTime is the time after which a started server has all its capacity. 0: servers are warm
-	// at once.
+	// WarmupTime is the time after which a started server has all its capacity. 0: servers are warm at
+	// once.
 	WarmupTime time.Duration
 
 	// ColdOverloadFactor is the multiple of its present capacity at which a cold server fails.
 	ColdOverloadFactor float64
 
-	// ColdOverloadTime is how long such an overload must last to make a cold server fail. It is the window
-	// in which attempts at cold servers are counted.
+	// ColdOverloadTime is how long such an overload must last to make a cold server fail. It is the
+	// window in which attempts at cold servers are counted.
 	ColdOverloadTime time.Duration
 }
 
