--- a/policy/outlier_monitor.go
+++ b/policy/outlier_monitor.go
@@ -22,6 +22,9 @@
 
 	// outlierReportTTL is how long an outlier report holds that is not repeated.
 	outlierReportTTL = 8 * time.Second
+
+	// outlierReportRenewal is the time before that at which a report is repeated.
+	outlierReportRenewal = outlierReportTTL / 4
 )
 
 // monitorsOf names the gateways that judge a server for all others. In a large fleet each gateway meets a
@@ -103,7 +106,7 @@
 	wanted := s.classesToEject(isFirst)
 	ratioChange := max(s.observedRatio/s.latencyRatio, s.latencyRatio/s.observedRatio)
 	ratioChanged := g.size.leaderMode && ratioChange > latencyRatioStep
-	repeatIsDue := isFirst && wanted != 0 && s.lastEjectedUntil()-g.now < outlierReportTTL/4
+	repeatIsDue := isFirst && wanted != 0 && s.lastEjectedUntil()-g.now < outlierReportRenewal
 	hasNews := wanted != reported || ratioChanged || repeatIsDue
 	if s.reportBudget < 1 || !hasNews {
 		return
