--- a/node/allowed.go
+++ b/node/authorizer.go
@@ -4,10 +4,33 @@
 	"net/url"
 	"slices"
 	"strings"
+	"time"
 
+	"yardcleat.example/yardcleat/authz"
 	"yardcleat.example/yardcleat/internal/http1"
 )
 
+// AuthorizationResult is how a Check ended.
+type AuthorizationResult struct {
+	Verdict         authz.Verdict
+	Denial          *Response     // of Denied
+	SetHeaders      http1.Header  // of Allowed: fields that replace the client's
+	AppendHeaders   http1.Header  // fields added to them
+	RemoveHeaders   []string      // fields taken out
+	CacheTTL        time.Duration // that the authoriser states for its answer; 0: none
+	Detail          string        // for logs
+	SetQuery        []http1.Field // of Allowed: query parameters set
+	RemoveQuery     []string      // and taken out
+	ResponseHeaders http1.Header  // fields added to the client's response
+}
+
+// Authorizer asks the external authorisation service at one of its addresses,
+// counted from 0. Check returns at once; done is called once, from any goroutine,
+// unless cancel was called before.
+type Authorizer interface {
+	Check(target int, t *Request, budget time.Duration, done func(AuthorizationResult)) (cancel func())
+}
+
 // apply makes an authoriser's changes to a call.
 func (c *AuthorizationResult) apply(call *Call) {
 	for _, name := range c.RemoveHeaders {
--- /dev/null
+++ b/node/drain.go
@@ -0,0 +1,54 @@
+package node
+
+import (
+	"context"
+	"fmt"
+
+	"yardcleat.example/yardcleat/pause"
+	"yardcleat.example/yardcleat/policy"
+)
+
+// Finish lets no more tries in, and gives what is not answered its final answer now: a
+// refusal where nothing was sent, so that a repeat is harmless.
+func (n *Node) Finish() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.closing = true
+	n.enqueue(item{pause.Other, func() {
+		for _, r := range n.reqs {
+			if r.state == answered {
+				continue
+			}
+			n.leaveCheck(r)
+			a := FinalResponse{Kind: Failed, Reason: ReasonDraining}
+			if r.attempts == 0 {
+				a.Kind, a.RetryAfter = Rejected, n.o.Settings.MaxRetryAfter
+			}
+			n.feed(policy.ClientDisconnected{ID: r.id})
+			n.answer(r, a)
+			if r.live {
+				n.attemptEnded(r, r.attempts-1, Result{Code: policy.Cancelled, Detail: "the node ends"})
+			}
+			n.done(r)
+		}
+	}})
+}
+
+// Drain lets no more tries in and waits until all are answered, or the context
+// ends.
+func (n *Node) Drain(ctx context.Context) error {
+	for {
+		n.mu.Lock()
+		n.closing = true
+		left := n.open
+		n.mu.Unlock()
+		if left == 0 {
+			return nil
+		}
+		select {
+		case <-n.idle:
+		case <-ctx.Done():
+			return fmt.Errorf("%d requests not answered: %w", left, ctx.Err())
+		}
+	}
+}
--- /dev/null
+++ b/node/snapshot.go
@@ -0,0 +1,31 @@
+package node
+
+import (
+	"context"
+
+	"yardcleat.example/yardcleat/pause"
+	"yardcleat.example/yardcleat/policy"
+)
+
+// RestoreSnapshot gives the module what an earlier process remembered; before any try is
+// taken.
+func (n *Node) RestoreSnapshot(r policy.RestoreSnapshot) { n.post(pause.Other, func() { n.feed(r) }) }
+
+// SaveSnapshot returns what is to outlive the process, looking at some customers in each
+// turn of the loop; false where the loop has ended.
+func (n *Node) SaveSnapshot(ctx context.Context) (list []policy.CustomerSnapshot, ok bool) {
+	const most = 2000
+	for from, first := 0, true; first || from > 0; first = false {
+		done := make(chan struct{})
+		n.post(pause.Other, func() {
+			list, from = n.gw.SaveSnapshot(n.now, from, most, list)
+			close(done)
+		})
+		select {
+		case <-done:
+		case <-ctx.Done():
+			return nil, false
+		}
+	}
+	return list, true
+}
