--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -215,12 +215,12 @@
 	e.l.Close()
 	e.front.Ending()
 	last := time.AfterFunc(time.Until(begun.Add(plan.answer)), func() {
-		e.node.Finish()
+		e.node.AbortRequests()
 		e.front.Late()
 	})
 	defer last.Stop()
 	e.front.Drain(ctx)
-	e.node.Finish()
+	e.node.AbortRequests()
 	err := e.node.Drain(ctx)
 	e.close()
 	if errors.Is(err, context.Canceled) {
--- a/edgenode/edge_test.go
+++ b/edgenode/edge_test.go
@@ -492,7 +492,7 @@
 		})
 		s.edge.Reload(&Config{Discovery: "10.0.3.2:80"})
 		time.Sleep(time.Second)
-		s.edge.node.BreakPolicy()
+		s.edge.node.InjectPolicyPanic()
 		for range 10 {
 			if status, _, _ := s.ask(s.request("lookup", "")); status != 200 {
 				t.Errorf("status %d", status)
--- a/gateway/hard_test.go
+++ b/gateway/hard_test.go
@@ -402,7 +402,7 @@
 		}
 		n.Submit(try(), func(a node.FinalResponse) { answers <- a })
 		synctest.Wait()
-		n.BreakPolicy()
+		n.InjectPolicyPanic()
 		if a := <-answers; a.Kind != node.Failed || a.Reason != node.ReasonInternal {
 			t.Errorf("%+v", a)
 		}
--- a/node/drain.go
+++ b/node/drain.go
@@ -8,9 +8,9 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Finish lets no more tries in, and gives what is not answered its final answer now: a
+// AbortRequests lets no more tries in, and gives what is not answered its final answer now: a
 // refusal where nothing was sent, so that a repeat is harmless.
-func (n *Node) Finish() {
+func (n *Node) AbortRequests() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closing = true
--- a/node/events.go
+++ b/node/events.go
@@ -37,5 +37,7 @@
 // Do runs f in the loop, in turn with all else that happens.
 func (n *Node) Do(f func()) { n.post(pause.Other, f) }
 
-// BreakPolicy makes the module panic at its next event; for tests.
-func (n *Node) BreakPolicy() { n.post(pause.Other, func() { n.gw = nil; n.feed(policy.TimerFired{}) }) }
+// InjectPolicyPanic makes the module panic at its next event; for tests.
+func (n *Node) InjectPolicyPanic() {
+	n.post(pause.Other, func() { n.gw = nil; n.feed(policy.TimerFired{}) })
+}
