--- a/node/drain.go
+++ b/node/drain.go
@@ -14,22 +14,22 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closing = true
-	n.enqueue(item{pause.Other, func() {
-		for _, r := range n.reqs {
-			if r.state == answered {
+	n.enqueueLocked(item{pause.Other, func() {
+		for _, r := range n.requests {
+			if r.state == stateAnswered {
 				continue
 			}
-			n.leaveCheck(r)
+			n.abandonCheck(r)
 			a := FinalResponse{Kind: Failed, Reason: ReasonDraining}
 			if r.attempts == 0 {
-				a.Kind, a.RetryAfter = Rejected, n.o.Settings.MaxRetryAfter
+				a.Kind, a.RetryAfter = Rejected, n.options.Settings.MaxRetryAfter
 			}
-			n.feed(policy.ClientDisconnected{ID: r.id})
-			n.answer(r, a)
+			n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
+			n.respond(r, a)
 			if r.live {
-				n.attemptEnded(r, r.attempts-1, Result{Code: policy.Cancelled, Detail: "the node ends"})
+				n.finishAttempt(r, r.attempts-1, Result{Code: policy.Cancelled, Detail: "the node ends"})
 			}
-			n.done(r)
+			n.releaseIfDone(r)
 		}
 	}})
 }
@@ -40,13 +40,13 @@
 	for {
 		n.mu.Lock()
 		n.closing = true
-		left := n.open
+		left := n.unanswered
 		n.mu.Unlock()
 		if left == 0 {
 			return nil
 		}
 		select {
-		case <-n.idle:
+		case <-n.allAnswered:
 		case <-ctx.Done():
 			return fmt.Errorf("%d requests not answered: %w", left, ctx.Err())
 		}
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -17,31 +17,31 @@
 
 // UpdateEndpoints tells of the server list.
 func (n *Node) UpdateEndpoints(kind policy.EndpointUpdateKind, list []Server) {
-	n.post(pause.Listed, func() {
+	n.enqueue(pause.Listed, func() {
 		m := policy.EndpointUpdate{Kind: kind}
 		if kind == policy.SnapshotUpdate || kind == policy.CachedUpdate {
-			clear(n.servers)
+			clear(n.endpoints)
 		}
 		for _, s := range list {
 			if !s.StartTime.IsZero() {
-				s.HasStartTime, s.StartedAt = true, s.StartTime.Sub(n.base)
+				s.HasStartTime, s.StartedAt = true, s.StartTime.Sub(n.timeOrigin)
 			}
-			if n.servers[s.ID] = s; s.State == policy.Removed {
-				delete(n.servers, s.ID)
+			if n.endpoints[s.ID] = s; s.State == policy.Removed {
+				delete(n.endpoints, s.ID)
 			}
 			m.Servers = append(m.Servers, s.Server)
 		}
-		n.feed(m)
-		n.leave()
+		n.queuePolicyEvent(m)
+		n.withdrawUnsentAttempts()
 	})
 }
 
-// leave takes back what has not left yet for servers that want nothing new: a dial may
+// withdrawUnsentAttempts takes back what has not left yet for servers that want nothing new: a dial may
 // come up long after its server began to drain.
-func (n *Node) leave() {
-	for _, r := range n.reqs {
-		if s, listed := n.servers[r.server]; r.live && r.withdraw != nil && (!listed || s.State != policy.Running) && r.withdraw() {
-			n.attemptEnded(r, r.attempts-1, Result{Code: policy.ConnectFailed, Detail: "the server left before it was sent"})
+func (n *Node) withdrawUnsentAttempts() {
+	for _, r := range n.requests {
+		if s, listed := n.endpoints[r.server]; r.live && r.withdraw != nil && (!listed || s.State != policy.Running) && r.withdraw() {
+			n.finishAttempt(r, r.attempts-1, Result{Code: policy.ConnectFailed, Detail: "the server left before it was sent"})
 		}
 	}
 }
--- a/node/events.go
+++ b/node/events.go
@@ -11,15 +11,15 @@
 	do   func()
 }
 
-// post gives the loop something to do.
-func (n *Node) post(kind pause.Kind, f func()) {
+// enqueue gives the loop something to do.
+func (n *Node) enqueue(kind pause.Kind, f func()) {
 	n.mu.Lock()
-	n.enqueue(item{kind, f})
+	n.enqueueLocked(item{kind, f})
 	n.mu.Unlock()
 }
 
-// enqueue is post under n.mu.
-func (n *Node) enqueue(f item) {
+// enqueueLocked is post under n.mu.
+func (n *Node) enqueueLocked(f item) {
 	n.queue = append(n.queue, f)
 	if len(n.queue) == 1 {
 		select {
@@ -31,13 +31,13 @@
 
 // ReceivePeerMessage tells of a message from a peer.
 func (n *Node) ReceivePeerMessage(from int, data []byte) {
-	n.post(pause.Heard, func() { n.feed(policy.PeerMessage{From: from, Data: data}) })
+	n.enqueue(pause.Heard, func() { n.queuePolicyEvent(policy.PeerMessage{From: from, Data: data}) })
 }
 
 // Do runs f in the loop, in turn with all else that happens.
-func (n *Node) Do(f func()) { n.post(pause.Other, f) }
+func (n *Node) Do(f func()) { n.enqueue(pause.Other, f) }
 
 // InjectPolicyPanic makes the module panic at its next event; for tests.
 func (n *Node) InjectPolicyPanic() {
-	n.post(pause.Other, func() { n.gw = nil; n.feed(policy.TimerFired{}) })
+	n.enqueue(pause.Other, func() { n.policy = nil; n.queuePolicyEvent(policy.TimerFired{}) })
 }
--- a/node/logging.go
+++ b/node/logging.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// line logs a final answer.
-func (n *Node) line(t *Request, a FinalResponse, took time.Duration, attempts int, detail string) {
-	if !n.o.Logger.Enabled(context.Background(), slog.LevelInfo) {
+// logFinalResponse logs a final answer.
+func (n *Node) logFinalResponse(t *Request, a FinalResponse, took time.Duration, attempts int, detail string) {
+	if !n.options.Logger.Enabled(context.Background(), slog.LevelInfo) {
 		return
 	}
 	kind := a.Kind.String()
@@ -26,5 +26,5 @@
 	if detail != "" {
 		attrs = append(attrs, slog.String("detail", detail))
 	}
-	n.o.Logger.LogAttrs(context.Background(), slog.LevelInfo, "answer", attrs...)
+	n.options.Logger.LogAttrs(context.Background(), slog.LevelInfo, "answer", attrs...)
 }
--- a/node/loop.go
+++ b/node/loop.go
@@ -15,55 +15,55 @@
 	var batch []item
 	for {
 		// Nobody looked while the loop waited: only the clock knows of gaps.
-		n.now = max(n.now, n.o.Clock.Now())
-		n.look()
+		n.now = max(n.now, n.options.Clock.Now())
+		n.detectPause()
 		n.mu.Lock()
 		batch, n.queue = n.queue, batch[:0]
 		n.mu.Unlock()
 		var next time.Duration
 		if n.barrier.On() {
-			n.held = append(n.held, batch...)
-			if next = n.barrier.Look(n.now, n.o.Clock.UnreadSockets()); n.barrier.On() {
+			n.deferred = append(n.deferred, batch...)
+			if next = n.barrier.Look(n.now, n.options.Clock.UnreadSockets()); n.barrier.On() {
 				timer.Reset(next)
 				select {
 				case <-timer.C:
 					continue
 				case <-ctx.Done():
-					n.end()
+					n.failRemaining()
 					return
 				}
 			}
-			n.after()
+			n.handleDeferred()
 			continue
 		}
 		// What ran out goes first: nothing is done for requests that are too late.
-		n.wheel.Advance(n.now)
-		n.settle()
-		n.carry(batch)
+		n.timerWheel.Advance(n.now)
+		n.runPolicy()
+		n.handleEvents(batch)
 		if len(batch) > 0 {
 			continue
 		}
-		next, ok := n.wheel.Next()
+		next, ok := n.timerWheel.Next()
 		if !ok {
 			next = n.now + time.Hour
 		}
-		timer.Reset(next - time.Since(n.base))
+		timer.Reset(next - time.Since(n.timeOrigin))
 		select {
 		case <-n.wake:
 		case <-timer.C:
 		case <-ctx.Done():
-			n.end()
+			n.failRemaining()
 			return
 		}
 	}
 }
 
-// end fails what is not answered.
-func (n *Node) end() {
+// failRemaining fails what is not answered.
+func (n *Node) failRemaining() {
 	n.mu.Lock()
 	n.closing = true
-	batch := append(n.held, n.queue...)
-	n.held, n.queue = nil, nil
+	batch := append(n.deferred, n.queue...)
+	n.deferred, n.queue = nil, nil
 	n.mu.Unlock()
 	for _, f := range batch {
 		f.do()
@@ -71,45 +71,45 @@
 	n.failAll("stopped")
 }
 
-// look takes the time, and raises the barrier after a gap: of the process, or of
+// detectPause takes the time, and raises the barrier after a gap: of the process, or of
 // the loop alone, which has not looked for too long.
-func (n *Node) look() {
-	now := n.o.Clock.Now()
-	gaps := n.o.Clock.Pauses()
-	if gaps != n.gaps || now-n.now > n.o.Pause.Least {
-		n.o.Logger.Warn("the process did not run: what came in meanwhile is read first", "since", now-n.now)
-		n.gaps = gaps
+func (n *Node) detectPause() {
+	now := n.options.Clock.Now()
+	gaps := n.options.Clock.Pauses()
+	if gaps != n.pausesSeen || now-n.now > n.options.Pause.Least {
+		n.options.Logger.Warn("the process did not run: what came in meanwhile is read first", "since", now-n.now)
+		n.pausesSeen = gaps
 		n.barrier.Raise(now)
 	}
 	n.now = max(n.now, now)
 }
 
-// carry does what waited, as long as the process runs; what a gap comes before
+// handleEvents does what waited, as long as the process runs; what a gap comes before
 // waits behind the barrier.
-func (n *Node) carry(batch []item) {
+func (n *Node) handleEvents(batch []item) {
 	for i, f := range batch {
-		if n.look(); n.barrier.On() {
-			n.held = append(n.held, batch[i:]...)
+		if n.detectPause(); n.barrier.On() {
+			n.deferred = append(n.deferred, batch[i:]...)
 			break
 		}
 		f.do()
-		n.settle()
+		n.runPolicy()
 	}
 	clear(batch)
 }
 
-// after does what waited behind the barrier, in the order that package stall
+// handleDeferred does what waited behind the barrier, in the order that package stall
 // gives it.
-func (n *Node) after() {
-	held := n.held
-	n.held = nil
+func (n *Node) handleDeferred() {
+	held := n.deferred
+	n.deferred = nil
 	before := pause.Order(held, func(f item) pause.Kind { return f.kind })
-	n.carry(held[:before])
+	n.handleEvents(held[:before])
 	if n.barrier.On() {
-		n.held = append(n.held, held[before:]...)
+		n.deferred = append(n.deferred, held[before:]...)
 		return
 	}
-	n.wheel.Advance(n.now)
-	n.settle()
-	n.carry(held[before:])
+	n.timerWheel.Advance(n.now)
+	n.runPolicy()
+	n.handleEvents(held[before:])
 }
--- a/node/reasons.go
+++ b/node/reasons.go
@@ -34,8 +34,8 @@
 	ReasonClientDisconnected       Reason = "client-gone" // in logs only
 )
 
-// reason names the module's reason, or how the last attempt ended.
-func (n *Node) reason(r *request, why policy.Reason) Reason {
+// failureReason names the module's reason, or how the last attempt ended.
+func (n *Node) failureReason(r *pendingRequest, why policy.Reason) Reason {
 	if why == policy.ReasonAttemptsExhausted || r.attempts > 0 && why == policy.ReasonNoServer {
 		switch r.last {
 		case policy.TimedOut, policy.Cancelled:
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -9,7 +9,9 @@
 
 // RestoreSnapshot gives the module what an earlier process remembered; before any try is
 // taken.
-func (n *Node) RestoreSnapshot(r policy.RestoreSnapshot) { n.post(pause.Other, func() { n.feed(r) }) }
+func (n *Node) RestoreSnapshot(r policy.RestoreSnapshot) {
+	n.enqueue(pause.Other, func() { n.queuePolicyEvent(r) })
+}
 
 // SaveSnapshot returns what is to outlive the process, looking at some customers in each
 // turn of the loop; false where the loop has ended.
@@ -17,8 +19,8 @@
 	const most = 2000
 	for from, first := 0, true; first || from > 0; first = false {
 		done := make(chan struct{})
-		n.post(pause.Other, func() {
-			list, from = n.gw.SaveSnapshot(n.now, from, most, list)
+		n.enqueue(pause.Other, func() {
+			list, from = n.policy.SaveSnapshot(n.now, from, most, list)
 			close(done)
 		})
 		select {
