--- a/node/authorizer.go
+++ b/node/authorizer.go
@@ -10,61 +10,74 @@
 	"yardcleat.example/yardcleat/internal/http1"
 )
 
-// AuthorizationResult is how a Check ended.
+// AuthorizationResult is the result of an authorization check. An allowed request is
+// changed as the result says before it is forwarded.
 type AuthorizationResult struct {
-	Verdict         authz.Verdict
-	Denial          *Response     // of Denied
-	SetHeaders      http1.Header  // of Allowed: fields that replace the client's
-	AppendHeaders   http1.Header  // fields added to them
-	RemoveHeaders   []string      // fields taken out
-	CacheTTL        time.Duration // that the authoriser states for its answer; 0: none
-	Detail          string        // for logs
-	SetQuery        []http1.Field // of Allowed: query parameters set
-	RemoveQuery     []string      // and taken out
-	ResponseHeaders http1.Header  // fields added to the client's response
+	Verdict  authz.Verdict
+	Denial   *Response     // with a verdict of Denied: the response for the client
+	CacheTTL time.Duration // how long the result may be used again; 0: the service did not say
+	Detail   string        // for the log
+
+	SetHeaders    http1.Header // replace the client's fields of the same name
+	AppendHeaders http1.Header // are added to the client's fields
+	RemoveHeaders []string     // names of fields that are removed
+
+	SetQuery    []http1.Field // query parameters that replace those of the same name
+	RemoveQuery []string      // names of query parameters that are removed
+
+	ResponseHeaders http1.Header // are added to the server's response
 }
 
-// Authorizer asks the external authorisation service at one of its addresses,
-// counted from 0. Check returns at once; done is called once, from any goroutine,
-// unless cancel was called before.
+// Authorizer makes checks with the external authorization service.
 type Authorizer interface {
-	Check(target int, t *Request, budget time.Duration, done func(AuthorizationResult)) (cancel func())
+	// Check asks the service at one of its addresses; target counts them from 0. It is
+	// called in the loop and must not block. It calls done once, from any goroutine,
+	// unless cancel is called first. The node ends the check after the budget.
+	Check(target int, request *Request, budget time.Duration, done func(AuthorizationResult)) (cancel func())
 }
 
-// apply makes an authoriser's changes to a call.
+// apply changes a request as the authorization service asks for.
 func (c *AuthorizationResult) apply(call *Call) {
 	for _, name := range c.RemoveHeaders {
 		call.Header.Del(name)
 	}
-	for _, f := range c.SetHeaders {
-		call.Header.Set(f.Name, f.Value)
+	for _, field := range c.SetHeaders {
+		call.Header.Set(field.Name, field.Value)
 	}
 	call.Header = append(call.Header, c.AppendHeaders...)
 	if len(c.SetQuery) > 0 || len(c.RemoveQuery) > 0 {
-		call.Target = c.query(call.Target)
+		call.Target = c.applyToQuery(call.Target)
 	}
 }
 
-// query sets and takes out query parameters; the others stay as they came.
-func (c *AuthorizationResult) query(target string) string {
+// applyToQuery returns a target with query parameters set and removed. The others keep
+// their place and their encoding.
+func (c *AuthorizationResult) applyToQuery(target string) string {
 	path, query, _ := strings.Cut(target, "?")
-	var kept []string
-	for part := range strings.SplitSeq(query, "&") {
-		name, _, _ := strings.Cut(part, "=")
-		plain, err := url.QueryUnescape(name)
-		if err != nil {
-			plain = name
-		}
-		replaced := slices.ContainsFunc(c.SetQuery, func(f http1.Field) bool { return f.Name == plain })
-		if part != "" && !replaced && !slices.Contains(c.RemoveQuery, plain) {
-			kept = append(kept, part)
+	var parameters []string
+	for parameter := range strings.SplitSeq(query, "&") {
+		if parameter != "" && !c.replacesParameter(parameter) {
+			parameters = append(parameters, parameter)
 		}
 	}
-	for _, f := range c.SetQuery {
-		kept = append(kept, url.QueryEscape(f.Name)+"="+url.QueryEscape(f.Value))
+	for _, field := range c.SetQuery {
+		parameters = append(parameters, url.QueryEscape(field.Name)+"="+url.QueryEscape(field.Value))
 	}
-	if len(kept) == 0 {
+	if len(parameters) == 0 {
 		return path
 	}
-	return path + "?" + strings.Join(kept, "&")
+	return path + "?" + strings.Join(parameters, "&")
+}
+
+// replacesParameter reports whether an encoded query parameter is set or removed.
+func (c *AuthorizationResult) replacesParameter(parameter string) bool {
+	encodedName, _, _ := strings.Cut(parameter, "=")
+	name, err := url.QueryUnescape(encodedName)
+	if err != nil {
+		name = encodedName
+	}
+	if slices.Contains(c.RemoveQuery, name) {
+		return true
+	}
+	return slices.ContainsFunc(c.SetQuery, func(field http1.Field) bool { return field.Name == name })
 }
--- a/node/options.go
+++ b/node/options.go
@@ -9,37 +9,103 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Options is what a node is made of.
+// Options configures a node. Fields without a default are required.
 type Options struct {
-	Settings       policy.Settings
-	Seed           uint64
-	Logger         *slog.Logger
-	Upstream       Upstream
-	Authorizer     Authorizer // nil where no class is put to one
-	Authz          *authz.Decider
-	SendToPeer     func(to int, data []byte) // to a peer; must not block
-	SendToAllPeers bool                      // Tell takes a number below 0: all peers
-	ResponseMargin time.Duration             // answers leave so long before the client gives up
-	MaxUnanswered  int                       // requests not answered yet
-	TimeOrigin     time.Time                 // the node's time 0; zero: now
-	UsageRecorder  UsageRecorder             // nil: none
-	Clock          Clock                     // nil: one that finds no gaps
-	Pause          pause.Settings            // zero: stall.Default
-	OnRequestDone  func(*Request)            // nothing more is done for a try; nil: nobody is told
+	// Settings are the policy's. Gateways and SelfIndex also say to whom a message for
+	// all gateways goes.
+	Settings policy.Settings
+
+	// Seed is of the policy's random choices. Gateways with the same seed make the same
+	// choices of servers, which then get their load in step.
+	Seed uint64
+
+	// Logger gets one line for each final response, at level Info, and what operators
+	// are to know.
+	Logger *slog.Logger
+
+	// Upstream makes the attempts. Nil: every request must be Proxied.
+	Upstream Upstream
+
+	// Authz decides on the authorization of requests, in the loop, which owns it from
+	// then on. Nil: no request is authorized, all go to the policy.
+	Authz *authz.Decider
+
+	// Authorizer makes the authorization checks that Authz asks for. Nil: Authz must
+	// not ask for any.
+	Authorizer Authorizer
+
+	// SendToPeer sends a message of at most 256 bytes to a gateway, by its number. It is
+	// called in the loop and must not block: the message may be lost instead.
+	SendToPeer func(to int, data []byte)
+
+	// SendToAllPeers says that SendToPeer takes a number below 0 for all other gateways.
+	// Default: it is called once for each.
+	SendToAllPeers bool
+
+	// ResponseMargin is how long before the client's timeout a request has its final
+	// response; at most half of the timeout is used. Zero: responses that come at the
+	// deadline reach the client too late.
+	ResponseMargin time.Duration
+
+	// MaxUnanswered is how many requests may be without a final response; further ones
+	// are rejected for overload. It bounds the node's memory. Zero: all are rejected.
+	MaxUnanswered int
+
+	// TimeOrigin is the time 0 of the node and of Clock. Default: the time of New.
+	TimeOrigin time.Time
+
+	// UsageRecorder is told of units asked for and used. Default: nobody is told.
+	UsageRecorder UsageRecorder
+
+	// Clock tells the time and finds pauses of the process. Default: one that finds
+	// none, so that only the loop itself notices that it did not run.
+	Clock Clock
+
+	// Pause says what counts as a pause, and how long the sockets are read after one.
+	// Default: pause.Default.
+	Pause pause.Settings
+
+	// OnRequestDone is called once nothing more is done for a request, in the loop, or
+	// in Submit for a request that is rejected at once. It must not block. Default:
+	// nobody is told.
+	OnRequestDone func(*Request)
+}
+
+// setDefaults fills in the fields that have a default which is not their zero value.
+func (o *Options) setDefaults() {
+	if o.TimeOrigin.IsZero() {
+		o.TimeOrigin = time.Now()
+	}
+	if o.Clock == nil {
+		o.Clock = alwaysActiveClock{o.TimeOrigin}
+	}
+	if o.Pause == (pause.Settings{}) {
+		o.Pause = pause.Default()
+	}
 }
 
-// Clock tells the time since Options.Base, and where the process did not run.
+// Clock is the time since Options.TimeOrigin, by the monotonic clock, and what is known
+// of the pauses in which the process did not run. Its methods are called from any
+// goroutine and must not block for long.
 type Clock interface {
+	// Now is the time since the origin. Reading it may find a pause.
 	Now() time.Duration
-	Pauses() int64                                   // found so far
-	ActiveTime(from, to time.Duration) time.Duration // how much of a time the process ran
-	UnreadSockets() int                              // sockets that may hold what came before the last gap's end
+
+	// Pauses is the number of pauses found so far.
+	Pauses() int64
+
+	// ActiveTime is how long the process ran between two times; never below 0.
+	ActiveTime(from, to time.Duration) time.Duration
+
+	// UnreadSockets is the number of sockets that may hold something that came in
+	// before the last pause ended.
+	UnreadSockets() int
 }
 
-// alwaysActiveClock is a Clock of a process that always runs.
-type alwaysActiveClock struct{ base time.Time }
+// alwaysActiveClock is the Clock of a process that is never paused.
+type alwaysActiveClock struct{ origin time.Time }
 
-func (s alwaysActiveClock) Now() time.Duration { return time.Since(s.base) }
+func (c alwaysActiveClock) Now() time.Duration { return time.Since(c.origin) }
 
 func (alwaysActiveClock) Pauses() int64 { return 0 }
 
@@ -47,8 +113,13 @@
 
 func (alwaysActiveClock) UnreadSockets() int { return 0 }
 
-// UsageRecorder is told of what is asked for and passed, in the loop.
+// UsageRecorder counts the units that customers ask for and use. Its methods are called
+// in the loop and must not block.
 type UsageRecorder interface {
-	RequestSeen(t *Request)      // a request is given to the module
-	RequestForwarded(t *Request) // its first attempt goes out: its units count
+	// RequestSeen is called when a request is put to the policy.
+	RequestSeen(request *Request)
+
+	// RequestForwarded is called when the first attempt of a request starts: its units
+	// are used, whatever comes of it.
+	RequestForwarded(request *Request)
 }
--- a/node/request.go
+++ b/node/request.go
@@ -6,29 +6,38 @@
 	"yardcleat.example/yardcleat/internal/http1"
 )
 
-// Call is a client's request as it is to be forwarded.
+// Call is the content of a client's request, as it is forwarded.
 type Call struct {
 	Method string
 	Target string // path and query, as they came in
 	Host   string
-	Header http1.Header // end-to-end fields
+	Header http1.Header // end-to-end fields only
 	Body   []byte
 }
 
-// Request is one client's try, whatever protocol it came by.
+// Request is one request of a client, whatever protocol it came by. The node changes
+// Call as the authorization service asks for; all else stays as it was submitted.
 type Request struct {
-	Trace         string // request id, for logs and records
-	Class         string
-	Customer      string
-	Plan          string
-	Units         float64
-	FirstGateway  int // the customer comes in through Spread nodes from First on
+	Trace    string  // request ID, for logs and records
+	Class    string  // name of a class of the policy's settings
+	Customer string  // whose quotas apply
+	Plan     string  // name of a plan of the policy's settings
+	Units    float64 // what the request counts against the customer's quota
+
+	// FirstGateway and GatewaySpread say by which gateways the customer's requests come
+	// in: GatewaySpread of them, at least one, counted from FirstGateway on.
+	FirstGateway  int
 	GatewaySpread int
-	Arrived       time.Time     // when it came in; zero: as it is taken
-	ClientTimeout time.Duration // from then until the client gives up
-	ClientRetry   bool          // the client marked it as one
-	Proxied       bool          // the front's client forwards it itself; an Answer with Go lets it
+
+	Arrived       time.Time     // when the request came in; zero: when it is submitted
+	ClientTimeout time.Duration // how long after Arrived the client gives up
+	ClientRetry   bool          // the client marked the request as a retry
+
+	// Proxied requests are forwarded by the proxy that asked: they are answered with a
+	// ForwardPermit in place of a server's response.
+	Proxied bool
+
 	Call          Call
-	ClientAddress string // address of who asked, where known: host:port
-	LocalAddress  string // address it was asked at
+	ClientAddress string // host:port of the client; "": not known
+	LocalAddress  string // host:port that the client connected to; "": not known
 }
--- a/node/response.go
+++ b/node/response.go
@@ -7,40 +7,44 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// ResponseKind is what a final answer says.
+// ResponseKind says what a final response promises.
 type ResponseKind int
 
-// The kinds of answer.
+// The kinds of final response.
 const (
-	Served   ResponseKind = iota // a server's answer, or leave to forward
-	Rejected                     // a retry is harmless
-	Failed                       // promises nothing
+	Served   ResponseKind = iota // a server's response, or a permit to forward
+	Rejected                     // nothing ran, or running again is harmless: the client may retry
+	Failed                       // the request may or may not have run
 )
 
+// String returns the kind as it appears in the log.
 func (k ResponseKind) String() string { return [...]string{"served", "refused", "failed"}[k] }
 
-// Response is what a server, or the authoriser in denying, answered.
+// Response is what a server responded, or the authorization service in denying.
 type Response struct {
-	Status int
-	Header http1.Header // end-to-end fields
+	Status int          // HTTP status code
+	Header http1.Header // end-to-end fields only
 	Body   []byte
 }
 
-// FinalResponse is the one final answer to a Try.
+// FinalResponse is the one response to a Request. The receiver may keep it but must not
+// change Response: a denial may be cached and given to several requests.
 type FinalResponse struct {
 	Kind       ResponseKind
-	Reason     Reason
-	Detail     string         // for the client to read, where the reason does not say it all
-	RetryAfter time.Duration  // with Refused: advice; 0: none
-	Response   *Response      // of Served, and of authorisation-denied
-	Permit     *ForwardPermit // of Served to a Proxied try
+	Reason     Reason         // ReasonNone with Served
+	Detail     string         // for the client to read, where the reason does not say enough
+	RetryAfter time.Duration  // with Rejected: the client should wait this long; 0: no advice
+	Response   *Response      // with Served, and with ReasonAuthorizationDenied; else nil
+	Permit     *ForwardPermit // with Served for a Proxied request; else nil
 }
 
-// ForwardPermit lets a proxy make the attempt itself.
+// ForwardPermit lets a proxy make an attempt itself. FinishProxiedAttempt is called with
+// ID and Attempt when the attempt has ended; without that, the node ends it after
+// Timeout.
 type ForwardPermit struct {
 	ID            policy.RequestID
 	Attempt       int
-	Server        string // address
-	Timeout       time.Duration
-	Authorization AuthorizationResult // what the authoriser changes
+	Server        string              // host:port of the server to forward to
+	Timeout       time.Duration       // for the attempt, from now on
+	Authorization AuthorizationResult // changes to the request and its response
 }
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -6,36 +6,39 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Attempt is one attempt at a server, for an Upstream.
+// Attempt is one attempt at a server.
 type Attempt struct {
 	ID            policy.RequestID
-	Number        int // attempts of a request count from 0
-	Address       string
-	ConnectionKey string        // names the server and its start, for its connections; "": the address does
-	Timeout       time.Duration // told to the server; the node ends the attempt itself
-	Request       *Request
-	DecidedAt     time.Time // when the module said so
+	Number        int           // of this attempt; those of a request count from 0
+	Address       string        // host:port of the server
+	ConnectionKey string        // as in Server
+	Timeout       time.Duration // for the server to know; the node ends the attempt itself
+	Request       *Request      // must not be changed
+	DecidedAt     time.Time     // when the policy decided on the attempt
 }
 
-// Result is how an attempt ended.
+// Result says how an attempt ended. The node owns Response from then on.
 type Result struct {
 	Code     policy.ResultCode
-	Response *Response     // of OK, and of Error where there was one
-	Detail   string        // for logs
-	Latency  time.Duration // from Decided on, as measured where the attempt was made; 0: by the node
+	Response *Response     // with OK, and with Error where the server responded
+	Detail   string        // for the log
+	Latency  time.Duration // from DecidedAt to the result; 0: the node measures it
 }
 
-// Upstream makes attempts. Start returns at once; done is called once, from any
-// goroutine, unless the attempt was ended before.
+// Upstream makes attempts.
 type Upstream interface {
-	Start(a Attempt, done func(Result)) OutgoingAttempt
+	// Start starts an attempt. It is called in the loop and must not block. It calls
+	// done once, from any goroutine, unless the attempt is canceled or withdrawn first.
+	Start(attempt Attempt, done func(Result)) OutgoingAttempt
 }
 
-// OutgoingAttempt is an attempt under way. Both methods end its work on its connection before
-// they return.
+// OutgoingAttempt is an attempt in flight. Its methods are called in the loop. When they
+// return, nothing more of the attempt is sent.
 type OutgoingAttempt interface {
+	// Cancel ends the attempt. It does nothing where the attempt has ended.
 	Cancel()
-	// Withdraw is Cancel where the request is not being written yet, and so can't have
-	// run; else it does nothing and is false.
+
+	// Withdraw ends the attempt and returns true where its request has not begun to be
+	// written, and so can't have run. Otherwise it does nothing and returns false.
 	Withdraw() bool
 }
