--- a/node/attempts.go
+++ b/node/attempts.go
@@ -1,97 +1,145 @@
 package node
 
 import (
-	"cmp"
+	"time"
 
-	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/policy"
 )
 
-// startAttempt starts an attempt. What is too late, or over, is not sent.
-func (n *Node) startAttempt(a policy.StartAttempt) {
-	r := n.requests[a.ID]
+// startAttempt carries out the policy's decision to send a request to a server. Where
+// the request is answered or its deadline has passed, nothing is sent and the attempt
+// ends as TooLate, which proves that it never ran.
+func (n *Node) startAttempt(action policy.StartAttempt) {
+	r := n.requests[action.ID]
 	if r == nil {
 		return
 	}
-	r.server, r.sentAt, r.live = a.Server, n.now, true
-	r.attempts++
-	attempt := r.attempts - 1
-	left := r.deadline - n.now
-	if r.state == stateAnswered || left <= 0 {
-		n.finishAttempt(r, attempt, Result{Code: policy.TooLate, Detail: "too late to send"})
+	attempt := r.beginAttempt(action.Server, n.now)
+	timeout := r.deadline - n.now
+	if r.isAnswered() || timeout <= 0 {
+		n.finishAttempt(r, Result{Code: policy.TooLate, Detail: "too late to send"})
 		return
 	}
-	if a.Timeout > 0 {
-		left = min(left, a.Timeout)
+	if action.Timeout > 0 {
+		timeout = min(timeout, action.Timeout)
 	}
-	r.state = stateInFlight
+	r.awaitAttempt()
 	if attempt == 0 && n.options.UsageRecorder != nil {
 		n.options.UsageRecorder.RequestForwarded(r.request)
 	}
-	r.limit = n.timerWheel.Add(n.now+left, func() {
-		n.finishAttempt(r, attempt, Result{Code: policy.TimedOut, Detail: "no answer in time"})
-	})
-	to := n.endpoints[a.Server]
+	r.work.timeout = n.timerWheel.Add(n.now+timeout, func() { n.timeOutAttempt(r) })
 	if r.request.Proxied {
-		n.respond(r, FinalResponse{Kind: Served, Permit: &ForwardPermit{ID: r.id, Attempt: attempt, Server: to.Address, Timeout: left,
-			Authorization: r.allowed}})
+		n.permitForward(r, timeout)
 		return
 	}
-	sending := n.options.Upstream.Start(Attempt{ID: r.id, Number: attempt, Address: to.Address, ConnectionKey: to.ConnectionKey, Timeout: left, Request: r.request, DecidedAt: n.timeOrigin.Add(n.now)},
-		func(res Result) {
-			n.enqueue(pause.Ended, func() {
-				if r.live && attempt == r.attempts-1 {
-					r.cancel, r.withdraw = nil, nil // it has ended by itself
-					n.finishAttempt(r, attempt, res)
-				}
-			})
-		})
-	r.cancel, r.withdraw = sending.Cancel, sending.Withdraw
+	n.sendUpstream(r, timeout)
 }
 
-// finishAttempt takes in how the attempt that is out has ended; only the first
-// word counts. A server's answer is the client's, and ends the request.
-func (n *Node) finishAttempt(r *pendingRequest, attempt int, res Result) {
-	if !r.live {
-		return
+// permitForward lets the proxy that asked make the current attempt itself. That is the
+// final response; the attempt stays active until the proxy reports its result.
+func (n *Node) permitForward(r *pendingRequest, timeout time.Duration) {
+	n.respond(r, FinalResponse{Kind: Served, Permit: &ForwardPermit{
+		ID:            r.id,
+		Attempt:       r.attempts.current(),
+		Server:        n.endpoints[r.attempts.server].Address,
+		Timeout:       timeout,
+		Authorization: r.authorization.granted,
+	}})
+}
+
+// sendUpstream makes the current attempt. Its result comes back as an event.
+func (n *Node) sendUpstream(r *pendingRequest, timeout time.Duration) {
+	number := r.attempts.current()
+	endpoint := n.endpoints[r.attempts.server]
+	attempt := Attempt{
+		ID:            r.id,
+		Number:        number,
+		Address:       endpoint.Address,
+		ConnectionKey: endpoint.ConnectionKey,
+		Timeout:       timeout,
+		Request:       r.request,
+		DecidedAt:     n.wallTime(),
 	}
-	n.stopOutgoingWork(r)
-	r.live, r.last = false, res.Code
-	if res.Detail != "" {
-		r.detail = res.Detail
+	outgoing := n.options.Upstream.Start(attempt, func(result Result) {
+		n.enqueue(attemptFinished{request: r, attempt: number, result: result})
+	})
+	r.work.cancel = outgoing.Cancel
+	r.work.withdraw = outgoing.Withdraw
+}
+
+// FinishProxiedAttempt reports the result of an attempt that a ForwardPermit let a
+// proxy make. It may be called from any goroutine and never blocks. A report of any
+// other attempt, or a second one, changes nothing.
+func (n *Node) FinishProxiedAttempt(id policy.RequestID, attempt int, result Result) {
+	n.enqueue(proxiedAttemptFinished{id: id, attempt: attempt, result: result})
+}
+
+// handleProxiedAttemptFinished takes the report of a proxy.
+func (n *Node) handleProxiedAttemptFinished(e proxiedAttemptFinished) {
+	r := n.requests[e.id]
+	if r != nil && r.request.Proxied && r.attempts.isActive(e.attempt) {
+		n.finishAttempt(r, e.result)
 	}
-	if res.Code == policy.OK && r.state != stateAnswered {
-		res.Response.Header = append(res.Response.Header, r.allowed.ResponseHeaders...)
-		n.respond(r, FinalResponse{Kind: Served, Response: res.Response})
+}
+
+// handleAttemptFinished takes the result of an attempt, unless it was ended before.
+func (n *Node) handleAttemptFinished(e attemptFinished) {
+	if e.request.attempts.isActive(e.attempt) {
+		e.request.work.completed()
+		n.finishAttempt(e.request, e.result)
 	}
-	if res.Code == policy.OK && n.options.Authz != nil {
-		n.options.Authz.Took(r.request.Class, cmp.Or(res.Latency, n.options.Clock.ActiveTime(r.sentAt, n.now)))
+}
+
+// cancelAttempt carries out the policy's decision to stop waiting for an attempt. An
+// attempt that a proxy makes can't be canceled.
+func (n *Node) cancelAttempt(action policy.CancelAttempt) {
+	r := n.requests[action.ID]
+	if r != nil && !r.request.Proxied && r.attempts.isActive(action.Attempt) {
+		n.finishAttempt(r, Result{Code: policy.Cancelled, Detail: "called back"})
 	}
-	over := r.state == stateAnswered
-	if r.state == stateInFlight {
-		r.state = stateDeciding
+}
+
+// timeOutAttempt ends the attempt that is active where its time has run out.
+func (n *Node) timeOutAttempt(r *pendingRequest) {
+	n.finishAttempt(r, Result{Code: policy.TimedOut, Detail: "no answer in time"})
+}
+
+// finishAttempt ends the active attempt with its result, of which the policy hears;
+// without an active attempt it does nothing. A server's response becomes the final one.
+// The work on the connection has ended when the policy hears of the result, so that a
+// next attempt starts after this one has ended.
+func (n *Node) finishAttempt(r *pendingRequest, result Result) {
+	if !r.attempts.active {
+		return
+	}
+	r.work.stop()
+	r.endAttempt(result)
+	if result.Code == policy.OK {
+		n.serveResponse(r, result.Response)
 	}
-	if res.Latency == 0 {
-		res.Latency = n.options.Clock.ActiveTime(r.sentAt, n.now)
+	latency := result.Latency
+	if latency == 0 {
+		latency = n.activeTimeSince(r.attempts.startedAt)
 	}
-	n.queuePolicyEvent(policy.AttemptResult{ID: r.id, Attempt: attempt, Server: r.server, Code: res.Code, Latency: res.Latency, Answered: over})
+	if result.Code == policy.OK && n.options.Authz != nil {
+		n.options.Authz.Took(r.request.Class, latency)
+	}
+	n.queuePolicyEvent(policy.AttemptResult{
+		ID:       r.id,
+		Attempt:  r.attempts.current(),
+		Server:   r.attempts.server,
+		Code:     result.Code,
+		Latency:  latency,
+		Answered: r.isAnswered(),
+	})
 	n.releaseIfDone(r)
 }
 
-// stopOutgoingWork ends the Check or the attempt that is out.
-func (n *Node) stopOutgoingWork(r *pendingRequest) {
-	r.limit.Stop()
-	if r.cancel != nil {
-		r.cancel()
+// serveResponse answers with a server's response, unless the request is answered.
+func (n *Node) serveResponse(r *pendingRequest, response *Response) {
+	if r.isAnswered() {
+		return
 	}
-	r.cancel, r.withdraw, r.limit = nil, nil, nil
-}
-
-// FinishProxiedAttempt tells how the attempt that a Go let a proxy make has ended.
-func (n *Node) FinishProxiedAttempt(id policy.RequestID, attempt int, res Result) {
-	n.enqueue(pause.Ended, func() {
-		if r := n.requests[id]; r != nil && r.live && r.request.Proxied && attempt == r.attempts-1 {
-			n.finishAttempt(r, attempt, res)
-		}
-	})
+	response.Header = append(response.Header, r.authorization.granted.ResponseHeaders...)
+	n.respond(r, FinalResponse{Kind: Served, Response: response})
 }
--- a/node/authorization.go
+++ b/node/authorization.go
@@ -2,84 +2,122 @@
 
 import (
 	"yardcleat.example/yardcleat/authz"
-	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/policy"
 )
 
-// executeAuthorization carries out what authz says.
-func (n *Node) executeAuthorization(acts []authz.Action) {
-	for _, a := range acts {
-		switch a := a.(type) {
+// authorizationPruneInterval is how many requests are begun between two removals of
+// the authorization results that have expired.
+const authorizationPruneInterval = 4096
+
+// authorize puts a request to the authorization decider.
+func (n *Node) authorize(r *pendingRequest) {
+	r.awaitAuthorization()
+	if n.lastID%authorizationPruneInterval == 0 {
+		n.options.Authz.Forget(n.wallTime())
+	}
+	request := r.request
+	actions := n.options.Authz.Begin(n.wallTime(), authz.Request{
+		ID:        uint64(r.id),
+		Class:     request.Class,
+		Customer:  request.Customer,
+		Plan:      request.Plan,
+		Resource:  request.Call.Method + " " + request.Call.Target,
+		Remaining: r.deadline - n.now,
+	})
+	n.executeAuthorization(actions)
+}
+
+// executeAuthorization carries out the actions of the authorization decider.
+func (n *Node) executeAuthorization(actions []authz.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case authz.Check:
-			r := n.requests[policy.RequestID(a.ID)]
-			r.check, r.checkAt = a.Try, n.now
-			r.limit = n.timerWheel.Add(n.now+a.Budget, func() {
-				n.finishCheck(r, a.Try, AuthorizationResult{Verdict: authz.Late, Detail: "authoriser: no answer in time"})
-			})
-			r.cancel = n.options.Authorizer.Check(a.Target, r.request, a.Budget, func(c AuthorizationResult) {
-				n.enqueue(pause.Ended, func() { n.finishCheck(r, a.Try, c) })
-			})
+			n.startCheck(action)
 		case authz.Cancel:
-			if r := n.requests[policy.RequestID(a.ID)]; r != nil {
-				n.stopOutgoingWork(r)
+			if r := n.requests[policy.RequestID(action.ID)]; r != nil {
+				r.work.stop()
 			}
 		case authz.Settle:
-			if r := n.requests[policy.RequestID(a.ID)]; r != nil && r.state == stateAuthorizing {
-				c := r.checkedAs
-				if a.StoodIn {
-					c, _ = a.Kept.(AuthorizationResult)
-					c.Detail = "authoriser gave no answer: an earlier one or the default stands in"
-				}
-				r.state = stateDeciding
-				n.applyAuthorization(r, a.Step, c)
-			}
+			n.concludeAuthorization(action)
 		case authz.Wake:
-			n.timerWheel.Add(n.now+a.After, func() { n.executeAuthorization(n.options.Authz.Tick(n.wallTime())) })
+			n.timerWheel.Add(n.now+action.After, func() { n.executeAuthorization(n.options.Authz.Tick(n.wallTime())) })
 		case authz.Note:
-			n.options.Logger.Warn(a.Text, "address", a.Target)
+			n.options.Logger.Warn(action.Text, "address", action.Target)
 		}
 	}
 }
 
-// finishCheck takes in how a Check ended; only the first word counts.
-func (n *Node) finishCheck(r *pendingRequest, try int, c AuthorizationResult) {
-	if r.state != stateAuthorizing || r.limit == nil || r.check != try {
+// startCheck sends an authorization check. Its result comes back as an event, or its
+// timer expires.
+func (n *Node) startCheck(action authz.Check) {
+	r := n.requests[policy.RequestID(action.ID)]
+	r.authorization.number = action.Try
+	r.authorization.startedAt = n.now
+	r.work.timeout = n.timerWheel.Add(n.now+action.Budget, func() {
+		n.finishCheck(r, action.Try, AuthorizationResult{Verdict: authz.Late, Detail: "authoriser: no answer in time"})
+	})
+	r.work.cancel = n.options.Authorizer.Check(action.Target, r.request, action.Budget, func(result AuthorizationResult) {
+		n.enqueue(checkFinished{request: r, check: action.Try, result: result})
+	})
+}
+
+// finishCheck hands the result of the running check to the authorization decider. Only
+// the first result of a check counts.
+func (n *Node) finishCheck(r *pendingRequest, check int, result AuthorizationResult) {
+	if r.state != stateAuthorizing || !r.work.isRunning() || r.authorization.number != check {
 		return
 	}
-	n.stopOutgoingWork(r)
-	r.checkedAs = c
-	n.executeAuthorization(n.options.Authz.Answered(n.wallTime(), uint64(r.id), try, authz.Answer{Verdict: c.Verdict, Latency: n.options.Clock.ActiveTime(r.checkAt, n.now),
-		Stood: n.options.Clock.ActiveTime(r.checkAt, n.now) < n.now-r.checkAt,
-		Life:  c.CacheTTL, Kept: c}))
+	r.work.stop()
+	r.authorization.result = result
+	elapsed := n.now - r.authorization.startedAt
+	latency := n.activeTimeSince(r.authorization.startedAt)
+	n.executeAuthorization(n.options.Authz.Answered(n.wallTime(), uint64(r.id), check, authz.Answer{
+		Verdict: result.Verdict,
+		Latency: latency,
+		Stood:   latency < elapsed,
+		Life:    result.CacheTTL,
+		Kept:    result,
+	}))
 }
 
-// abandonCheck ends a Check whose answer no longer matters.
+// abandonCheck ends the authorization of a request that is about to be answered.
 func (n *Node) abandonCheck(r *pendingRequest) {
-	if r.state == stateAuthorizing {
-		n.stopOutgoingWork(r)
-		r.state = stateDeciding
-		n.executeAuthorization(n.options.Authz.Gone(n.wallTime(), uint64(r.id)))
+	if r.state != stateAuthorizing {
+		return
 	}
+	r.work.stop()
+	r.awaitDecision()
+	n.executeAuthorization(n.options.Authz.Gone(n.wallTime(), uint64(r.id)))
 }
 
-func (n *Node) applyAuthorization(r *pendingRequest, step authz.Step, c AuthorizationResult) {
-	r.detail = c.Detail
-	a := FinalResponse{Kind: Rejected, RetryAfter: n.options.Settings.MaxRetryAfter}
-	switch step {
-	case authz.Deny:
-		a.Reason, a.Response, a.RetryAfter = ReasonAuthorizationDenied, c.Denial, 0
-	case authz.RefuseLate:
-		a.Reason = ReasonAuthorizationTimeout
-	case authz.RefuseError:
-		a.Reason = ReasonAuthorizationUnreachable
-	case authz.RefuseQuota:
-		a.Reason = ReasonQuota
-	default:
-		c.apply(&r.request.Call)
-		r.allowed = c
+// concludeAuthorization ends the authorization of a request by the decider's verdict,
+// which rests on the last check or, where that gave no result, on a cached result or
+// the default of the class.
+func (n *Node) concludeAuthorization(action authz.Settle) {
+	r := n.requests[policy.RequestID(action.ID)]
+	if r == nil || r.state != stateAuthorizing {
+		return
+	}
+	result := r.authorization.result
+	if action.StoodIn {
+		result, _ = action.Kept.(AuthorizationResult)
+		result.Detail = "authoriser gave no answer: an earlier one or the default stands in"
+	}
+	r.detail = result.Detail
+	r.awaitDecision()
+	reason := authorizationFailure(action.Step)
+	if reason == ReasonNone {
+		result.apply(&r.request.Call)
+		r.authorization.granted = result
 		n.askPolicy(r)
 		return
 	}
-	n.respond(r, a)
+	response := FinalResponse{Kind: Rejected, Reason: reason}
+	if reason == ReasonAuthorizationDenied {
+		response.Response = result.Denial
+	} else {
+		response.RetryAfter = n.options.Settings.MaxRetryAfter
+	}
+	n.respond(r, response)
 	n.release(r)
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -4,51 +4,64 @@
 	"context"
 	"fmt"
 
-	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/policy"
 )
 
-// AbortRequests lets no more tries in, and gives what is not answered its final answer now: a
-// refusal where nothing was sent, so that a repeat is harmless.
-func (n *Node) AbortRequests() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.closing = true
-	n.enqueueLocked(item{pause.Other, func() {
-		for _, r := range n.requests {
-			if r.state == stateAnswered {
-				continue
-			}
-			n.abandonCheck(r)
-			a := FinalResponse{Kind: Failed, Reason: ReasonDraining}
-			if r.attempts == 0 {
-				a.Kind, a.RetryAfter = Rejected, n.options.Settings.MaxRetryAfter
-			}
-			n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
-			n.respond(r, a)
-			if r.live {
-				n.finishAttempt(r, r.attempts-1, Result{Code: policy.Cancelled, Detail: "the node ends"})
-			}
-			n.releaseIfDone(r)
-		}
-	}})
-}
-
-// Drain lets no more tries in and waits until all are answered, or the context
-// ends.
+// Drain rejects further requests, for good, and waits until all accepted ones have
+// their final response. Where the context ends first, it returns an error;
+// the requests then go on. Any goroutine but the loop's may call it, one at a time.
 func (n *Node) Drain(ctx context.Context) error {
 	for {
-		n.mu.Lock()
-		n.closing = true
-		left := n.unanswered
-		n.mu.Unlock()
-		if left == 0 {
+		unanswered := n.closeForRequests()
+		if unanswered == 0 {
 			return nil
 		}
 		select {
 		case <-n.allAnswered:
 		case <-ctx.Done():
-			return fmt.Errorf("%d requests not answered: %w", left, ctx.Err())
+			return fmt.Errorf("%d requests not answered: %w", unanswered, ctx.Err())
+		}
+	}
+}
+
+// closeForRequests rejects further requests and returns how many are unanswered.
+func (n *Node) closeForRequests() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.closing = true
+	return n.unanswered
+}
+
+// AbortRequests rejects further requests, for good, and has the loop answer all that
+// are unanswered at once: they are rejected where nothing was sent, so that a retry is
+// harmless, and failed otherwise. It may be called from any goroutine and never blocks.
+func (n *Node) AbortRequests() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.closing = true
+	n.enqueueLocked(requestsAborted{})
+}
+
+// abortRequests answers every request, and cancels attempts in flight.
+func (n *Node) abortRequests() {
+	for _, r := range n.requests {
+		if !r.isAnswered() {
+			n.abortRequest(r)
 		}
 	}
 }
+
+func (n *Node) abortRequest(r *pendingRequest) {
+	n.abandonCheck(r)
+	response := FinalResponse{Kind: Failed, Reason: ReasonDraining}
+	if r.attempts.count == 0 {
+		response.Kind = Rejected
+		response.RetryAfter = n.options.Settings.MaxRetryAfter
+	}
+	n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
+	n.respond(r, response)
+	if r.attempts.active {
+		n.finishAttempt(r, Result{Code: policy.Cancelled, Detail: "the node ends"})
+	}
+	n.releaseIfDone(r)
+}
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -3,45 +3,71 @@
 import (
 	"time"
 
-	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Server is a line of the server list with its address.
+// Server is one line of the endpoint list: what the policy knows of a server, and how
+// to reach it.
 type Server struct {
-	policy.Server // Start is not used: see Started
-	Address       string
-	ConnectionKey string    // names it and its start, for connections to it; "": the address does
-	StartTime     time.Time // wall clock; zero: not known
+	// Server is for the policy. HasStartTime and StartedAt are set by the node, from
+	// StartTime.
+	policy.Server
+
+	Address string // host:port
+
+	// ConnectionKey names the server and its start: connections are shared by attempts
+	// with the same key only. Empty: the address is the key.
+	ConnectionKey string
+
+	StartTime time.Time // the server's last start by the wall clock; zero: not known
 }
 
-// UpdateEndpoints tells of the server list.
+// UpdateEndpoints gives the node the endpoint list or changes to it, as kind says. It
+// may be called from any goroutine and never blocks; the node owns the list from then
+// on.
 func (n *Node) UpdateEndpoints(kind policy.EndpointUpdateKind, list []Server) {
-	n.enqueue(pause.Listed, func() {
-		m := policy.EndpointUpdate{Kind: kind}
-		if kind == policy.SnapshotUpdate || kind == policy.CachedUpdate {
-			clear(n.endpoints)
+	n.enqueue(endpointsUpdated{kind: kind, endpoints: list})
+}
+
+// applyEndpointUpdate takes an update over into the endpoint list, and passes it on to
+// the policy.
+func (n *Node) applyEndpointUpdate(e endpointsUpdated) {
+	update := policy.EndpointUpdate{Kind: e.kind}
+	if e.kind == policy.SnapshotUpdate || e.kind == policy.CachedUpdate {
+		clear(n.endpoints)
+	}
+	for _, endpoint := range e.endpoints {
+		if !endpoint.StartTime.IsZero() {
+			endpoint.HasStartTime = true
+			endpoint.StartedAt = endpoint.StartTime.Sub(n.timeOrigin)
 		}
-		for _, s := range list {
-			if !s.StartTime.IsZero() {
-				s.HasStartTime, s.StartedAt = true, s.StartTime.Sub(n.timeOrigin)
-			}
-			if n.endpoints[s.ID] = s; s.State == policy.Removed {
-				delete(n.endpoints, s.ID)
-			}
-			m.Servers = append(m.Servers, s.Server)
+		if endpoint.State == policy.Removed {
+			delete(n.endpoints, endpoint.ID)
+		} else {
+			n.endpoints[endpoint.ID] = endpoint
 		}
-		n.queuePolicyEvent(m)
-		n.withdrawUnsentAttempts()
-	})
+		update.Servers = append(update.Servers, endpoint.Server)
+	}
+	n.queuePolicyEvent(update)
+	n.withdrawUnsentAttempts()
 }
 
-// withdrawUnsentAttempts takes back what has not left yet for servers that want nothing new: a dial may
-// come up long after its server began to drain.
+// withdrawUnsentAttempts ends the attempts at servers that accept no more work, as far
+// as their requests have not been written yet: a slow dial may succeed long after its
+// server began to drain.
 func (n *Node) withdrawUnsentAttempts() {
 	for _, r := range n.requests {
-		if s, listed := n.endpoints[r.server]; r.live && r.withdraw != nil && (!listed || s.State != policy.Running) && r.withdraw() {
-			n.finishAttempt(r, r.attempts-1, Result{Code: policy.ConnectFailed, Detail: "the server left before it was sent"})
+		if !r.attempts.active || n.acceptsWork(r.attempts.server) {
+			continue
+		}
+		if r.work.tryWithdraw() {
+			n.finishAttempt(r, Result{Code: policy.ConnectFailed, Detail: "the server left before it was sent"})
 		}
 	}
 }
+
+// acceptsWork reports whether a server is on the endpoint list and running.
+func (n *Node) acceptsWork(id policy.ServerID) bool {
+	endpoint, listed := n.endpoints[id]
+	return listed && endpoint.State == policy.Running
+}
--- a/node/events.go
+++ b/node/events.go
@@ -5,39 +5,131 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// item is something for the loop to do.
-type item struct {
-	kind pause.Kind
-	do   func()
+// event is something that happened outside the loop and waits to be handled by it.
+// Any goroutine may enqueue one; only the loop handles it.
+type event interface {
+	// pauseKind decides which events go first among those that came in while the
+	// process was paused. Without a pause, events are handled in order of arrival.
+	pauseKind() pause.Kind
 }
 
-// enqueue gives the loop something to do.
-func (n *Node) enqueue(kind pause.Kind, f func()) {
+// requestSubmitted brings a request that Submit accepted.
+type requestSubmitted struct{ request *pendingRequest }
+
+// clientDisconnected says that the client of a request has gone.
+type clientDisconnected struct{ request *pendingRequest }
+
+// peerMessageReceived brings a message of another gateway.
+type peerMessageReceived struct {
+	from int
+	data []byte
+}
+
+// endpointsUpdated brings the endpoint list or changes to it.
+type endpointsUpdated struct {
+	kind      policy.EndpointUpdateKind
+	endpoints []Server
+}
+
+// attemptFinished is the result of an attempt that the Upstream made.
+type attemptFinished struct {
+	request *pendingRequest
+	attempt int
+	result  Result
+}
+
+// proxiedAttemptFinished is the result of an attempt that a proxy made.
+type proxiedAttemptFinished struct {
+	id      policy.RequestID
+	attempt int
+	result  Result
+}
+
+// checkFinished is the result of an authorization check.
+type checkFinished struct {
+	request *pendingRequest
+	check   int
+	result  AuthorizationResult
+}
+
+// requestsAborted asks for a final response to every request at once.
+type requestsAborted struct{}
+
+// functionCall is a function to be called in the loop.
+type functionCall struct{ function func() }
+
+func (requestSubmitted) pauseKind() pause.Kind       { return pause.Asked }
+func (clientDisconnected) pauseKind() pause.Kind     { return pause.Left }
+func (peerMessageReceived) pauseKind() pause.Kind    { return pause.Heard }
+func (endpointsUpdated) pauseKind() pause.Kind       { return pause.Listed }
+func (attemptFinished) pauseKind() pause.Kind        { return pause.Ended }
+func (proxiedAttemptFinished) pauseKind() pause.Kind { return pause.Ended }
+func (checkFinished) pauseKind() pause.Kind          { return pause.Ended }
+func (requestsAborted) pauseKind() pause.Kind        { return pause.Other }
+func (functionCall) pauseKind() pause.Kind           { return pause.Other }
+
+// handle carries out one event. It is called in the loop.
+func (n *Node) handle(e event) {
+	switch e := e.(type) {
+	case requestSubmitted:
+		n.beginRequest(e.request)
+	case clientDisconnected:
+		n.handleClientDisconnect(e.request)
+	case peerMessageReceived:
+		n.queuePolicyEvent(policy.PeerMessage{From: e.from, Data: e.data})
+	case endpointsUpdated:
+		n.applyEndpointUpdate(e)
+	case attemptFinished:
+		n.handleAttemptFinished(e)
+	case proxiedAttemptFinished:
+		n.handleProxiedAttemptFinished(e)
+	case checkFinished:
+		n.finishCheck(e.request, e.check, e.result)
+	case requestsAborted:
+		n.abortRequests()
+	case functionCall:
+		e.function()
+	}
+}
+
+// enqueue hands an event to the loop. It never blocks.
+func (n *Node) enqueue(e event) {
 	n.mu.Lock()
-	n.enqueueLocked(item{kind, f})
+	n.enqueueLocked(e)
 	n.mu.Unlock()
 }
 
-// enqueueLocked is post under n.mu.
-func (n *Node) enqueueLocked(f item) {
-	n.queue = append(n.queue, f)
+// enqueueLocked is enqueue for a caller that holds n.mu.
+func (n *Node) enqueueLocked(e event) {
+	n.queue = append(n.queue, e)
 	if len(n.queue) == 1 {
-		select {
-		case n.wake <- struct{}{}:
-		default:
-		}
+		signal(n.wake)
+	}
+}
+
+// signal wakes the receiver of a channel with room for one signal; a signal that
+// has not been received yet is enough.
+func signal(c chan<- struct{}) {
+	select {
+	case c <- struct{}{}:
+	default:
 	}
 }
 
-// ReceivePeerMessage tells of a message from a peer.
+// ReceivePeerMessage hands the policy a message of another gateway. It may be called
+// from any goroutine and never blocks; the node owns data from then on.
 func (n *Node) ReceivePeerMessage(from int, data []byte) {
-	n.enqueue(pause.Heard, func() { n.queuePolicyEvent(policy.PeerMessage{From: from, Data: data}) })
+	n.enqueue(peerMessageReceived{from: from, data: data})
 }
 
-// Do runs f in the loop, in turn with all else that happens.
-func (n *Node) Do(f func()) { n.enqueue(pause.Other, f) }
+// Do calls f in the loop, in order with all other events, and returns at once. It may
+// be called from any goroutine; f must not block.
+func (n *Node) Do(f func()) { n.enqueue(functionCall{f}) }
 
-// InjectPolicyPanic makes the module panic at its next event; for tests.
+// InjectPolicyPanic makes the policy panic at its next event; for tests.
 func (n *Node) InjectPolicyPanic() {
-	n.enqueue(pause.Other, func() { n.policy = nil; n.queuePolicyEvent(policy.TimerFired{}) })
+	n.Do(func() {
+		n.policy = nil
+		n.queuePolicyEvent(policy.TimerFired{})
+	})
 }
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -3,98 +3,111 @@
 import (
 	"time"
 
-	"yardcleat.example/yardcleat/authz"
-	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Submit takes a try; reply is called once with its final answer, from the loop
-// or at once, and must not block. The returned function says that the client
-// has left.
-func (n *Node) Submit(t *Request, reply func(FinalResponse)) (gone func()) {
-	r := &pendingRequest{request: t, reply: reply}
-	at := n.options.Clock.Now()
-	if !t.Arrived.IsZero() {
-		at = t.Arrived.Sub(n.timeOrigin)
+// Submit hands a request to the node. The node calls reply once with the final
+// response: in the loop, or before Submit returns where the request is rejected at
+// once. Reply must not block. The caller calls the function returned when the client
+// has disconnected; it may be called from any goroutine, at any time, and never blocks.
+//
+// Submit may be called from any goroutine and never blocks. The request belongs to the
+// node until Options.OnRequestDone is called with it.
+func (n *Node) Submit(request *Request, reply func(FinalResponse)) (disconnected func()) {
+	r := &pendingRequest{request: request, reply: reply, receivedAt: n.arrivalTime(request)}
+	if reason := n.accept(r); reason != ReasonNone {
+		n.rejectSubmission(request, reason, reply)
+		return func() {}
 	}
+	return func() { n.enqueue(clientDisconnected{r}) }
+}
+
+// arrivalTime is when a request came in. The clock is read in any case, since that
+// also detects a pause of the process.
+func (n *Node) arrivalTime(request *Request) time.Duration {
+	now := n.options.Clock.Now()
+	if request.Arrived.IsZero() {
+		return now
+	}
+	return request.Arrived.Sub(n.timeOrigin)
+}
+
+// accept enqueues a request, or returns why it can't be accepted. Both happen under
+// one lock: once closing is set, the loop empties the queue for the last time.
+func (n *Node) accept(r *pendingRequest) Reason {
 	n.mu.Lock()
-	closing, full := n.closing, n.unanswered >= n.options.MaxUnanswered
-	if !closing && !full {
-		// Under one lock with the look at closing: once that is set, the loop
-		// empties the queue a last time.
-		n.unanswered++
-		n.enqueueLocked(item{pause.Asked, func() { n.begin(r, at) }})
+	defer n.mu.Unlock()
+	if n.closing {
+		return ReasonDraining
 	}
-	n.mu.Unlock()
-	if closing || full {
-		why := ReasonOverload
-		if closing {
-			why = ReasonDraining
-		}
-		a := FinalResponse{Kind: Rejected, Reason: why, RetryAfter: n.options.Settings.MaxRetryAfter}
-		n.logFinalResponse(t, a, 0, 0, "")
-		n.notifyRequestDone(t)
-		reply(a)
-		return func() {}
+	if n.unanswered >= n.options.MaxUnanswered {
+		return ReasonOverload
 	}
-	return func() { n.enqueue(pause.Left, func() { n.handleClientDisconnect(r) }) }
+	n.unanswered++
+	n.enqueueLocked(requestSubmitted{r})
+	return ReasonNone
 }
 
-// begin takes a request in: its deadline is set and its Check is sent.
-func (n *Node) begin(r *pendingRequest, at time.Duration) {
-	n.nextID++
-	r.id, r.receivedAt = n.nextID, at
-	r.deadline = at + max(r.request.ClientTimeout-n.options.ResponseMargin, r.request.ClientTimeout/2)
+// rejectSubmission answers a request that never reaches the loop.
+func (n *Node) rejectSubmission(request *Request, reason Reason, reply func(FinalResponse)) {
+	response := FinalResponse{Kind: Rejected, Reason: reason, RetryAfter: n.options.Settings.MaxRetryAfter}
+	n.logFinalResponse(request, response, responseLogDetails{})
+	n.notifyRequestDone(request)
+	reply(response)
+}
+
+// Unanswered is the number of requests that were accepted and have no final response.
+// It may be called from any goroutine.
+func (n *Node) Unanswered() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.unanswered
+}
+
+// beginRequest is a request's first turn in the loop: it gets its number and its
+// deadline, and is put to the authorizer or the policy.
+func (n *Node) beginRequest(r *pendingRequest) {
+	n.lastID++
+	r.id = n.lastID
+	r.deadline = r.receivedAt + n.timeToAnswer(r.request.ClientTimeout)
 	n.requests[r.id] = r
-	if r.clientLeft || r.deadline <= n.now {
-		// It waited for too long, or for nobody.
-		a := FinalResponse{Kind: Rejected, Reason: ReasonNoTime, RetryAfter: n.options.Settings.MaxRetryAfter}
-		if r.clientLeft {
-			a = FinalResponse{Kind: Failed, Reason: ReasonClientDisconnected}
-		}
-		n.respond(r, a)
+	if r.clientDisconnected {
+		n.respond(r, FinalResponse{Kind: Failed, Reason: ReasonClientDisconnected})
+		n.release(r)
+		return
+	}
+	if r.deadline <= n.now {
+		n.respond(r, FinalResponse{Kind: Rejected, Reason: ReasonNoTime, RetryAfter: n.options.Settings.MaxRetryAfter})
 		n.release(r)
 		return
 	}
-	r.deadlineTimer = n.timerWheel.Add(r.deadline, func() { n.expire(r) })
+	r.deadlineTimer = n.timerWheel.Add(r.deadline, func() { n.handleDeadline(r) })
 	if n.options.Authz == nil {
 		n.askPolicy(r)
 		return
 	}
-	r.state = stateAuthorizing
-	if n.nextID%4096 == 0 {
-		n.options.Authz.Forget(n.wallTime())
-	}
-	t := r.request
-	n.executeAuthorization(n.options.Authz.Begin(n.wallTime(), authz.Request{ID: uint64(r.id), Class: t.Class, Customer: t.Customer, Plan: t.Plan,
-		Resource: t.Call.Method + " " + t.Call.Target, Remaining: r.deadline - n.now}))
+	n.authorize(r)
 }
 
-// askPolicy gives a request to the module.
-func (n *Node) askPolicy(r *pendingRequest) {
-	r.state = stateDeciding
-	t := r.request
-	if n.options.UsageRecorder != nil {
-		n.options.UsageRecorder.RequestSeen(t)
-	}
-	n.queuePolicyEvent(policy.Request{ID: r.id, Customer: t.Customer, Plan: t.Plan, Class: t.Class, Units: t.Units,
-		Remaining: r.deadline - n.now, FirstGateway: t.FirstGateway, GatewaySpread: t.GatewaySpread, ClientRetry: t.ClientRetry})
+// timeToAnswer is how much of the client's timeout the node uses: all but the margin
+// for the way back, and half of it at least.
+func (n *Node) timeToAnswer(clientTimeout time.Duration) time.Duration {
+	return max(clientTimeout-n.options.ResponseMargin, clientTimeout/2)
 }
 
-// expire comes at a request's deadline. An attempt that is out ends by its own
-// timer, set for no later; the module has then a last word. This is the net
-// below it all: one answer is owed in any case.
-func (n *Node) expire(r *pendingRequest) {
-	if r.state == stateAnswered {
+// handleDeadline ensures that a request has its final response at its deadline,
+// whatever authorizer, servers and policy do.
+func (n *Node) handleDeadline(r *pendingRequest) {
+	if r.isAnswered() {
 		return
 	}
-	if r.live {
-		n.finishAttempt(r, r.attempts-1, Result{Code: policy.TimedOut, Detail: "no answer in time"})
+	if r.attempts.active {
+		n.timeOutAttempt(r)
 	}
-	// Also where the attempt's own timer has just run out, in the same step of the
-	// wheel: the module's last word on that is not said yet.
+	// The policy answers requests whose last attempt has timed out, also where the
+	// attempt's own timer expired in the same step of the wheel.
 	n.runPolicy()
-	if r.state == stateAnswered {
+	if r.isAnswered() {
 		return
 	}
 	if r.state == stateAuthorizing {
@@ -105,70 +118,77 @@
 	}
 	n.options.Logger.Warn("the module gave no answer by the deadline", "trace", r.request.Trace, "class", r.request.Class)
 	n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
-	a := FinalResponse{Kind: Failed, Reason: ReasonNoTime}
-	if r.attempts == 0 {
-		a.Kind = Rejected // nothing ran
+	response := FinalResponse{Kind: Failed, Reason: ReasonNoTime}
+	if r.attempts.count == 0 {
+		response.Kind = Rejected // nothing was sent
 	}
-	n.respond(r, a)
+	n.respond(r, response)
 	n.releaseIfDone(r)
 }
 
-// handleClientDisconnect comes when a client left before its answer. Nothing more is owed. An
-// attempt that is out runs to its end, but for one whose request has not left yet: it
-// may be in a dial that takes longer than the client's going, and must not begin after.
+// handleClientDisconnect ends a request whose client has gone before the final
+// response. An attempt in flight runs to its end, unless its request has not been
+// written yet: a slow dial must not start work for a client that left long ago.
 func (n *Node) handleClientDisconnect(r *pendingRequest) {
 	if r.id == 0 {
-		r.clientLeft = true // it is not begun yet
+		r.clientDisconnected = true
 		return
 	}
-	if r.state == stateAnswered {
+	if r.isAnswered() {
 		return
 	}
 	n.abandonCheck(r)
 	n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
 	n.respond(r, FinalResponse{Kind: Failed, Reason: ReasonClientDisconnected})
-	if r.live && r.withdraw != nil && r.withdraw() {
-		n.finishAttempt(r, r.attempts-1, Result{Code: policy.TooLate, Detail: "the client left before it was sent"})
+	if r.attempts.active && r.work.tryWithdraw() {
+		n.finishAttempt(r, Result{Code: policy.TooLate, Detail: "the client left before it was sent"})
 	}
 	n.releaseIfDone(r)
 }
 
-// respond gives the one final answer.
-func (n *Node) respond(r *pendingRequest, a FinalResponse) {
-	if r.state == stateAnswered {
+// respond gives a request its final response; only the first one counts.
+func (n *Node) respond(r *pendingRequest, response FinalResponse) {
+	if r.isAnswered() {
 		return
 	}
-	r.state = stateAnswered
+	r.markAnswered()
 	r.deadlineTimer.Stop()
-	n.logFinalResponse(r.request, a, max(0, n.now-r.receivedAt), r.attempts, r.detail)
-	r.reply(a)
+	n.logFinalResponse(r.request, response, responseLogDetails{
+		attempts: r.attempts.count,
+		elapsed:  max(0, n.now-r.receivedAt),
+		detail:   r.detail,
+	})
+	r.reply(response)
+	n.countAnswered()
+}
+
+// countAnswered wakes Drain with the last request that was unanswered.
+func (n *Node) countAnswered() {
 	n.mu.Lock()
 	n.unanswered--
-	empty := n.unanswered == 0
+	none := n.unanswered == 0
 	n.mu.Unlock()
-	if empty {
-		select {
-		case n.allAnswered <- struct{}{}:
-		default:
-		}
+	if none {
+		signal(n.allAnswered)
 	}
 }
 
-// releaseIfDone forgets a request that is answered and has no attempt out.
+// releaseIfDone releases a request that is answered and has no attempt in flight.
 func (n *Node) releaseIfDone(r *pendingRequest) {
-	if r.state == stateAnswered && !r.live {
+	if r.isDone() {
 		n.release(r)
 	}
 }
 
+// release drops a request from the loop's state.
 func (n *Node) release(r *pendingRequest) {
 	r.deadlineTimer.Stop()
 	delete(n.requests, r.id)
 	n.notifyRequestDone(r.request)
 }
 
-func (n *Node) notifyRequestDone(t *Request) {
+func (n *Node) notifyRequestDone(request *Request) {
 	if n.options.OnRequestDone != nil {
-		n.options.OnRequestDone(t)
+		n.options.OnRequestDone(request)
 	}
 }
--- a/node/logging.go
+++ b/node/logging.go
@@ -1,30 +1,49 @@
 package node
 
 import (
-	"context"
 	"log/slog"
 	"time"
 )
 
-// logFinalResponse logs a final answer.
-func (n *Node) logFinalResponse(t *Request, a FinalResponse, took time.Duration, attempts int, detail string) {
-	if !n.options.Logger.Enabled(context.Background(), slog.LevelInfo) {
+// responseLogDetails is what the log says of a final response beyond the request and
+// the response.
+type responseLogDetails struct {
+	attempts int
+	elapsed  time.Duration // from the request's arrival to its response
+	detail   string        // of the last result; "": none
+}
+
+// logFinalResponse writes the one log line of a request. Its keys and the values of
+// answer and reason are listed on the operators' page.
+func (n *Node) logFinalResponse(request *Request, response FinalResponse, details responseLogDetails) {
+	if !n.options.Logger.Enabled(n.logContext, slog.LevelInfo) {
 		return
 	}
-	kind := a.Kind.String()
-	if a.Permit != nil {
-		kind = "let pass"
+	attrs := []slog.Attr{
+		slog.String("answer", loggedKind(response)),
+		slog.String("trace", request.Trace),
+		slog.String("class", request.Class),
+		slog.String("customer", request.Customer),
+		slog.Int("attempts", details.attempts),
+		slog.Duration("took", details.elapsed),
+	}
+	if response.Reason != ReasonNone {
+		attrs = append(attrs, slog.String("reason", string(response.Reason)))
 	}
-	attrs := []slog.Attr{slog.String("answer", kind), slog.String("trace", t.Trace), slog.String("class", t.Class),
-		slog.String("customer", t.Customer), slog.Int("attempts", attempts), slog.Duration("took", took)}
-	if a.Reason != ReasonNone {
-		attrs = append(attrs, slog.String("reason", string(a.Reason)))
+	if response.Response != nil {
+		attrs = append(attrs, slog.Int("status", response.Response.Status))
 	}
-	if a.Response != nil {
-		attrs = append(attrs, slog.Int("status", a.Response.Status))
+	if details.detail != "" {
+		attrs = append(attrs, slog.String("detail", details.detail))
 	}
-	if detail != "" {
-		attrs = append(attrs, slog.String("detail", detail))
+	n.options.Logger.LogAttrs(n.logContext, slog.LevelInfo, "answer", attrs...)
+}
+
+// loggedKind is the kind of a response in the log, where a permit to forward is told
+// apart from a server's response.
+func loggedKind(response FinalResponse) string {
+	if response.Permit != nil {
+		return "let pass"
 	}
-	n.options.Logger.LogAttrs(context.Background(), slog.LevelInfo, "answer", attrs...)
+	return response.Kind.String()
 }
--- a/node/loop.go
+++ b/node/loop.go
@@ -7,109 +7,143 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// Run runs the loop until the context ends. What is not answered by then is
-// failed.
+// maxIdleWait is how long the loop sleeps where no timer is set.
+const maxIdleWait = time.Hour
+
+// Run is the loop: it handles events and timers until the context ends. Requests
+// that have no final response by then are failed. Run is called once; its goroutine owns
+// loopState.
 func (n *Node) Run(ctx context.Context) {
-	timer := time.NewTimer(time.Hour)
+	timer := time.NewTimer(maxIdleWait)
 	defer timer.Stop()
-	var batch []item
+	var batch []event
 	for {
-		// Nobody looked while the loop waited: only the clock knows of gaps.
-		n.now = max(n.now, n.options.Clock.Now())
+		n.refreshTime()
 		n.detectPause()
-		n.mu.Lock()
-		batch, n.queue = n.queue, batch[:0]
-		n.mu.Unlock()
-		var next time.Duration
+		batch = n.takeQueue(batch)
 		if n.barrier.On() {
 			n.deferred = append(n.deferred, batch...)
-			if next = n.barrier.Look(n.now, n.options.Clock.UnreadSockets()); n.barrier.On() {
-				timer.Reset(next)
-				select {
-				case <-timer.C:
-					continue
-				case <-ctx.Done():
-					n.failRemaining()
-					return
-				}
+			recheck := n.barrier.Look(n.now, n.options.Clock.UnreadSockets())
+			if !n.barrier.On() {
+				n.handleDeferred()
+				continue
+			}
+			if !sleep(ctx, timer, recheck, nil) {
+				break
 			}
-			n.handleDeferred()
 			continue
 		}
-		// What ran out goes first: nothing is done for requests that are too late.
-		n.timerWheel.Advance(n.now)
-		n.runPolicy()
+		n.expireTimers()
 		n.handleEvents(batch)
 		if len(batch) > 0 {
 			continue
 		}
-		next, ok := n.timerWheel.Next()
-		if !ok {
-			next = n.now + time.Hour
-		}
-		timer.Reset(next - time.Since(n.timeOrigin))
-		select {
-		case <-n.wake:
-		case <-timer.C:
-		case <-ctx.Done():
-			n.failRemaining()
-			return
+		if !sleep(ctx, timer, n.untilNextTimer(), n.wake) {
+			break
 		}
 	}
+	n.failRemaining()
 }
 
-// failRemaining fails what is not answered.
-func (n *Node) failRemaining() {
+// sleep waits until the time has passed or wake is signaled. It reports false where
+// the context ended first. A nil wake is never signaled.
+func sleep(ctx context.Context, timer *time.Timer, duration time.Duration, wake <-chan struct{}) bool {
+	timer.Reset(duration)
+	select {
+	case <-wake:
+		return true
+	case <-timer.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// takeQueue returns the events that wait, and leaves the storage of the batch before
+// as the empty queue.
+func (n *Node) takeQueue(handled []event) []event {
 	n.mu.Lock()
-	n.closing = true
-	batch := append(n.deferred, n.queue...)
-	n.deferred, n.queue = nil, nil
-	n.mu.Unlock()
-	for _, f := range batch {
-		f.do()
+	defer n.mu.Unlock()
+	batch := n.queue
+	n.queue = handled[:0]
+	return batch
+}
+
+// refreshTime takes the time after the loop slept: that it did not read the clock
+// meanwhile does not mean that the process was paused.
+func (n *Node) refreshTime() { n.now = max(n.now, n.options.Clock.Now()) }
+
+// untilNextTimer is how long the loop may sleep.
+func (n *Node) untilNextTimer() time.Duration {
+	next, ok := n.timerWheel.Next()
+	if !ok {
+		next = n.now + maxIdleWait
 	}
-	n.failAll("stopped")
+	return next - time.Since(n.timeOrigin)
 }
 
-// detectPause takes the time, and raises the barrier after a gap: of the process, or of
-// the loop alone, which has not looked for too long.
+// detectPause takes the time and raises the barrier where the process was paused, or
+// where the loop alone did not read the clock for too long.
 func (n *Node) detectPause() {
 	now := n.options.Clock.Now()
-	gaps := n.options.Clock.Pauses()
-	if gaps != n.pausesSeen || now-n.now > n.options.Pause.Least {
-		n.options.Logger.Warn("the process did not run: what came in meanwhile is read first", "since", now-n.now)
-		n.pausesSeen = gaps
+	pauses := n.options.Clock.Pauses()
+	sinceLastLook := now - n.now
+	if pauses != n.pausesSeen || sinceLastLook > n.options.Pause.Least {
+		n.options.Logger.Warn("the process did not run: what came in meanwhile is read first", "since", sinceLastLook)
+		n.pausesSeen = pauses
 		n.barrier.Raise(now)
 	}
 	n.now = max(n.now, now)
 }
 
-// handleEvents does what waited, as long as the process runs; what a gap comes before
-// waits behind the barrier.
-func (n *Node) handleEvents(batch []item) {
-	for i, f := range batch {
-		if n.detectPause(); n.barrier.On() {
+// expireTimers fires the timers that are due. They go before the events of a turn, so
+// that no work is done for requests that are too late.
+func (n *Node) expireTimers() {
+	n.timerWheel.Advance(n.now)
+	n.runPolicy()
+}
+
+// handleEvents handles events in order, as long as the process runs. Those after a
+// pause are deferred until the barrier is lifted.
+func (n *Node) handleEvents(batch []event) {
+	for i, e := range batch {
+		n.detectPause()
+		if n.barrier.On() {
 			n.deferred = append(n.deferred, batch[i:]...)
 			break
 		}
-		f.do()
+		n.handle(e)
 		n.runPolicy()
 	}
 	clear(batch)
 }
 
-// handleDeferred does what waited behind the barrier, in the order that package stall
-// gives it.
+// handleDeferred handles the events that waited behind the barrier, in the order that
+// package pause gives them: what happened in the world goes before the timers that
+// expired meanwhile, and these before new requests.
 func (n *Node) handleDeferred() {
-	held := n.deferred
+	deferred := n.deferred
 	n.deferred = nil
-	before := pause.Order(held, func(f item) pause.Kind { return f.kind })
-	n.handleEvents(held[:before])
+	beforeTimers := pause.Order(deferred, event.pauseKind)
+	n.handleEvents(deferred[:beforeTimers])
 	if n.barrier.On() {
-		n.deferred = append(n.deferred, held[before:]...)
+		n.deferred = append(n.deferred, deferred[beforeTimers:]...)
 		return
 	}
-	n.timerWheel.Advance(n.now)
-	n.runPolicy()
-	n.handleEvents(held[before:])
+	n.expireTimers()
+	n.handleEvents(deferred[beforeTimers:])
+}
+
+// failRemaining handles the events that still wait and fails every request without a
+// final response. No event is handled after it.
+func (n *Node) failRemaining() {
+	n.mu.Lock()
+	n.closing = true
+	batch := append(n.deferred, n.queue...)
+	n.deferred, n.queue = nil, nil
+	n.mu.Unlock()
+	for _, e := range batch {
+		n.handle(e)
+	}
+	n.failAll(detailStopped)
 }
--- a/node/pending_request.go
+++ b/node/pending_request.go
@@ -7,36 +7,129 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// requestState is where a request stands in its life.
+// requestState is where a request stands between Submit and its release. It only
+// changes in the methods of pendingRequest below:
+//
+//	authorizing → deciding → inFlight → answered
+//	                  ↑_________|
+//
+// Every state may also go straight to answered, which is final.
 type requestState int
 
 const (
-	stateAuthorizing requestState = iota // a Check is out
-	stateDeciding                        // the module holds it
-	stateInFlight                        // an attempt is out
-	stateAnswered                        // it has its final answer; an attempt may still be out
+	stateAuthorizing requestState = iota // waits for the authorization service, or for its first turn in the loop
+	stateDeciding                        // waits for the policy's decision
+	stateInFlight                        // waits for the result of an attempt
+	stateAnswered                        // has its final response; a proxied attempt may still be in flight
 )
 
+// pendingRequest is what the loop keeps of a request until it is answered and no
+// attempt is in flight. After Submit has enqueued it, it belongs to the loop.
 type pendingRequest struct {
-	id            policy.RequestID
-	request       *Request
-	reply         func(FinalResponse)
-	state         requestState
-	deadline      time.Duration
-	deadlineTimer *timers.Timer // at the deadline
-	cancel        func()        // of the Check, or the attempt out
-	withdraw      func() bool   // of the attempt out; see Sending
-	limit         *timers.Timer // of the Check, or the attempt out
-	attempts      int
-	live          bool // an attempt is out
-	server        policy.ServerID
-	sentAt        time.Duration
-	last          policy.ResultCode // how the last attempt ended
-	detail        string
-	check         int // the Check that is out
-	checkAt       time.Duration
-	checkedAs     AuthorizationResult
-	allowed       AuthorizationResult // what the authoriser changes
-	receivedAt    time.Duration
-	clientLeft    bool // its client left before it was begun
+	id      policy.RequestID // 0 until the loop has begun the request
+	request *Request
+	reply   func(FinalResponse)
+	state   requestState
+	detail  string // explains the last result, for the log
+
+	receivedAt         time.Duration // since the node's time origin, as is deadline
+	deadline           time.Duration // the final response is given no later
+	deadlineTimer      *timers.Timer // nil where the request is answered as it begins
+	clientDisconnected bool          // before the request was begun
+
+	authorization authorizationCheck
+	attempts      attemptHistory
+	work          outgoingWork
+}
+
+// authorizationCheck is the last authorization check of a request and what came of it.
+type authorizationCheck struct {
+	number    int           // of the last check started
+	startedAt time.Duration // since the node's time origin
+	result    AuthorizationResult
+	granted   AuthorizationResult // the result by which the request was let through
+}
+
+// attemptHistory is what is known of the attempts of a request: how many there were,
+// and the last one.
+type attemptHistory struct {
+	count      int // attempts started; they are numbered from 0
+	active     bool
+	server     policy.ServerID
+	startedAt  time.Duration // since the node's time origin
+	lastResult policy.ResultCode
+}
+
+// current is the number of the last attempt.
+func (h *attemptHistory) current() int { return h.count - 1 }
+
+// isActive reports whether an attempt is the one in flight.
+func (h *attemptHistory) isActive(attempt int) bool { return h.active && attempt == h.current() }
+
+// outgoingWork is the authorization check or the attempt in flight: a request never
+// has both. The zero value is none.
+type outgoingWork struct {
+	timeout  *timers.Timer
+	cancel   func()      // nil where nothing is to be canceled
+	withdraw func() bool // see OutgoingAttempt; nil for checks and proxied attempts
+}
+
+// isRunning reports whether there is work in flight.
+func (w *outgoingWork) isRunning() bool { return w.timeout != nil }
+
+// stop ends the work; it does nothing where there is none.
+func (w *outgoingWork) stop() {
+	w.timeout.Stop()
+	if w.cancel != nil {
+		w.cancel()
+	}
+	*w = outgoingWork{}
 }
+
+// completed notes that the work ended by itself, so that there is nothing to cancel.
+func (w *outgoingWork) completed() { w.cancel, w.withdraw = nil, nil }
+
+// tryWithdraw ends an attempt that has not begun to write its request, and reports
+// whether it did.
+func (w *outgoingWork) tryWithdraw() bool { return w.withdraw != nil && w.withdraw() }
+
+// awaitAuthorization is the first state of a request that is put to the authorizer.
+func (r *pendingRequest) awaitAuthorization() { r.state = stateAuthorizing }
+
+// awaitDecision leaves the next step to the policy.
+func (r *pendingRequest) awaitDecision() { r.state = stateDeciding }
+
+// beginAttempt counts an attempt, whether or not it can still be sent, and returns its
+// number.
+func (r *pendingRequest) beginAttempt(server policy.ServerID, now time.Duration) int {
+	r.attempts.server = server
+	r.attempts.startedAt = now
+	r.attempts.active = true
+	r.attempts.count++
+	return r.attempts.current()
+}
+
+// awaitAttempt waits for the result of the attempt that is being sent.
+func (r *pendingRequest) awaitAttempt() { r.state = stateInFlight }
+
+// endAttempt records the result of the active attempt. A request that is not answered
+// goes back to the policy.
+func (r *pendingRequest) endAttempt(result Result) {
+	r.attempts.active = false
+	r.attempts.lastResult = result.Code
+	if result.Detail != "" {
+		r.detail = result.Detail
+	}
+	if r.state == stateInFlight {
+		r.awaitDecision()
+	}
+}
+
+// markAnswered is the final state.
+func (r *pendingRequest) markAnswered() { r.state = stateAnswered }
+
+// isAnswered reports whether the request has its final response.
+func (r *pendingRequest) isAnswered() bool { return r.state == stateAnswered }
+
+// isDone reports whether nothing more happens to the request.
+func (r *pendingRequest) isDone() bool { return r.isAnswered() && !r.attempts.active }
--- a/node/policy.go
+++ b/node/policy.go
@@ -9,118 +9,175 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// queuePolicyEvent queues an event for the module.
-func (n *Node) queuePolicyEvent(ev policy.Event) { n.policyEvents = append(n.policyEvents, ev) }
+// What clients read where every request is failed.
+const (
+	detailPolicyPanicked = "panic in a decision"
+	detailStopped        = "stopped"
+)
+
+// policyPanic is a panic of the policy, recovered.
+type policyPanic struct {
+	value any
+	stack []byte
+}
 
-// runPolicy gives the module its events and carries out what it says, in order,
-// until it has nothing more to say.
+func (p *policyPanic) Error() string { return fmt.Sprintf("%v\n%s", p.value, p.stack) }
+
+// askPolicy puts a request to the policy.
+func (n *Node) askPolicy(r *pendingRequest) {
+	r.awaitDecision()
+	request := r.request
+	if n.options.UsageRecorder != nil {
+		n.options.UsageRecorder.RequestSeen(request)
+	}
+	n.queuePolicyEvent(policy.Request{
+		ID:            r.id,
+		Customer:      request.Customer,
+		Plan:          request.Plan,
+		Class:         request.Class,
+		Units:         request.Units,
+		Remaining:     r.deadline - n.now,
+		FirstGateway:  request.FirstGateway,
+		GatewaySpread: request.GatewaySpread,
+		ClientRetry:   request.ClientRetry,
+	})
+}
+
+// queuePolicyEvent has the policy handle an event when runPolicy is called next.
+func (n *Node) queuePolicyEvent(event policy.Event) { n.policyEvents = append(n.policyEvents, event) }
+
+// runPolicy gives the policy its events one by one and carries out the actions of each
+// before the next, until no event is left.
 func (n *Node) runPolicy() {
 	for n.nextPolicyEvent < len(n.policyEvents) {
-		ev := n.policyEvents[n.nextPolicyEvent]
+		event := n.policyEvents[n.nextPolicyEvent]
 		n.nextPolicyEvent++
-		acts, err := n.callPolicy(ev)
+		actions, err := n.callPolicy(event)
 		if err != nil {
-			n.restartPolicy(ev, err)
+			n.restartPolicy(event, err)
 			continue
 		}
-		for _, a := range acts {
-			n.executePolicyAction(a)
+		for _, action := range actions {
+			n.executePolicyAction(action)
 		}
 	}
-	n.policyEvents, n.nextPolicyEvent = n.policyEvents[:0], 0
+	n.clearPolicyEvents()
 }
 
-func (n *Node) callPolicy(ev policy.Event) (acts []policy.Action, err error) {
+func (n *Node) clearPolicyEvents() {
+	n.policyEvents = n.policyEvents[:0]
+	n.nextPolicyEvent = 0
+}
+
+// callPolicy has the policy handle one event. The error is a *policyPanic. The actions
+// are valid until the next call.
+func (n *Node) callPolicy(event policy.Event) (actions []policy.Action, err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("%v\n%s", p, debug.Stack())
+		if value := recover(); value != nil {
+			err = &policyPanic{value: value, stack: debug.Stack()}
 		}
 	}()
-	n.policyActions = n.policy.Handle(n.now, ev, n.policyActions[:0])
+	n.policyActions = n.policy.Handle(n.now, event, n.policyActions[:0])
 	return n.policyActions, nil
 }
 
-// restartPolicy answers for a module that panicked: what it held is failed, and a new
-// one starts as after a restart.
-func (n *Node) restartPolicy(ev policy.Event, err error) {
+// restartPolicy replaces a policy that panicked, whose state can't be trusted: every
+// request is failed, and a new policy starts as after a restart of the process, with
+// the endpoint list as it stands.
+func (n *Node) restartPolicy(event policy.Event, cause error) {
 	n.options.Logger.Error("panic in a decision; all requests are failed and the module starts anew",
-		"event", fmt.Sprintf("%T", ev), "panic", err)
-	n.failAll("panic in a decision")
+		"event", fmt.Sprintf("%T", event), "panic", cause)
+	n.failAll(detailPolicyPanicked)
 	n.seed++
-	gw, err := policy.New(n.options.Settings, n.seed)
+	gateway, err := policy.New(n.options.Settings, n.seed)
 	if err != nil {
-		panic(err) // the settings were good at the start
-	}
-	n.policy = gw
-	n.policyEvents, n.nextPolicyEvent = n.policyEvents[:0], 0
-	m := policy.EndpointUpdate{Kind: policy.CachedUpdate}
-	for _, s := range n.endpoints {
-		m.Servers = append(m.Servers, s.Server)
+		panic(err) // New accepted these settings
 	}
-	slices.SortFunc(m.Servers, func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) })
-	n.queuePolicyEvent(m)
+	n.policy = gateway
+	n.clearPolicyEvents()
+	n.queuePolicyEvent(n.cachedEndpoints())
 	if n.fleetSize.Gateways > 0 {
 		n.queuePolicyEvent(n.fleetSize)
 	}
 }
 
-func (n *Node) failAll(why string) {
+// failAll fails and releases every request, and ends all work in flight.
+func (n *Node) failAll(detail string) {
 	for _, r := range n.requests {
 		n.abandonCheck(r)
-		n.respond(r, FinalResponse{Kind: Failed, Reason: ReasonInternal, Detail: why})
-		n.stopOutgoingWork(r)
+		n.respond(r, FinalResponse{Kind: Failed, Reason: ReasonInternal, Detail: detail})
+		r.work.stop()
 		n.release(r)
 	}
 }
 
-// executePolicyAction carries out one action of the module.
-func (n *Node) executePolicyAction(a policy.Action) {
-	switch a := a.(type) {
+// cachedEndpoints is the endpoint list for a policy that has none, ordered by server so
+// that the policy's decisions don't depend on the order of a map.
+func (n *Node) cachedEndpoints() policy.EndpointUpdate {
+	update := policy.EndpointUpdate{Kind: policy.CachedUpdate}
+	for _, endpoint := range n.endpoints {
+		update.Servers = append(update.Servers, endpoint.Server)
+	}
+	slices.SortFunc(update.Servers, func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) })
+	return update
+}
+
+// executePolicyAction carries out one action of the policy.
+func (n *Node) executePolicyAction(action policy.Action) {
+	switch action := action.(type) {
 	case policy.StartAttempt:
-		n.startAttempt(a)
+		n.startAttempt(action)
 	case policy.CancelAttempt:
-		if r := n.requests[a.ID]; r != nil && r.live && a.Attempt == r.attempts-1 && !r.request.Proxied {
-			n.finishAttempt(r, a.Attempt, Result{Code: policy.Cancelled, Detail: "called back"})
-		}
+		n.cancelAttempt(action)
 	case policy.Reject:
-		if r := n.requests[a.ID]; r != nil {
-			n.respond(r, FinalResponse{Kind: Rejected, Reason: n.failureReason(r, a.Reason), RetryAfter: a.RetryAfter})
+		if r := n.requests[action.ID]; r != nil {
+			reason := failureReason(action.Reason, r.attempts.count, r.attempts.lastResult)
+			n.respond(r, FinalResponse{Kind: Rejected, Reason: reason, RetryAfter: action.RetryAfter})
 			n.releaseIfDone(r)
 		}
 	case policy.Fail:
-		if r := n.requests[a.ID]; r != nil {
-			n.respond(r, FinalResponse{Kind: Failed, Reason: n.failureReason(r, a.Reason)})
+		if r := n.requests[action.ID]; r != nil {
+			reason := failureReason(action.Reason, r.attempts.count, r.attempts.lastResult)
+			n.respond(r, FinalResponse{Kind: Failed, Reason: reason})
 			n.releaseIfDone(r)
 		}
 	case policy.SetTimer:
-		n.timerWheel.Add(n.now+a.After, func() { n.queuePolicyEvent(policy.TimerFired{Token: a.Token}) })
+		n.timerWheel.Add(n.now+action.After, func() { n.queuePolicyEvent(policy.TimerFired{Token: action.Token}) })
 	case policy.SendPeerMessage:
-		if a.To >= 0 || n.options.SendToAllPeers {
-			n.options.SendToPeer(a.To, a.Data)
-			break
-		}
-		for i := range n.options.Settings.Gateways {
-			if i != n.options.Settings.SelfIndex {
-				n.options.SendToPeer(i, a.Data)
-			}
-		}
+		n.sendPeerMessage(action)
 	case policy.Log:
-		n.options.Logger.Info(a.Text, "from", "policy")
+		n.options.Logger.Info(action.Text, "from", "policy")
+	}
+}
+
+// sendPeerMessage sends a message to one gateway, or to all others where To is below 0.
+func (n *Node) sendPeerMessage(action policy.SendPeerMessage) {
+	if action.To >= 0 || n.options.SendToAllPeers {
+		n.options.SendToPeer(action.To, action.Data)
+		return
+	}
+	for gateway := range n.options.Settings.Gateways {
+		if gateway != n.options.Settings.SelfIndex {
+			n.options.SendToPeer(gateway, action.Data)
+		}
 	}
 }
 
-// Resize tells the module of another number of gateways; see policy.Fleet. From the
-// loop only.
-func (n *Node) Resize(gateways, was int) {
+// Resize tells the policy that the number of gateways has changed from previous, which
+// is 0 and below as in policy.FleetResized. It is called in the loop only; see Do.
+func (n *Node) Resize(gateways, previous int) {
+	resized := policy.FleetResized{Gateways: gateways, PreviousSize: previous}
 	n.options.Settings.Gateways = gateways
-	if n.fleetSize = (policy.FleetResized{Gateways: gateways, PreviousSize: was}); was != 0 {
-		n.fleetSize.PreviousSize = -1 // for a module made anew meanwhile, which holds nothing yet
+	n.fleetSize = resized
+	if previous != 0 {
+		n.fleetSize.PreviousSize = -1 // a restarted policy holds nothing of the size before
 	}
-	n.queuePolicyEvent(policy.FleetResized{Gateways: gateways, PreviousSize: was})
+	n.queuePolicyEvent(resized)
 	n.runPolicy()
 }
 
-// SetUsageLevel tells the module how full a customer's store is; from the loop only.
+// SetUsageLevel tells the policy how many units a customer's quota has left by the
+// external usage counter. It is called in the loop only; see Do.
 func (n *Node) SetUsageLevel(customer string, units float64) {
 	n.queuePolicyEvent(policy.UsageLevel{Customer: customer, Units: units})
 }
--- a/node/reasons.go
+++ b/node/reasons.go
@@ -1,56 +1,68 @@
 package node
 
 import (
+	"yardcleat.example/yardcleat/authz"
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Reason says why a request was not served; this is the whole list.
+// Reason says why a request was not served. The values appear in response bodies and
+// in the log; clients and operators rely on them. This is the whole list.
 type Reason string
 
 // The reasons.
 const (
-	ReasonNone                     Reason = ""
-	ReasonBadRequest               Reason = "bad-request"
-	ReasonTooLarge                 Reason = "too-large"
-	ReasonUnknownKey               Reason = "unknown-key"
-	ReasonNoRoute                  Reason = "no-route"
-	ReasonQuota                    Reason = "quota"
-	ReasonInFlightLimit            Reason = "open-cap"
-	ReasonCeiling                  Reason = "ceiling"
-	ReasonLoadShed                 Reason = "shed"
-	ReasonNoServer                 Reason = "no-server"
-	ReasonNoTime                   Reason = "no-time"
-	ReasonQuotaUnknown             Reason = "quota-unknown"
-	ReasonServerGone               Reason = "server-gone"
-	ReasonServerError              Reason = "server-error"
-	ReasonServerRejected           Reason = "server-full"
-	ReasonServerTimeout            Reason = "server-late"
-	ReasonAuthorizationDenied      Reason = "authorisation-denied"
-	ReasonAuthorizationTimeout     Reason = "authorisation-late"
-	ReasonAuthorizationUnreachable Reason = "authorisation-unreachable"
-	ReasonOverload                 Reason = "overload"
-	ReasonDraining                 Reason = "draining"
-	ReasonInternal                 Reason = "internal"
-	ReasonClientDisconnected       Reason = "client-gone" // in logs only
+	ReasonNone                     Reason = ""                          // served
+	ReasonBadRequest               Reason = "bad-request"               // malformed
+	ReasonTooLarge                 Reason = "too-large"                 // header or body above the limits
+	ReasonUnknownKey               Reason = "unknown-key"               // the API key names no customer
+	ReasonNoRoute                  Reason = "no-route"                  // no class has a route for it
+	ReasonQuota                    Reason = "quota"                     // the customer's rate quota is used up
+	ReasonInFlightLimit            Reason = "open-cap"                  // the customer has too many attempts in flight
+	ReasonCeiling                  Reason = "ceiling"                   // the customer's hard ceiling is reached
+	ReasonLoadShed                 Reason = "shed"                      // the servers are overloaded
+	ReasonNoServer                 Reason = "no-server"                 // no server could take it in time
+	ReasonNoTime                   Reason = "no-time"                   // too little time was left
+	ReasonQuotaUnknown             Reason = "quota-unknown"             // the quota's leader did not respond
+	ReasonServerGone               Reason = "server-gone"               // the last attempt's connection failed or was reset
+	ReasonServerError              Reason = "server-error"              // the last attempt ended with an error
+	ReasonServerRejected           Reason = "server-full"               // the last attempt's server rejected it
+	ReasonServerTimeout            Reason = "server-late"               // the last attempt timed out
+	ReasonAuthorizationDenied      Reason = "authorisation-denied"      // the authorization service denied it
+	ReasonAuthorizationTimeout     Reason = "authorisation-late"        // the authorization service was too slow
+	ReasonAuthorizationUnreachable Reason = "authorisation-unreachable" // the authorization service could not be reached
+	ReasonOverload                 Reason = "overload"                  // the node has too many unanswered requests
+	ReasonDraining                 Reason = "draining"                  // the node is shutting down
+	ReasonInternal                 Reason = "internal"                  // a fault of the node
+	ReasonClientDisconnected       Reason = "client-gone"               // in logs only
 )
 
-// failureReason names the module's reason, or how the last attempt ended.
-func (n *Node) failureReason(r *pendingRequest, why policy.Reason) Reason {
-	if why == policy.ReasonAttemptsExhausted || r.attempts > 0 && why == policy.ReasonNoServer {
-		switch r.last {
-		case policy.TimedOut, policy.Cancelled:
-			return ReasonServerTimeout
-		case policy.ConnectFailed, policy.Reset:
-			return ReasonServerGone
-		case policy.Error:
-			return ReasonServerError
-		case policy.Rejected:
-			return ReasonServerRejected
-		case policy.TooLate:
-			return ReasonNoTime
+// authorizationFailure is the reason of a rejection by the authorization decider, and
+// ReasonNone for a request that it lets through.
+func authorizationFailure(step authz.Step) Reason {
+	switch step {
+	case authz.Deny:
+		return ReasonAuthorizationDenied
+	case authz.RefuseLate:
+		return ReasonAuthorizationTimeout
+	case authz.RefuseError:
+		return ReasonAuthorizationUnreachable
+	case authz.RefuseQuota:
+		return ReasonQuota
+	}
+	return ReasonNone
+}
+
+// failureReason is the reason of a request that the policy rejects or fails. Where the
+// policy found no way for a further attempt, the result of the last one says more.
+func failureReason(decision policy.Reason, attempts int, lastResult policy.ResultCode) Reason {
+	noFurtherAttempt := decision == policy.ReasonAttemptsExhausted ||
+		decision == policy.ReasonNoServer && attempts > 0
+	if noFurtherAttempt {
+		if reason := attemptFailure(lastResult); reason != ReasonNone {
+			return reason
 		}
 	}
-	switch why {
+	switch decision {
 	case policy.ReasonQuotaExceeded:
 		return ReasonQuota
 	case policy.ReasonInFlightLimit:
@@ -64,5 +76,24 @@
 	case policy.ReasonNoQuotaLeader:
 		return ReasonQuotaUnknown
 	}
-	return ReasonLoadShed // also a reason that a newer root gave
+	// A gateway of a newer version may also give a reason that is not known here.
+	return ReasonLoadShed
+}
+
+// attemptFailure is the reason that the result of an attempt gives, and ReasonNone for
+// an attempt that succeeded.
+func attemptFailure(result policy.ResultCode) Reason {
+	switch result {
+	case policy.TimedOut, policy.Cancelled:
+		return ReasonServerTimeout
+	case policy.ConnectFailed, policy.Reset:
+		return ReasonServerGone
+	case policy.Error:
+		return ReasonServerError
+	case policy.Rejected:
+		return ReasonServerRejected
+	case policy.TooLate:
+		return ReasonNoTime
+	}
+	return ReasonNone
 }
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -3,31 +3,39 @@
 import (
 	"context"
 
-	"yardcleat.example/yardcleat/pause"
 	"yardcleat.example/yardcleat/policy"
 )
 
-// RestoreSnapshot gives the module what an earlier process remembered; before any try is
-// taken.
-func (n *Node) RestoreSnapshot(r policy.RestoreSnapshot) {
-	n.enqueue(pause.Other, func() { n.queuePolicyEvent(r) })
+// snapshotBatch is how many customers SaveSnapshot copies in one turn of the loop, so
+// that it does not hold up requests.
+const snapshotBatch = 2000
+
+// RestoreSnapshot gives the policy the state that an earlier process saved. It is
+// called before the first request is submitted, and never blocks.
+func (n *Node) RestoreSnapshot(snapshot policy.RestoreSnapshot) {
+	n.Do(func() { n.queuePolicyEvent(snapshot) })
 }
 
-// SaveSnapshot returns what is to outlive the process, looking at some customers in each
-// turn of the loop; false where the loop has ended.
-func (n *Node) SaveSnapshot(ctx context.Context) (list []policy.CustomerSnapshot, ok bool) {
-	const most = 2000
-	for from, first := 0, true; first || from > 0; first = false {
-		done := make(chan struct{})
-		n.enqueue(pause.Other, func() {
-			list, from = n.policy.SaveSnapshot(n.now, from, most, list)
-			close(done)
+// SaveSnapshot returns the policy's state that is to outlive the process, and false
+// where the context ends first. It waits for the loop, which copies the state in
+// several turns; it must not be called in the loop, nor without a context that ends
+// when Run returns.
+func (n *Node) SaveSnapshot(ctx context.Context) ([]policy.CustomerSnapshot, bool) {
+	var customers []policy.CustomerSnapshot
+	next := 0
+	for {
+		copied := make(chan struct{})
+		n.Do(func() {
+			customers, next = n.policy.SaveSnapshot(n.now, next, snapshotBatch, customers)
+			close(copied)
 		})
 		select {
-		case <-done:
+		case <-copied:
 		case <-ctx.Done():
 			return nil, false
 		}
+		if next <= 0 {
+			return customers, true
+		}
 	}
-	return list, true
 }
