--- a/gateway/hard_test.go
+++ b/gateway/hard_test.go
@@ -417,7 +417,7 @@
 			t.Errorf("%+v", a)
 		}
 	})
-	if !strings.Contains(log.String(), "panic in a decision") {
+	if !strings.Contains(log.String(), "policy panicked; failing all requests and restarting policy") {
 		t.Error("not logged")
 	}
 }
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -95,13 +95,13 @@
 func (n *Node) cancelAttempt(action policy.CancelAttempt) {
 	r := n.requests[action.ID]
 	if r != nil && !r.request.Proxied && r.attempts.isActive(action.Attempt) {
-		n.finishAttempt(r, Result{Code: policy.Cancelled, Detail: "called back"})
+		n.finishAttempt(r, Result{Code: policy.Cancelled, Detail: "canceled by policy"})
 	}
 }
 
 // timeOutAttempt ends the attempt that is active where its time has run out.
 func (n *Node) timeOutAttempt(r *pendingRequest) {
-	n.finishAttempt(r, Result{Code: policy.TimedOut, Detail: "no answer in time"})
+	n.finishAttempt(r, Result{Code: policy.TimedOut, Detail: "attempt timed out"})
 }
 
 // finishAttempt ends the active attempt with its result, of which the policy hears;
--- a/node/authorization.go
+++ b/node/authorization.go
@@ -54,7 +54,7 @@
 	r.authorization.number = action.Try
 	r.authorization.startedAt = n.now
 	r.work.timeout = n.timerWheel.Add(n.now+action.Budget, func() {
-		n.finishCheck(r, action.Try, AuthorizationResult{Verdict: authz.Late, Detail: "authoriser: no answer in time"})
+		n.finishCheck(r, action.Try, AuthorizationResult{Verdict: authz.Late, Detail: "authorization check timed out"})
 	})
 	r.work.cancel = n.options.Authorizer.Check(action.Target, r.request, action.Budget, func(result AuthorizationResult) {
 		n.enqueue(checkFinished{request: r, check: action.Try, result: result})
@@ -101,7 +101,7 @@
 	result := r.authorization.result
 	if action.StoodIn {
 		result, _ = action.Kept.(AuthorizationResult)
-		result.Detail = "authoriser gave no answer: an earlier one or the default stands in"
+		result.Detail = "authorization service gave no response; using a cached result or the class default"
 	}
 	r.detail = result.Detail
 	r.awaitDecision()
--- a/node/drain.go
+++ b/node/drain.go
@@ -61,7 +61,7 @@
 	n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
 	n.respond(r, response)
 	if r.attempts.active {
-		n.finishAttempt(r, Result{Code: policy.Cancelled, Detail: "the node ends"})
+		n.finishAttempt(r, Result{Code: policy.Cancelled, Detail: "node is shutting down"})
 	}
 	n.releaseIfDone(r)
 }
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		if r.work.tryWithdraw() {
-			n.finishAttempt(r, Result{Code: policy.ConnectFailed, Detail: "the server left before it was sent"})
+			n.finishAttempt(r, Result{Code: policy.ConnectFailed, Detail: "server left before the request was sent"})
 		}
 	}
 }
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -116,7 +116,7 @@
 		n.release(r)
 		return
 	}
-	n.options.Logger.Warn("the module gave no answer by the deadline", "trace", r.request.Trace, "class", r.request.Class)
+	n.options.Logger.Warn("policy returned no decision before the deadline", "trace", r.request.Trace, "class", r.request.Class)
 	n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
 	response := FinalResponse{Kind: Failed, Reason: ReasonNoTime}
 	if r.attempts.count == 0 {
@@ -141,7 +141,7 @@
 	n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
 	n.respond(r, FinalResponse{Kind: Failed, Reason: ReasonClientDisconnected})
 	if r.attempts.active && r.work.tryWithdraw() {
-		n.finishAttempt(r, Result{Code: policy.TooLate, Detail: "the client left before it was sent"})
+		n.finishAttempt(r, Result{Code: policy.TooLate, Detail: "client disconnected before the request was sent"})
 	}
 	n.releaseIfDone(r)
 }
--- a/node/loop.go
+++ b/node/loop.go
@@ -89,7 +89,7 @@
 	pauses := n.options.Clock.Pauses()
 	sinceLastLook := now - n.now
 	if pauses != n.pausesSeen || sinceLastLook > n.options.Pause.Least {
-		n.options.Logger.Warn("the process did not run: what came in meanwhile is read first", "since", sinceLastLook)
+		n.options.Logger.Warn("process was paused; reading sockets before handling requests", "duration", sinceLastLook)
 		n.pausesSeen = pauses
 		n.barrier.Raise(now)
 	}
--- a/node/policy.go
+++ b/node/policy.go
@@ -85,7 +85,7 @@
 // request is failed, and a new policy starts as after a restart of the process, with
 // the endpoint list as it stands.
 func (n *Node) restartPolicy(event policy.Event, cause error) {
-	n.options.Logger.Error("panic in a decision; all requests are failed and the module starts anew",
+	n.options.Logger.Error("policy panicked; failing all requests and restarting policy",
 		"event", fmt.Sprintf("%T", event), "panic", cause)
 	n.failAll(detailPolicyPanicked)
 	n.seed++
