--- a/node/drain.go
+++ b/node/drain.go
@@ -7,8 +7,21 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
+// UnansweredError is the error of Drain where its context ends too early.
+type UnansweredError struct {
+	Requests int   // requests without a final response; at least 1
+	Cause    error // the error of the context
+}
+
+func (e *UnansweredError) Error() string {
+	return fmt.Sprintf("%d requests not answered: %v", e.Requests, e.Cause)
+}
+
+// Unwrap returns the error of the context.
+func (e *UnansweredError) Unwrap() error { return e.Cause }
+
 // Drain rejects further requests, for good, and waits until all accepted ones have
-// their final response. Where the context ends first, it returns an error;
+// their final response. Where the context ends first, it returns an *UnansweredError;
 // the requests then go on. Any goroutine but the loop's may call it, one at a time.
 func (n *Node) Drain(ctx context.Context) error {
 	for {
@@ -19,7 +32,7 @@
 		select {
 		case <-n.allAnswered:
 		case <-ctx.Done():
-			return fmt.Errorf("%d requests not answered: %w", unanswered, ctx.Err())
+			return &UnansweredError{Requests: unanswered, Cause: ctx.Err()}
 		}
 	}
 }
--- /dev/null
+++ b/node/node_test.go
@@ -0,0 +1,126 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"yardcleat.example/yardcleat/pause"
+	"yardcleat.example/yardcleat/policy"
+)
+
+// usageRecorder counts the requests that were put to the policy.
+type usageRecorder struct{ seen int }
+
+func (u *usageRecorder) RequestSeen(*Request) { u.seen++ }
+
+func (*usageRecorder) RequestForwarded(*Request) {}
+
+// newNode returns a node of one gateway without servers, whose loop does not run.
+func newNode(t *testing.T, usage UsageRecorder) *Node {
+	t.Helper()
+	n, err := New(Options{
+		Settings: policy.Settings{
+			Gateways:   1,
+			Resolution: time.Millisecond,
+			Plans:      []policy.Plan{{Name: "basic"}},
+			Classes:    []policy.Class{{Name: "read", LatencyObjective: time.Second, Deadline: time.Second}},
+		},
+		Logger:        slog.New(slog.DiscardHandler),
+		MaxUnanswered: 10,
+		UsageRecorder: usage,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+func newRequest() *Request {
+	return &Request{Class: "read", Customer: "customer", Plan: "basic", Units: 1, GatewaySpread: 1, ClientTimeout: time.Second}
+}
+
+func TestEventOrderAfterPause(t *testing.T) {
+	events := []event{
+		requestSubmitted{}, functionCall{}, requestsAborted{}, checkFinished{}, attemptFinished{},
+		proxiedAttemptFinished{}, clientDisconnected{}, peerMessageReceived{}, endpointsUpdated{},
+	}
+	beforeTimers := pause.Order(events, event.pauseKind)
+	var order []string
+	for _, e := range events {
+		order = append(order, fmt.Sprintf("%T", e))
+	}
+	want := []string{
+		"node.endpointsUpdated", "node.peerMessageReceived", "node.clientDisconnected",
+		"node.checkFinished", "node.attemptFinished", "node.proxiedAttemptFinished",
+		"node.functionCall", "node.requestsAborted", "node.requestSubmitted",
+	}
+	if !slices.Equal(order, want) {
+		t.Errorf("order %v, want %v", order, want)
+	}
+	if beforeTimers != 6 {
+		t.Errorf("%d events before the timers, want 6", beforeTimers)
+	}
+}
+
+func TestDisconnectDuringPauseGoesBeforeRequest(t *testing.T) {
+	usage := &usageRecorder{}
+	n := newNode(t, usage)
+	var responses []FinalResponse
+	n.refreshTime()
+	n.barrier.Raise(n.now)
+	disconnected := n.Submit(newRequest(), func(r FinalResponse) { responses = append(responses, r) })
+	disconnected()
+	n.handleEvents(n.takeQueue(nil))
+	if len(responses) != 0 || len(n.deferred) != 2 {
+		t.Fatalf("behind the barrier: %d responses, %d events deferred", len(responses), len(n.deferred))
+	}
+	n.barrier = pause.NewBarrier(pause.Default())
+	n.handleDeferred()
+	if len(responses) != 1 || responses[0].Kind != Failed || responses[0].Reason != ReasonClientDisconnected {
+		t.Errorf("responses %+v", responses)
+	}
+	if usage.seen != 0 {
+		t.Error("the policy was asked for a client that had gone")
+	}
+}
+
+func TestExpiredTimersGoBeforeFunctionCalls(t *testing.T) {
+	n := newNode(t, nil)
+	n.refreshTime()
+	var order []string
+	n.timerWheel.Add(n.now, func() { order = append(order, "timer") })
+	n.deferred = []event{functionCall{func() { order = append(order, "call") }}}
+	n.now += 10 * time.Millisecond
+	n.handleDeferred()
+	if !slices.Equal(order, []string{"timer", "call"}) {
+		t.Errorf("order %v", order)
+	}
+}
+
+func TestDrainReturnsUnansweredError(t *testing.T) {
+	n := newNode(t, nil)
+	n.Submit(newRequest(), func(FinalResponse) {})
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	err := n.Drain(ctx)
+	var unanswered *UnansweredError
+	if !errors.As(err, &unanswered) || unanswered.Requests != 1 {
+		t.Fatalf("%#v is not an UnansweredError of one request", err)
+	}
+	if !errors.Is(err, context.Canceled) {
+		t.Errorf("%v does not wrap the error of the context", err)
+	}
+	if got, want := err.Error(), "1 requests not answered: context canceled"; got != want {
+		t.Errorf("%q, want %q", got, want)
+	}
+	var rejected FinalResponse
+	n.Submit(newRequest(), func(r FinalResponse) { rejected = r })
+	if rejected.Kind != Rejected || rejected.Reason != ReasonDraining {
+		t.Errorf("after Drain: %+v", rejected)
+	}
+}
