--- /dev/null
+++ b/node/attempts.go
@@ -0,0 +1,145 @@
+package node
+
+import (
+	"time"
+
+	"yardcleat.example/yardcleat/policy"
+)
+
+// startAttempt carries out the policy's decision to send a request to a server. Where
+// the request is answered or its deadline has passed, nothing is sent and the attempt
+// ends as TooLate, which proves that it never ran.
+func (n *Node) startAttempt(action policy.StartAttempt) {
+	r := n.requests[action.ID]
+	if r == nil {
+		return
+	}
+	attempt := r.beginAttempt(action.Server, n.now)
+	timeout := r.deadline - n.now
+	if r.isAnswered() || timeout <= 0 {
+		n.finishAttempt(r, Result{Code: policy.TooLate, Detail: "too late to send"})
+		return
+	}
+	if action.Timeout > 0 {
+		timeout = min(timeout, action.Timeout)
+	}
+	r.awaitAttempt()
+	if attempt == 0 && n.options.UsageRecorder != nil {
+		n.options.UsageRecorder.RequestForwarded(r.request)
+	}
+	r.work.timeout = n.timerWheel.Add(n.now+timeout, func() { n.timeOutAttempt(r) })
+	if r.request.Proxied {
+		n.permitForward(r, timeout)
+		return
+	}
+	n.sendUpstream(r, timeout)
+}
+
+// permitForward lets the proxy that asked make the current attempt itself. That is the
+// final response; the attempt stays active until the proxy reports its result.
+func (n *Node) permitForward(r *pendingRequest, timeout time.Duration) {
+	n.respond(r, FinalResponse{Kind: Served, Permit: &ForwardPermit{
+		ID:            r.id,
+		Attempt:       r.attempts.current(),
+		Server:        n.endpoints[r.attempts.server].Address,
+		Timeout:       timeout,
+		Authorization: r.authorization.granted,
+	}})
+}
+
+// sendUpstream makes the current attempt. Its result comes back as an event.
+func (n *Node) sendUpstream(r *pendingRequest, timeout time.Duration) {
+	number := r.attempts.current()
+	endpoint := n.endpoints[r.attempts.server]
+	attempt := Attempt{
+		ID:            r.id,
+		Number:        number,
+		Address:       endpoint.Address,
+		ConnectionKey: endpoint.ConnectionKey,
+		Timeout:       timeout,
+		Request:       r.request,
+		DecidedAt:     n.wallTime(),
+	}
+	outgoing := n.options.Upstream.Start(attempt, func(result Result) {
+		n.enqueue(attemptFinished{request: r, attempt: number, result: result})
+	})
+	r.work.cancel = outgoing.Cancel
+	r.work.withdraw = outgoing.Withdraw
+}
+
+// FinishProxiedAttempt reports the result of an attempt that a ForwardPermit let a
+// proxy make. It may be called from any goroutine and never blocks. A report of any
+// other attempt, or a second one, changes nothing.
+func (n *Node) FinishProxiedAttempt(id policy.RequestID, attempt int, result Result) {
+	n.enqueue(proxiedAttemptFinished{id: id, attempt: attempt, result: result})
+}
+
+// handleProxiedAttemptFinished takes the report of a proxy.
+func (n *Node) handleProxiedAttemptFinished(e proxiedAttemptFinished) {
+	r := n.requests[e.id]
+	if r != nil && r.request.Proxied && r.attempts.isActive(e.attempt) {
+		n.finishAttempt(r, e.result)
+	}
+}
+
+// handleAttemptFinished takes the result of an attempt, unless it was ended before.
+func (n *Node) handleAttemptFinished(e attemptFinished) {
+	if e.request.attempts.isActive(e.attempt) {
+		e.request.work.completed()
+		n.finishAttempt(e.request, e.result)
+	}
+}
+
+// cancelAttempt carries out the policy's decision to stop waiting for an attempt. An
+// attempt that a proxy makes can't be canceled.
+func (n *Node) cancelAttempt(action policy.CancelAttempt) {
+	r := n.requests[action.ID]
+	if r != nil && !r.request.Proxied && r.attempts.isActive(action.Attempt) {
+		n.finishAttempt(r, Result{Code: policy.Cancelled, Detail: "canceled by policy"})
+	}
+}
+
+// timeOutAttempt ends the attempt that is active where its time has run out.
+func (n *Node) timeOutAttempt(r *pendingRequest) {
+	n.finishAttempt(r, Result{Code: policy.TimedOut, Detail: "attempt timed out"})
+}
+
+// finishAttempt ends the active attempt with its result, of which the policy hears;
+// without an active attempt it does nothing. A server's response becomes the final one.
+// The work on the connection has ended when the policy hears of the result, so that a
+// next attempt starts after this one has ended.
+func (n *Node) finishAttempt(r *pendingRequest, result Result) {
+	if !r.attempts.active {
+		return
+	}
+	r.work.stop()
+	r.endAttempt(result)
+	if result.Code == policy.OK {
+		n.serveResponse(r, result.Response)
+	}
+	latency := result.Latency
+	if latency == 0 {
+		latency = n.activeTimeSince(r.attempts.startedAt)
+	}
+	if result.Code == policy.OK && n.options.Authz != nil {
+		n.options.Authz.Took(r.request.Class, latency)
+	}
+	n.queuePolicyEvent(policy.AttemptResult{
+		ID:       r.id,
+		Attempt:  r.attempts.current(),
+		Server:   r.attempts.server,
+		Code:     result.Code,
+		Latency:  latency,
+		Answered: r.isAnswered(),
+	})
+	n.releaseIfDone(r)
+}
+
+// serveResponse answers with a server's response, unless the request is answered.
+func (n *Node) serveResponse(r *pendingRequest, response *Response) {
+	if r.isAnswered() {
+		return
+	}
+	response.Header = append(response.Header, r.authorization.granted.ResponseHeaders...)
+	n.respond(r, FinalResponse{Kind: Served, Response: response})
+}
--- /dev/null
+++ b/node/authorizer.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"net/url"
+	"slices"
+	"strings"
+	"time"
+
+	"yardcleat.example/yardcleat/authz"
+	"yardcleat.example/yardcleat/internal/http1"
+)
+
+// AuthorizationResult is the result of an authorization check. An allowed request is
+// changed as the result says before it is forwarded.
+type AuthorizationResult struct {
+	Verdict  authz.Verdict
+	Denial   *Response     // with a verdict of Denied: the response for the client
+	CacheTTL time.Duration // how long the result may be used again; 0: the service did not say
+	Detail   string        // for the log
+
+	SetHeaders    http1.Header // replace the client's fields of the same name
+	AppendHeaders http1.Header // are added to the client's fields
+	RemoveHeaders []string     // names of fields that are removed
+
+	SetQuery    []http1.Field // query parameters that replace those of the same name
+	RemoveQuery []string      // names of query parameters that are removed
+
+	ResponseHeaders http1.Header // are added to the server's response
+}
+
+// Authorizer makes checks with the external authorization service.
+type Authorizer interface {
+	// Check asks the service at one of its addresses; target counts them from 0. It is
+	// called in the loop and must not block. It calls done once, from any goroutine,
+	// unless cancel is called first. The node ends the check after the budget.
+	Check(target int, request *Request, budget time.Duration, done func(AuthorizationResult)) (cancel func())
+}
+
+// apply changes a request as the authorization service asks for.
+func (c *AuthorizationResult) apply(call *Call) {
+	for _, name := range c.RemoveHeaders {
+		call.Header.Del(name)
+	}
+	for _, field := range c.SetHeaders {
+		call.Header.Set(field.Name, field.Value)
+	}
+	call.Header = append(call.Header, c.AppendHeaders...)
+	if len(c.SetQuery) > 0 || len(c.RemoveQuery) > 0 {
+		call.Target = c.applyToQuery(call.Target)
+	}
+}
+
+// applyToQuery returns a target with query parameters set and removed. The others keep
+// their place and their encoding.
+func (c *AuthorizationResult) applyToQuery(target string) string {
+	path, query, _ := strings.Cut(target, "?")
+	var parameters []string
+	for parameter := range strings.SplitSeq(query, "&") {
+		if parameter != "" && !c.replacesParameter(parameter) {
+			parameters = append(parameters, parameter)
+		}
+	}
+	for _, field := range c.SetQuery {
+		parameters = append(parameters, url.QueryEscape(field.Name)+"="+url.QueryEscape(field.Value))
+	}
+	if len(parameters) == 0 {
+		return path
+	}
+	return path + "?" + strings.Join(parameters, "&")
+}
+
+// replacesParameter reports whether an encoded query parameter is set or removed.
+func (c *AuthorizationResult) replacesParameter(parameter string) bool {
+	encodedName, _, _ := strings.Cut(parameter, "=")
+	name, err := url.QueryUnescape(encodedName)
+	if err != nil {
+		name = encodedName
+	}
+	if slices.Contains(c.RemoveQuery, name) {
+		return true
+	}
+	return slices.ContainsFunc(c.SetQuery, func(field http1.Field) bool { return field.Name == name })
+}
