--- a/internal/pauseclock/sockets_other.go
+++ b/internal/pauseclock/sockets_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package pulse
+package pauseclock
 
 import "net"
 
