--- a/config/roster.go
+++ b/config/roster.go
@@ -57,7 +57,7 @@
 		}
 		return nil
 	}
-	r := &membership.Roster{Epoch: uint64(in.Epoch), Gone: in.Gone}
+	r := &membership.Roster{Epoch: uint64(in.Epoch), RemovedNames: in.Gone}
 	var errs []error
 	for _, n := range in.Nodes {
 		errs = append(errs, address(n.Address, n.At))
@@ -65,12 +65,12 @@
 	}
 	for _, l := range in.Leaving {
 		errs = append(errs, address(l.Address, l.At))
-		r.Leaving = append(r.Leaving, membership.Leaver{Number: l.Number, Node: membership.Node{Name: l.Name, Address: l.Address}})
+		r.Leaving = append(r.Leaving, membership.LeavingNode{Number: l.Number, Node: membership.Node{Name: l.Name, Address: l.Address}})
 	}
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	if err := r.Check(); err != nil {
+	if err := r.Validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return r, nil
@@ -81,9 +81,9 @@
 	f := hclwrite.NewEmptyFile()
 	body := f.Body()
 	body.SetAttributeValue("epoch", cty.NumberUIntVal(r.Epoch))
-	if len(r.Gone) > 0 {
+	if len(r.RemovedNames) > 0 {
 		var gone []cty.Value
-		for _, g := range r.Gone {
+		for _, g := range r.RemovedNames {
 			gone = append(gone, cty.StringVal(g))
 		}
 		body.SetAttributeValue("gone", cty.ListVal(gone))
--- a/config/roster_test.go
+++ b/config/roster_test.go
@@ -10,7 +10,7 @@
 
 func TestRosterFile(t *testing.T) {
 	r := &membership.Roster{Epoch: 7, Nodes: []membership.Node{{Name: "a", Address: "10.0.0.1:7000"}, {Name: "b", Address: "10.0.0.2:7000"}},
-		Leaving: []membership.Leaver{{Number: 2, Node: membership.Node{Name: "c", Address: "10.0.0.3:7000"}}}, Gone: []string{"d", "e"}}
+		Leaving: []membership.LeavingNode{{Number: 2, Node: membership.Node{Name: "c", Address: "10.0.0.3:7000"}}}, RemovedNames: []string{"d", "e"}}
 	back, err := ParseRoster(WriteRoster(r), "r.hcl")
 	if err != nil || !reflect.DeepEqual(back, r) {
 		t.Errorf("%+v, %v\n%s", back, err, WriteRoster(r))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -54,15 +54,15 @@
 
 // Gateway is a running node with all that is around it.
 type Gateway struct {
-	cfg     *config.Config
-	o       Options
-	node    *node.Node
-	led     *usageRecorder // nil: no counter
-	keep    *keeper        // nil: no roster
-	serving sync.WaitGroup
-	closes  []func() // in reverse order
-	fronts  []front
-	killed  atomic.Bool // nothing is to be saved any more
+	cfg        *config.Config
+	o          Options
+	node       *node.Node
+	led        *usageRecorder  // nil: no counter
+	membership *membershipLoop // nil: no roster
+	serving    sync.WaitGroup
+	closes     []func() // in reverse order
+	fronts     []front
+	killed     atomic.Bool // nothing is to be saved any more
 }
 
 // front is a listener with its server.
@@ -124,12 +124,12 @@
 		default:
 			return
 		}
-		if (led == nil || !led.heard(from, data)) && (g.keep == nil || !g.keep.heard(from, data)) {
+		if (led == nil || !led.heard(from, data)) && (g.membership == nil || !g.membership.handleMessage(from, data)) {
 			g.node.ReceivePeerMessage(from, data)
 		}
 	}
 	if cfg.Roster != nil {
-		g.keep = g.newKeeper()
+		g.membership = g.newMembershipLoop()
 	}
 	if len(cfg.Peers.Addresses) > 0 || cfg.Roster != nil {
 		p := cfg.Peers
@@ -140,8 +140,8 @@
 			return g, err
 		}
 		opt.SendToPeer = mail.Tell
-		if g.keep != nil {
-			g.keep.mail = mail
+		if g.membership != nil {
+			g.membership.transport = mail
 		}
 		g.closes = append(g.closes, mail.Close)
 	}
@@ -173,9 +173,9 @@
 		ctx, cancel := context.WithCancel(ctx)
 		g.start(ctx, cancel, func(ctx context.Context) { led.run(ctx, db) })
 	}
-	if g.keep != nil {
+	if g.membership != nil {
 		ctx, cancel := context.WithCancel(ctx)
-		g.start(ctx, cancel, g.keep.run)
+		g.start(ctx, cancel, g.membership.run)
 	}
 	if err := g.servers(ctx); err != nil {
 		return g, err
@@ -186,7 +186,7 @@
 			return g, fmt.Errorf("listener %q: %w", l.Name, err)
 		}
 	}
-	g.phase((*membership.Member).Serve)
+	g.changePhase((*membership.StateMachine).StartServing)
 	return g, nil
 }
 
@@ -233,7 +233,7 @@
 		list = g.o.Deafen(list)
 	}
 	g.node.UpdateEndpoints(kind, list)
-	g.phase((*membership.Member).Listed)
+	g.changePhase((*membership.StateMachine).EndpointsReady)
 }
 
 func (g *Gateway) limits(body int64) http1.Limits {
@@ -324,7 +324,7 @@
 // Drain stops in order: no new connections, what is held ends, the rest is
 // closed. When the context ends first, what is left is failed.
 func (g *Gateway) Drain(ctx context.Context) error {
-	g.phase((*membership.Member).Drain)
+	g.changePhase((*membership.StateMachine).StartDraining)
 	for _, f := range g.fronts {
 		f.l.Close()
 	}
@@ -334,17 +334,17 @@
 	}
 	err := g.node.Drain(ctx)
 	drained.Wait()
-	if g.keep != nil && !g.killed.Load() {
-		g.keep.end()
+	if g.membership != nil && !g.killed.Load() {
+		g.membership.stop()
 	}
 	g.close()
 	return err
 }
 
-// phase tells the member of a step in this node's life.
-func (g *Gateway) phase(step func(*membership.Member) []membership.Action) {
-	if g.keep != nil && !g.killed.Load() {
-		g.keep.post(func() []membership.Action { return step(g.keep.m) })
+// changePhase tells the member of a step in this node's life.
+func (g *Gateway) changePhase(step func(*membership.StateMachine) []membership.Action) {
+	if g.membership != nil && !g.killed.Load() {
+		g.membership.submit(func() []membership.Action { return step(g.membership.machine) })
 	}
 }
 
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -47,7 +47,7 @@
 // The roster's epoch that an earlier build remembered comes back, and is written
 // with the same bytes again.
 func TestRosterEpochOfAnEarlierBuild(t *testing.T) {
-	want := membership.Memory{Epoch: 41, Over: true}
+	want := membership.Snapshot{Epoch: 41, ChangeComplete: true}
 	if got, err := recallMember("testdata"); err != nil || got != want {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
@@ -143,8 +143,8 @@
 		}
 		time.Sleep(5 * time.Second)
 		over := make(chan bool, 1)
-		g.keep.post(func() []membership.Action {
-			over <- g.keep.m.Over()
+		g.membership.submit(func() []membership.Action {
+			over <- g.membership.machine.ChangeComplete()
 			return nil
 		})
 		if !<-over {
@@ -178,23 +178,23 @@
 }
 
 // What a node says of itself has exactly these bytes, in both directions.
-func TestHelloHasGoldenBytes(t *testing.T) {
+func TestAnnouncementHasGoldenBytes(t *testing.T) {
 	for _, c := range []struct {
 		bytes string
-		hello membership.Hello
+		hello membership.Announcement
 	}{
-		{"4d" + "00" + "00" + "0000000000000001", membership.Hello{Epoch: 1, Stage: membership.Read, Phase: membership.Starting}},
-		{"4d" + "02" + "01" + "0000000000000029", membership.Hello{Epoch: 41, Stage: membership.Smaller, Phase: membership.Serving}},
-		{"4d" + "04" + "02" + "0102030405060708", membership.Hello{Epoch: 0x0102030405060708, Stage: membership.Over, Phase: membership.Gone}},
+		{"4d" + "00" + "00" + "0000000000000001", membership.Announcement{Epoch: 1, Stage: membership.StageReceived, Phase: membership.Starting}},
+		{"4d" + "02" + "01" + "0000000000000029", membership.Announcement{Epoch: 41, Stage: membership.StageMinimumShares, Phase: membership.Serving}},
+		{"4d" + "04" + "02" + "0102030405060708", membership.Announcement{Epoch: 0x0102030405060708, Stage: membership.StageComplete, Phase: membership.Stopped}},
 	} {
-		if got := hex.EncodeToString(encodeHello(c.hello)); got != c.bytes {
+		if got := hex.EncodeToString(encodeAnnouncement(c.hello)); got != c.bytes {
 			t.Errorf("%+v encoded to %s, want %s", c.hello, got, c.bytes)
 		}
 		b, err := hex.DecodeString(c.bytes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, ok := decodeHello(b); !ok || got != c.hello {
+		if got, ok := decodeAnnouncement(b); !ok || got != c.hello {
 			t.Errorf("%s decoded to %+v, %v; want %+v", c.bytes, got, ok, c.hello)
 		}
 	}
--- a/gateway/member.go
+++ b/gateway/member.go
@@ -18,69 +18,69 @@
 )
 
 const (
-	memberMark  = 'M' // first byte of its messages; see tallyMark
-	memberSize  = 1 + 1 + 1 + 8
-	memberTick  = 250 * time.Millisecond
-	memberQueue = 256
+	announcementMark       = 'M' // first byte of its messages; see tallyMark
+	announcementSize       = 1 + 1 + 1 + 8
+	membershipTickInterval = 250 * time.Millisecond
+	membershipQueueSize    = 256
 )
 
-// keeper runs a Member in a goroutine of its own and carries out what it says, in
+// membershipLoop runs a Member in a goroutine of its own and carries out what it says, in
 // order: what the disk must remember is there before the module or a peer hears of
 // what follows.
-type keeper struct {
-	g    *Gateway
-	m    *membership.Member
-	mail *peer.Mail
-	do   chan func() []membership.Action
-	file []byte // the roster's, as last read
+type membershipLoop struct {
+	gateway    *Gateway
+	machine    *membership.StateMachine
+	transport  *peer.Mail
+	commands   chan func() []membership.Action
+	rosterFile []byte // the roster's, as last read
 }
 
-// newKeeper returns a keeper of a fleet by roster.
-func (g *Gateway) newKeeper() *keeper {
+// newMembershipLoop returns a keeper of a fleet by roster.
+func (g *Gateway) newMembershipLoop() *membershipLoop {
 	mem, err := recallMember(g.cfg.StateDir)
 	if err != nil {
 		g.o.Log.Warn("what was remembered of the roster is left aside; this node holds no part of ceilings until a change is over",
 			"error", err)
 	}
-	return &keeper{g: g, m: membership.New(membership.Settings{Name: g.cfg.Name, Memory: mem}),
-		do: make(chan func() []membership.Action, memberQueue)}
+	return &membershipLoop{gateway: g, machine: membership.NewStateMachine(membership.Settings{Name: g.cfg.Name, Snapshot: mem}),
+		commands: make(chan func() []membership.Action, membershipQueueSize)}
 }
 
 // run keeps the member until the context ends.
-func (k *keeper) run(ctx context.Context) {
-	k.carry(k.m.Roster(time.Now(), *k.g.cfg.Roster))
-	tick := time.NewTicker(memberTick)
+func (k *membershipLoop) run(ctx context.Context) {
+	k.execute(k.machine.HandleRoster(time.Now(), *k.gateway.cfg.Roster))
+	tick := time.NewTicker(membershipTickInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case f := <-k.do:
-			k.carry(f())
+		case f := <-k.commands:
+			k.execute(f())
 		case <-tick.C:
-			k.look()
-			k.carry(k.m.Tick(time.Now()))
+			k.reloadRoster()
+			k.execute(k.machine.Tick(time.Now()))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// post has the member told of something; it may be lost where too much waits, as a
+// submit has the member told of something; it may be lost where too much waits, as a
 // message may.
-func (k *keeper) post(f func() []membership.Action) {
+func (k *membershipLoop) submit(f func() []membership.Action) {
 	select {
-	case k.do <- f:
+	case k.commands <- f:
 	default:
 	}
 }
 
-// end says that nothing is to be expected of this node any more, and waits until
+// stop says that nothing is to be expected of this node any more, and waits until
 // that is on its way.
-func (k *keeper) end() {
+func (k *membershipLoop) stop() {
 	const moment = time.Second
 	said := make(chan struct{})
-	k.post(func() []membership.Action {
+	k.submit(func() []membership.Action {
 		defer close(said)
-		return k.m.End()
+		return k.machine.Stop()
 	})
 	select {
 	case <-said:
@@ -89,36 +89,36 @@
 	}
 }
 
-// look reads the roster's file again where it has changed.
-func (k *keeper) look() {
-	path := k.g.cfg.Peers.RosterFile
+// reloadRoster reads the roster's file again where it has changed.
+func (k *membershipLoop) reloadRoster() {
+	path := k.gateway.cfg.Peers.RosterFile
 	b, err := os.ReadFile(path)
-	if err != nil || bytes.Equal(b, k.file) {
+	if err != nil || bytes.Equal(b, k.rosterFile) {
 		return // where it is being replaced, or is gone, what was taken stays
 	}
-	k.file = b
+	k.rosterFile = b
 	r, err := config.ParseRoster(b, path)
 	if err != nil {
-		k.g.o.Log.Error("the roster can't be used; the last one is kept", "error", err)
+		k.gateway.o.Log.Error("the roster can't be used; the last one is kept", "error", err)
 		return
 	}
-	k.carry(k.m.Roster(time.Now(), *r))
+	k.execute(k.machine.HandleRoster(time.Now(), *r))
 }
 
-func (k *keeper) carry(acts []membership.Action) {
+func (k *membershipLoop) execute(acts []membership.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case membership.Remember:
-			if err := rememberMember(k.g.cfg.StateDir, a.Memory); err != nil {
-				k.g.o.Log.Error("the roster's epoch can't be remembered; after a restart this node holds no part of ceilings at first",
+		case membership.SaveSnapshot:
+			if err := rememberMember(k.gateway.cfg.StateDir, a.Snapshot); err != nil {
+				k.gateway.o.Log.Error("the roster's epoch can't be remembered; after a restart this node holds no part of ceilings at first",
 					"error", err)
 			}
-		case membership.Fleet:
+		case membership.FleetResized:
 			taken := make(chan struct{})
-			k.g.node.Do(func() {
-				k.g.node.Resize(a.Gateways, a.Was)
-				if k.g.led != nil {
-					k.g.led.resize(a.Gateways)
+			k.gateway.node.Do(func() {
+				k.gateway.node.Resize(a.Gateways, a.PreviousSize)
+				if k.gateway.led != nil {
+					k.gateway.led.resize(a.Gateways)
 				}
 				close(taken)
 			})
@@ -127,52 +127,52 @@
 			case <-time.After(5 * time.Second):
 				return // the node ends
 			}
-		case membership.Address:
-			if a.Number != k.m.Number() {
-				k.mail.Reach(a.Number, a.Address)
+		case membership.AddressAssigned:
+			if a.Number != k.machine.Number() {
+				k.transport.Reach(a.Number, a.Address)
 			}
-		case membership.Tell:
-			k.mail.Tell(a.To, encodeHello(a.Hello))
-		case membership.Changed:
-			k.g.o.Log.Info("this node is "+a.Phase.String(), "from", "member")
-		case membership.Note:
-			log := k.g.o.Log.Info
-			if a.Wrong {
-				log = k.g.o.Log.Warn
+		case membership.SendAnnouncement:
+			k.transport.Tell(a.To, encodeAnnouncement(a.Announcement))
+		case membership.PhaseChanged:
+			k.gateway.o.Log.Info("this node is "+a.Phase.String(), "from", "member")
+		case membership.OperatorNote:
+			log := k.gateway.o.Log.Info
+			if a.NeedsAction {
+				log = k.gateway.o.Log.Warn
 			}
 			log(a.Text, "from", "member")
 		}
 	}
 }
 
-func encodeHello(h membership.Hello) []byte {
-	b := []byte{memberMark, byte(h.Phase), byte(h.Stage)}
+func encodeAnnouncement(h membership.Announcement) []byte {
+	b := []byte{announcementMark, byte(h.Phase), byte(h.Stage)}
 	return binary.BigEndian.AppendUint64(b, h.Epoch)
 }
 
-// heard takes a message; false where it is not one of these.
-func (k *keeper) heard(from int, b []byte) bool {
-	if len(b) == 0 || b[0] != memberMark {
+// handleMessage takes a message; false where it is not one of these.
+func (k *membershipLoop) handleMessage(from int, b []byte) bool {
+	if len(b) == 0 || b[0] != announcementMark {
 		return false
 	}
-	if h, ok := decodeHello(b); ok {
-		k.post(func() []membership.Action { return k.m.Heard(time.Now(), from, h) })
+	if h, ok := decodeAnnouncement(b); ok {
+		k.submit(func() []membership.Action { return k.machine.HandleAnnouncement(time.Now(), from, h) })
 	}
 	return true
 }
 
-// decodeHello reads a message that begins with memberMark; a malformed one, of a
+// decodeAnnouncement reads a message that begins with memberMark; a malformed one, of a
 // newer version, is not ok.
-func decodeHello(b []byte) (h membership.Hello, ok bool) {
-	if len(b) != memberSize || b[1] > byte(membership.Gone) || b[2] > byte(membership.Over) {
+func decodeAnnouncement(b []byte) (h membership.Announcement, ok bool) {
+	if len(b) != announcementSize || b[1] > byte(membership.Stopped) || b[2] > byte(membership.StageComplete) {
 		return h, false
 	}
-	return membership.Hello{Phase: membership.Phase(b[1]), Stage: membership.Stage(b[2]), Epoch: binary.BigEndian.Uint64(b[3:])}, true
+	return membership.Announcement{Phase: membership.Phase(b[1]), Stage: membership.Stage(b[2]), Epoch: binary.BigEndian.Uint64(b[3:])}, true
 }
 
 const memberFile = "roster-epoch"
 
-func recallMember(dir string) (m membership.Memory, err error) {
+func recallMember(dir string) (m membership.Snapshot, err error) {
 	if dir == "" {
 		return m, nil
 	}
@@ -184,13 +184,13 @@
 		err = json.Unmarshal(b, &m)
 	}
 	if err != nil {
-		return membership.Memory{}, err
+		return membership.Snapshot{}, err
 	}
 	return m, nil
 }
 
 // rememberMember replaces the file in one step, and has it on the disk.
-func rememberMember(dir string, m membership.Memory) error {
+func rememberMember(dir string, m membership.Snapshot) error {
 	if dir == "" {
 		return nil
 	}
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -6,10 +6,10 @@
 )
 
 // What outlives a process has exactly these JSON fields.
-func TestMemoryHasGoldenJSON(t *testing.T) {
+func TestSnapshotHasGoldenJSON(t *testing.T) {
 	const golden = `{"Epoch":41,"Over":true}`
-	want := Memory{Epoch: 41, Over: true}
-	var got Memory
+	want := Snapshot{Epoch: 41, ChangeComplete: true}
+	var got Snapshot
 	if err := json.Unmarshal([]byte(golden), &got); err != nil || got != want {
 		t.Errorf("decoded to %+v, %v", got, err)
 	}
@@ -19,13 +19,13 @@
 }
 
 // Numbers that stand for names in messages keep their values.
-func TestCodesOnTheWireKeepTheirValues(t *testing.T) {
-	for want, phase := range []Phase{Starting, Ready, Serving, Draining, Gone} {
+func TestWireCodesKeepTheirValues(t *testing.T) {
+	for want, phase := range []Phase{Starting, Ready, Serving, Draining, Stopped} {
 		if int(phase) != want {
 			t.Errorf("phase %v is %d, want %d", phase, phase, want)
 		}
 	}
-	for want, stage := range []Stage{Read, Smaller, Over} {
+	for want, stage := range []Stage{StageReceived, StageMinimumShares, StageComplete} {
 		if int(stage) != want {
 			t.Errorf("stage %d, want %d", stage, want)
 		}
