--- a/day/virtual/defects.go
+++ b/day/virtual/defects.go
@@ -66,10 +66,10 @@
 		stall    pause.Settings
 		noStamps bool
 	}
-	none, read, age, both := pause.Default(), pause.Default(), pause.Default(), pause.Default()
-	none.Least, none.Ageless = time.Hour, true
-	read.Ageless = true
-	age.Most = 1
+	none, read, age, both := pause.DefaultSettings(), pause.DefaultSettings(), pause.DefaultSettings(), pause.DefaultSettings()
+	none.MinPause, none.IgnoreArrivalTimes = time.Hour, true
+	read.IgnoreArrivalTimes = true
+	age.MaxBarrier = 1
 	return map[string]way{Ways[0]: {none, true}, Ways[1]: {read, true}, Ways[2]: {age, true}, Ways[3]: {age, false},
 		Ways[4]: {both, true}, Ways[5]: {both, false}}
 }()
--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -53,9 +53,9 @@
 		return nil, err
 	}
 	base := time.Now()
-	rules := pause.Default()
+	rules := pause.DefaultSettings()
 	clock := pauseclock.New(base, n, rules)
-	e = &Edge{net: clock.Watched(n), log: log, classes: cfg.Policy.Classes, open: map[string]bool{}, names: discovery.NewNames()}
+	e = &Edge{net: clock.WatchNetwork(n), log: log, classes: cfg.Policy.Classes, open: map[string]bool{}, names: discovery.NewNames()}
 	e.closes = append(e.closes, clock.Close)
 	defer func() {
 		if err != nil {
@@ -67,7 +67,7 @@
 		IdleTime: time.Duration(idleShare * float64(cfg.ConnIdle)), Patience: protocol.FieldPatience,
 		Limits:     limits(b.answer),
 		Held:       b.answers,
-		TurnedAway: upstream.TurnedAway{Status: 503, Also: 504, Header: protocol.FieldTurnedAway, Only: 200}, Stood: clock.Stood})
+		TurnedAway: upstream.TurnedAway{Status: 503, Also: 504, Header: protocol.FieldTurnedAway, Only: 200}, Stood: clock.PausedSince})
 	e.closes = append(e.closes, e.pool.Close)
 	opt := node.Options{Settings: cfg.Policy, Seed: seed, Logger: log, Upstream: e.pool, ResponseMargin: margin, MaxUnanswered: b.clients, TimeOrigin: base,
 		Clock: clock, Pause: rules, SendToPeer: func(int, []byte) {}, OnRequestDone: e.forgotten}
--- a/front/http1/server.go
+++ b/front/http1/server.go
@@ -290,7 +290,7 @@
 		}
 		c.began, c.next = c.next, time.Time{}
 		if c.began.IsZero() {
-			c.began = pauseclock.Arrived(c.nc)
+			c.began = pauseclock.ArrivalTime(c.nc)
 		}
 		if !c.reads() || !c.one() {
 			return
@@ -385,7 +385,7 @@
 			return err
 		}
 		if c.next.IsZero() {
-			c.next = pauseclock.Arrived(c.nc)
+			c.next = pauseclock.ArrivalTime(c.nc)
 		}
 	}
 }
--- a/front/http2/server.go
+++ b/front/http2/server.go
@@ -419,7 +419,7 @@
 		}
 		return c.write(func() error { return c.fr.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
 	}
-	st = &stream{id: id, size: -1, gone: make(chan struct{}), began: pauseclock.Arrived(c.nc)}
+	st = &stream{id: id, size: -1, gone: make(chan struct{}), began: pauseclock.ArrivalTime(c.nc)}
 	status, why := c.call(st, f)
 	if status < 0 {
 		return http2.StreamError{StreamID: id, Code: http2.ErrCodeProtocol}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -88,17 +88,17 @@
 	}()
 	base := time.Now()
 	if o.Stall == (pause.Settings{}) {
-		o.Stall = pause.Default()
+		o.Stall = pause.DefaultSettings()
 	}
 	clock := pauseclock.New(base, o.Network, o.Stall)
 	g.closes = append(g.closes, clock.Close)
-	g.o.Network = clock.Watched(o.Network)
+	g.o.Network = clock.WatchNetwork(o.Network)
 	o.Network = g.o.Network
 	opt := node.Options{Settings: cfg.Settings(), Seed: o.Seed, Logger: o.Log, ResponseMargin: cfg.Limits.AnswerMargin,
 		MaxUnanswered: cfg.Limits.Requests, TimeOrigin: base, Clock: clock, Pause: o.Stall, SendToPeer: func(int, []byte) {}}
 	pool := upstream.New(upstream.Options{Network: o.Network, ConnectTime: cfg.Limits.ConnectTime, Idle: cfg.Limits.IdleUpstream,
 		Limits:     g.limits(cfg.Limits.AnswerBody),
-		TurnedAway: g.turnedAway(), HTTP2: cfg.Servers.HTTP2, Stood: clock.Stood})
+		TurnedAway: g.turnedAway(), HTTP2: cfg.Servers.HTTP2, Stood: clock.PausedSince})
 	g.closes = append(g.closes, pool.Close)
 	if opt.Upstream = pool; g.o.Carry != nil {
 		opt.Upstream = g.o.Carry(pool)
--- a/internal/pauseclock/pulse.go
+++ b/internal/pauseclock/pulse.go
@@ -14,48 +14,48 @@
 
 // Clock is one process's clock. All methods may be called from any goroutine.
 type Clock struct {
-	Base time.Time
-	wait func() // returns while the process runs; stands in for a stop, in memory
+	TimeOrigin       time.Time
+	waitUntilRunning func() // returns while the process runs; stands in for a stop, in memory
 
-	last atomic.Int64 // of looks
-	gaps atomic.Int64 // found so far
-	end  atomic.Int64 // of the last gap
+	lastObserved atomic.Int64 // of looks
+	pauseCount   atomic.Int64 // found so far
+	lastPauseEnd atomic.Int64 // of the last gap
 
-	mu      sync.Mutex
-	w       *pause.Watch
-	sockets map[*socket]struct{}
-	least   int64
+	mu       sync.Mutex
+	detector *pause.Detector
+	sockets  map[*socketState]struct{}
+	minPause int64
 
-	once sync.Once
-	stop chan struct{}
-	done chan struct{}
+	closeOnce     sync.Once
+	closing       chan struct{}
+	heartbeatDone chan struct{}
 }
 
 // New starts a clock; Close ends it. A network that can pause is asked whether
 // the process runs.
 func New(base time.Time, n network.Network, s pause.Settings) *Clock {
-	c := &Clock{Base: base, wait: func() {}, w: pause.NewWatch(s), sockets: map[*socket]struct{}{}, least: int64(s.Least),
-		stop: make(chan struct{}), done: make(chan struct{})}
+	c := &Clock{TimeOrigin: base, waitUntilRunning: func() {}, detector: pause.NewDetector(s), sockets: map[*socketState]struct{}{}, minPause: int64(s.MinPause),
+		closing: make(chan struct{}), heartbeatDone: make(chan struct{})}
 	if h, ok := n.(interface{ Running() }); ok {
-		c.wait = h.Running
+		c.waitUntilRunning = h.Running
 	}
-	now := c.read()
-	c.w.Look(now, now)
-	c.last.Store(int64(now))
-	go c.beat(s.Beat)
+	now := c.elapsed()
+	c.detector.Observe(now, now)
+	c.lastObserved.Store(int64(now))
+	go c.runHeartbeat(s.HeartbeatInterval)
 	return c
 }
 
-func (c *Clock) beat(every time.Duration) {
-	defer close(c.done)
+func (c *Clock) runHeartbeat(every time.Duration) {
+	defer close(c.heartbeatDone)
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			c.wait()
-			c.look(time.Now()) // also where the wall clock was set
-		case <-c.stop:
+			c.waitUntilRunning()
+			c.observe(time.Now()) // also where the wall clock was set
+		case <-c.closing:
 			return
 		}
 	}
@@ -63,89 +63,89 @@
 
 // Close ends the clock's heartbeat.
 func (c *Clock) Close() {
-	c.once.Do(func() { close(c.stop) })
-	<-c.done
+	c.closeOnce.Do(func() { close(c.closing) })
+	<-c.heartbeatDone
 }
 
-func (c *Clock) read() time.Duration { return time.Since(c.Base) }
+func (c *Clock) elapsed() time.Duration { return time.Since(c.TimeOrigin) }
 
 // Now is the time since the base. Whoever asks first after a gap finds it.
 func (c *Clock) Now() time.Duration {
-	c.wait()
+	c.waitUntilRunning()
 	t := time.Now()
-	now := t.Sub(c.Base)
-	last := c.last.Load()
+	now := t.Sub(c.TimeOrigin)
+	last := c.lastObserved.Load()
 	switch {
-	case int64(now)-last > c.least:
-		c.look(t)
+	case int64(now)-last > c.minPause:
+		c.observe(t)
 	case int64(now)-last > int64(time.Millisecond):
-		c.last.CompareAndSwap(last, int64(now)) // else someone looked later
+		c.lastObserved.CompareAndSwap(last, int64(now)) // else someone looked later
 	}
 	return now
 }
 
-func (c *Clock) look(t time.Time) {
+func (c *Clock) observe(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// The last look that anyone took goes before this one.
-	last := time.Duration(c.last.Load())
-	c.w.Seen(last)
-	if g, found := c.w.Look(t.Sub(c.Base), t.Round(0).Sub(c.Base.Round(0))); found {
-		c.end.Store(int64(g.To))
-		c.gaps.Add(1)
+	last := time.Duration(c.lastObserved.Load())
+	c.detector.MarkRunning(last)
+	if g, found := c.detector.Observe(t.Sub(c.TimeOrigin), t.Round(0).Sub(c.TimeOrigin.Round(0))); found {
+		c.lastPauseEnd.Store(int64(g.End))
+		c.pauseCount.Add(1)
 	}
-	if int64(t.Sub(c.Base)) > c.last.Load() {
-		c.last.Store(int64(t.Sub(c.Base)))
+	if int64(t.Sub(c.TimeOrigin)) > c.lastObserved.Load() {
+		c.lastObserved.Store(int64(t.Sub(c.TimeOrigin)))
 	}
 }
 
 // Pauses counts the gaps found.
-func (c *Clock) Pauses() int64 { return c.gaps.Load() }
+func (c *Clock) Pauses() int64 { return c.pauseCount.Load() }
 
-// Stood tells whether the process stood still after a time.
-func (c *Clock) Stood(since time.Time) bool {
+// PausedSince tells whether the process stood still after a time.
+func (c *Clock) PausedSince(since time.Time) bool {
 	c.Now()
-	return c.end.Load() > int64(since.Sub(c.Base))
+	return c.lastPauseEnd.Load() > int64(since.Sub(c.TimeOrigin))
 }
 
 // ActiveTime is how much of a time the process ran.
 func (c *Clock) ActiveTime(from, to time.Duration) time.Duration {
-	if c.gaps.Load() == 0 {
+	if c.pauseCount.Load() == 0 {
 		return max(0, to-from)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.w.ActiveTime(from, to)
+	return c.detector.ActiveTime(from, to)
 }
 
 // UnreadSockets counts the sockets that may hold what came before the last gap's end, or
 // whose readers have not come back for more since.
 func (c *Clock) UnreadSockets() int {
-	since := c.end.Load()
+	since := c.lastPauseEnd.Load()
 	c.mu.Lock()
-	list := make([]*socket, 0, len(c.sockets))
+	list := make([]*socketState, 0, len(c.sockets))
 	for s := range c.sockets {
-		if s.empty.Load() <= since && !s.ended.Load() {
+		if s.lastEmpty.Load() <= since && !s.finished.Load() {
 			list = append(list, s)
 		}
 	}
 	c.mu.Unlock()
 	n := 0
 	for _, s := range list {
-		if !s.clear(since) {
+		if !s.drainedSince(since) {
 			n++
 		}
 	}
 	return n
 }
 
-// arrival is when what a socket gave arrived.
-func (c *Clock) arrival(r pause.Read, wall time.Time) time.Time {
-	if !r.Known && c.gaps.Load() == 0 {
-		return c.Base.Add(r.At)
+// arrivalTime is when what a socket gave arrived.
+func (c *Clock) arrivalTime(r pause.SocketRead, wall time.Time) time.Time {
+	if !r.HasKernelTimestamp && c.pauseCount.Load() == 0 {
+		return c.TimeOrigin.Add(r.ReadAt)
 	}
-	r.Stamp = wall.Sub(c.Base.Round(0))
+	r.KernelTimestamp = wall.Sub(c.TimeOrigin.Round(0))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.Base.Add(c.w.Arrival(r))
+	return c.TimeOrigin.Add(c.detector.ArrivalTime(r))
 }
--- a/internal/pauseclock/sockets.go
+++ b/internal/pauseclock/sockets.go
@@ -10,60 +10,60 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// socket is what is known of one socket's reading.
-type socket struct {
-	c       *Clock
-	empty   atomic.Int64 // when it was last seen empty with its reader waiting
-	read    atomic.Int64 // when it last gave something
-	reading atomic.Bool  // its reader waits for more
-	ended   atomic.Bool  // it gave its end, or was closed
-	arrived atomic.Int64 // when what it last gave arrived, since the base
-	probe   func() bool  // whether it holds something
-}
-
-func (c *Clock) socket(probe func() bool) *socket {
-	s := &socket{c: c, probe: probe}
+// socketState is what is known of one socket's reading.
+type socketState struct {
+	clock       *Clock
+	lastEmpty   atomic.Int64 // when it was last seen empty with its reader waiting
+	lastRead    atomic.Int64 // when it last gave something
+	reading     atomic.Bool  // its reader waits for more
+	finished    atomic.Bool  // it gave its end, or was closed
+	lastArrival atomic.Int64 // when what it last gave arrived, since the base
+	readable    func() bool  // whether it holds something
+}
+
+func (c *Clock) addSocket(probe func() bool) *socketState {
+	s := &socketState{clock: c, readable: probe}
 	c.mu.Lock()
 	c.sockets[s] = struct{}{}
 	c.mu.Unlock()
 	return s
 }
 
-func (s *socket) close() {
-	s.ended.Store(true)
-	s.c.mu.Lock()
-	delete(s.c.sockets, s)
-	s.c.mu.Unlock()
+func (s *socketState) remove() {
+	s.finished.Store(true)
+	s.clock.mu.Lock()
+	delete(s.clock.sockets, s)
+	s.clock.mu.Unlock()
 }
 
-// clear tells whether all that came before a gap's end has been read, and handled
+// drainedSince tells whether all that came before a gap's end has been read, and handled
 // as far as its reader goes: it waits for more, or has read nothing since.
-func (s *socket) clear(since int64) bool {
-	if s.ended.Load() || s.empty.Load() > since {
+func (s *socketState) drainedSince(since int64) bool {
+	if s.finished.Load() || s.lastEmpty.Load() > since {
 		return true
 	}
-	if s.probe() {
+	if s.readable() {
 		return false
 	}
-	return s.reading.Load() || s.read.Load() <= since
+	return s.reading.Load() || s.lastRead.Load() <= since
 }
 
-func (s *socket) sawEmpty(now time.Duration) { s.empty.Store(int64(now)) }
+func (s *socketState) markEmpty(now time.Duration) { s.lastEmpty.Store(int64(now)) }
 
-// gave notes a read.
-func (s *socket) gave(now time.Duration, wall time.Time, known bool) {
-	s.read.Store(int64(now))
-	at := s.c.arrival(pause.Read{Empty: time.Duration(s.empty.Load()), At: now, Known: known}, wall)
-	s.arrived.Store(int64(at.Sub(s.c.Base)))
+// markRead notes a read.
+func (s *socketState) markRead(now time.Duration, wall time.Time, known bool) {
+	s.lastRead.Store(int64(now))
+	at := s.clock.arrivalTime(pause.SocketRead{LastEmpty: time.Duration(s.lastEmpty.Load()), ReadAt: now, HasKernelTimestamp: known}, wall)
+	s.lastArrival.Store(int64(at.Sub(s.clock.TimeOrigin)))
 }
 
-// Arrived is when what a connection last gave arrived, as far as is known; zero
+// ArrivalTime is when what a connection last gave arrived, as far as is known; zero
 // where the connection is not watched.
-func Arrived(nc net.Conn) time.Time {
+func ArrivalTime(nc net.Conn) time.Time {
 	for {
 		switch c := nc.(type) {
-		case *conn:
-			return c.Arrived()
+		case *watchedConn:
+			return c.arrivalTime()
 		case interface{ NetConn() net.Conn }: // TLS
 			nc = c.NetConn()
 		default:
@@ -72,171 +72,173 @@
 	}
 }
 
-// ArrivedBy is Arrived of the connection with an address, as RemoteAddr gave it.
-func ArrivedBy(a net.Addr) time.Time {
-	if a, ok := a.(addr); ok {
-		return a.c.Arrived()
+// ArrivalTimeOf is Arrived of the connection with an address, as RemoteAddr gave it.
+func ArrivalTimeOf(a net.Addr) time.Time {
+	if a, ok := a.(watchedAddr); ok {
+		return a.conn.arrivalTime()
 	}
 	return time.Time{}
 }
 
-// addr is an address that knows its connection.
-type addr struct {
+// watchedAddr is an address that knows its connection.
+type watchedAddr struct {
 	net.Addr
-	c *conn
+	conn *watchedConn
 }
 
-// Watched is a network whose sockets a clock watches.
-func (c *Clock) Watched(n network.Network) network.Network { return &watched{c, n} }
+// WatchNetwork is a network whose sockets a clock watches.
+func (c *Clock) WatchNetwork(n network.Network) network.Network { return &watchedNetwork{c, n} }
 
-type watched struct {
-	c *Clock
-	n network.Network
+type watchedNetwork struct {
+	clock   *Clock
+	network network.Network
 }
 
 // Unwrap is the network below.
-func (w *watched) Unwrap() network.Network { return w.n }
+func (w *watchedNetwork) Unwrap() network.Network { return w.network }
 
-func (w *watched) Dial(ctx context.Context, address string) (net.Conn, error) {
-	nc, err := w.n.Dial(ctx, address)
+func (w *watchedNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+	nc, err := w.network.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return w.c.conn(nc, w.c.Now()), nil
+	return w.clock.watchConn(nc, w.clock.Now()), nil
 }
 
-func (w *watched) Listen(address string) (net.Listener, error) {
-	l, err := w.n.Listen(address)
+func (w *watchedNetwork) Listen(address string) (net.Listener, error) {
+	l, err := w.network.Listen(address)
 	if err != nil {
 		return nil, err
 	}
-	return &listener{l, w.c.socket(prober(l))}, nil
+	return &watchedListener{l, w.clock.addSocket(readableFunc(l))}, nil
 }
 
-func (w *watched) ListenPacket(address string) (net.PacketConn, error) {
-	p, err := w.n.ListenPacket(address)
+func (w *watchedNetwork) ListenPacket(address string) (net.PacketConn, error) {
+	p, err := w.network.ListenPacket(address)
 	if err != nil {
 		return nil, err
 	}
-	return &packets{p, w.c.socket(prober(p))}, nil
+	return &watchedPacketConn{p, w.clock.addSocket(readableFunc(p))}, nil
 }
 
-type listener struct {
+type watchedListener struct {
 	net.Listener
-	s *socket
+	socket *socketState
 }
 
-func (l *listener) Accept() (net.Conn, error) {
-	if !l.s.probe() {
-		l.s.sawEmpty(l.s.c.Now())
+func (l *watchedListener) Accept() (net.Conn, error) {
+	if !l.socket.readable() {
+		l.socket.markEmpty(l.socket.clock.Now())
 	}
-	l.s.reading.Store(true)
+	l.socket.reading.Store(true)
 	nc, err := l.Listener.Accept()
-	l.s.reading.Store(false)
+	l.socket.reading.Store(false)
 	if err != nil {
 		return nil, err
 	}
-	l.s.read.Store(int64(l.s.c.Now()))
-	return l.s.c.conn(nc, time.Duration(l.s.empty.Load())), nil
+	l.socket.lastRead.Store(int64(l.socket.clock.Now()))
+	return l.socket.clock.watchConn(nc, time.Duration(l.socket.lastEmpty.Load())), nil
 }
 
-func (l *listener) Close() error {
-	l.s.close()
+func (l *watchedListener) Close() error {
+	l.socket.remove()
 	return l.Listener.Close()
 }
 
-type packets struct {
+type watchedPacketConn struct {
 	net.PacketConn
-	s *socket
+	socket *socketState
 }
 
-func (p *packets) ReadFrom(b []byte) (int, net.Addr, error) {
-	if !p.s.probe() {
-		p.s.sawEmpty(p.s.c.Now())
+func (p *watchedPacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
+	if !p.socket.readable() {
+		p.socket.markEmpty(p.socket.clock.Now())
 	}
-	p.s.reading.Store(true)
+	p.socket.reading.Store(true)
 	n, from, err := p.PacketConn.ReadFrom(b)
-	p.s.reading.Store(false)
-	p.s.read.Store(int64(p.s.c.Now()))
+	p.socket.reading.Store(false)
+	p.socket.lastRead.Store(int64(p.socket.clock.Now()))
 	return n, from, err
 }
 
-func (p *packets) Close() error {
-	p.s.close()
+func (p *watchedPacketConn) Close() error {
+	p.socket.remove()
 	return p.PacketConn.Close()
 }
 
-// conn is a watched connection.
-type conn struct {
+// watchedConn is a watched connection.
+type watchedConn struct {
 	net.Conn
-	s *socket
-	r reader
+	socket *socketState
+	reader connReader
 }
 
-// reader reads a connection: it says when it saw the socket empty, and what the
+// connReader reads a connection: it says when it saw the socket empty, and what the
 // kernel says of the bytes' arrival, by the wall clock.
-type reader interface {
+type connReader interface {
 	read(b []byte, empty func()) (n int, stamp time.Time, known bool, err error)
 }
 
-func (c *Clock) conn(nc net.Conn, empty time.Duration) net.Conn {
-	w := &conn{Conn: nc}
-	w.s = c.socket(prober(nc))
-	w.s.sawEmpty(empty)
-	w.s.arrived.Store(int64(c.Now()))
-	w.r = readerOf(nc, w.s.probe)
+func (c *Clock) watchConn(nc net.Conn, empty time.Duration) net.Conn {
+	w := &watchedConn{Conn: nc}
+	w.socket = c.addSocket(readableFunc(nc))
+	w.socket.markEmpty(empty)
+	w.socket.lastArrival.Store(int64(c.Now()))
+	w.reader = newConnReader(nc, w.socket.readable)
 	return w
 }
 
-func (c *conn) Arrived() time.Time { return c.s.c.Base.Add(time.Duration(c.s.arrived.Load())) }
+func (c *watchedConn) arrivalTime() time.Time {
+	return c.socket.clock.TimeOrigin.Add(time.Duration(c.socket.lastArrival.Load()))
+}
 
-func (c *conn) RemoteAddr() net.Addr { return addr{c.Conn.RemoteAddr(), c} }
+func (c *watchedConn) RemoteAddr() net.Addr { return watchedAddr{c.Conn.RemoteAddr(), c} }
 
-func (c *conn) Read(b []byte) (int, error) {
-	c.s.reading.Store(true)
-	n, stamp, known, err := c.r.read(b, c.sawEmpty)
-	now := c.s.c.Now()
+func (c *watchedConn) Read(b []byte) (int, error) {
+	c.socket.reading.Store(true)
+	n, stamp, known, err := c.reader.read(b, c.markEmpty)
+	now := c.socket.clock.Now()
 	if n > 0 {
-		c.s.gave(now, stamp, known)
+		c.socket.markRead(now, stamp, known)
 	} else if err != nil && !isTimeout(err) {
-		c.s.ended.Store(true)
+		c.socket.finished.Store(true)
 	}
-	c.s.reading.Store(false)
+	c.socket.reading.Store(false)
 	return n, err
 }
 
 // Readable tells whether the connection holds bytes that were not read, or its end.
-func (c *conn) Readable() bool { return c.s.probe() }
+func (c *watchedConn) Readable() bool { return c.socket.readable() }
 
-func (c *conn) sawEmpty() { c.s.sawEmpty(c.s.c.Now()) }
+func (c *watchedConn) markEmpty() { c.socket.markEmpty(c.socket.clock.Now()) }
 
 func isTimeout(err error) bool {
 	t, ok := err.(interface{ Timeout() bool })
 	return ok && t.Timeout()
 }
 
-func (c *conn) Close() error {
-	c.s.close()
+func (c *watchedConn) Close() error {
+	c.socket.remove()
 	return c.Conn.Close()
 }
 
 // CloseWrite closes the sending side, where the connection has one of its own.
-func (c *conn) CloseWrite() error {
+func (c *watchedConn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
 	}
 	return c.Conn.Close()
 }
 
-// plain reads what has no more to tell than Readable and Arrived; memory's
+// plainReader reads what has no more to tell than Readable and Arrived; memory's
 // connections do.
-type plain struct {
+type plainReader struct {
 	net.Conn
-	probe func() bool
+	readable func() bool
 }
 
-func (p *plain) read(b []byte, empty func()) (int, time.Time, bool, error) {
-	if !p.probe() {
+func (p *plainReader) read(b []byte, empty func()) (int, time.Time, bool, error) {
+	if !p.readable() {
 		empty()
 	}
 	n, err := p.Conn.Read(b)
--- a/internal/timers/wheel_test.go
+++ b/internal/timers/wheel_test.go
@@ -50,7 +50,7 @@
 			"advance": func(t *rapid.T) {
 				if next, ok := w.Next(); ok {
 					for _, e := range all {
-						if !e.fired && !e.stopped && next > e.at+precision && next > now+precision {
+						if !e.fired && !e.stopped && next > e.at+tickLength && next > now+tickLength {
 							t.Fatalf("Next %v is after %v", next, e.at)
 						}
 					}
@@ -58,7 +58,7 @@
 				now += time.Duration(rapid.Int64Range(0, int64(span.Draw(t, "span"))).Draw(t, "by"))
 				w.Advance(now)
 				for _, e := range all {
-					if !e.fired && !e.stopped && e.at+2*precision <= now {
+					if !e.fired && !e.stopped && e.at+2*tickLength <= now {
 						t.Fatalf("at %v not fired at %v", e.at, now)
 					}
 				}
--- a/node/node.go
+++ b/node/node.go
@@ -122,7 +122,7 @@
 
 // item is something for the loop to do.
 type item struct {
-	kind pause.Kind
+	kind pause.EventKind
 	do   func()
 }
 
@@ -139,14 +139,14 @@
 		o.Clock = alwaysActiveClock{o.TimeOrigin}
 	}
 	if o.Pause == (pause.Settings{}) {
-		o.Pause = pause.Default()
+		o.Pause = pause.DefaultSettings()
 	}
 	return &Node{o: o, base: o.TimeOrigin, gw: gw, barrier: pause.NewBarrier(o.Pause), seed: o.Seed, wake: make(chan struct{}, 1), idle: make(chan struct{}, 1),
 		reqs: map[policy.RequestID]*request{}, servers: map[policy.ServerID]Server{}}, nil
 }
 
 // post gives the loop something to do.
-func (n *Node) post(kind pause.Kind, f func()) {
+func (n *Node) post(kind pause.EventKind, f func()) {
 	n.mu.Lock()
 	n.enqueue(item{kind, f})
 	n.mu.Unlock()
@@ -177,9 +177,9 @@
 		batch, n.queue = n.queue, batch[:0]
 		n.mu.Unlock()
 		var next time.Duration
-		if n.barrier.On() {
+		if n.barrier.Raised() {
 			n.held = append(n.held, batch...)
-			if next = n.barrier.Look(n.now, n.o.Clock.UnreadSockets()); n.barrier.On() {
+			if next = n.barrier.Observe(n.now, n.o.Clock.UnreadSockets()); n.barrier.Raised() {
 				timer.Reset(next)
 				select {
 				case <-timer.C:
@@ -232,7 +232,7 @@
 func (n *Node) look() {
 	now := n.o.Clock.Now()
 	gaps := n.o.Clock.Pauses()
-	if gaps != n.gaps || now-n.now > n.o.Pause.Least {
+	if gaps != n.gaps || now-n.now > n.o.Pause.MinPause {
 		n.o.Logger.Warn("the process did not run: what came in meanwhile is read first", "since", now-n.now)
 		n.gaps = gaps
 		n.barrier.Raise(now)
@@ -244,7 +244,7 @@
 // waits behind the barrier.
 func (n *Node) carry(batch []item) {
 	for i, f := range batch {
-		if n.look(); n.barrier.On() {
+		if n.look(); n.barrier.Raised() {
 			n.held = append(n.held, batch[i:]...)
 			break
 		}
@@ -259,9 +259,9 @@
 func (n *Node) after() {
 	held := n.held
 	n.held = nil
-	before := pause.Order(held, func(f item) pause.Kind { return f.kind })
+	before := pause.SortBacklog(held, func(f item) pause.EventKind { return f.kind })
 	n.carry(held[:before])
-	if n.barrier.On() {
+	if n.barrier.Raised() {
 		n.held = append(n.held, held[before:]...)
 		return
 	}
@@ -285,7 +285,7 @@
 		// Under one lock with the look at closing: once that is set, the loop
 		// empties the queue a last time.
 		n.open++
-		n.enqueue(item{pause.Asked, func() { n.begin(r, at) }})
+		n.enqueue(item{pause.RequestArrived, func() { n.begin(r, at) }})
 	}
 	n.mu.Unlock()
 	if closing || full {
@@ -299,20 +299,22 @@
 		reply(a)
 		return func() {}
 	}
-	return func() { n.post(pause.Left, func() { n.clientGone(r) }) }
+	return func() { n.post(pause.ClientDisconnected, func() { n.clientGone(r) }) }
 }
 
 // ReceivePeerMessage tells of a message from a peer.
 func (n *Node) ReceivePeerMessage(from int, data []byte) {
-	n.post(pause.Heard, func() { n.feed(policy.PeerMessage{From: from, Data: data}) })
+	n.post(pause.PeerMessage, func() { n.feed(policy.PeerMessage{From: from, Data: data}) })
 }
 
 // Do runs f in the loop, in turn with all else that happens.
-func (n *Node) Do(f func()) { n.post(pause.Other, f) }
+func (n *Node) Do(f func()) { n.post(pause.OtherEvent, f) }
 
 // RestoreSnapshot gives the module what an earlier process remembered; before any try is
 // taken.
-func (n *Node) RestoreSnapshot(r policy.RestoreSnapshot) { n.post(pause.Other, func() { n.feed(r) }) }
+func (n *Node) RestoreSnapshot(r policy.RestoreSnapshot) {
+	n.post(pause.OtherEvent, func() { n.feed(r) })
+}
 
 // SaveSnapshot returns what is to outlive the process, looking at some customers in each
 // turn of the loop; false where the loop has ended.
@@ -320,7 +322,7 @@
 	const most = 2000
 	for from, first := 0, true; first || from > 0; first = false {
 		done := make(chan struct{})
-		n.post(pause.Other, func() {
+		n.post(pause.OtherEvent, func() {
 			list, from = n.gw.SaveSnapshot(n.now, from, most, list)
 			close(done)
 		})
@@ -351,7 +353,7 @@
 
 // UpdateEndpoints tells of the server list.
 func (n *Node) UpdateEndpoints(kind policy.EndpointUpdateKind, list []Server) {
-	n.post(pause.Listed, func() {
+	n.post(pause.EndpointsUpdated, func() {
 		m := policy.EndpointUpdate{Kind: kind}
 		if kind == policy.SnapshotUpdate || kind == policy.CachedUpdate {
 			clear(n.servers)
@@ -382,7 +384,7 @@
 
 // FinishProxiedAttempt tells how the attempt that a Go let a proxy make has ended.
 func (n *Node) FinishProxiedAttempt(id policy.RequestID, attempt int, res Result) {
-	n.post(pause.Ended, func() {
+	n.post(pause.CallFinished, func() {
 		if r := n.reqs[id]; r != nil && r.live && r.try.Proxied && attempt == r.attempts-1 {
 			n.attemptEnded(r, attempt, res)
 		}
@@ -390,7 +392,9 @@
 }
 
 // BreakPolicy makes the module panic at its next event; for tests.
-func (n *Node) BreakPolicy() { n.post(pause.Other, func() { n.gw = nil; n.feed(policy.TimerFired{}) }) }
+func (n *Node) BreakPolicy() {
+	n.post(pause.OtherEvent, func() { n.gw = nil; n.feed(policy.TimerFired{}) })
+}
 
 // Finish lets no more tries in, and gives what is not answered its final answer now: a
 // refusal where nothing was sent, so that a repeat is harmless.
@@ -398,7 +402,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closing = true
-	n.enqueue(item{pause.Other, func() {
+	n.enqueue(item{pause.OtherEvent, func() {
 		for _, r := range n.reqs {
 			if r.state == answered {
 				continue
@@ -487,7 +491,7 @@
 				n.checked(r, a.Try, AuthorizationResult{Verdict: authz.Late, Detail: "authoriser: no answer in time"})
 			})
 			r.cancel = n.o.Authorizer.Check(a.Target, r.try, a.Budget, func(c AuthorizationResult) {
-				n.post(pause.Ended, func() { n.checked(r, a.Try, c) })
+				n.post(pause.CallFinished, func() { n.checked(r, a.Try, c) })
 			})
 		case authz.Cancel:
 			if r := n.reqs[policy.RequestID(a.ID)]; r != nil {
@@ -706,7 +710,7 @@
 	}
 	sending := n.o.Upstream.Start(Attempt{ID: r.id, Number: attempt, Address: to.Address, ConnectionKey: to.ConnectionKey, Timeout: left, Request: r.try, DecidedAt: n.base.Add(n.now)},
 		func(res Result) {
-			n.post(pause.Ended, func() {
+			n.post(pause.CallFinished, func() {
 				if r.live && attempt == r.attempts-1 {
 					r.cancel, r.withdraw = nil, nil // it has ended by itself
 					n.attemptEnded(r, attempt, res)
--- a/pause/stall_test.go
+++ b/pause/stall_test.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-const ms = time.Millisecond
+const millisecond = time.Millisecond
 
-func watch(looks ...time.Duration) *Watch {
-	w := NewWatch(Default())
+func detectorAfter(looks ...time.Duration) *Detector {
+	w := NewDetector(DefaultSettings())
 	for _, at := range looks {
-		w.Look(at, at)
+		w.Observe(at, at)
 	}
 	return w
 }
 
-func TestGaps(t *testing.T) {
-	w := watch(0, 10*ms, 20*ms)
-	if _, found := w.Look(70*ms, 70*ms); found {
+func TestDetectorFindsPauses(t *testing.T) {
+	w := detectorAfter(0, 10*millisecond, 20*millisecond)
+	if _, found := w.Observe(70*millisecond, 70*millisecond); found {
 		t.Error("a look in time is taken for a gap")
 	}
-	g, found := w.Look(121*ms, 121*ms)
-	if !found || g != (Gap{70 * ms, 121 * ms}) {
+	g, found := w.Observe(121*millisecond, 121*millisecond)
+	if !found || g != (Pause{70 * millisecond, 121 * millisecond}) {
 		t.Errorf("%v %v", g, found)
 	}
-	if !w.Since(120*ms) || w.Since(121*ms) {
+	if !w.PausedSince(120*millisecond) || w.PausedSince(121*millisecond) {
 		t.Error("Since is off")
 	}
-	if ran := w.ActiveTime(60*ms, 131*ms); ran != 20*ms {
+	if ran := w.ActiveTime(60*millisecond, 131*millisecond); ran != 20*millisecond {
 		t.Errorf("ran %v", ran)
 	}
-	if ran := w.ActiveTime(80*ms, 90*ms); ran != 0 {
+	if ran := w.ActiveTime(80*millisecond, 90*millisecond); ran != 0 {
 		t.Errorf("ran %v inside the gap", ran)
 	}
-	w.Seen(100 * time.Second)
-	w.Look(100*time.Second+51*ms, 100*time.Second+51*ms)
-	if len(w.gaps) != 1 {
-		t.Errorf("%d gaps kept", len(w.gaps))
+	w.MarkRunning(100 * time.Second)
+	w.Observe(100*time.Second+51*millisecond, 100*time.Second+51*millisecond)
+	if len(w.pauses) != 1 {
+		t.Errorf("%d gaps kept", len(w.pauses))
 	}
 }
 
-func TestArrival(t *testing.T) {
-	gap := []time.Duration{0, 10 * ms, 2010 * ms} // from 10 ms to 2,010
+func TestArrivalTime(t *testing.T) {
+	gap := []time.Duration{0, 10 * millisecond, 2010 * millisecond} // from 10 ms to 2,010
 	for _, c := range []struct {
 		what  string
 		looks []time.Duration
-		r     Read
+		r     SocketRead
 		want  time.Duration
 	}{
-		{"no gap, no stamp", []time.Duration{0, 10 * ms}, Read{Empty: 0, At: 11 * ms}, 11 * ms},
-		{"no gap: its reader alone was late", []time.Duration{0, 10 * ms}, Read{Empty: 0, At: 400 * ms, Stamp: 20 * ms, Known: true}, 20 * ms},
-		{"through a gap, no stamp", gap, Read{Empty: 5 * ms, At: 2011 * ms}, 10 * ms},
-		{"seen empty in the gap", gap, Read{Empty: 700 * ms, At: 2011 * ms}, 700 * ms},
-		{"seen empty after it", gap, Read{Empty: 2011 * ms, At: 2020 * ms}, 2020 * ms},
-		{"through a gap, with a stamp", gap, Read{Empty: 5 * ms, At: 2011 * ms, Stamp: 1500 * ms, Known: true}, 1500 * ms},
-		{"a stamp of the time to come", gap, Read{Empty: 5 * ms, At: 2011 * ms, Stamp: 9000 * ms, Known: true}, 2011 * ms},
-		{"a stamp from before it was seen empty", gap, Read{Empty: 5 * ms, At: 2011 * ms, Stamp: -9000 * ms, Known: true}, 5 * ms},
+		{"no gap, no stamp", []time.Duration{0, 10 * millisecond}, SocketRead{LastEmpty: 0, ReadAt: 11 * millisecond}, 11 * millisecond},
+		{"no gap: its reader alone was late", []time.Duration{0, 10 * millisecond}, SocketRead{LastEmpty: 0, ReadAt: 400 * millisecond, KernelTimestamp: 20 * millisecond, HasKernelTimestamp: true}, 20 * millisecond},
+		{"through a gap, no stamp", gap, SocketRead{LastEmpty: 5 * millisecond, ReadAt: 2011 * millisecond}, 10 * millisecond},
+		{"seen empty in the gap", gap, SocketRead{LastEmpty: 700 * millisecond, ReadAt: 2011 * millisecond}, 700 * millisecond},
+		{"seen empty after it", gap, SocketRead{LastEmpty: 2011 * millisecond, ReadAt: 2020 * millisecond}, 2020 * millisecond},
+		{"through a gap, with a stamp", gap, SocketRead{LastEmpty: 5 * millisecond, ReadAt: 2011 * millisecond, KernelTimestamp: 1500 * millisecond, HasKernelTimestamp: true}, 1500 * millisecond},
+		{"a stamp of the time to come", gap, SocketRead{LastEmpty: 5 * millisecond, ReadAt: 2011 * millisecond, KernelTimestamp: 9000 * millisecond, HasKernelTimestamp: true}, 2011 * millisecond},
+		{"a stamp from before it was seen empty", gap, SocketRead{LastEmpty: 5 * millisecond, ReadAt: 2011 * millisecond, KernelTimestamp: -9000 * millisecond, HasKernelTimestamp: true}, 5 * millisecond},
 	} {
-		if got := watch(c.looks...).Arrival(c.r); got != c.want {
+		if got := detectorAfter(c.looks...).ArrivalTime(c.r); got != c.want {
 			t.Errorf("%s: %v, want %v", c.what, got, c.want)
 		}
 	}
@@ -66,21 +66,21 @@
 
 // The wall clock is set an hour forward, or back: in a gap a stamp counts as the
 // earlier reading that can be, and without one as the later.
-func TestClockSet(t *testing.T) {
+func TestArrivalTimeWhenWallClockIsSet(t *testing.T) {
 	for _, jump := range []time.Duration{time.Hour, -time.Hour} {
-		w := watch(0, 10*ms)
-		w.Look(20*ms, 20*ms+jump)
+		w := detectorAfter(0, 10*millisecond)
+		w.Observe(20*millisecond, 20*millisecond+jump)
 		// Stamped before the clock was set, read after.
-		if got := w.Arrival(Read{Empty: 0, At: 21 * ms, Stamp: 15 * ms, Known: true}); got < 15*ms || got > 21*ms {
+		if got := w.ArrivalTime(SocketRead{LastEmpty: 0, ReadAt: 21 * millisecond, KernelTimestamp: 15 * millisecond, HasKernelTimestamp: true}); got < 15*millisecond || got > 21*millisecond {
 			t.Errorf("%v: %v", jump, got)
 		}
 		// Stamped and read after.
-		if got := w.Arrival(Read{Empty: 18 * ms, At: 30 * ms, Stamp: 25*ms + jump, Known: true}); got < 18*ms || got > 30*ms {
+		if got := w.ArrivalTime(SocketRead{LastEmpty: 18 * millisecond, ReadAt: 30 * millisecond, KernelTimestamp: 25*millisecond + jump, HasKernelTimestamp: true}); got < 18*millisecond || got > 30*millisecond {
 			t.Errorf("%v: %v", jump, got)
 		}
-		w.Look(2020*ms, 2020*ms+2*jump) // set again while the process stood still
-		got := w.Arrival(Read{Empty: 18 * ms, At: 2021 * ms, Stamp: 500*ms + jump, Known: true})
-		if got < 18*ms || got > 500*ms {
+		w.Observe(2020*millisecond, 2020*millisecond+2*jump) // set again while the process stood still
+		got := w.ArrivalTime(SocketRead{LastEmpty: 18 * millisecond, ReadAt: 2021 * millisecond, KernelTimestamp: 500*millisecond + jump, HasKernelTimestamp: true})
+		if got < 18*millisecond || got > 500*millisecond {
 			t.Errorf("%v, in a gap: %v", jump, got)
 		}
 	}
@@ -88,13 +88,13 @@
 
 // Whatever is read and looked at: an arrival is never after its read, nor before
 // the socket was seen empty, nor a run time negative.
-func TestArrivalBounds(t *testing.T) {
+func TestArrivalTimeStaysWithinBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
-		w := NewWatch(Default())
+		w := NewDetector(DefaultSettings())
 		now, wall := time.Duration(0), time.Duration(0)
 		for range 30 {
-			step := time.Duration(rng.Int64N(int64(20 * ms)))
+			step := time.Duration(rng.Int64N(int64(20 * millisecond)))
 			if rng.IntN(10) == 0 {
 				step = time.Duration(rng.Int64N(int64(5 * time.Second)))
 			}
@@ -102,10 +102,10 @@
 			if rng.IntN(10) == 0 {
 				wall += time.Duration(rng.Int64N(int64(2*time.Hour))) - time.Hour
 			}
-			w.Look(now, wall)
+			w.Observe(now, wall)
 			empty := time.Duration(rng.Int64N(int64(now) + 1))
-			r := Read{Empty: empty, At: now, Stamp: wall - time.Duration(rng.Int64N(int64(10*time.Second))), Known: rng.IntN(2) == 0}
-			if at := w.Arrival(r); at > r.At || at < r.Empty {
+			r := SocketRead{LastEmpty: empty, ReadAt: now, KernelTimestamp: wall - time.Duration(rng.Int64N(int64(10*time.Second))), HasKernelTimestamp: rng.IntN(2) == 0}
+			if at := w.ArrivalTime(r); at > r.ReadAt || at < r.LastEmpty {
 				t.Fatalf("%+v: %v", r, at)
 			}
 			if ran := w.ActiveTime(empty, now); ran < 0 || ran > now-empty {
@@ -115,37 +115,37 @@
 	}
 }
 
-func TestBarrier(t *testing.T) {
-	s := Default()
+func TestBarrierLiftsOnceSocketsAreDrained(t *testing.T) {
+	s := DefaultSettings()
 	b := NewBarrier(s)
-	if b.On() {
+	if b.Raised() {
 		t.Fatal("raised at first")
 	}
 	b.Raise(0)
-	if again := b.Look(0, 2); !b.On() || again <= 0 {
+	if again := b.Observe(0, 2); !b.Raised() || again <= 0 {
 		t.Error("lifted with sockets unread")
 	}
-	b.Look(10*ms, 0)
-	if !b.On() {
+	b.Observe(10*millisecond, 0)
+	if !b.Raised() {
 		t.Error("lifted before it was calm for long enough")
 	}
-	b.Look(12*ms, 1)
-	b.Look(13*ms, 0)
-	if b.Look(15*ms, 0); !b.On() {
+	b.Observe(12*millisecond, 1)
+	b.Observe(13*millisecond, 0)
+	if b.Observe(15*millisecond, 0); !b.Raised() {
 		t.Error("an unread socket in between was forgotten")
 	}
-	if b.Look(13*ms+s.Calm, 0); b.On() {
+	if b.Observe(13*millisecond+s.SettleTime, 0); b.Raised() {
 		t.Error("held for nothing")
 	}
 	b.Raise(time.Second)
-	if b.Look(time.Second+s.Most, 7); b.On() {
+	if b.Observe(time.Second+s.MaxBarrier, 7); b.Raised() {
 		t.Error("held for longer than it may")
 	}
 }
 
-func TestOrder(t *testing.T) {
-	in := []Kind{Asked, Ended, Left, Other, Listed, Heard, Asked, Listed}
-	got := Order(in, func(k Kind) Kind { return k })
+func TestSortBacklog(t *testing.T) {
+	in := []EventKind{RequestArrived, CallFinished, ClientDisconnected, OtherEvent, EndpointsUpdated, PeerMessage, RequestArrived, EndpointsUpdated}
+	got := SortBacklog(in, func(k EventKind) EventKind { return k })
 	if got != 5 {
 		t.Errorf("%d before the timers", got)
 	}
@@ -154,7 +154,7 @@
 			t.Errorf("%v", in)
 		}
 	}
-	if n := Order([]Kind{Left}, func(k Kind) Kind { return k }); n != 1 {
+	if n := SortBacklog([]EventKind{ClientDisconnected}, func(k EventKind) EventKind { return k }); n != 1 {
 		t.Errorf("%d of 1", n)
 	}
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -244,7 +244,7 @@
 
 // took is how long a response was on its way that a connection has just given.
 func (t *attempt) took(nc net.Conn) time.Duration {
-	at := pauseclock.Arrived(nc)
+	at := pauseclock.ArrivalTime(nc)
 	if at.IsZero() || t.DecidedAt.IsZero() {
 		return 0 // the node's to measure
 	}
