--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -157,8 +157,10 @@
 				t.Errorf("the log lacks %s", want)
 			}
 		}
-		if strings.Contains(log.String(), "left aside") {
-			t.Error("something was left aside")
+		for _, unused := range []string{"left aside", "membership snapshot unreadable", "roster rejected", "roster file invalid"} {
+			if strings.Contains(log.String(), unused) {
+				t.Errorf("something was not used: %s", unused)
+			}
 		}
 		entries, err := os.ReadDir(dir)
 		if err != nil {
--- a/gateway/member.go
+++ b/gateway/member.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"io/fs"
@@ -19,165 +18,190 @@
 )
 
 const (
-	announcementMark       = 'M' // first byte of its messages; see tallyMark
-	announcementSize       = 1 + 1 + 1 + 8
+	// membershipTickInterval is the time between reads of the roster file, and between
+	// ticks of the state machine.
 	membershipTickInterval = 250 * time.Millisecond
-	membershipQueueSize    = 256
+
+	// membershipQueueSize is the number of events that wait for the loop. Further ones are
+	// dropped: peers repeat their announcements.
+	membershipQueueSize = 256
+
+	// resizeTimeout bounds the wait for the node's event loop, which takes no more work
+	// once the node ends.
+	resizeTimeout = 5 * time.Second
+
+	// stopTimeout bounds the wait for the last announcement when the node ends, and
+	// announcementFlushTime is left to the transport's goroutine to send it.
+	stopTimeout           = time.Second
+	announcementFlushTime = 20 * time.Millisecond
 )
 
-// membershipLoop runs a Member in a goroutine of its own and carries out what it says, in
-// order: what the disk must remember is there before the module or a peer hears of
-// what follows.
+// membershipEvent feeds one event to the state machine and returns what is to be done. It
+// runs in the loop's goroutine.
+type membershipEvent func() []membership.Action
+
+// membershipLoop is the goroutine that owns the membership state machine. It feeds roster
+// files and peers' announcements to the state machine and carries out its actions one by one,
+// in order: a snapshot is durable before the policy or a peer learns of what follows from it.
+// Other goroutines call only submit, handleMessage and stop.
 type membershipLoop struct {
 	gateway    *Gateway
-	machine    *membership.StateMachine
+	machine    *membership.StateMachine // of the loop's goroutine
 	transport  *peer.Mail
-	commands   chan func() []membership.Action
-	rosterFile []byte // the roster's, as last read
+	commands   chan membershipEvent
+	rosterFile []byte // content as last read
 }
 
-// newMembershipLoop returns a keeper of a fleet by roster.
+// newMembershipLoop returns the loop of a fleet with a roster. A snapshot that cannot be read
+// counts as none.
 func (g *Gateway) newMembershipLoop() *membershipLoop {
-	mem, err := recallMember(g.cfg.StateDir)
+	snapshot, err := recallMember(g.cfg.StateDir)
 	if err != nil {
-		g.o.Log.Warn("what was remembered of the roster is left aside; this node holds no part of ceilings until a change is over",
-			"error", err)
+		g.o.Log.Warn("membership snapshot unreadable; enforcing no quota share until a membership change completes", "error", err)
+	}
+	return &membershipLoop{
+		gateway:  g,
+		machine:  membership.NewStateMachine(membership.Settings{Name: g.cfg.Name, Snapshot: snapshot}),
+		commands: make(chan membershipEvent, membershipQueueSize),
 	}
-	return &membershipLoop{gateway: g, machine: membership.NewStateMachine(membership.Settings{Name: g.cfg.Name, Snapshot: mem}),
-		commands: make(chan func() []membership.Action, membershipQueueSize)}
 }
 
-// run keeps the member until the context ends.
-func (k *membershipLoop) run(ctx context.Context) {
-	k.execute(k.machine.HandleRoster(time.Now(), *k.gateway.cfg.Roster))
+// run accepts the configured roster and handles events until the context ends. Events that
+// are queued then are dropped.
+func (l *membershipLoop) run(ctx context.Context) {
+	l.execute(ctx, l.machine.HandleRoster(time.Now(), *l.gateway.cfg.Roster))
 	tick := time.NewTicker(membershipTickInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case f := <-k.commands:
-			k.execute(f())
+		case event := <-l.commands:
+			l.execute(ctx, event())
 		case <-tick.C:
-			k.reloadRoster()
-			k.execute(k.machine.Tick(time.Now()))
+			l.reloadRoster(ctx)
+			l.execute(ctx, l.machine.Tick(time.Now()))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// submit has the member told of something; it may be lost where too much waits, as a
-// message may.
-func (k *membershipLoop) submit(f func() []membership.Action) {
+// submit queues an event. It does not block: the event is dropped where the queue is full.
+func (l *membershipLoop) submit(event membershipEvent) {
 	select {
-	case k.commands <- f:
+	case l.commands <- event:
 	default:
 	}
 }
 
-// stop says that nothing is to be expected of this node any more, and waits until
-// that is on its way.
-func (k *membershipLoop) stop() {
-	const moment = time.Second
-	said := make(chan struct{})
-	k.submit(func() []membership.Action {
-		defer close(said)
-		return k.machine.Stop()
+// stop announces that this node has stopped. It returns when the announcement has had time to
+// leave, or after stopTimeout; the loop itself ends with its context.
+func (l *membershipLoop) stop() {
+	handled := make(chan struct{})
+	l.submit(func() []membership.Action {
+		defer close(handled)
+		return l.machine.Stop()
 	})
 	select {
-	case <-said:
-		time.Sleep(20 * time.Millisecond) // the letters leave by another goroutine
-	case <-time.After(moment):
+	case <-handled:
+		time.Sleep(announcementFlushTime)
+	case <-time.After(stopTimeout):
+	}
+}
+
+// handleMessage takes a peer message and reports whether it is one of membership. It does not
+// block; a malformed announcement is dropped.
+func (l *membershipLoop) handleMessage(from int, message []byte) bool {
+	if len(message) == 0 || message[0] != announcementMark {
+		return false
+	}
+	if a, ok := decodeAnnouncement(message); ok {
+		l.submit(func() []membership.Action { return l.machine.HandleAnnouncement(time.Now(), from, a) })
 	}
+	return true
 }
 
-// reloadRoster reads the roster's file again where it has changed.
-func (k *membershipLoop) reloadRoster() {
-	path := k.gateway.cfg.Peers.RosterFile
-	b, err := os.ReadFile(path)
-	if err != nil || bytes.Equal(b, k.rosterFile) {
-		return // where it is being replaced, or is gone, what was taken stays
+// reloadRoster reads the roster file and handles it if its content has changed. While the
+// file is absent or being replaced, the accepted roster stays in force.
+func (l *membershipLoop) reloadRoster(ctx context.Context) {
+	path := l.gateway.cfg.Peers.RosterFile
+	content, err := os.ReadFile(path)
+	if err != nil || bytes.Equal(content, l.rosterFile) {
+		return
 	}
-	k.rosterFile = b
-	r, err := config.ParseRoster(b, path)
+	l.rosterFile = content
+	roster, err := config.ParseRoster(content, path)
 	if err != nil {
-		k.gateway.o.Log.Error("the roster can't be used; the last one is kept", "error", err)
+		l.gateway.o.Log.Error("roster file invalid; keeping the accepted roster", "error", err)
 		return
 	}
-	k.execute(k.machine.HandleRoster(time.Now(), *r))
+	l.execute(ctx, l.machine.HandleRoster(time.Now(), *roster))
 }
 
-func (k *membershipLoop) execute(acts []membership.Action) {
-	for _, a := range acts {
+// execute carries out actions in order. It drops the rest when the node ends meanwhile.
+func (l *membershipLoop) execute(ctx context.Context, actions []membership.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.SaveSnapshot:
-			if err := rememberMember(k.gateway.cfg.StateDir, a.Snapshot); err != nil {
-				k.gateway.o.Log.Error("the roster's epoch can't be remembered; after a restart this node holds no part of ceilings at first",
-					"error", err)
-			}
+			l.saveSnapshot(a.Snapshot)
 		case membership.FleetResized:
-			taken := make(chan struct{})
-			k.gateway.node.Do(func() {
-				k.gateway.node.Resize(a.Gateways, a.PreviousSize)
-				if k.gateway.led != nil {
-					k.gateway.led.resize(a.Gateways)
-				}
-				close(taken)
-			})
-			select {
-			case <-taken: // peers are told only after the module has it
-			case <-time.After(5 * time.Second):
-				return // the node ends
+			if !l.resizeFleet(a) {
+				return
 			}
 		case membership.AddressAssigned:
-			if a.Number != k.machine.Number() {
-				k.transport.Reach(a.Number, a.Address)
+			if a.Number != l.machine.Number() {
+				l.transport.Reach(a.Number, a.Address)
 			}
 		case membership.SendAnnouncement:
-			k.transport.Tell(a.To, encodeAnnouncement(a.Announcement))
+			l.transport.Tell(a.To, encodeAnnouncement(a.Announcement))
 		case membership.PhaseChanged:
-			k.gateway.o.Log.Info("membership phase changed", "phase", a.Phase.String())
+			l.gateway.o.Log.Info("membership phase changed", "phase", a.Phase.String())
 		case membership.OperatorNote:
-			k.logNote(a)
+			l.logNote(ctx, a)
 		}
 	}
 }
 
-// logNote writes a note to the operators' log.
-func (k *membershipLoop) logNote(n membership.OperatorNote) {
-	level := slog.LevelInfo
-	if n.NeedsAction {
-		level = slog.LevelWarn
-	}
-	attributes := make([]slog.Attr, 0, len(n.Attributes))
-	for _, a := range n.Attributes {
-		attributes = append(attributes, slog.Any(a.Key, a.Value))
+// saveSnapshot stores a snapshot. When that fails the change goes on: after a restart the
+// node enforces no share until a change completes.
+func (l *membershipLoop) saveSnapshot(s membership.Snapshot) {
+	if err := rememberMember(l.gateway.cfg.StateDir, s); err != nil {
+		l.gateway.o.Log.Error("saving the membership snapshot failed; after a restart this node enforces no quota share at first",
+			"error", err)
 	}
-	k.gateway.o.Log.LogAttrs(context.Background(), level, n.Message, attributes...)
 }
 
-func encodeAnnouncement(h membership.Announcement) []byte {
-	b := []byte{announcementMark, byte(h.Phase), byte(h.Stage)}
-	return binary.BigEndian.AppendUint64(b, h.Epoch)
-}
-
-// handleMessage takes a message; false where it is not one of these.
-func (k *membershipLoop) handleMessage(from int, b []byte) bool {
-	if len(b) == 0 || b[0] != announcementMark {
+// resizeFleet sets the fleet's size in the policy and the usage recorder, and waits until the
+// node's event loop has done so: peers are told only afterwards. It reports false when the
+// event loop does not answer, which is when the node ends.
+func (l *membershipLoop) resizeFleet(a membership.FleetResized) bool {
+	g := l.gateway
+	resized := make(chan struct{})
+	g.node.Do(func() {
+		g.node.Resize(a.Gateways, a.PreviousSize)
+		if g.led != nil {
+			g.led.resize(a.Gateways)
+		}
+		close(resized)
+	})
+	select {
+	case <-resized:
+		return true
+	case <-time.After(resizeTimeout):
 		return false
 	}
-	if h, ok := decodeAnnouncement(b); ok {
-		k.submit(func() []membership.Action { return k.machine.HandleAnnouncement(time.Now(), from, h) })
-	}
-	return true
 }
 
-// decodeAnnouncement reads a message that begins with memberMark; a malformed one, of a
-// newer version, is not ok.
-func decodeAnnouncement(b []byte) (h membership.Announcement, ok bool) {
-	if len(b) != announcementSize || b[1] > byte(membership.Stopped) || b[2] > byte(membership.StageComplete) {
-		return h, false
+// logNote writes a note to the log, as a warning if an operator has to act.
+func (l *membershipLoop) logNote(ctx context.Context, n membership.OperatorNote) {
+	level := slog.LevelInfo
+	if n.NeedsAction {
+		level = slog.LevelWarn
+	}
+	attributes := make([]slog.Attr, 0, len(n.Attributes))
+	for _, a := range n.Attributes {
+		attributes = append(attributes, slog.Any(a.Key, a.Value))
 	}
-	return membership.Announcement{Phase: membership.Phase(b[1]), Stage: membership.Stage(b[2]), Epoch: binary.BigEndian.Uint64(b[3:])}, true
+	l.gateway.o.Log.LogAttrs(ctx, level, n.Message, attributes...)
 }
 
 const memberFile = "roster-epoch"
