--- /dev/null
+++ b/pause/barrier.go
@@ -0,0 +1,47 @@
+package pause
+
+import "time"
+
+// notDrained stands for the time since when sockets are drained while one is not.
+const notDrained = -1
+
+// minRecheckInterval is the least time after which a raised Barrier asks to be checked again.
+const minRecheckInterval = time.Millisecond
+
+// Barrier holds an event loop up after a pause until what lay in the sockets has been read.
+type Barrier struct {
+	settings     Settings
+	raised       bool
+	raisedAt     time.Duration
+	drainedSince time.Duration // since when no socket is unread; notDrained: one is
+}
+
+// NewBarrier returns a Barrier that is not raised.
+func NewBarrier(s Settings) Barrier { return Barrier{settings: s} }
+
+// Raise raises the barrier, or starts its time anew if it is raised.
+func (b *Barrier) Raise(now time.Duration) {
+	b.raised = true
+	b.raisedAt = now
+	b.drainedSince = notDrained
+}
+
+// Raised reports whether the event loop is held up.
+func (b *Barrier) Raised() bool { return b.raised }
+
+// Observe takes in how many sockets hold something unread, while the barrier is raised. It
+// lifts the barrier if they have been drained for SettleTime, or it has held for MaxBarrier,
+// and returns 0; otherwise it returns the time after which to observe again.
+func (b *Barrier) Observe(now time.Duration, unreadSockets int) (recheckAfter time.Duration) {
+	if unreadSockets > 0 {
+		b.drainedSince = notDrained
+	} else if b.drainedSince < 0 {
+		b.drainedSince = now
+	}
+	settled := b.drainedSince >= 0 && now-b.drainedSince >= b.settings.SettleTime
+	if settled || now-b.raisedAt >= b.settings.MaxBarrier {
+		b.raised = false
+		return 0
+	}
+	return max(minRecheckInterval, b.settings.SettleTime/3)
+}
