--- a/internal/timers/wheel.go
+++ b/internal/timers/wheel.go
@@ -1,6 +1,6 @@
-// Package timers holds a node's pending timers in a hierarchical timing wheel
-// (Varghese and Lauck, 1987): adding and stopping cost the same however many
-// are pending. It reads no clock.
+// Package timers holds an event loop's pending timers in a hierarchical timing wheel
+// (Varghese and Lauck, 1987): adding and stopping a timer cost the same however many are
+// pending. It reads no clock and starts no goroutine.
 package timers
 
 import (
@@ -10,70 +10,77 @@
 
 const (
 	levelCount    = 4
-	slotBits      = 6
+	slotBits      = 6 // the ticks of a slot of one level are a turn of the level below
 	slotsPerLevel = 1 << slotBits
+	slotMask      = slotsPerLevel - 1
 	tickLength    = time.Millisecond
 )
 
-// Wheel holds timers by the time they run out at, in steps of a millisecond.
-// A timer never fires early. The zero Wheel is ready at time 0; it is not safe
-// for concurrent use.
+// noTick stands for a tick that was not found.
+const noTick = -1
+
+// Wheel holds timers by the time at which they are due, in ticks of a millisecond. A timer
+// never fires early. The zero Wheel is ready for use, at time 0. A Wheel is not safe for
+// concurrent use; timers' functions may call its methods.
 type Wheel struct {
-	currentTick int64 // all timers up to it have fired
-	slots       [levelCount][slotsPerLevel]*Timer
-	occupied    [levelCount]uint64 // slots that may hold timers
+	currentTick int64 // all timers due at it or earlier have fired
 	pending     int
+
+	slots    [levelCount][slotsPerLevel]*Timer // lists
+	occupied [levelCount]uint64                // bit i: slot i may hold timers; clear: it holds none
 }
 
-// Timer is one pending timer.
+// Timer is one timer of a Wheel.
 type Timer struct {
-	fire       func()
-	dueTick    int64
-	wheel      *Wheel
+	wheel   *Wheel
+	fire    func()
+	dueTick int64
+
+	slot       **Timer // head of the list that it is in; nil: it fired or was stopped
 	prev, next *Timer
-	slot       **Timer
 }
 
-// Len is the number of timers pending.
+// Len returns the number of pending timers.
 func (w *Wheel) Len() int { return w.pending }
 
-// Add has fire called by the first Advance at or after a time.
+// Add adds a timer that calls fire in the first Advance to the time at or later, in the
+// goroutine that calls Advance. A time that has passed is due at the next tick.
 func (w *Wheel) Add(at time.Duration, fire func()) *Timer {
-	t := &Timer{fire: fire, dueTick: int64((at + tickLength - 1) / tickLength), wheel: w}
-	t.dueTick = max(t.dueTick, w.currentTick+1)
+	roundedUp := int64((at + tickLength - 1) / tickLength)
+	t := &Timer{wheel: w, fire: fire, dueTick: max(roundedUp, w.currentTick+1)}
 	w.insert(t)
 	w.pending++
 	return t
 }
 
+// slotNumber counts the slots of a level from time 0 up to the one that a tick is in.
+func slotNumber(tick int64, level int) int64 { return tick >> (slotBits * level) }
+
+// insert puts a timer into the lowest level that reaches its tick. One beyond the top level
+// goes into the last slot of that level, and is inserted again from there.
 func (w *Wheel) insert(t *Timer) {
-	l := 0
-	for l < levelCount-1 && (t.dueTick>>(slotBits*l))-(w.currentTick>>(slotBits*l)) >= slotsPerLevel {
-		l++
-	}
-	// One too far off for the top level waits in its last slot, and is placed
-	// anew from there.
-	pos := min(t.dueTick>>(slotBits*l), w.currentTick>>(slotBits*l)+slotsPerLevel-1)
-	i := pos & (slotsPerLevel - 1)
-	t.slot = &w.slots[l][i]
-	t.prev, t.next = nil, *t.slot
-	if t.next != nil {
-		t.next.prev = t
+	level := 0
+	for level < levelCount-1 && slotNumber(t.dueTick, level)-slotNumber(w.currentTick, level) >= slotsPerLevel {
+		level++
 	}
-	*t.slot = t
-	w.occupied[l] |= 1 << i
+	lastSlot := slotNumber(w.currentTick, level) + slotsPerLevel - 1
+	i := min(slotNumber(t.dueTick, level), lastSlot) & slotMask
+	t.link(&w.slots[level][i])
+	w.occupied[level] |= 1 << i
 }
 
-// Stop takes a timer out; it is false for one that fired or was stopped.
-func (t *Timer) Stop() bool {
-	if t == nil || t.slot == nil {
-		return false
+// link puts the timer at the head of a slot's list.
+func (t *Timer) link(slot **Timer) {
+	t.slot = slot
+	t.prev = nil
+	t.next = *slot
+	if t.next != nil {
+		t.next.prev = t
 	}
-	t.unlink()
-	t.wheel.pending--
-	return true
+	*slot = t
 }
 
+// unlink takes the timer out of its list.
 func (t *Timer) unlink() {
 	if t.prev != nil {
 		t.prev.next = t.next
@@ -83,78 +90,104 @@
 	if t.next != nil {
 		t.next.prev = t.prev
 	}
-	t.prev, t.next, t.slot = nil, nil, nil
+	t.prev = nil
+	t.next = nil
+	t.slot = nil
+}
+
+// Stop removes a timer. It reports false for one that is nil, has fired or was stopped.
+func (t *Timer) Stop() bool {
+	if t == nil || t.slot == nil {
+		return false
+	}
+	t.unlink()
+	t.wheel.pending--
+	return true
 }
 
-// Next is a time by which Advance is to be called again; false when nothing is
-// pending. It may come before the next timer, never after it.
+// Next returns a time by which Advance is to be called again; false if no timer is pending.
+// It may be earlier than the next timer is due, never later.
 func (w *Wheel) Next() (time.Duration, bool) {
 	if w.pending == 0 {
 		return 0, false
 	}
-	best := int64(-1)
-	for l := range levelCount {
-		cur := w.currentTick >> (slotBits * l)
-		// Slots from the one after the current on, in the order they come up.
-		rot := bits.RotateLeft64(w.occupied[l], -int((cur+1)&(slotsPerLevel-1)))
-		for rot != 0 {
-			k := bits.TrailingZeros64(rot)
-			rot &= rot - 1
-			pos := cur + 1 + int64(k)
-			if i := pos & (slotsPerLevel - 1); w.slots[l][i] == nil {
-				w.occupied[l] &^= 1 << i
-				continue
-			}
-			if at := pos << (slotBits * l); best < 0 || at < best {
-				best = at
-			}
-			break
+	earliest := int64(noTick)
+	for level := range levelCount {
+		tick := w.nextOccupied(level)
+		if tick != noTick && (earliest == noTick || tick < earliest) {
+			earliest = tick
 		}
 	}
-	return time.Duration(best) * tickLength, true
+	return time.Duration(earliest) * tickLength, true
 }
 
-// Advance fires what has run out by now, in order of time; timers of one
-// millisecond in no order.
+// nextOccupied returns the first tick of the next slot of a level that holds timers, or
+// noTick. It clears the bits of empty slots that it passes.
+func (w *Wheel) nextOccupied(level int) int64 {
+	first := slotNumber(w.currentTick, level) + 1
+	// Bit k is the slot k slots after the first.
+	upcoming := bits.RotateLeft64(w.occupied[level], -int(first&slotMask))
+	for upcoming != 0 {
+		k := bits.TrailingZeros64(upcoming)
+		upcoming &= upcoming - 1
+		number := first + int64(k)
+		i := number & slotMask
+		if w.slots[level][i] != nil {
+			return number << (slotBits * level)
+		}
+		w.occupied[level] &^= 1 << i
+	}
+	return noTick
+}
+
+// Advance moves the wheel to a time, and fires the timers that are due in order of their
+// ticks; those of one tick in no order.
 func (w *Wheel) Advance(now time.Duration) {
 	end := int64(now / tickLength)
 	for w.currentTick < end {
-		if w.pending == 0 {
+		next, anyPending := w.Next()
+		nextTick := int64(next / tickLength)
+		if !anyPending || nextTick > end {
 			w.currentTick = end
 			return
 		}
-		next, _ := w.Next()
-		if n := int64(next / tickLength); n > end {
-			w.currentTick = end
-			return
-		} else {
-			w.currentTick = n
-		}
-		for l := levelCount - 1; l > 0; l-- {
-			if w.currentTick&(1<<(slotBits*l)-1) == 0 {
-				w.cascade(l)
-			}
-		}
-		i := w.currentTick & (slotsPerLevel - 1)
-		for t := w.slots[0][i]; t != nil; t = w.slots[0][i] {
-			t.unlink()
-			w.pending--
-			t.fire()
+		w.currentTick = nextTick
+		w.cascadeAll()
+		w.fireCurrent()
+	}
+}
+
+// cascadeAll cascades each level that has reached a new slot, from the top.
+func (w *Wheel) cascadeAll() {
+	for level := levelCount - 1; level > 0; level-- {
+		ticksPerSlot := int64(1) << (slotBits * level)
+		if w.currentTick%ticksPerSlot == 0 {
+			w.cascade(level)
 		}
-		w.occupied[0] &^= 1 << i
 	}
 }
 
-// cascade places the timers of a level's current slot nearer.
-func (w *Wheel) cascade(l int) {
-	i := w.currentTick >> (slotBits * l) & (slotsPerLevel - 1)
-	list := w.slots[l][i]
-	w.slots[l][i] = nil
-	w.occupied[l] &^= 1 << i
+// cascade inserts the timers of a level's current slot into lower levels.
+func (w *Wheel) cascade(level int) {
+	i := slotNumber(w.currentTick, level) & slotMask
+	list := w.slots[level][i]
+	w.slots[level][i] = nil
+	w.occupied[level] &^= 1 << i
 	for list != nil {
 		t := list
 		list = t.next
-		t.prev, t.next = nil, nil
 		w.insert(t)
 	}
 }
+
+// fireCurrent fires the timers of the current tick. Their functions may add timers, which are
+// due later, and stop others.
+func (w *Wheel) fireCurrent() {
+	i := w.currentTick & slotMask
+	for t := w.slots[0][i]; t != nil; t = w.slots[0][i] {
+		t.unlink()
+		w.pending--
+		t.fire()
+	}
+	w.occupied[0] &^= 1 << i
+}
--- a/internal/timers/wheel_test.go
+++ b/internal/timers/wheel_test.go
@@ -10,66 +10,93 @@
 	"pgregory.net/rapid"
 )
 
-func init() { flag.Set("rapid.seed", "1") } // the same verdict every time
+// The seed is fixed, so that each run has the same verdict.
+func init() {
+	if err := flag.Set("rapid.seed", "1"); err != nil {
+		panic(err)
+	}
+}
+
+// wheelModel is a Wheel beside a plain list of the same timers.
+type wheelModel struct {
+	wheel  Wheel
+	now    time.Duration
+	span   *rapid.Generator[time.Duration] // of times to add
+	timers []*modelTimer
+}
+
+type modelTimer struct {
+	at      time.Duration
+	timer   *Timer
+	fired   bool
+	stopped bool
+}
+
+func (m *modelTimer) pending() bool { return !m.fired && !m.stopped }
+
+// drawTime draws a time between 0 and a drawn span.
+func (m *wheelModel) drawTime(t *rapid.T, label string) time.Duration {
+	return time.Duration(rapid.Int64Range(0, int64(m.span.Draw(t, "span"))).Draw(t, label))
+}
+
+func (m *wheelModel) add(t *rapid.T) {
+	e := &modelTimer{at: m.now + m.drawTime(t, "after")}
+	e.timer = m.wheel.Add(e.at, func() {
+		if !e.pending() || m.now < e.at {
+			t.Fatalf("fired at %v: at %v, fired %v, stopped %v", m.now, e.at, e.fired, e.stopped)
+		}
+		e.fired = true
+	})
+	m.timers = append(m.timers, e)
+}
+
+func (m *wheelModel) stop(t *rapid.T) {
+	if len(m.timers) == 0 {
+		return
+	}
+	e := m.timers[rapid.IntRange(0, len(m.timers)-1).Draw(t, "which")]
+	if got, want := e.timer.Stop(), e.pending(); got != want {
+		t.Fatalf("Stop: %v, want %v", got, want)
+	}
+	e.stopped = !e.fired
+}
+
+func (m *wheelModel) advance(t *rapid.T) {
+	m.checkNext(t)
+	m.now += m.drawTime(t, "by")
+	m.wheel.Advance(m.now)
+	for _, e := range m.timers {
+		if e.pending() && e.at+2*tickLength <= m.now {
+			t.Fatalf("at %v not fired at %v", e.at, m.now)
+		}
+	}
+}
 
-// Random adds, stops and advances: each timer fires once, not early, and by
-// the first Advance past its millisecond; what Next names is never too late.
+// checkNext fails the test if Next returns a time later than a timer is due.
+func (m *wheelModel) checkNext(t *rapid.T) {
+	next, ok := m.wheel.Next()
+	if !ok {
+		return
+	}
+	for _, e := range m.timers {
+		if e.pending() && next > e.at+tickLength && next > m.now+tickLength {
+			t.Fatalf("Next %v is after %v", next, e.at)
+		}
+	}
+}
+
+// Under random adds, stops and advances each timer fires once, not early, and in the first
+// Advance past its tick; the time that Next returns is never too late.
 func TestWheelAgainstList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type entry struct {
-			at      time.Duration
-			timer   *Timer
-			fired   bool
-			stopped bool
-		}
-		var w Wheel
-		now := time.Duration(0)
-		var all []*entry
-		span := rapid.SampledFrom([]time.Duration{100 * time.Millisecond, time.Minute, 10 * time.Hour})
-		t.Repeat(map[string]func(*rapid.T){
-			"add": func(t *rapid.T) {
-				e := &entry{at: now + time.Duration(rapid.Int64Range(0, int64(span.Draw(t, "span"))).Draw(t, "after"))}
-				e.timer = w.Add(e.at, func() {
-					if e.fired || e.stopped || now < e.at {
-						t.Fatalf("fired at %v: at %v, fired %v, stopped %v", now, e.at, e.fired, e.stopped)
-					}
-					e.fired = true
-				})
-				all = append(all, e)
-			},
-			"stop": func(t *rapid.T) {
-				if len(all) == 0 {
-					return
-				}
-				e := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
-				if got, want := e.timer.Stop(), !e.fired && !e.stopped; got != want {
-					t.Fatalf("Stop: %v, want %v", got, want)
-				}
-				e.stopped = !e.fired
-			},
-			"advance": func(t *rapid.T) {
-				if next, ok := w.Next(); ok {
-					for _, e := range all {
-						if !e.fired && !e.stopped && next > e.at+tickLength && next > now+tickLength {
-							t.Fatalf("Next %v is after %v", next, e.at)
-						}
-					}
-				}
-				now += time.Duration(rapid.Int64Range(0, int64(span.Draw(t, "span"))).Draw(t, "by"))
-				w.Advance(now)
-				for _, e := range all {
-					if !e.fired && !e.stopped && e.at+2*tickLength <= now {
-						t.Fatalf("at %v not fired at %v", e.at, now)
-					}
-				}
-			},
-		})
+		m := &wheelModel{span: rapid.SampledFrom([]time.Duration{100 * time.Millisecond, time.Minute, 10 * time.Hour})}
+		t.Repeat(map[string]func(*rapid.T){"add": m.add, "stop": m.stop, "advance": m.advance})
 	})
 }
 
 const pendingTimers = 100_000
 
-// A node's use: add a deadline, stop it when the answer comes, with many pending.
+// A node's use: add a deadline, and stop it when the response arrives, with many pending.
 func BenchmarkWheel(b *testing.B) {
 	var w Wheel
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -99,7 +126,7 @@
 	}
 }
 
-// All pending timers run out at once.
+// All pending timers are due at once.
 func BenchmarkWheelExpire(b *testing.B) {
 	for b.Loop() {
 		var w Wheel
