--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -53,15 +53,15 @@
 
 // Gateway is a running node with all that is around it.
 type Gateway struct {
-	cfg     *config.Config
-	o       Options
-	node    *node.Node
-	led     *usageRecorder // nil: no counter
-	keep    *keeper        // nil: no roster
-	serving sync.WaitGroup
-	closes  []func() // in reverse order
-	fronts  []front
-	killed  atomic.Bool // nothing is to be saved any more
+	cfg        *config.Config
+	o          Options
+	node       *node.Node
+	led        *usageRecorder  // nil: no counter
+	membership *membershipLoop // nil: no roster
+	serving    sync.WaitGroup
+	closes     []func() // in reverse order
+	fronts     []front
+	killed     atomic.Bool // nothing is to be saved any more
 }
 
 // front is a listener with its server.
@@ -87,17 +87,17 @@
 	}()
 	base := time.Now()
 	if o.Stall == (pause.Settings{}) {
-		o.Stall = pause.Default()
+		o.Stall = pause.DefaultSettings()
 	}
 	clock := pauseclock.New(base, o.Network, o.Stall)
 	g.closes = append(g.closes, clock.Close)
-	g.o.Network = clock.Watched(o.Network)
+	g.o.Network = clock.WatchNetwork(o.Network)
 	o.Network = g.o.Network
 	opt := node.Options{Settings: cfg.Settings(), Seed: o.Seed, Logger: o.Log, ResponseMargin: cfg.Limits.AnswerMargin,
 		MaxUnanswered: cfg.Limits.Requests, TimeOrigin: base, Clock: clock, Pause: o.Stall, SendToPeer: func(int, []byte) {}}
 	pool := upstream.New(upstream.Options{Network: o.Network, ConnectTime: cfg.Limits.ConnectTime, Idle: cfg.Limits.IdleUpstream,
 		Limits:     g.limits(cfg.Limits.AnswerBody),
-		TurnedAway: g.turnedAway(), HTTP2: cfg.Servers.HTTP2, Stood: clock.Stood})
+		TurnedAway: g.turnedAway(), HTTP2: cfg.Servers.HTTP2, Stood: clock.PausedSince})
 	g.closes = append(g.closes, pool.Close)
 	if opt.Upstream = pool; g.o.Carry != nil {
 		opt.Upstream = g.o.Carry(pool)
@@ -123,12 +123,13 @@
 		default:
 			return
 		}
-		if (led == nil || !led.receivePeerMessage(from, data)) && (g.keep == nil || !g.keep.heard(from, data)) {
+		if (led == nil || !led.receivePeerMessage(from, data)) &&
+			(g.membership == nil || !g.membership.handleMessage(from, data)) {
 			g.node.ReceivePeerMessage(from, data)
 		}
 	}
 	if cfg.Roster != nil {
-		g.keep = g.newKeeper()
+		g.membership = g.newMembershipLoop()
 	}
 	if len(cfg.Peers.Addresses) > 0 || cfg.Roster != nil {
 		p := cfg.Peers
@@ -139,8 +140,8 @@
 			return g, err
 		}
 		opt.SendToPeer = mail.Tell
-		if g.keep != nil {
-			g.keep.mail = mail
+		if g.membership != nil {
+			g.membership.transport = mail
 		}
 		g.closes = append(g.closes, mail.Close)
 	}
@@ -171,9 +172,9 @@
 		ctx, cancel := context.WithCancel(ctx)
 		g.start(ctx, cancel, led.run)
 	}
-	if g.keep != nil {
+	if g.membership != nil {
 		ctx, cancel := context.WithCancel(ctx)
-		g.start(ctx, cancel, g.keep.run)
+		g.start(ctx, cancel, g.membership.run)
 	}
 	if err := g.servers(ctx); err != nil {
 		return g, err
@@ -184,7 +185,7 @@
 			return g, fmt.Errorf("listener %q: %w", l.Name, err)
 		}
 	}
-	g.phase((*membership.Member).Serve)
+	g.changePhase((*membership.StateMachine).StartServing)
 	return g, nil
 }
 
@@ -231,7 +232,7 @@
 		list = g.o.Deafen(list)
 	}
 	g.node.UpdateEndpoints(kind, list)
-	g.phase((*membership.Member).Listed)
+	g.changePhase((*membership.StateMachine).EndpointsReady)
 }
 
 func (g *Gateway) limits(body int64) http1.Limits {
@@ -322,7 +323,7 @@
 // Drain stops in order: no new connections, what is held ends, the rest is
 // closed. When the context ends first, what is left is failed.
 func (g *Gateway) Drain(ctx context.Context) error {
-	g.phase((*membership.Member).Drain)
+	g.changePhase((*membership.StateMachine).StartDraining)
 	for _, f := range g.fronts {
 		f.l.Close()
 	}
@@ -332,17 +333,17 @@
 	}
 	err := g.node.Drain(ctx)
 	drained.Wait()
-	if g.keep != nil && !g.killed.Load() {
-		g.keep.end()
+	if g.membership != nil && !g.killed.Load() {
+		g.membership.stop()
 	}
 	g.close()
 	return err
 }
 
-// phase tells the member of a step in this node's life.
-func (g *Gateway) phase(step func(*membership.Member) []membership.Action) {
-	if g.keep != nil && !g.killed.Load() {
-		g.keep.post(func() []membership.Action { return step(g.keep.m) })
+// changePhase tells the member of a step in this node's life.
+func (g *Gateway) changePhase(step func(*membership.StateMachine) []membership.Action) {
+	if g.membership != nil && !g.killed.Load() {
+		g.membership.submit(func() []membership.Action { return step(g.membership.machine) })
 	}
 }
 
--- /dev/null
+++ b/gateway/membership.go
@@ -0,0 +1,236 @@
+package gateway
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"io/fs"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"time"
+
+	"yardcleat.example/yardcleat/config"
+	"yardcleat.example/yardcleat/internal/files"
+	"yardcleat.example/yardcleat/membership"
+	"yardcleat.example/yardcleat/peer"
+)
+
+const (
+	// membershipTickInterval is the time between reads of the roster file, and between
+	// ticks of the state machine.
+	membershipTickInterval = 250 * time.Millisecond
+
+	// membershipQueueSize is the number of events that wait for the loop. Further ones are
+	// dropped: peers repeat their announcements.
+	membershipQueueSize = 256
+
+	// resizeTimeout bounds the wait for the node's event loop, which takes no more work
+	// once the node ends.
+	resizeTimeout = 5 * time.Second
+
+	// stopTimeout bounds the wait for the last announcement when the node ends, and
+	// announcementFlushTime is left to the transport's goroutine to send it.
+	stopTimeout           = time.Second
+	announcementFlushTime = 20 * time.Millisecond
+)
+
+// membershipEvent feeds one event to the state machine and returns what is to be done. It
+// runs in the loop's goroutine.
+type membershipEvent func() []membership.Action
+
+// membershipLoop is the goroutine that owns the membership state machine. It feeds roster
+// files and peers' announcements to the state machine and carries out its actions one by one,
+// in order: a snapshot is durable before the policy or a peer learns of what follows from it.
+// Other goroutines call only submit, handleMessage and stop.
+type membershipLoop struct {
+	gateway    *Gateway
+	machine    *membership.StateMachine // of the loop's goroutine
+	transport  *peer.Mail
+	commands   chan membershipEvent
+	rosterFile []byte // content as last read
+}
+
+// newMembershipLoop returns the loop of a fleet with a roster. A snapshot that cannot be read
+// counts as none.
+func (g *Gateway) newMembershipLoop() *membershipLoop {
+	snapshot, err := recallMember(g.cfg.StateDir)
+	if err != nil {
+		g.o.Log.Warn("membership snapshot unreadable; enforcing no quota share until a membership change completes", "error", err)
+	}
+	return &membershipLoop{
+		gateway:  g,
+		machine:  membership.NewStateMachine(membership.Settings{Name: g.cfg.Name, Snapshot: snapshot}),
+		commands: make(chan membershipEvent, membershipQueueSize),
+	}
+}
+
+// run accepts the configured roster and handles events until the context ends. Events that
+// are queued then are dropped.
+func (l *membershipLoop) run(ctx context.Context) {
+	l.execute(ctx, l.machine.HandleRoster(time.Now(), *l.gateway.cfg.Roster))
+	tick := time.NewTicker(membershipTickInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case event := <-l.commands:
+			l.execute(ctx, event())
+		case <-tick.C:
+			l.reloadRoster(ctx)
+			l.execute(ctx, l.machine.Tick(time.Now()))
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// submit queues an event. It does not block: the event is dropped where the queue is full.
+func (l *membershipLoop) submit(event membershipEvent) {
+	select {
+	case l.commands <- event:
+	default:
+	}
+}
+
+// stop announces that this node has stopped. It returns when the announcement has had time to
+// leave, or after stopTimeout; the loop itself ends with its context.
+func (l *membershipLoop) stop() {
+	handled := make(chan struct{})
+	l.submit(func() []membership.Action {
+		defer close(handled)
+		return l.machine.Stop()
+	})
+	select {
+	case <-handled:
+		time.Sleep(announcementFlushTime)
+	case <-time.After(stopTimeout):
+	}
+}
+
+// handleMessage takes a peer message and reports whether it is one of membership. It does not
+// block; a malformed announcement is dropped.
+func (l *membershipLoop) handleMessage(from int, message []byte) bool {
+	if len(message) == 0 || message[0] != announcementMark {
+		return false
+	}
+	if a, ok := decodeAnnouncement(message); ok {
+		l.submit(func() []membership.Action { return l.machine.HandleAnnouncement(time.Now(), from, a) })
+	}
+	return true
+}
+
+// reloadRoster reads the roster file and handles it if its content has changed. While the
+// file is absent or being replaced, the accepted roster stays in force.
+func (l *membershipLoop) reloadRoster(ctx context.Context) {
+	path := l.gateway.cfg.Peers.RosterFile
+	content, err := os.ReadFile(path)
+	if err != nil || bytes.Equal(content, l.rosterFile) {
+		return
+	}
+	l.rosterFile = content
+	roster, err := config.ParseRoster(content, path)
+	if err != nil {
+		l.gateway.o.Log.Error("roster file invalid; keeping the accepted roster", "error", err)
+		return
+	}
+	l.execute(ctx, l.machine.HandleRoster(time.Now(), *roster))
+}
+
+// execute carries out actions in order. It drops the rest when the node ends meanwhile.
+func (l *membershipLoop) execute(ctx context.Context, actions []membership.Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case membership.SaveSnapshot:
+			l.saveSnapshot(a.Snapshot)
+		case membership.FleetResized:
+			if !l.resizeFleet(a) {
+				return
+			}
+		case membership.AddressAssigned:
+			if a.Number != l.machine.Number() {
+				l.transport.Reach(a.Number, a.Address)
+			}
+		case membership.SendAnnouncement:
+			l.transport.Tell(a.To, encodeAnnouncement(a.Announcement))
+		case membership.PhaseChanged:
+			l.gateway.o.Log.Info("membership phase changed", "phase", a.Phase.String())
+		case membership.OperatorNote:
+			l.logNote(ctx, a)
+		}
+	}
+}
+
+// saveSnapshot stores a snapshot. When that fails the change goes on: after a restart the
+// node enforces no share until a change completes.
+func (l *membershipLoop) saveSnapshot(s membership.Snapshot) {
+	if err := rememberMember(l.gateway.cfg.StateDir, s); err != nil {
+		l.gateway.o.Log.Error("saving the membership snapshot failed; after a restart this node enforces no quota share at first",
+			"error", err)
+	}
+}
+
+// resizeFleet sets the fleet's size in the policy and the usage recorder, and waits until the
+// node's event loop has done so: peers are told only afterwards. It reports false when the
+// event loop does not answer, which is when the node ends.
+func (l *membershipLoop) resizeFleet(a membership.FleetResized) bool {
+	g := l.gateway
+	resized := make(chan struct{})
+	g.node.Do(func() {
+		g.node.Resize(a.Gateways, a.PreviousSize)
+		if g.led != nil {
+			g.led.resize(a.Gateways)
+		}
+		close(resized)
+	})
+	select {
+	case <-resized:
+		return true
+	case <-time.After(resizeTimeout):
+		return false
+	}
+}
+
+// logNote writes a note to the log, as a warning if an operator has to act.
+func (l *membershipLoop) logNote(ctx context.Context, n membership.OperatorNote) {
+	level := slog.LevelInfo
+	if n.NeedsAction {
+		level = slog.LevelWarn
+	}
+	attributes := make([]slog.Attr, 0, len(n.Attributes))
+	for _, a := range n.Attributes {
+		attributes = append(attributes, slog.Any(a.Key, a.Value))
+	}
+	l.gateway.o.Log.LogAttrs(ctx, level, n.Message, attributes...)
+}
+
+const memberFile = "roster-epoch"
+
+func recallMember(dir string) (m membership.Snapshot, err error) {
+	if dir == "" {
+		return m, nil
+	}
+	b, err := os.ReadFile(filepath.Join(dir, memberFile))
+	if errors.Is(err, fs.ErrNotExist) {
+		return m, nil
+	}
+	if err == nil {
+		err = json.Unmarshal(b, &m)
+	}
+	if err != nil {
+		return membership.Snapshot{}, err
+	}
+	return m, nil
+}
+
+// rememberMember replaces the file in one step, and has it on the disk.
+func rememberMember(dir string, m membership.Snapshot) error {
+	if dir == "" {
+		return nil
+	}
+	b, err := json.Marshal(m)
+	if err != nil {
+		return err
+	}
+	return files.Replace(filepath.Join(dir, memberFile), b)
+}
--- /dev/null
+++ b/internal/pauseclock/tcp_linux.go
@@ -0,0 +1,128 @@
+package pauseclock
+
+import (
+	"errors"
+	"io"
+	"net"
+	"syscall"
+	"time"
+	"unsafe"
+
+	"golang.org/x/sys/unix"
+)
+
+// pollFunc returns a function that polls a socket with poll(2), without blocking.
+func pollFunc(socket any) func() bool {
+	sc, ok := socket.(syscall.Conn)
+	if !ok {
+		return neverReadable
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return neverReadable
+	}
+	return func() bool {
+		readable := false
+		err := raw.Control(func(fd uintptr) {
+			fds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+			n, err := unix.Poll(fds[:], 0)
+			readable = err == nil && n > 0
+		})
+		return readable && err == nil
+	}
+}
+
+// newConnReader returns a reader that asks the kernel for timestamps of TCP segments
+// (SO_TIMESTAMPNS, socket(7)): a read has that of the last segment it returned bytes of.
+func newConnReader(nc net.Conn, readable func() bool) connReader {
+	tc, ok := nc.(*net.TCPConn)
+	if !ok {
+		return &plainReader{nc, readable}
+	}
+	raw, err := tc.SyscallConn()
+	if err != nil {
+		return &plainReader{nc, readable}
+	}
+	enableTimestamps(raw)
+	t := &tcpReader{raw: raw}
+	t.receiveFunc = t.receive
+	return t
+}
+
+// enableTimestamps asks for timestamps. Errors are ignored: reads of the socket have no
+// timestamps then.
+func enableTimestamps(raw syscall.RawConn) {
+	_ = raw.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1)
+	})
+}
+
+// tcpReader reads a TCP connection with recvmsg(2).
+type tcpReader struct {
+	raw         syscall.RawConn
+	receiveFunc func(fd uintptr) bool // the method receive, bound once to save allocations
+
+	// Of the read in progress.
+	buffer     []byte
+	onEmpty    func()
+	received   int
+	controlLen int
+	receiveErr error
+	control    [64]byte // control messages
+}
+
+func (t *tcpReader) read(b []byte, onEmpty func()) (readResult, error) {
+	if len(b) == 0 {
+		return readResult{}, nil
+	}
+	t.buffer = b
+	t.onEmpty = onEmpty
+	t.received = 0
+	t.controlLen = 0
+	t.receiveErr = nil
+	err := t.raw.Read(t.receiveFunc)
+	t.buffer = nil
+	switch {
+	case err != nil:
+		return readResult{}, err
+	case t.receiveErr != nil:
+		return readResult{}, &net.OpError{Op: "read", Net: "tcp", Err: t.receiveErr}
+	case t.received == 0:
+		return readResult{}, io.EOF
+	}
+	timestamp, ok := t.timestamp()
+	return readResult{n: t.received, timestamp: timestamp, hasTimestamp: ok}, nil
+}
+
+// receive reads what the socket holds. It reports false if the socket is empty, upon which
+// the runtime calls it again once the socket is readable.
+func (t *tcpReader) receive(fd uintptr) bool {
+	for {
+		t.received, t.controlLen, _, _, t.receiveErr = syscall.Recvmsg(int(fd), t.buffer, t.control[:], 0)
+		switch {
+		case t.receiveErr == nil:
+			return true
+		case errors.Is(t.receiveErr, syscall.EINTR):
+		case errors.Is(t.receiveErr, syscall.EAGAIN):
+			t.onEmpty()
+			return false
+		default:
+			return true
+		}
+	}
+}
+
+// timestamp returns the timestamp in the control messages of the last receive. SO_TIMESTAMPNS
+// is the only option that makes the kernel send one, so that it is the first message.
+func (t *tcpReader) timestamp() (time.Time, bool) {
+	const timespecSize = int(unsafe.Sizeof(syscall.Timespec{}))
+	if t.controlLen < syscall.CmsgSpace(timespecSize) {
+		return time.Time{}, false
+	}
+	header := (*syscall.Cmsghdr)(unsafe.Pointer(&t.control[0]))
+	if header.Level != syscall.SOL_SOCKET || header.Type != unix.SCM_TIMESTAMPNS {
+		return time.Time{}, false
+	}
+	ts := (*syscall.Timespec)(unsafe.Pointer(&t.control[syscall.CmsgLen(0)]))
+	return time.Unix(ts.Unix()), true
+}
--- a/node/events.go
+++ b/node/events.go
@@ -10,7 +10,7 @@
 type event interface {
 	// pauseKind decides which events go first among those that came in while the
 	// process was paused. Without a pause, events are handled in order of arrival.
-	pauseKind() pause.Kind
+	pauseKind() pause.EventKind
 }
 
 // requestSubmitted brings a request that Submit accepted.
@@ -58,15 +58,15 @@
 // functionCall is a function to be called in the loop.
 type functionCall struct{ function func() }
 
-func (requestSubmitted) pauseKind() pause.Kind       { return pause.Asked }
-func (clientDisconnected) pauseKind() pause.Kind     { return pause.Left }
-func (peerMessageReceived) pauseKind() pause.Kind    { return pause.Heard }
-func (endpointsUpdated) pauseKind() pause.Kind       { return pause.Listed }
-func (attemptFinished) pauseKind() pause.Kind        { return pause.Ended }
-func (proxiedAttemptFinished) pauseKind() pause.Kind { return pause.Ended }
-func (checkFinished) pauseKind() pause.Kind          { return pause.Ended }
-func (requestsAborted) pauseKind() pause.Kind        { return pause.Other }
-func (functionCall) pauseKind() pause.Kind           { return pause.Other }
+func (requestSubmitted) pauseKind() pause.EventKind       { return pause.RequestArrived }
+func (clientDisconnected) pauseKind() pause.EventKind     { return pause.ClientDisconnected }
+func (peerMessageReceived) pauseKind() pause.EventKind    { return pause.PeerMessage }
+func (endpointsUpdated) pauseKind() pause.EventKind       { return pause.EndpointsUpdated }
+func (attemptFinished) pauseKind() pause.EventKind        { return pause.CallFinished }
+func (proxiedAttemptFinished) pauseKind() pause.EventKind { return pause.CallFinished }
+func (checkFinished) pauseKind() pause.EventKind          { return pause.CallFinished }
+func (requestsAborted) pauseKind() pause.EventKind        { return pause.OtherEvent }
+func (functionCall) pauseKind() pause.EventKind           { return pause.OtherEvent }
 
 // handle carries out one event. It is called in the loop.
 func (n *Node) handle(e event) {
--- a/node/loop.go
+++ b/node/loop.go
@@ -21,10 +21,10 @@
 		n.refreshTime()
 		n.detectPause()
 		batch = n.takeQueue(batch)
-		if n.barrier.On() {
+		if n.barrier.Raised() {
 			n.deferred = append(n.deferred, batch...)
-			recheck := n.barrier.Look(n.now, n.options.Clock.UnreadSockets())
-			if !n.barrier.On() {
+			recheck := n.barrier.Observe(n.now, n.options.Clock.UnreadSockets())
+			if !n.barrier.Raised() {
 				n.handleDeferred()
 				continue
 			}
@@ -88,7 +88,7 @@
 	now := n.options.Clock.Now()
 	pauses := n.options.Clock.Pauses()
 	sinceLastLook := now - n.now
-	if pauses != n.pausesSeen || sinceLastLook > n.options.Pause.Least {
+	if pauses != n.pausesSeen || sinceLastLook > n.options.Pause.MinPause {
 		n.options.Logger.Warn("process was paused; reading sockets before handling requests", "duration", sinceLastLook)
 		n.pausesSeen = pauses
 		n.barrier.Raise(now)
@@ -108,7 +108,7 @@
 func (n *Node) handleEvents(batch []event) {
 	for i, e := range batch {
 		n.detectPause()
-		if n.barrier.On() {
+		if n.barrier.Raised() {
 			n.deferred = append(n.deferred, batch[i:]...)
 			break
 		}
@@ -124,9 +124,9 @@
 func (n *Node) handleDeferred() {
 	deferred := n.deferred
 	n.deferred = nil
-	beforeTimers := pause.Order(deferred, event.pauseKind)
+	beforeTimers := pause.SortBacklog(deferred, event.pauseKind)
 	n.handleEvents(deferred[:beforeTimers])
-	if n.barrier.On() {
+	if n.barrier.Raised() {
 		n.deferred = append(n.deferred, deferred[beforeTimers:]...)
 		return
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -49,7 +49,7 @@
 		requestSubmitted{}, functionCall{}, requestsAborted{}, checkFinished{}, attemptFinished{},
 		proxiedAttemptFinished{}, clientDisconnected{}, peerMessageReceived{}, endpointsUpdated{},
 	}
-	beforeTimers := pause.Order(events, event.pauseKind)
+	beforeTimers := pause.SortBacklog(events, event.pauseKind)
 	var order []string
 	for _, e := range events {
 		order = append(order, fmt.Sprintf("%T", e))
@@ -79,7 +79,7 @@
 	if len(responses) != 0 || len(n.deferred) != 2 {
 		t.Fatalf("behind the barrier: %d responses, %d events deferred", len(responses), len(n.deferred))
 	}
-	n.barrier = pause.NewBarrier(pause.Default())
+	n.barrier = pause.NewBarrier(pause.DefaultSettings())
 	n.handleDeferred()
 	if len(responses) != 1 || responses[0].Kind != Failed || responses[0].Reason != ReasonClientDisconnected {
 		t.Errorf("responses %+v", responses)
--- a/node/options.go
+++ b/node/options.go
@@ -62,7 +62,7 @@
 	Clock Clock
 
 	// Pause says what counts as a pause, and how long the sockets are read after one.
-	// Default: pause.Default.
+	// Default: pause.DefaultSettings.
 	Pause pause.Settings
 
 	// OnRequestDone is called once nothing more is done for a request, in the loop, or
@@ -80,7 +80,7 @@
 		o.Clock = alwaysActiveClock{o.TimeOrigin}
 	}
 	if o.Pause == (pause.Settings{}) {
-		o.Pause = pause.Default()
+		o.Pause = pause.DefaultSettings()
 	}
 }
 
