--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -114,7 +114,7 @@
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		for _, from := range []string{"testdata/stores", "testdata/roster-epoch", "../fleet/testdata/servers", "../store/testdata/tally"} {
+		for _, from := range []string{"testdata/stores", "testdata/roster-epoch", "../fleet/testdata/servers", "../storage/testdata/tally"} {
 			b, err := os.ReadFile(from)
 			if err != nil {
 				t.Fatal(err)
