--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -4,20 +4,15 @@
 
 import (
 	"cmp"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"hash/fnv"
 	"io/fs"
-	"os"
 	"slices"
 	"time"
 
-	"github.com/zeebo/blake3"
-
 	"yardcleat.example/yardcleat/config"
-	"yardcleat.example/yardcleat/internal/files"
+	"yardcleat.example/yardcleat/internal/snapshotfile"
 	"yardcleat.example/yardcleat/node"
 	"yardcleat.example/yardcleat/policy"
 )
@@ -57,13 +52,6 @@
 	return nil
 }
 
-// memory is the remembered list's file.
-type memory struct {
-	Version int             `json:"version"`
-	Sum     string          `json:"sum"` // BLAKE3 of Servers, in hex
-	Servers json.RawMessage `json:"servers"`
-}
-
 type line struct {
 	Address string             `json:"address"`
 	Zone    string             `json:"zone,omitempty"`
@@ -73,12 +61,7 @@
 	Started *time.Time         `json:"started,omitempty"`
 }
 
-const memoryVersion = 1
-
-func sum(b []byte) string {
-	s := blake3.Sum256(b)
-	return hex.EncodeToString(s[:])
-}
+var cachedServers = snapshotfile.Format[struct{}, []line]{Version: 1, Payload: "servers"}
 
 // Remember writes a list to a file, in one step.
 func Remember(path string, list []node.Server) error {
@@ -90,41 +73,23 @@
 		}
 		lines = append(lines, l)
 	}
-	servers, err := json.Marshal(lines)
-	if err != nil {
-		return err
-	}
-	b, err := json.Marshal(memory{memoryVersion, sum(servers), servers})
-	if err != nil {
-		return err
-	}
-	return files.Replace(path, b)
+	return cachedServers.Write(path, struct{}{}, lines)
 }
 
 // Recall reads a remembered list. It is nil, without an error, where there is
 // no file; a torn or foreign file is an error.
 func Recall(path string) ([]node.Server, error) {
-	b, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) {
+	_, lines, err := cachedServers.Read(path)
+	var damaged *snapshotfile.DamagedError
+	var version *snapshotfile.VersionError
+	switch {
+	case errors.Is(err, fs.ErrNotExist):
 		return nil, nil
-	}
-	if err != nil {
+	case errors.As(err, &damaged), errors.As(err, &version):
+		return nil, fmt.Errorf("fleet: %s is %w", path, err)
+	case err != nil:
 		return nil, err
 	}
-	var m memory
-	if err := json.Unmarshal(b, &m); err != nil {
-		return nil, fmt.Errorf("fleet: %s is torn or not a server list: %w", path, err)
-	}
-	if m.Version != memoryVersion {
-		return nil, fmt.Errorf("fleet: %s is of version %d, not %d", path, m.Version, memoryVersion)
-	}
-	if sum(m.Servers) != m.Sum {
-		return nil, fmt.Errorf("fleet: %s is damaged: its sum differs", path)
-	}
-	var lines []line
-	if err := json.Unmarshal(m.Servers, &lines); err != nil {
-		return nil, fmt.Errorf("fleet: %s: %w", path, err)
-	}
 	var list []node.Server
 	for _, l := range lines {
 		s := node.Server{Address: l.Address, Server: policy.Server{ID: ID(l.Address), Zone: l.Zone, Cell: l.Cell,
--- a/gateway/member.go
+++ b/gateway/member.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/binary"
-	"encoding/json"
 	"errors"
 	"io/fs"
 	"os"
@@ -12,7 +11,7 @@
 	"time"
 
 	"yardcleat.example/yardcleat/config"
-	"yardcleat.example/yardcleat/internal/files"
+	"yardcleat.example/yardcleat/internal/snapshotfile"
 	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/peer"
 )
@@ -172,21 +171,16 @@
 
 const memberFile = "roster-epoch"
 
-func recallMember(dir string) (m membership.Memory, err error) {
+// recallMember reads what an earlier process wrote; the zero value where there is none.
+func recallMember(dir string) (membership.Memory, error) {
 	if dir == "" {
-		return m, nil
+		return membership.Memory{}, nil
 	}
-	b, err := os.ReadFile(filepath.Join(dir, memberFile))
+	m, err := snapshotfile.ReadPlain[membership.Memory](filepath.Join(dir, memberFile))
 	if errors.Is(err, fs.ErrNotExist) {
-		return m, nil
+		return membership.Memory{}, nil
 	}
-	if err == nil {
-		err = json.Unmarshal(b, &m)
-	}
-	if err != nil {
-		return membership.Memory{}, err
-	}
-	return m, nil
+	return m, err
 }
 
 // rememberMember replaces the file in one step, and has it on the disk.
@@ -194,9 +188,5 @@
 	if dir == "" {
 		return nil
 	}
-	b, err := json.Marshal(m)
-	if err != nil {
-		return err
-	}
-	return files.Replace(filepath.Join(dir, memberFile), b)
+	return snapshotfile.WritePlain(filepath.Join(dir, memberFile), m)
 }
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -2,18 +2,13 @@
 
 import (
 	"context"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io/fs"
-	"os"
 	"path/filepath"
 	"time"
 
-	"github.com/zeebo/blake3"
-
-	"yardcleat.example/yardcleat/internal/files"
+	"yardcleat.example/yardcleat/internal/snapshotfile"
 	"yardcleat.example/yardcleat/policy"
 )
 
@@ -27,57 +22,37 @@
 	memoryKeep    = time.Hour // older ones say nothing any more: stores are full again
 )
 
-type memory struct {
-	Version int             `json:"version"`
-	Node    int             `json:"node"`
-	Wrote   time.Time       `json:"wrote"`
-	Sum     string          `json:"sum"` // BLAKE3 of Stores, in hex
-	Stores  json.RawMessage `json:"stores"`
+// snapshotHeader says which node wrote the file, and when by the wall clock.
+type snapshotHeader struct {
+	Node  int       `json:"node"`
+	Wrote time.Time `json:"wrote"`
 }
 
-func sumOf(b []byte) string {
-	sum := blake3.Sum256(b)
-	return hex.EncodeToString(sum[:])
-}
+var customerSnapshots = snapshotfile.Format[snapshotHeader, []policy.CustomerSnapshot]{Version: memoryVersion, Payload: "stores"}
 
 func writeMemory(dir string, node int, now time.Time, list []policy.CustomerSnapshot) error {
-	stores, err := json.Marshal(list)
-	if err != nil {
-		return err
-	}
-	b, err := json.Marshal(memory{memoryVersion, node, now.Round(0), sumOf(stores), stores})
-	if err != nil {
-		return err
-	}
-	return files.Replace(filepath.Join(dir, memoryFile), b)
+	header := snapshotHeader{Node: node, Wrote: now.Round(0)}
+	return customerSnapshots.Write(filepath.Join(dir, memoryFile), header, list)
 }
 
 // readMemory reads what an earlier process wrote; nothing where there is none or it
 // is too old.
 func readMemory(dir string, node int, now time.Time) (r policy.RestoreSnapshot, err error) {
-	b, err := os.ReadFile(filepath.Join(dir, memoryFile))
-	if errors.Is(err, fs.ErrNotExist) {
-		return r, nil
-	}
-	var m memory
-	if err == nil {
-		err = json.Unmarshal(b, &m)
-	}
+	header, customers, err := customerSnapshots.Read(filepath.Join(dir, memoryFile))
 	switch {
+	case errors.Is(err, fs.ErrNotExist):
+		return r, nil
 	case err != nil:
-		return r, fmt.Errorf("torn or foreign: %w", err)
-	case m.Version != memoryVersion:
-		return r, fmt.Errorf("of version %d, not %d", m.Version, memoryVersion)
-	case m.Node != node:
-		return r, fmt.Errorf("of node %d, not %d", m.Node, node)
-	case m.Sum != sumOf(m.Stores):
-		return r, errors.New("damaged: its sum differs")
+		return r, err
+	case header.Node != node:
+		return r, fmt.Errorf("of node %d, not %d", header.Node, node)
 	}
 	// A clock set back makes it no younger than just written.
-	if r.Age = max(0, now.Sub(m.Wrote)); r.Age > memoryKeep {
-		return policy.RestoreSnapshot{}, nil
+	age := max(0, now.Sub(header.Wrote))
+	if age > memoryKeep {
+		return r, nil
 	}
-	return r, json.Unmarshal(m.Stores, &r.Customers)
+	return policy.RestoreSnapshot{Age: age, Customers: customers}, nil
 }
 
 // remember writes the memory until the context ends, and once more then.
--- /dev/null
+++ b/internal/snapshotfile/snapshotfile.go
@@ -0,0 +1,164 @@
+// Package snapshotfile reads and writes JSON files that outlive the process: with a
+// version and a checksum ([Format]), or plain ([ReadPlain], [WritePlain]).
+//
+// A file is replaced in one step: a reader finds the old content or the new one, also
+// after the process was killed while it wrote. A reader tells apart
+//
+//   - an absent file: errors.Is(err, fs.ErrNotExist);
+//   - content that is no JSON of the expected shape, or was changed: [*DamagedError];
+//   - a file of another version: [*VersionError].
+//
+// Functions block on the disk. Calls for different paths may run concurrently; writers of
+// one path must not.
+package snapshotfile
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+
+	"github.com/zeebo/blake3"
+
+	"yardcleat.example/yardcleat/internal/files"
+)
+
+// ErrChecksum is the cause in a [*DamagedError] where the payload is not the one that was written.
+var ErrChecksum = errors.New("its sum differs")
+
+// DamagedError says that a file was truncated, was changed, or holds something else.
+type DamagedError struct {
+	// Cause is ErrChecksum or the error of the JSON decoder.
+	Cause error
+}
+
+// Error describes the damage without the path, which the caller knows.
+func (e *DamagedError) Error() string {
+	if errors.Is(e.Cause, ErrChecksum) {
+		return "damaged: " + e.Cause.Error()
+	}
+	return "torn or foreign: " + e.Cause.Error()
+}
+
+// Unwrap returns the cause.
+func (e *DamagedError) Unwrap() error { return e.Cause }
+
+// VersionError says that a file has another version than the reader's.
+type VersionError struct{ Got, Want int }
+
+func (e *VersionError) Error() string { return fmt.Sprintf("of version %d, not %d", e.Got, e.Want) }
+
+// Format is one kind of snapshot file, a JSON object of these members in this order:
+// "version", the members of the header H, "sum" (BLAKE3 of the payload's bytes, in hex) and
+// the payload P under its own name. H must encode to a JSON object without any of the other
+// names; struct{} stands for none.
+type Format[H, P any] struct {
+	// Version is written, and the only one that is read.
+	Version int
+	// Payload is the member's name of the payload.
+	Payload string
+}
+
+// envelope is what all formats have in common.
+type envelope struct {
+	Version int    `json:"version"`
+	Sum     string `json:"sum"`
+}
+
+// Write replaces the file at path. The content is on the disk once Write has returned nil.
+func (f Format[H, P]) Write(path string, header H, payload P) error {
+	content, err := f.encode(header, payload)
+	if err != nil {
+		return err
+	}
+	return files.Replace(path, content)
+}
+
+// Read returns the header and the payload of the file at path, or zero values and one of the
+// errors that the package describes. An error of the file system is returned as it came.
+func (f Format[H, P]) Read(path string) (header H, payload P, err error) {
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return header, payload, err
+	}
+	if header, payload, err = f.decode(content); err != nil {
+		var noHeader H
+		var noPayload P
+		return noHeader, noPayload, err
+	}
+	return header, payload, nil
+}
+
+func (f Format[H, P]) encode(header H, payload P) ([]byte, error) {
+	payloadJSON, err := json.Marshal(payload)
+	if err != nil {
+		return nil, err
+	}
+	headerJSON, err := json.Marshal(header)
+	if err != nil {
+		return nil, err
+	}
+	var b bytes.Buffer
+	fmt.Fprintf(&b, `{"version":%d,`, f.Version)
+	if members := headerJSON[1 : len(headerJSON)-1]; len(members) > 0 {
+		b.Write(members)
+		b.WriteByte(',')
+	}
+	fmt.Fprintf(&b, `"sum":%q,%q:%s}`, checksum(payloadJSON), f.Payload, payloadJSON)
+	return b.Bytes(), nil
+}
+
+func (f Format[H, P]) decode(content []byte) (header H, payload P, err error) {
+	var common envelope
+	if err := json.Unmarshal(content, &common); err != nil {
+		return header, payload, &DamagedError{err}
+	}
+	if common.Version != f.Version {
+		return header, payload, &VersionError{Got: common.Version, Want: f.Version}
+	}
+	var members map[string]json.RawMessage
+	if err := json.Unmarshal(content, &members); err != nil {
+		return header, payload, &DamagedError{err}
+	}
+	payloadJSON := members[f.Payload]
+	if common.Sum != checksum(payloadJSON) {
+		return header, payload, &DamagedError{ErrChecksum}
+	}
+	if err := json.Unmarshal(content, &header); err != nil {
+		return header, payload, &DamagedError{err}
+	}
+	if err := json.Unmarshal(payloadJSON, &payload); err != nil {
+		return header, payload, &DamagedError{err}
+	}
+	return header, payload, nil
+}
+
+func checksum(b []byte) string {
+	sum := blake3.Sum256(b)
+	return hex.EncodeToString(sum[:])
+}
+
+// WritePlain replaces the file at path by the JSON of a value, without version and checksum.
+// The content is on the disk once WritePlain has returned nil.
+func WritePlain[P any](path string, value P) error {
+	content, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	return files.Replace(path, content)
+}
+
+// ReadPlain returns what [WritePlain] wrote. Damage shows only where the content is no JSON of P.
+func ReadPlain[P any](path string) (value P, err error) {
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return value, err
+	}
+	if err := json.Unmarshal(content, &value); err != nil {
+		var none P
+		return none, &DamagedError{err}
+	}
+	return value, nil
+}
