--- a/authz/authz.go
+++ b/authz/authz.go
@@ -18,32 +18,32 @@
 
 // The modes.
 const (
-	Skip   Mode = iota // it is not asked
-	Refuse             // without an answer the request is refused
-	Allow              // without an answer it passes
+	Skip       Mode = iota // it is not asked
+	FailClosed             // without an answer the request is refused
+	FailOpen               // without an answer it passes
 )
 
-// Verdict is how a Check ended.
-type Verdict int
+// Outcome is how a Check ended.
+type Outcome int
 
 // The verdicts.
 const (
-	Allowed Verdict = iota
+	Allowed Outcome = iota
 	Denied
-	Late        // no answer within its budget
+	TimedOut    // no answer within its budget
 	Unreachable // the call failed
 )
 
-// Step is what is to be done with a request.
-type Step int
+// Decision is what is to be done with a request.
+type Decision int
 
 // The steps.
 const (
-	Pass        Step = iota // give it to the module
-	Deny                    // answer with the authoriser's denial
-	RefuseLate              // refuse: no answer in time
-	RefuseError             // refuse: the authoriser can't be reached
-	RefuseQuota             // refuse: its customer asks far beyond its quota
+	Proceed           Decision = iota // give it to the module
+	Deny                              // answer with the authoriser's denial
+	RejectTimedOut                    // refuse: no answer in time
+	RejectUnreachable                 // refuse: the authoriser can't be reached
+	RejectOverQuota                   // refuse: its customer asks far beyond its quota
 )
 
 // Tuned values.
@@ -76,10 +76,10 @@
 
 // Class is what the decisions need to know of a class.
 type Class struct {
-	Mode     Mode
-	Aim      time.Duration
-	Worth    float64       // of a request, against others
-	Remember time.Duration // an answer stands in for so long where it states no life
+	Mode             Mode
+	LatencyObjective time.Duration
+	PriorityWeight   float64       // of a request, against others
+	CacheTTL         time.Duration // an answer stands in for so long where it states no life
 }
 
 // Plan bounds a customer's use.
@@ -87,12 +87,12 @@
 
 // Settings is what a Decider is told at its start.
 type Settings struct {
-	Classes map[string]Class
-	Plans   map[string]Plan
-	Targets int           // addresses of the service
-	Timeout time.Duration // most time one Check may take
-	Most    int           // most Checks out at one address
-	Seed    uint64
+	Classes     map[string]Class
+	Plans       map[string]Plan
+	Addresses   int           // addresses of the service
+	Timeout     time.Duration // most time one Check may take
+	MaxInFlight int           // most Checks out at one address
+	Seed        uint64
 }
 
 // Request is put to the decisions before the module hears of it.
@@ -105,52 +105,52 @@
 	Remaining time.Duration
 }
 
-// Answer is how a Check ended.
-type Answer struct {
-	Verdict Verdict
-	Latency time.Duration
-	Life    time.Duration // stated by the authoriser for its answer; 0: not stated
-	Kept    any           // the caller's, given back where the answer stands in
-	Stood   bool          // the caller's process stood still meanwhile: no answer says nothing of the address
+// CheckResult is how a Check ended.
+type CheckResult struct {
+	Outcome       Outcome
+	Latency       time.Duration
+	CacheTTL      time.Duration // stated by the authoriser for its answer; 0: not stated
+	Payload       any           // the caller's, given back where the answer stands in
+	ProcessPaused bool          // the caller's process stood still meanwhile: no answer says nothing of the address
 }
 
 // Action is something a Decider wants done.
 type Action interface{ action() }
 
-// Check asks an address. Answered must follow, unless Cancel comes first.
-type Check struct {
-	ID     uint64
-	Try    int
-	Target int
-	Budget time.Duration
+// SendCheck asks an address. Answered must follow, unless Cancel comes first.
+type SendCheck struct {
+	ID      uint64
+	Attempt int
+	Address int
+	Timeout time.Duration
 }
 
-// Cancel ends a Check; nothing follows.
-type Cancel struct{ ID uint64 }
+// CancelCheck ends a Check; nothing follows.
+type CancelCheck struct{ ID uint64 }
 
-// Settle says what is to be done with a request. Kept is of an earlier answer,
+// Resolve says what is to be done with a request. Kept is of an earlier answer,
 // where that stands in.
-type Settle struct {
-	ID      uint64
-	Step    Step
-	Kept    any
-	StoodIn bool // an earlier answer, or the class's default, stands in
+type Resolve struct {
+	ID            uint64
+	Decision      Decision
+	CachedPayload any
+	FromFallback  bool // an earlier answer, or the class's default, stands in
 }
 
-// Wake asks for Tick after a time.
-type Wake struct{ After time.Duration }
+// ScheduleTick asks for Tick after a time.
+type ScheduleTick struct{ After time.Duration }
 
-// Note is for the operators.
-type Note struct {
-	Target int
-	Text   string
+// OperatorNote is for the operators.
+type OperatorNote struct {
+	Address int
+	Text    string
 }
 
-func (Check) action()  {}
-func (Cancel) action() {}
-func (Settle) action() {}
-func (Wake) action()   {}
-func (Note) action()   {}
+func (SendCheck) action()    {}
+func (CancelCheck) action()  {}
+func (Resolve) action()      {}
+func (ScheduleTick) action() {}
+func (OperatorNote) action() {}
 
 type request struct {
 	Request
@@ -186,7 +186,7 @@
 }
 
 type memory struct {
-	verdict Verdict
+	verdict Outcome
 	until   time.Time
 	kept    any
 }
@@ -216,33 +216,33 @@
 	d := &Decider{set: s, rng: rand.New(rand.NewPCG(s.Seed, 3)), classes: map[string]*class{}, reqs: map[uint64]*request{},
 		memory: map[string]*memory{}, buckets: map[string]*bucket{}}
 	for name, c := range s.Classes {
-		d.classes[name] = &class{c, firstNeed * c.Aim.Seconds()}
+		d.classes[name] = &class{c, firstNeed * c.LatencyObjective.Seconds()}
 	}
-	for i := range s.Targets {
-		d.targets = append(d.targets, &target{num: i, limit: min(startLimit, float64(max(1, s.Most))), trials: -1})
+	for i := range s.Addresses {
+		d.targets = append(d.targets, &target{num: i, limit: min(startLimit, float64(max(1, s.MaxInFlight))), trials: -1})
 	}
 	return d
 }
 
-// Out is the number of Checks out, Waiting of requests that wait for one.
-func (d *Decider) Out() (n int) {
+// InFlight is the number of Checks out, Waiting of requests that wait for one.
+func (d *Decider) InFlight() (n int) {
 	for _, t := range d.targets {
 		n += t.out
 	}
 	return n
 }
 
-// Waiting is the number of requests that wait for a Check.
-func (d *Decider) Waiting() int { return len(d.waiting) }
+// QueueLength is the number of requests that wait for a Check.
+func (d *Decider) QueueLength() int { return len(d.waiting) }
 
 func (d *Decider) do(a Action) { d.acts = append(d.acts, a) }
 
-// Begin is told of a request.
-func (d *Decider) Begin(now time.Time, r Request) []Action {
+// StartRequest is told of a request.
+func (d *Decider) StartRequest(now time.Time, r Request) []Action {
 	d.now, d.acts = now, nil
 	c := d.classes[r.Class]
 	if c == nil || c.Mode == Skip {
-		d.do(Settle{ID: r.ID, Step: Pass})
+		d.do(Resolve{ID: r.ID, Decision: Proceed})
 		return d.acts
 	}
 	q := &request{Request: r, class: c, began: now, target: -1, last: -1}
@@ -256,7 +256,7 @@
 		d.without(q)
 	case q.beyond && len(d.waiting) > 0:
 		// The authoriser is short: it is not for those who ask too much.
-		d.settle(q, Settle{Step: RefuseQuota})
+		d.settle(q, Resolve{Decision: RejectOverQuota})
 	case len(d.waiting) >= mostWaiting:
 		d.without(q)
 	default:
@@ -277,7 +277,7 @@
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(b.class.Worth, a.class.Worth), cmp.Compare(a.class.Mode, b.class.Mode), a.began.Compare(b.began), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.class.PriorityWeight, a.class.PriorityWeight), cmp.Compare(a.class.Mode, b.class.Mode), a.began.Compare(b.began), cmp.Compare(a.ID, b.ID))
 	})
 	d.waiting = slices.Insert(d.waiting, i, q)
 	q.queued = true
@@ -344,7 +344,7 @@
 		if t.trials >= 0 {
 			t.trying = true
 		}
-		d.do(Check{ID: q.ID, Try: q.tries - 1, Target: t.num, Budget: budget})
+		d.do(SendCheck{ID: q.ID, Attempt: q.tries - 1, Address: t.num, Timeout: budget})
 	}
 }
 
@@ -377,8 +377,8 @@
 	return best
 }
 
-// Answered is told how a Check ended.
-func (d *Decider) Answered(now time.Time, id uint64, try int, a Answer) []Action {
+// FinishCheck is told how a Check ended.
+func (d *Decider) FinishCheck(now time.Time, id uint64, try int, a CheckResult) []Action {
 	d.now, d.acts = now, nil
 	q := d.reqs[id]
 	if q == nil || q.target < 0 || try != q.tries-1 {
@@ -387,18 +387,18 @@
 	t := d.targets[q.target]
 	d.release(q)
 	d.learn(t, a)
-	switch a.Verdict {
+	switch a.Outcome {
 	case Allowed, Denied:
-		if life := cmp.Or(a.Life, q.class.Remember); life > 0 {
+		if life := cmp.Or(a.CacheTTL, q.class.CacheTTL); life > 0 {
 			d.remember(q, a, life)
 		}
-		step := Pass
-		if a.Verdict == Denied {
+		step := Proceed
+		if a.Outcome == Denied {
 			step = Deny
 		}
-		d.settle(q, Settle{Step: step})
+		d.settle(q, Resolve{Decision: step})
 	default:
-		q.failed = q.failed || a.Verdict == Unreachable
+		q.failed = q.failed || a.Outcome == Unreachable
 		// One that failed may be asked again elsewhere: a Check has no effect.
 		if q.tries < mostTries && q.give.Sub(now) >= leastBudget && d.spare(t) {
 			d.queue(q)
@@ -420,11 +420,11 @@
 
 // learn moves an address's limit by its answers: up by one for each limit's worth
 // of quick ones, down when they slow against the quickest or don't come.
-func (d *Decider) learn(t *target, a Answer) {
-	good := a.Verdict == Allowed || a.Verdict == Denied
+func (d *Decider) learn(t *target, a CheckResult) {
+	good := a.Outcome == Allowed || a.Outcome == Denied
 	trial := t.trying
 	t.trying = false
-	if !good && a.Stood {
+	if !good && a.ProcessPaused {
 		return
 	}
 	if !good {
@@ -432,7 +432,7 @@
 		t.limit = max(floorLimit, t.limit*shrinkFail)
 		if quiet := d.now.Sub(t.okAt) > 2*d.set.Timeout; trial || t.failures >= openAfter && quiet {
 			if t.trials < 0 {
-				d.do(Note{t.num, "authoriser left alone after failures in a row"})
+				d.do(OperatorNote{t.num, "authoriser left alone after failures in a row"})
 			}
 			t.wait = min(openMost, max(openFirst, 2*t.wait))
 			t.open = d.now.Add(time.Duration((0.8 + 0.4*d.rng.Float64()) * float64(t.wait)))
@@ -450,20 +450,20 @@
 	if lat > max(slowTimes*t.base, t.base+slowLeast.Seconds()) {
 		t.limit = max(floorLimit, t.limit*shrinkSlow)
 	} else if float64(t.out) >= t.limit/2 {
-		t.limit = min(float64(d.set.Most), t.limit+1/t.limit)
+		t.limit = min(float64(d.set.MaxInFlight), t.limit+1/t.limit)
 	}
 	if t.trials >= 0 {
 		if t.trials++; t.trials >= closedAfter {
 			t.trials, t.wait = -1, 0
 			t.limit = floorLimit // it grows from there: no flood
-			d.do(Note{t.num, "authoriser answers again"})
+			d.do(OperatorNote{t.num, "authoriser answers again"})
 		}
 	}
 }
 
 func (r Request) key() string { return r.Customer + "\x00" + r.Class + "\x00" + r.Resource }
 
-func (d *Decider) remember(q *request, a Answer, life time.Duration) {
+func (d *Decider) remember(q *request, a CheckResult, life time.Duration) {
 	if len(d.memory) >= mostMemory {
 		for k, m := range d.memory { // any that is over, else any
 			if delete(d.memory, k); m.until.Before(d.now) || len(d.memory) < mostMemory {
@@ -471,7 +471,7 @@
 			}
 		}
 	}
-	d.memory[q.key()] = &memory{verdict: a.Verdict, until: d.now.Add(life), kept: a.Kept}
+	d.memory[q.key()] = &memory{verdict: a.Outcome, until: d.now.Add(life), kept: a.Payload}
 }
 
 // without decides on a request that has no answer: a recent one stands in, else
@@ -479,31 +479,31 @@
 func (d *Decider) without(q *request) {
 	d.leave(q)
 	if m := d.memory[q.key()]; m != nil && d.now.Before(m.until) {
-		step := Pass
+		step := Proceed
 		if m.verdict == Denied {
 			step = Deny
 		}
-		d.settle(q, Settle{Step: step, Kept: m.kept, StoodIn: true})
+		d.settle(q, Resolve{Decision: step, CachedPayload: m.kept, FromFallback: true})
 		return
 	}
 	switch {
-	case q.class.Mode == Allow:
-		d.settle(q, Settle{Step: Pass, StoodIn: true})
+	case q.class.Mode == FailOpen:
+		d.settle(q, Resolve{Decision: Proceed, FromFallback: true})
 	case q.failed:
-		d.settle(q, Settle{Step: RefuseError})
+		d.settle(q, Resolve{Decision: RejectUnreachable})
 	default:
-		d.settle(q, Settle{Step: RefuseLate})
+		d.settle(q, Resolve{Decision: RejectTimedOut})
 	}
 }
 
-func (d *Decider) settle(q *request, s Settle) {
+func (d *Decider) settle(q *request, s Resolve) {
 	s.ID = q.ID
 	delete(d.reqs, q.ID)
 	d.do(s)
 }
 
-// Gone is told that a request needs no decision any more.
-func (d *Decider) Gone(now time.Time, id uint64) []Action {
+// CancelRequest is told that a request needs no decision any more.
+func (d *Decider) CancelRequest(now time.Time, id uint64) []Action {
 	d.now, d.acts = now, nil
 	q := d.reqs[id]
 	if q == nil {
@@ -514,7 +514,7 @@
 		t := d.targets[q.target]
 		t.trying = false
 		d.release(q)
-		d.do(Cancel{id})
+		d.do(CancelCheck{id})
 	}
 	d.leave(q)
 	d.start()
@@ -565,19 +565,19 @@
 	}
 	if d.woken.IsZero() || next.Before(d.woken) {
 		d.woken = next
-		d.do(Wake{max(0, next.Sub(d.now)) + time.Millisecond})
+		d.do(ScheduleTick{max(0, next.Sub(d.now)) + time.Millisecond})
 	}
 }
 
-// Took teaches how long an attempt of a class takes at the servers.
-func (d *Decider) Took(class string, latency time.Duration) {
+// RecordLatency teaches how long an attempt of a class takes at the servers.
+func (d *Decider) RecordLatency(class string, latency time.Duration) {
 	if c := d.classes[class]; c != nil {
-		c.need += needLearn * (min(latency.Seconds(), c.Aim.Seconds()) - c.need)
+		c.need += needLearn * (min(latency.Seconds(), c.LatencyObjective.Seconds()) - c.need)
 	}
 }
 
-// Forget drops what is over; it is to be called now and then.
-func (d *Decider) Forget(now time.Time) {
+// RemoveExpired drops what is over; it is to be called now and then.
+func (d *Decider) RemoveExpired(now time.Time) {
 	for k, m := range d.memory {
 		if m.until.Before(now) {
 			delete(d.memory, k)
--- a/authz/authz_test.go
+++ b/authz/authz_test.go
@@ -16,9 +16,9 @@
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func settings(targets int) Settings {
-	return Settings{Targets: targets, Timeout: 200 * time.Millisecond, Most: 32, Seed: 1,
-		Classes: map[string]Class{"skip": {Mode: Skip, Aim: time.Second}, "refuse": {Mode: Refuse, Aim: 400 * time.Millisecond, Worth: 2},
-			"allow": {Mode: Allow, Aim: 400 * time.Millisecond, Worth: 1}, "keeps": {Mode: Refuse, Aim: 400 * time.Millisecond, Remember: time.Minute}},
+	return Settings{Addresses: targets, Timeout: 200 * time.Millisecond, MaxInFlight: 32, Seed: 1,
+		Classes: map[string]Class{"skip": {Mode: Skip, LatencyObjective: time.Second}, "refuse": {Mode: FailClosed, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 2},
+			"allow": {Mode: FailOpen, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1}, "keeps": {Mode: FailClosed, LatencyObjective: 400 * time.Millisecond, CacheTTL: time.Minute}},
 		Plans: map[string]Plan{"p": {Rate: 5, Burst: 10}}}
 }
 
@@ -43,30 +43,30 @@
 		carry := func(acts []Action) {
 			for _, a := range acts {
 				switch a := a.(type) {
-				case Check:
+				case SendCheck:
 					r := open[a.ID]
 					if r == nil || r.out {
 						t.Fatalf("%+v for a request that is settled, or has one out", a)
 					}
-					if a.Budget <= 0 || a.Budget > 200*time.Millisecond || now.Add(a.Budget).After(r.until) || a.Target >= targets {
+					if a.Timeout <= 0 || a.Timeout > 200*time.Millisecond || now.Add(a.Timeout).After(r.until) || a.Address >= targets {
 						t.Fatalf("%+v with %v left", a, r.until.Sub(now))
 					}
-					r.out, r.try, r.given = true, a.Try, now.Add(a.Budget)
-				case Cancel:
+					r.out, r.try, r.given = true, a.Attempt, now.Add(a.Timeout)
+				case CancelCheck:
 					t.Fatalf("%+v", a) // only by Gone, below
-				case Settle:
+				case Resolve:
 					r := open[a.ID]
 					if r == nil {
 						t.Fatalf("settled twice: %+v", a)
 					}
-					if now.After(r.until) && r.until.After(epoch.Add(-time.Hour)) && a.Step == Pass && r.class != "skip" {
+					if now.After(r.until) && r.until.After(epoch.Add(-time.Hour)) && a.Decision == Proceed && r.class != "skip" {
 						t.Fatalf("passed %v too late", now.Sub(r.until))
 					}
-					if a.Step == Pass && !answered[a.ID] && r.class == "refuse" {
+					if a.Decision == Proceed && !answered[a.ID] && r.class == "refuse" {
 						t.Fatal("passed unasked")
 					}
 					delete(open, a.ID)
-				case Wake:
+				case ScheduleTick:
 					wakes = append(wakes, now.Add(a.After))
 				}
 			}
@@ -77,16 +77,16 @@
 				left := time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "left"))
 				r := &req{class: rapid.SampledFrom([]string{"skip", "refuse", "allow", "keeps"}).Draw(t, "class"), until: now.Add(left)}
 				open[id] = r
-				carry(d.Begin(now, Request{ID: id, Class: r.class, Customer: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"),
+				carry(d.StartRequest(now, Request{ID: id, Class: r.class, Customer: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"),
 					Plan: "p", Resource: "x", Remaining: left}))
 			},
 			"answer": func(t *rapid.T) {
 				for k := uint64(1); k <= id; k++ {
 					if r := open[k]; r != nil && r.out {
 						r.out = false
-						v := rapid.SampledFrom([]Verdict{Allowed, Denied, Unreachable, Late}).Draw(t, "verdict")
+						v := rapid.SampledFrom([]Outcome{Allowed, Denied, Unreachable, TimedOut}).Draw(t, "verdict")
 						answered[k] = answered[k] || v == Allowed
-						carry(d.Answered(now, k, r.try, Answer{Verdict: v, Latency: time.Millisecond}))
+						carry(d.FinishCheck(now, k, r.try, CheckResult{Outcome: v, Latency: time.Millisecond}))
 						return
 					}
 				}
@@ -96,8 +96,8 @@
 					if r := open[k]; r != nil {
 						delete(open, k)
 						var rest []Action
-						for _, a := range d.Gone(now, k) {
-							if c, ok := a.(Cancel); ok {
+						for _, a := range d.CancelRequest(now, k) {
+							if c, ok := a.(CancelCheck); ok {
 								if c.ID != k || !r.out {
 									t.Fatalf("%+v", c)
 								}
@@ -117,7 +117,7 @@
 					for k := uint64(1); k <= id; k++ {
 						if r := open[k]; r != nil && r.out && !now.Before(r.given) {
 							r.out = false
-							carry(d.Answered(now, k, r.try, Answer{Verdict: Late}))
+							carry(d.FinishCheck(now, k, r.try, CheckResult{Outcome: TimedOut}))
 						}
 					}
 					for i := 0; i < len(wakes); i++ {
@@ -138,8 +138,8 @@
 						t.Fatalf("request %d waits %v beyond its time", k, now.Sub(r.until))
 					}
 				}
-				if d.Out() != out || out+d.Waiting() != len(open) || out > 32*targets {
-					t.Fatalf("%d out (%d counted), %d waiting, %d open", d.Out(), out, d.Waiting(), len(open))
+				if d.InFlight() != out || out+d.QueueLength() != len(open) || out > 32*targets {
+					t.Fatalf("%d out (%d counted), %d waiting, %d open", d.InFlight(), out, d.QueueLength(), len(open))
 				}
 			},
 		})
@@ -158,32 +158,32 @@
 // A recent answer stands in for one that does not come, for its stated life.
 func TestStandIn(t *testing.T) {
 	d := New(settings(1))
-	ask := func(now time.Time, id uint64, class string, v Verdict) (Settle, bool) {
-		c, ok := first[Check](d.Begin(now, Request{ID: id, Class: class, Customer: "a", Resource: "x", Remaining: time.Second}))
+	ask := func(now time.Time, id uint64, class string, v Outcome) (Resolve, bool) {
+		c, ok := first[SendCheck](d.StartRequest(now, Request{ID: id, Class: class, Customer: "a", Resource: "x", Remaining: time.Second}))
 		if !ok {
-			return Settle{}, false
+			return Resolve{}, false
 		}
-		return first[Settle](d.Answered(now.Add(time.Millisecond), c.ID, c.Try, Answer{Verdict: v, Latency: time.Millisecond, Kept: "kept"}))
+		return first[Resolve](d.FinishCheck(now.Add(time.Millisecond), c.ID, c.Attempt, CheckResult{Outcome: v, Latency: time.Millisecond, Payload: "kept"}))
 	}
-	if s, ok := ask(epoch, 1, "keeps", Allowed); !ok || s.Step != Pass || s.StoodIn {
+	if s, ok := ask(epoch, 1, "keeps", Allowed); !ok || s.Decision != Proceed || s.FromFallback {
 		t.Errorf("%+v", s)
 	}
-	if s, ok := ask(epoch.Add(30*time.Second), 2, "keeps", Late); !ok || s.Step != Pass || !s.StoodIn || s.Kept != "kept" {
+	if s, ok := ask(epoch.Add(30*time.Second), 2, "keeps", TimedOut); !ok || s.Decision != Proceed || !s.FromFallback || s.CachedPayload != "kept" {
 		t.Errorf("%+v", s)
 	}
-	if s, ok := ask(epoch.Add(90*time.Second), 3, "keeps", Late); !ok || s.Step != RefuseLate {
+	if s, ok := ask(epoch.Add(90*time.Second), 3, "keeps", TimedOut); !ok || s.Decision != RejectTimedOut {
 		t.Errorf("%+v", s)
 	}
-	if s, ok := ask(epoch.Add(91*time.Second), 4, "keeps", Denied); !ok || s.Step != Deny {
+	if s, ok := ask(epoch.Add(91*time.Second), 4, "keeps", Denied); !ok || s.Decision != Deny {
 		t.Errorf("%+v", s)
 	}
-	if s, ok := ask(epoch.Add(92*time.Second), 5, "keeps", Unreachable); !ok || s.Step != Deny || !s.StoodIn {
+	if s, ok := ask(epoch.Add(92*time.Second), 5, "keeps", Unreachable); !ok || s.Decision != Deny || !s.FromFallback {
 		t.Errorf("%+v", s)
 	}
-	if s, ok := ask(epoch.Add(93*time.Second), 6, "refuse", Unreachable); !ok || s.Step != RefuseError {
+	if s, ok := ask(epoch.Add(93*time.Second), 6, "refuse", Unreachable); !ok || s.Decision != RejectUnreachable {
 		t.Errorf("%+v", s)
 	}
-	if s, ok := ask(epoch.Add(94*time.Second), 7, "allow", Unreachable); !ok || s.Step != Pass || !s.StoodIn {
+	if s, ok := ask(epoch.Add(94*time.Second), 7, "allow", Unreachable); !ok || s.Decision != Proceed || !s.FromFallback {
 		t.Errorf("%+v", s)
 	}
 }
@@ -265,9 +265,9 @@
 		}
 		return 5 * time.Millisecond
 	}}
-	d := New(Settings{Targets: 1, Timeout: 200 * time.Millisecond, Most: 1000, Seed: 1,
-		Classes: map[string]Class{"safe": {Mode: Allow, Aim: 400 * time.Millisecond, Worth: 1},
-			"keyed": {Mode: Refuse, Aim: 400 * time.Millisecond, Worth: 1}}})
+	d := New(Settings{Addresses: 1, Timeout: 200 * time.Millisecond, MaxInFlight: 1000, Seed: 1,
+		Classes: map[string]Class{"safe": {Mode: FailOpen, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
+			"keyed": {Mode: FailClosed, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1}}})
 	rng := rand.New(rand.NewPCG(1, 1))
 	phase := func(at time.Duration) *outcome {
 		if at < 10*time.Second {
@@ -286,22 +286,22 @@
 	carry = func(acts []Action) {
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Check:
+			case SendCheck:
 				o := phase(at[a.ID])
 				o.checks++
 				began, over := s.now, false
-				end := func(v Verdict) {
+				end := func(v Outcome) {
 					if !over {
 						over = true
 						allowed[a.ID] = v == Allowed
-						carry(d.Answered(epoch.Add(s.now), a.ID, a.Try, Answer{Verdict: v, Latency: s.now - began}))
+						carry(d.FinishCheck(epoch.Add(s.now), a.ID, a.Attempt, CheckResult{Outcome: v, Latency: s.now - began}))
 					}
 				}
-				s.after(a.Budget, func() { end(Late) })
+				s.after(a.Timeout, func() { end(TimedOut) })
 				s.check(v, func() { end(Allowed) })
-			case Settle:
+			case Resolve:
 				o := phase(at[a.ID])
-				if a.Step == Pass {
+				if a.Decision == Proceed {
 					o.passed++
 					if class[a.ID] == "keyed" && !allowed[a.ID] {
 						o.unasked++
@@ -309,7 +309,7 @@
 				} else {
 					o.late++
 				}
-			case Wake:
+			case ScheduleTick:
 				s.after(a.After, func() { carry(d.Tick(epoch.Add(s.now))) })
 			}
 		}
@@ -324,7 +324,7 @@
 		}
 		phase(s.now).asked++
 		if way == "decider" {
-			carry(d.Begin(epoch.Add(s.now), Request{ID: me, Class: class[me], Customer: "a", Remaining: time.Second}))
+			carry(d.StartRequest(epoch.Add(s.now), Request{ID: me, Class: class[me], Customer: "a", Remaining: time.Second}))
 		} else {
 			o, over := phase(s.now), false
 			o.checks++
@@ -388,7 +388,7 @@
 // Those who ask far beyond their quota don't take the authoriser from others.
 func TestBeyondWaitsLast(t *testing.T) {
 	s := settings(1)
-	s.Most = 4
+	s.MaxInFlight = 4
 	d := New(s)
 	var order []string
 	ids := map[uint64]string{}
@@ -396,18 +396,18 @@
 	begin := func(customer string) []Action {
 		id++
 		ids[id] = customer
-		return d.Begin(epoch, Request{ID: id, Class: "refuse", Customer: customer, Plan: "p", Resource: fmt.Sprint(id), Remaining: time.Second})
+		return d.StartRequest(epoch, Request{ID: id, Class: "refuse", Customer: customer, Plan: "p", Resource: fmt.Sprint(id), Remaining: time.Second})
 	}
-	var out []Check
+	var out []SendCheck
 	refused := 0
 	carry := func(acts []Action) {
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Check:
+			case SendCheck:
 				order = append(order, ids[a.ID])
 				out = append(out, a)
-			case Settle:
-				if a.Step == RefuseQuota {
+			case Resolve:
+				if a.Decision == RejectOverQuota {
 					refused++
 				}
 			}
@@ -422,7 +422,7 @@
 	for len(out) > 0 {
 		c := out[0]
 		out = out[1:]
-		carry(d.Answered(epoch.Add(time.Millisecond), c.ID, c.Try, Answer{Verdict: Allowed, Latency: time.Millisecond}))
+		carry(d.FinishCheck(epoch.Add(time.Millisecond), c.ID, c.Attempt, CheckResult{Outcome: Allowed, Latency: time.Millisecond}))
 	}
 	if refused < 25 {
 		t.Errorf("%d of the flood refused without a Check", refused)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -242,13 +242,13 @@
 }
 
 func authzSettings(cfg *config.Config, seed uint64) authz.Settings {
-	names := map[config.Authorisation]authz.Mode{config.Skip: authz.Skip, config.RefuseClass: authz.Refuse,
-		config.AllowClass: authz.Allow}
+	names := map[config.Authorisation]authz.Mode{config.Skip: authz.Skip, config.RefuseClass: authz.FailClosed,
+		config.AllowClass: authz.FailOpen}
 	a := cfg.Authoriser
-	s := authz.Settings{Classes: map[string]authz.Class{}, Plans: map[string]authz.Plan{}, Targets: len(a.Addresses),
-		Timeout: a.Timeout, Most: a.MostOut, Seed: seed}
+	s := authz.Settings{Classes: map[string]authz.Class{}, Plans: map[string]authz.Plan{}, Addresses: len(a.Addresses),
+		Timeout: a.Timeout, MaxInFlight: a.MostOut, Seed: seed}
 	for _, c := range cfg.Classes {
-		s.Classes[c.Name] = authz.Class{Mode: names[c.Authorisation], Aim: c.LatencyObjective, Worth: c.Worth, Remember: c.Remember}
+		s.Classes[c.Name] = authz.Class{Mode: names[c.Authorisation], LatencyObjective: c.LatencyObjective, PriorityWeight: c.Worth, CacheTTL: c.Remember}
 	}
 	for _, p := range cfg.Plans {
 		s.Plans[p.Name] = authz.Plan{Rate: p.Rate, Burst: p.Burst}
--- a/node/node.go
+++ b/node/node.go
@@ -467,10 +467,10 @@
 	}
 	r.state = authorising
 	if n.nextID%4096 == 0 {
-		n.o.Authz.Forget(n.wall())
+		n.o.Authz.RemoveExpired(n.wall())
 	}
 	t := r.try
-	n.authorise(n.o.Authz.Begin(n.wall(), authz.Request{ID: uint64(r.id), Class: t.Class, Customer: t.Customer, Plan: t.Plan,
+	n.authorise(n.o.Authz.StartRequest(n.wall(), authz.Request{ID: uint64(r.id), Class: t.Class, Customer: t.Customer, Plan: t.Plan,
 		Resource: t.Call.Method + " " + t.Call.Target, Remaining: r.deadline - n.now}))
 }
 
@@ -480,33 +480,33 @@
 func (n *Node) authorise(acts []authz.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case authz.Check:
+		case authz.SendCheck:
 			r := n.reqs[policy.RequestID(a.ID)]
-			r.check, r.checkAt = a.Try, n.now
-			r.limit = n.wheel.Add(n.now+a.Budget, func() {
-				n.checked(r, a.Try, AuthorizationResult{Verdict: authz.Late, Detail: "authoriser: no answer in time"})
+			r.check, r.checkAt = a.Attempt, n.now
+			r.limit = n.wheel.Add(n.now+a.Timeout, func() {
+				n.checked(r, a.Attempt, AuthorizationResult{Verdict: authz.TimedOut, Detail: "authoriser: no answer in time"})
 			})
-			r.cancel = n.o.Authorizer.Check(a.Target, r.try, a.Budget, func(c AuthorizationResult) {
-				n.post(pause.Ended, func() { n.checked(r, a.Try, c) })
+			r.cancel = n.o.Authorizer.Check(a.Address, r.try, a.Timeout, func(c AuthorizationResult) {
+				n.post(pause.Ended, func() { n.checked(r, a.Attempt, c) })
 			})
-		case authz.Cancel:
+		case authz.CancelCheck:
 			if r := n.reqs[policy.RequestID(a.ID)]; r != nil {
 				n.endWork(r)
 			}
-		case authz.Settle:
+		case authz.Resolve:
 			if r := n.reqs[policy.RequestID(a.ID)]; r != nil && r.state == authorising {
 				c := r.checkedAs
-				if a.StoodIn {
-					c, _ = a.Kept.(AuthorizationResult)
+				if a.FromFallback {
+					c, _ = a.CachedPayload.(AuthorizationResult)
 					c.Detail = "authoriser gave no answer: an earlier one or the default stands in"
 				}
 				r.state = deciding
-				n.authorised(r, a.Step, c)
+				n.authorised(r, a.Decision, c)
 			}
-		case authz.Wake:
+		case authz.ScheduleTick:
 			n.wheel.Add(n.now+a.After, func() { n.authorise(n.o.Authz.Tick(n.wall())) })
-		case authz.Note:
-			n.o.Logger.Warn(a.Text, "address", a.Target)
+		case authz.OperatorNote:
+			n.o.Logger.Warn(a.Text, "address", a.Address)
 		}
 	}
 }
@@ -518,9 +518,9 @@
 	}
 	n.endWork(r)
 	r.checkedAs = c
-	n.authorise(n.o.Authz.Answered(n.wall(), uint64(r.id), try, authz.Answer{Verdict: c.Verdict, Latency: n.o.Clock.ActiveTime(r.checkAt, n.now),
-		Stood: n.o.Clock.ActiveTime(r.checkAt, n.now) < n.now-r.checkAt,
-		Life:  c.CacheTTL, Kept: c}))
+	n.authorise(n.o.Authz.FinishCheck(n.wall(), uint64(r.id), try, authz.CheckResult{Outcome: c.Verdict, Latency: n.o.Clock.ActiveTime(r.checkAt, n.now),
+		ProcessPaused: n.o.Clock.ActiveTime(r.checkAt, n.now) < n.now-r.checkAt,
+		CacheTTL:      c.CacheTTL, Payload: c}))
 }
 
 // endWork ends the Check or the attempt that is out.
@@ -537,21 +537,21 @@
 	if r.state == authorising {
 		n.endWork(r)
 		r.state = deciding
-		n.authorise(n.o.Authz.Gone(n.wall(), uint64(r.id)))
+		n.authorise(n.o.Authz.CancelRequest(n.wall(), uint64(r.id)))
 	}
 }
 
-func (n *Node) authorised(r *request, step authz.Step, c AuthorizationResult) {
+func (n *Node) authorised(r *request, step authz.Decision, c AuthorizationResult) {
 	r.detail = c.Detail
 	a := FinalResponse{Kind: Rejected, RetryAfter: n.o.Settings.MaxRetryAfter}
 	switch step {
 	case authz.Deny:
 		a.Reason, a.Response, a.RetryAfter = ReasonAuthorizationDenied, c.Denial, 0
-	case authz.RefuseLate:
+	case authz.RejectTimedOut:
 		a.Reason = ReasonAuthorizationTimeout
-	case authz.RefuseError:
+	case authz.RejectUnreachable:
 		a.Reason = ReasonAuthorizationUnreachable
-	case authz.RefuseQuota:
+	case authz.RejectOverQuota:
 		a.Reason = ReasonQuota
 	default:
 		c.apply(&r.try.Call)
@@ -732,7 +732,7 @@
 		n.answer(r, FinalResponse{Kind: Served, Response: res.Response})
 	}
 	if res.Code == policy.OK && n.o.Authz != nil {
-		n.o.Authz.Took(r.try.Class, cmp.Or(res.Latency, n.o.Clock.ActiveTime(r.sentAt, n.now)))
+		n.o.Authz.RecordLatency(r.try.Class, cmp.Or(res.Latency, n.o.Clock.ActiveTime(r.sentAt, n.now)))
 	}
 	over := r.state == answered
 	if r.state == out {
--- a/node/types.go
+++ b/node/types.go
@@ -142,7 +142,7 @@
 
 // AuthorizationResult is how a Check ended.
 type AuthorizationResult struct {
-	Verdict         authz.Verdict
+	Verdict         authz.Outcome
 	Denial          *Response     // of Denied
 	SetHeaders      http1.Header  // of Allowed: fields that replace the client's
 	AppendHeaders   http1.Header  // fields added to them
--- a/upstream/extauthz/client.go
+++ b/upstream/extauthz/client.go
@@ -155,7 +155,7 @@
 	if err != nil {
 		c := node.AuthorizationResult{Verdict: authz.Unreachable, Detail: "authoriser: " + err.Error()}
 		if status.Code(err) == codes.DeadlineExceeded {
-			c.Verdict = authz.Late
+			c.Verdict = authz.TimedOut
 		}
 		return c
 	}
