--- /dev/null
+++ b/authz/address.go
@@ -0,0 +1,123 @@
+package authz
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+const (
+	// latencyWeight is the weight of one result in the moving average of an address's latency.
+	latencyWeight = 0.2
+	// minScoreSeconds is added to the latency in a score, so that addresses without results
+	// still differ by their checks in flight.
+	minScoreSeconds = 1e-4
+	// scoreJitter spreads scores by this share up and down, so that equal addresses take turns.
+	scoreJitter = 0.1
+)
+
+// address is the state of one address of the service.
+type address struct {
+	index          int
+	inFlight       int
+	latencySeconds float64 // moving average
+	limit          concurrencyLimit
+	breaker        circuitBreaker
+}
+
+func newAddress(index, maxInFlight int) *address {
+	return &address{index: index, limit: newConcurrencyLimit(maxInFlight)}
+}
+
+// accepts reports whether one more check may be sent now.
+func (a *address) accepts(now time.Time) bool {
+	return a.breaker.allows(now) && a.limit.allows(a.inFlight)
+}
+
+func (a *address) checkSent() {
+	a.inFlight++
+	a.breaker.checkSent()
+}
+
+func (a *address) checkCanceled() {
+	a.inFlight--
+	a.breaker.checkEnded()
+}
+
+// breakerChange is what the end of a check did to the breaker of its address.
+type breakerChange int
+
+const (
+	breakerUnchanged breakerChange = iota
+	breakerOpened
+	breakerClosed
+)
+
+// checkEnded takes in the result of a check.
+func (a *address) checkEnded(now time.Time, result CheckResult, timeout time.Duration, rng *rand.Rand) breakerChange {
+	a.inFlight--
+	probe := a.breaker.checkEnded()
+	switch {
+	case result.Outcome.hasResult():
+		return a.recordResult(now, result.Latency)
+	case result.ProcessPaused:
+		return breakerUnchanged
+	default:
+		return a.recordFailure(now, probe, timeout, rng)
+	}
+}
+
+func (a *address) recordFailure(now time.Time, probe bool, timeout time.Duration, rng *rand.Rand) breakerChange {
+	a.limit.recordFailure()
+	if a.breaker.recordFailure(now, probe, timeout, rng) {
+		return breakerOpened
+	}
+	return breakerUnchanged
+}
+
+func (a *address) recordResult(now time.Time, latency time.Duration) breakerChange {
+	a.latencySeconds += latencyWeight * (latency.Seconds() - a.latencySeconds)
+	a.limit.recordResult(latency.Seconds(), a.inFlight)
+	if !a.breaker.recordResult(now) {
+		return breakerUnchanged
+	}
+	a.limit.reset()
+	return breakerClosed
+}
+
+// score is the expected time of one more check; lower is better.
+func (a *address) score(rng *rand.Rand) float64 {
+	score := a.latencySeconds + minScoreSeconds
+	score *= float64(1 + a.inFlight)
+	score *= 1 + float64(a.breaker.failures)
+	score *= 1 - scoreJitter + 2*scoreJitter*rng.Float64()
+	return score
+}
+
+// pickAddress returns the address with the lowest score of those that accept a check for a
+// request, or nil. A retry goes to another address than the latest check, where there are two.
+func (d *Decider) pickAddress(r *pendingRequest) *address {
+	var best *address
+	lowest := 0.0
+	for _, a := range d.addresses {
+		retriesSame := a.index == r.lastAddress && len(d.addresses) > 1
+		if retriesSame || !a.accepts(d.now) {
+			continue
+		}
+		if score := a.score(d.rng); best == nil || score < lowest {
+			best = a
+			lowest = score
+		}
+	}
+	return best
+}
+
+// allOpen reports whether the breakers of all addresses are open.
+func (d *Decider) allOpen() bool {
+	return !slices.ContainsFunc(d.addresses, func(a *address) bool { return !a.breaker.open(d.now) })
+}
+
+// hasHealthyBeside reports whether an address other than one is healthy.
+func (d *Decider) hasHealthyBeside(one *address) bool {
+	return slices.ContainsFunc(d.addresses, func(a *address) bool { return a != one && a.breaker.healthy(d.now) })
+}
--- /dev/null
+++ b/authz/decider.go
@@ -0,0 +1,268 @@
+package authz
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	// maxAttempts is how many checks one request may have, one after the other.
+	maxAttempts = 2
+	// tickSlack is added to the time of a tick, so that it comes after the moment that it is for.
+	tickSlack = time.Millisecond
+	// rngStream tells the random numbers apart from those of other users of the same seed.
+	rngStream = 3
+)
+
+// Decider decides for one gateway. Its methods for events return the actions that follow, valid
+// until the next call, and must be called with times that do not go back. They do not block, and
+// are not safe for concurrent use.
+type Decider struct {
+	settings  Settings
+	rng       *rand.Rand
+	classes   map[string]*classState
+	addresses []*address
+	requests  map[uint64]*pendingRequest
+	queue     requestQueue
+	cache     *resultCache
+	quota     *quotaEstimator
+	tickAt    time.Time // of the tick that was asked for; zero: none
+
+	// Of the event that is handled now.
+	now     time.Time
+	actions []Action
+}
+
+// New returns a Decider without requests. It keeps the maps of the settings.
+func New(s Settings) *Decider {
+	d := &Decider{
+		settings: s,
+		rng:      rand.New(rand.NewPCG(s.Seed, rngStream)),
+		classes:  map[string]*classState{},
+		requests: map[uint64]*pendingRequest{},
+		cache:    newResultCache(),
+		quota:    newQuotaEstimator(s.Plans),
+	}
+	for name, c := range s.Classes {
+		d.classes[name] = newClassState(c)
+	}
+	for i := range s.Addresses {
+		d.addresses = append(d.addresses, newAddress(i, s.MaxInFlight))
+	}
+	return d
+}
+
+// InFlight returns the number of checks in flight at all addresses.
+func (d *Decider) InFlight() int {
+	sum := 0
+	for _, a := range d.addresses {
+		sum += a.inFlight
+	}
+	return sum
+}
+
+// QueueLength returns the number of requests that wait for a check.
+func (d *Decider) QueueLength() int { return d.queue.len() }
+
+// StartRequest takes in a new request. One [Resolve] follows for it, now or later, unless
+// [Decider.CancelRequest] comes first.
+func (d *Decider) StartRequest(now time.Time, request Request) []Action {
+	d.beginEvent(now)
+	class := d.classes[request.Class]
+	if class == nil || class.Mode == Skip {
+		d.emit(Resolve{ID: request.ID, Decision: Proceed})
+		return d.actions
+	}
+	checkTime := class.checkTime(request.Remaining, d.settings.Timeout)
+	r := &pendingRequest{
+		Request:     request,
+		class:       class,
+		startedAt:   now,
+		deadline:    now.Add(checkTime),
+		overQuota:   d.quota.take(now, request.Customer, request.Plan),
+		address:     noAddress,
+		lastAddress: noAddress,
+	}
+	d.requests[r.ID] = r
+	switch {
+	case checkTime < minCheckTimeout:
+		d.resolveByFallback(r)
+	case r.overQuota && d.queue.len() > 0:
+		// The service is short of capacity, which is not for customers over their quota.
+		d.resolve(r, Resolve{Decision: RejectOverQuota})
+	case d.queue.len() >= maxQueueLength:
+		d.resolveByFallback(r)
+	default:
+		d.queue.push(r)
+		d.sendChecks()
+	}
+	if d.tickAt.IsZero() || r.deadline.Before(d.tickAt) {
+		d.scheduleTick()
+	}
+	return d.actions
+}
+
+// FinishCheck takes in the result of a check. The result of an attempt that is not in flight is
+// ignored.
+func (d *Decider) FinishCheck(now time.Time, id uint64, attempt int, result CheckResult) []Action {
+	d.beginEvent(now)
+	r := d.requests[id]
+	if r == nil || !r.inFlight() || attempt != r.attempts-1 {
+		return nil
+	}
+	asked := d.addresses[r.address]
+	r.address = noAddress
+	d.noteBreaker(asked, asked.checkEnded(now, result, d.settings.Timeout, d.rng))
+	if result.Outcome.hasResult() {
+		if ttl := cmp.Or(result.CacheTTL, r.class.CacheTTL); ttl > 0 {
+			d.cache.put(now, r.cacheKey(), result, ttl)
+		}
+		d.resolveByResult(r, result.Outcome)
+	} else {
+		r.unreachable = r.unreachable || result.Outcome == Unreachable
+		d.retryOrFallBack(r, asked)
+	}
+	d.endEvent()
+	return d.actions
+}
+
+// CancelRequest takes in that a request needs no decision any more. Nothing follows for it but
+// [CancelCheck], where a check is in flight.
+func (d *Decider) CancelRequest(now time.Time, id uint64) []Action {
+	d.beginEvent(now)
+	r := d.requests[id]
+	if r == nil {
+		return nil
+	}
+	delete(d.requests, id)
+	if r.inFlight() {
+		d.addresses[r.address].checkCanceled()
+		r.address = noAddress
+		d.emit(CancelCheck{ID: id})
+	}
+	d.queue.remove(r)
+	d.endEvent()
+	return d.actions
+}
+
+// Tick must be called when [ScheduleTick] asked for it. Requests that have waited too long get no
+// result; addresses whose breakers became half-open are probed.
+func (d *Decider) Tick(now time.Time) []Action {
+	d.beginEvent(now)
+	if !now.Before(d.tickAt) {
+		d.tickAt = time.Time{}
+	}
+	for _, r := range d.queue.removeLate(now) {
+		d.resolveByFallback(r)
+	}
+	d.endEvent()
+	return d.actions
+}
+
+// RecordLatency takes in how long a successful attempt of a class took at the servers.
+func (d *Decider) RecordLatency(class string, latency time.Duration) {
+	if c := d.classes[class]; c != nil {
+		c.recordLatency(latency)
+	}
+}
+
+// RemoveExpired frees the memory of expired results and of idle customers. It should be called
+// now and then; decisions do not depend on it.
+func (d *Decider) RemoveExpired(now time.Time) {
+	d.cache.removeExpired(now)
+	d.quota.removeIdle(now)
+}
+
+func (d *Decider) beginEvent(now time.Time) {
+	d.now = now
+	d.actions = nil
+}
+
+// endEvent uses the capacity that an event has freed.
+func (d *Decider) endEvent() {
+	d.sendChecks()
+	if d.tickAt.IsZero() {
+		d.scheduleTick()
+	}
+}
+
+func (d *Decider) emit(a Action) { d.actions = append(d.actions, a) }
+
+// retryOrFallBack goes on with a request whose check gave no result. The retry goes to another
+// address, where one is healthy.
+func (d *Decider) retryOrFallBack(r *pendingRequest, asked *address) {
+	if r.attempts < maxAttempts && r.timeLeft(d.now) >= minCheckTimeout && d.hasHealthyBeside(asked) {
+		d.queue.push(r)
+	} else {
+		d.resolveByFallback(r)
+	}
+}
+
+// sendChecks sends checks for requests in the queue, as far as the addresses accept them.
+func (d *Decider) sendChecks() {
+	for r := d.queue.first(); r != nil; r = d.queue.first() {
+		a := d.pickAddress(r)
+		if a == nil {
+			if d.allOpen() {
+				d.resolveUnreachable()
+			}
+			return
+		}
+		d.queue.remove(r)
+		if r.timeLeft(d.now) < minCheckTimeout {
+			d.resolveByFallback(r)
+			continue
+		}
+		d.sendCheck(r, a)
+	}
+}
+
+func (d *Decider) sendCheck(r *pendingRequest, a *address) {
+	timeout := r.timeLeft(d.now)
+	if r.attempts == 0 && d.hasHealthyBeside(a) {
+		timeout = time.Duration(firstCheckShare * float64(timeout))
+	}
+	attempt := r.attempts
+	r.attempts++
+	r.address = a.index
+	r.lastAddress = a.index
+	a.checkSent()
+	d.emit(SendCheck{ID: r.ID, Attempt: attempt, Address: a.index, Timeout: timeout})
+}
+
+// resolveUnreachable empties the queue when no address may be asked: waiting would be in vain.
+func (d *Decider) resolveUnreachable() {
+	for _, r := range d.queue.removeAll() {
+		r.unreachable = true
+		d.resolveByFallback(r)
+	}
+}
+
+func (d *Decider) noteBreaker(a *address, change breakerChange) {
+	switch change {
+	case breakerOpened:
+		d.emit(OperatorNote{Address: a.index, Text: "authorization address failed repeatedly; circuit breaker opened"})
+	case breakerClosed:
+		d.emit(OperatorNote{Address: a.index, Text: "authorization address recovered; circuit breaker closed"})
+	}
+}
+
+// scheduleTick asks for a tick when the first request in the queue runs out of time, or an open
+// breaker becomes half-open, unless an earlier one was asked for.
+func (d *Decider) scheduleTick() {
+	if d.queue.len() == 0 {
+		return
+	}
+	next := d.queue.earliestDeadline().Add(-minCheckTimeout)
+	for _, a := range d.addresses {
+		if a.breaker.open(d.now) && a.breaker.openUntil.Before(next) {
+			next = a.breaker.openUntil
+		}
+	}
+	if !d.tickAt.IsZero() && !next.Before(d.tickAt) {
+		return
+	}
+	d.tickAt = next
+	d.emit(ScheduleTick{After: max(0, next.Sub(d.now)) + tickSlack})
+}
--- /dev/null
+++ b/authz/over_quota.go
@@ -0,0 +1,59 @@
+package authz
+
+import "time"
+
+const (
+	// overQuotaFactor times its plan's rate is what a customer may request before it is over
+	// quota here. It is above 1 because the policy counts exactly, after the check; here only
+	// those who would use up the service's capacity in vain are kept behind others.
+	overQuotaFactor = 2.0
+	// bucketIdleTime after its last request a customer's bucket is dropped.
+	bucketIdleTime = time.Minute
+)
+
+// tokenBucket holds the requests that a customer may start now.
+type tokenBucket struct {
+	tokens    float64
+	updatedAt time.Time
+}
+
+// quotaEstimator tells which customers send far more requests than their plans allow.
+type quotaEstimator struct {
+	plans   map[string]Plan
+	buckets map[string]*tokenBucket // by customer
+}
+
+func newQuotaEstimator(plans map[string]Plan) *quotaEstimator {
+	return &quotaEstimator{plans: plans, buckets: map[string]*tokenBucket{}}
+}
+
+// take counts a request, and reports whether its customer is over quota.
+func (e *quotaEstimator) take(now time.Time, customer, planName string) (overQuota bool) {
+	plan := e.plans[planName]
+	if plan.Rate <= 0 {
+		return false
+	}
+	capacity := max(1, plan.Burst)
+	b := e.buckets[customer]
+	if b == nil {
+		b = &tokenBucket{tokens: capacity, updatedAt: now}
+		e.buckets[customer] = b
+	}
+	elapsed := now.Sub(b.updatedAt).Seconds()
+	b.tokens = min(capacity, b.tokens+overQuotaFactor*plan.Rate*elapsed)
+	b.updatedAt = now
+	if b.tokens < 1 {
+		return true
+	}
+	b.tokens--
+	return false
+}
+
+// removeIdle drops the buckets of customers that have not been seen for a while.
+func (e *quotaEstimator) removeIdle(now time.Time) {
+	for customer, b := range e.buckets {
+		if now.Sub(b.updatedAt) > bucketIdleTime {
+			delete(e.buckets, customer)
+		}
+	}
+}
