--- /dev/null
+++ b/authz/circuit_breaker_test.go
@@ -0,0 +1,78 @@
+package authz
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+const breakerTestTimeout = 200 * time.Millisecond
+
+func failCheck(b *circuitBreaker, now time.Time, rng *rand.Rand) (opened bool) {
+	b.checkSent()
+	return b.recordFailure(now, b.checkEnded(), breakerTestTimeout, rng)
+}
+
+func passCheck(b *circuitBreaker, now time.Time) (closed bool) {
+	b.checkSent()
+	b.checkEnded()
+	return b.recordResult(now)
+}
+
+func TestBreakerOpensAfterFailuresWithoutResults(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	b := &circuitBreaker{}
+	now := testStart
+	passCheck(b, now)
+	for range 2 * openAfterFailures {
+		if failCheck(b, now.Add(breakerTestTimeout), rng) {
+			t.Fatal("opened while results came lately")
+		}
+	}
+	now = now.Add(openAfterTimeouts*breakerTestTimeout + 1)
+	if !failCheck(b, now, rng) || !b.open(now) || b.allows(now) {
+		t.Errorf("not open: %+v", b)
+	}
+}
+
+func TestBreakerOpensForLongerAfterEachFailedProbe(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	b := &circuitBreaker{}
+	now := testStart
+	for range openAfterFailures {
+		failCheck(b, now, rng)
+	}
+	for want := minOpenTime; want <= 4*maxOpenTime; want *= 2 {
+		expected := min(want, maxOpenTime)
+		got := b.openUntil.Sub(now)
+		if got < time.Duration(0.8*float64(expected)) || got > time.Duration(1.2*float64(expected)) {
+			t.Errorf("open for %v, want %v within a fifth", got, expected)
+		}
+		now = b.openUntil
+		if failCheck(b, now, rng) {
+			t.Error("a failed probe reported as an opening")
+		}
+	}
+}
+
+func TestBreakerClosesAfterSuccessfulProbes(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	b := &circuitBreaker{}
+	for range openAfterFailures {
+		failCheck(b, testStart, rng)
+	}
+	now := b.openUntil
+	b.checkSent()
+	if b.allows(now) {
+		t.Error("two probes at once")
+	}
+	b.checkEnded()
+	for probe := 1; probe <= closeAfterProbes; probe++ {
+		if closed := passCheck(b, now); closed != (probe == closeAfterProbes) {
+			t.Errorf("after %d probes: closed is %v", probe, closed)
+		}
+	}
+	if !b.healthy(now) || !b.allows(now) {
+		t.Errorf("not closed: %+v", b)
+	}
+}
--- /dev/null
+++ b/authz/fallback_test.go
@@ -0,0 +1,75 @@
+package authz
+
+import (
+	"testing"
+	"time"
+)
+
+// checkOnce starts a request and finishes its first check.
+func checkOnce(d *Decider, now time.Time, id uint64, class string, outcome Outcome) (Resolve, bool) {
+	request := Request{ID: id, Class: class, Customer: "a", Resource: "x", Remaining: time.Second}
+	c, ok := firstAction[SendCheck](d.StartRequest(now, request))
+	if !ok {
+		return Resolve{}, false
+	}
+	result := CheckResult{Outcome: outcome, Latency: time.Millisecond, Payload: "payload"}
+	return firstAction[Resolve](d.FinishCheck(now.Add(time.Millisecond), c.ID, c.Attempt, result))
+}
+
+// A recent result, a denial too, takes the place of one that does not come, until it expires;
+// else the mode of the class decides.
+func TestCachedResultReplacesAMissingOne(t *testing.T) {
+	d := New(testSettings(1))
+	if r, ok := checkOnce(d, testStart, 1, "cached", Allowed); !ok || r.Decision != Proceed || r.FromFallback {
+		t.Errorf("%+v", r)
+	}
+	if r, ok := checkOnce(d, testStart.Add(30*time.Second), 2, "cached", TimedOut); !ok || r.Decision != Proceed || !r.FromFallback || r.CachedPayload != "payload" {
+		t.Errorf("%+v", r)
+	}
+	if r, ok := checkOnce(d, testStart.Add(90*time.Second), 3, "cached", TimedOut); !ok || r.Decision != RejectTimedOut {
+		t.Errorf("%+v", r)
+	}
+	if r, ok := checkOnce(d, testStart.Add(91*time.Second), 4, "cached", Denied); !ok || r.Decision != Deny {
+		t.Errorf("%+v", r)
+	}
+	if r, ok := checkOnce(d, testStart.Add(92*time.Second), 5, "cached", Unreachable); !ok || r.Decision != Deny || !r.FromFallback {
+		t.Errorf("%+v", r)
+	}
+	if r, ok := checkOnce(d, testStart.Add(93*time.Second), 6, "closed", Unreachable); !ok || r.Decision != RejectUnreachable {
+		t.Errorf("%+v", r)
+	}
+	if r, ok := checkOnce(d, testStart.Add(94*time.Second), 7, "open", Unreachable); !ok || r.Decision != Proceed || !r.FromFallback {
+		t.Errorf("%+v", r)
+	}
+}
+
+// The time that the service states for a result comes before that of the class.
+func TestStatedTimeOfAResultComesFirst(t *testing.T) {
+	d := New(testSettings(1))
+	d.StartRequest(testStart, Request{ID: 1, Class: "cached", Customer: "a", Resource: "x", Remaining: time.Second})
+	d.FinishCheck(testStart, 1, 0, CheckResult{Outcome: Allowed, CacheTTL: 2 * time.Second})
+	if r, ok := checkOnce(d, testStart.Add(time.Second), 2, "cached", TimedOut); !ok || r.Decision != Proceed || !r.FromFallback {
+		t.Errorf("within the stated time: %+v", r)
+	}
+	if r, ok := checkOnce(d, testStart.Add(3*time.Second), 3, "cached", TimedOut); !ok || r.Decision != RejectTimedOut {
+		t.Errorf("after the stated time: %+v", r)
+	}
+}
+
+func TestCacheIsBoundedAndForgetsExpiredResults(t *testing.T) {
+	c := newResultCache()
+	for i := range maxCacheEntries + 10 {
+		c.put(testStart, cacheKey{customer: "a", resource: time.Duration(i).String()}, CheckResult{}, time.Second)
+	}
+	if len(c.entries) != maxCacheEntries {
+		t.Errorf("%d entries, want %d", len(c.entries), maxCacheEntries)
+	}
+	c.removeExpired(testStart.Add(time.Second))
+	if len(c.entries) != maxCacheEntries {
+		t.Errorf("%d entries left in the moment of expiry", len(c.entries))
+	}
+	c.removeExpired(testStart.Add(2 * time.Second))
+	if len(c.entries) != 0 {
+		t.Errorf("%d expired entries left", len(c.entries))
+	}
+}
--- /dev/null
+++ b/authz/over_quota_test.go
@@ -0,0 +1,31 @@
+package authz
+
+import (
+	"testing"
+	"time"
+)
+
+func TestQuotaEstimate(t *testing.T) {
+	e := newQuotaEstimator(map[string]Plan{"p": {Rate: 5, Burst: 3}, "unlimited": {}})
+	for i := range 4 {
+		if over := e.take(testStart, "a", "p"); over != (i == 3) {
+			t.Errorf("request %d of a burst of 3: over quota is %v", i+1, over)
+		}
+	}
+	if e.take(testStart, "b", "p") {
+		t.Error("another customer of the plan is over quota")
+	}
+	for range 100 {
+		if e.take(testStart, "c", "unlimited") || e.take(testStart, "d", "unknown") {
+			t.Fatal("over quota without a rate")
+		}
+	}
+	refilled := testStart.Add(100 * time.Millisecond) // one token at twice the rate of 5
+	if e.take(refilled, "a", "p") || !e.take(refilled, "a", "p") {
+		t.Error("not one token after the time for one")
+	}
+	e.removeIdle(refilled.Add(bucketIdleTime))
+	if len(e.buckets) != 1 {
+		t.Errorf("%d buckets, want that of a alone", len(e.buckets))
+	}
+}
--- /dev/null
+++ b/authz/slow_service_test.go
@@ -0,0 +1,279 @@
+package authz
+
+import (
+	"container/heap"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// simulation is a discrete-event simulation in virtual time.
+type simulation struct {
+	now    time.Duration
+	events simEvents
+	seq    int
+}
+
+type simEvent struct {
+	at  time.Duration
+	seq int // orders events of one moment
+	run func()
+}
+
+// simEvents is a heap, the earliest event first.
+type simEvents []simEvent
+
+func (h simEvents) Len() int { return len(h) }
+func (h simEvents) Less(i, k int) bool {
+	return h[i].at < h[k].at || h[i].at == h[k].at && h[i].seq < h[k].seq
+}
+func (h simEvents) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
+func (h *simEvents) Push(x any)   { *h = append(*h, x.(simEvent)) }
+func (h *simEvents) Pop() any {
+	old := *h
+	e := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return e
+}
+
+func (s *simulation) after(d time.Duration, run func()) {
+	s.seq++
+	heap.Push(&s.events, simEvent{s.now + d, s.seq, run})
+}
+
+func (s *simulation) runUntil(end time.Duration) {
+	for len(s.events) > 0 && s.now < end {
+		e := heap.Pop(&s.events).(simEvent)
+		s.now = e.at
+		e.run()
+	}
+}
+
+// simService is a simulated authorization service with a number of cores. It works on a check
+// even when nobody waits for it any more.
+type simService struct {
+	sim      *simulation
+	cores    int
+	busy     int
+	queue    []func()
+	workTime func(now time.Duration) time.Duration
+}
+
+func (v *simService) check(done func()) {
+	start := func() {
+		v.sim.after(v.workTime(v.sim.now), func() {
+			v.coreFree()
+			done()
+		})
+	}
+	if v.busy < v.cores {
+		v.busy++
+		start()
+	} else {
+		v.queue = append(v.queue, start)
+	}
+}
+
+func (v *simService) coreFree() {
+	if len(v.queue) == 0 {
+		v.busy--
+		return
+	}
+	next := v.queue[0]
+	v.queue = v.queue[1:]
+	next()
+}
+
+// clientKind is the way in which the simulated gateway asks the service.
+type clientKind string
+
+const (
+	withDecider     clientKind = "decider"
+	fixedFailClosed clientKind = "fails closed" // a fixed timeout, then the request is rejected
+	fixedFailOpen   clientKind = "fails open"   // a fixed timeout, then the request proceeds
+)
+
+// The service is slow from slowFrom to slowUntil. Requests come until lastArrival, and the
+// simulation ends at simulationEnd.
+const (
+	slowFrom      = 10 * time.Second
+	slowUntil     = 30 * time.Second
+	lastArrival   = 40 * time.Second
+	simulationEnd = 60 * time.Second
+
+	simRate         = 300.0 // requests a second
+	simKeyedShare   = 0.4   // of requests that must not proceed unchecked
+	simCheckTimeout = 200 * time.Millisecond
+)
+
+// requestCounts is what came of the requests that started in a phase.
+type requestCounts struct{ started, proceeded, rejected, unchecked, checks int }
+
+// simRequest is a request of the simulation.
+type simRequest struct {
+	keyed   bool // must not proceed unchecked
+	allowed bool // by the service
+	counts  *requestCounts
+}
+
+func (r *simRequest) proceed() {
+	r.counts.proceeded++
+	if r.keyed && !r.allowed {
+		r.counts.unchecked++
+	}
+}
+
+// slowService simulates a service that becomes slow and recovers.
+type slowService struct {
+	sim      *simulation
+	service  *simService
+	client   clientKind
+	decider  *Decider
+	rng      *rand.Rand
+	requests map[uint64]*simRequest
+	lastID   uint64
+
+	before, during, after requestCounts
+}
+
+// simulateSlowService counts the requests that start while a check takes slowTime in place of
+// 5 ms, and those that start afterwards.
+func simulateSlowService(slowTime time.Duration, client clientKind) (during, after requestCounts) {
+	const normalTime = 5 * time.Millisecond
+	sim := &simulation{}
+	w := &slowService{
+		sim: sim,
+		service: &simService{sim: sim, cores: 4, workTime: func(now time.Duration) time.Duration {
+			if now >= slowFrom && now < slowUntil {
+				return slowTime
+			}
+			return normalTime
+		}},
+		client: client,
+		decider: New(Settings{Addresses: 1, Timeout: simCheckTimeout, MaxInFlight: 1000, Seed: 1,
+			Classes: map[string]Class{
+				"safe":  {Mode: FailOpen, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
+				"keyed": {Mode: FailClosed, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
+			}}),
+		rng:      rand.New(rand.NewPCG(1, 1)),
+		requests: map[uint64]*simRequest{},
+	}
+	sim.after(0, w.arrive)
+	sim.runUntil(simulationEnd)
+	return w.during, w.after
+}
+
+// countsNow are those of the phase in which a request starts now.
+func (w *slowService) countsNow() *requestCounts {
+	switch {
+	case w.sim.now < slowFrom:
+		return &w.before
+	case w.sim.now < slowUntil:
+		return &w.during
+	default:
+		return &w.after
+	}
+}
+
+func (w *slowService) clock() time.Time { return testStart.Add(w.sim.now) }
+
+func (w *slowService) arrive() {
+	w.lastID++
+	r := &simRequest{keyed: w.rng.Float64() < simKeyedShare, counts: w.countsNow()}
+	w.requests[w.lastID] = r
+	r.counts.started++
+	if w.client == withDecider {
+		class := "safe"
+		if r.keyed {
+			class = "keyed"
+		}
+		w.carryOut(w.decider.StartRequest(w.clock(), Request{ID: w.lastID, Class: class, Customer: "a", Remaining: time.Second}))
+	} else {
+		w.checkWithFixedTimeout(r)
+	}
+	if w.sim.now < lastArrival {
+		w.sim.after(time.Duration(w.rng.ExpFloat64()/simRate*float64(time.Second)), w.arrive)
+	}
+}
+
+func (w *slowService) checkWithFixedTimeout(r *simRequest) {
+	r.counts.checks++
+	finished := false
+	w.sim.after(simCheckTimeout, func() {
+		if finished {
+			return
+		}
+		finished = true
+		if w.client == fixedFailOpen {
+			r.proceed()
+		} else {
+			r.counts.rejected++
+		}
+	})
+	w.service.check(func() {
+		if !finished {
+			finished = true
+			r.allowed = true
+			r.proceed()
+		}
+	})
+}
+
+func (w *slowService) carryOut(actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case SendCheck:
+			w.sendCheck(a)
+		case Resolve:
+			if r := w.requests[a.ID]; a.Decision == Proceed {
+				r.proceed()
+			} else {
+				r.counts.rejected++
+			}
+		case ScheduleTick:
+			w.sim.after(a.After, func() { w.carryOut(w.decider.Tick(w.clock())) })
+		}
+	}
+}
+
+func (w *slowService) sendCheck(a SendCheck) {
+	r := w.requests[a.ID]
+	r.counts.checks++
+	startedAt := w.sim.now
+	finished := false
+	finish := func(outcome Outcome) {
+		if finished {
+			return
+		}
+		finished = true
+		r.allowed = outcome == Allowed
+		result := CheckResult{Outcome: outcome, Latency: w.sim.now - startedAt}
+		w.carryOut(w.decider.FinishCheck(w.clock(), a.ID, a.Attempt, result))
+	}
+	w.sim.after(a.Timeout, func() { finish(TimedOut) })
+	w.service.check(func() { finish(Allowed) })
+}
+
+// The service slows from 5 ms to 50 ms or 2 s, and recovers. Requests that fail open proceed, none
+// that fails closed does unchecked; once the service is back, so are the requests, without a
+// second overload by checks that nobody waits for.
+func TestSlowServiceTermOpening(t *testing.T) {
+	for _, slowTime := range []time.Duration{50 * time.Millisecond, 2 * time.Second} {
+		for _, client := range []clientKind{withDecider, fixedFailClosed, fixedFailOpen} {
+			during, after := simulateSlowService(slowTime, client)
+			t.Logf("%v, %s: during %+v, after %+v", slowTime, client, during, after)
+			if client != withDecider {
+				continue
+			}
+			if during.unchecked+after.unchecked > 0 {
+				t.Errorf("%d keyed requests proceeded unchecked", during.unchecked+after.unchecked)
+			}
+			if share := float64(after.proceeded) / float64(after.started); share < 0.85 {
+				t.Errorf("%v: after the recovery %.2f proceed", slowTime, share)
+			}
+			if share := float64(during.proceeded) / float64(during.started); share < 0.55 {
+				t.Errorf("%v: %.2f proceed, 0.6 fail open", slowTime, share)
+			}
+		}
+	}
+}
