--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -104,7 +104,7 @@
 		opt.Upstream = g.o.Carry(pool)
 	}
 	if a := cfg.Authoriser; a != nil {
-		c, err := ask.Dial(o.Network, a.Addresses, ask.Rules{Body: a.Body, Allowed: a.Allowed, Disallowed: a.Forbidden})
+		c, err := ask.Dial(o.Network, a.Addresses, ask.RequestRules{MaxBodyBytes: a.Body, AllowedHeaders: a.Allowed, DisallowedHeaders: a.Forbidden})
 		if err != nil {
 			return g, fmt.Errorf("authoriser: %w", err)
 		}
--- a/upstream/extauthz/client.go
+++ b/upstream/extauthz/client.go
@@ -29,29 +29,29 @@
 // Client asks an authorisation service by its addresses. It is a
 // node.Authoriser.
 type Client struct {
-	targets []target
-	rules   Rules
+	connections []connection
+	rules       RequestRules
 }
 
-// Rules say what of a request an authoriser is sent.
-type Rules struct {
-	Body       int      // bytes of the body at most; 0: none of it. What is cut is marked as partial
-	Allowed    []string // header fields in canonical form; empty: all
-	Disallowed []string
+// RequestRules say what of a request an authoriser is sent.
+type RequestRules struct {
+	MaxBodyBytes      int      // bytes of the body at most; 0: none of it. What is cut is marked as partial
+	AllowedHeaders    []string // header fields in canonical form; empty: all
+	DisallowedHeaders []string
 }
 
-type target struct {
-	cc   *grpc.ClientConn
-	auth authv3.AuthorizationClient
+type connection struct {
+	conn    *grpc.ClientConn
+	service authv3.AuthorizationClient
 }
 
-// MetadataLife is the name in dynamic_metadata under which an authoriser states,
+// CacheTTLMetadata is the name in dynamic_metadata under which an authoriser states,
 // in milliseconds, how long its answer may stand in where it gives none.
-const MetadataLife = "cache_ttl_ms"
+const CacheTTLMetadata = "cache_ttl_ms"
 
 // Dial makes a client for addresses. It connects when first used, and again
 // within a second once an authoriser is back.
-func Dial(n network.Network, addresses []string, rules Rules) (*Client, error) {
+func Dial(n network.Network, addresses []string, rules RequestRules) (*Client, error) {
 	c := &Client{rules: rules}
 	for _, a := range addresses {
 		t, err := dial(n, a)
@@ -59,27 +59,27 @@
 			c.Close()
 			return nil, err
 		}
-		c.targets = append(c.targets, t)
+		c.connections = append(c.connections, t)
 	}
 	return c, nil
 }
 
-func dial(n network.Network, address string) (target, error) {
+func dial(n network.Network, address string) (connection, error) {
 	cc, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return n.Dial(ctx, addr) }),
 		grpc.WithDisableServiceConfig(), grpc.WithDisableRetry(),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
 			Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}}))
 	if err != nil {
-		return target{}, err
+		return connection{}, err
 	}
-	return target{cc, authv3.NewAuthorizationClient(cc)}, nil
+	return connection{cc, authv3.NewAuthorizationClient(cc)}, nil
 }
 
 // Close ends the connections; Checks under way fail.
 func (c *Client) Close() {
-	for _, t := range c.targets {
-		t.cc.Close()
+	for _, t := range c.connections {
+		t.conn.Close()
 	}
 }
 
@@ -90,7 +90,7 @@
 	req := c.request(t)
 	go func() {
 		defer stop()
-		resp, err := c.targets[num].auth.Check(ctx, req)
+		resp, err := c.connections[num].service.Check(ctx, req)
 		if ctx.Err() == context.Canceled {
 			return
 		}
@@ -102,7 +102,7 @@
 func (c *Client) request(t *node.Request) *authv3.CheckRequest {
 	headers := make(map[string]string, len(t.Call.Header))
 	for _, f := range t.Call.Header {
-		if len(c.rules.Allowed) > 0 && !slices.Contains(c.rules.Allowed, f.Name) || slices.Contains(c.rules.Disallowed, f.Name) {
+		if len(c.rules.AllowedHeaders) > 0 && !slices.Contains(c.rules.AllowedHeaders, f.Name) || slices.Contains(c.rules.DisallowedHeaders, f.Name) {
 			continue
 		}
 		name := strings.ToLower(f.Name)
@@ -113,8 +113,8 @@
 		headers[name] = value
 	}
 	// What stands where a body was cut is Envoy's word for it.
-	body := t.Call.Body[:min(len(t.Call.Body), c.rules.Body)]
-	if c.rules.Body > 0 && len(t.Call.Body) > 0 {
+	body := t.Call.Body[:min(len(t.Call.Body), c.rules.MaxBodyBytes)]
+	if c.rules.MaxBodyBytes > 0 && len(t.Call.Body) > 0 {
 		headers["x-envoy-auth-partial-body"] = strconv.FormatBool(len(body) < len(t.Call.Body))
 	}
 	http := &authv3.AttributeContext_HttpRequest{Id: clean(t.Trace), Method: t.Call.Method, Path: t.Call.Target, Host: t.Call.Host,
@@ -191,7 +191,7 @@
 }
 
 func life(resp *authv3.CheckResponse) time.Duration {
-	v := resp.GetDynamicMetadata().GetFields()[MetadataLife].GetNumberValue()
+	v := resp.GetDynamicMetadata().GetFields()[CacheTTLMetadata].GetNumberValue()
 	return time.Duration(min(max(v, 0), 24*3600*1000)) * time.Millisecond
 }
 
