--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -108,7 +108,7 @@
 		if err != nil {
 			return g, fmt.Errorf("authoriser: %w", err)
 		}
-		g.closes = append(g.closes, c.Close)
+		g.closes = append(g.closes, func() { c.Close() })
 		opt.Authorizer, opt.Authz = c, authz.New(authzSettings(cfg, o.Seed))
 	}
 	inc, err := peer.Incarnation(cfg.StateDir, opt.TimeOrigin)
--- /dev/null
+++ b/upstream/extauthz/request.go
@@ -0,0 +1,110 @@
+package extauthz
+
+import (
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+	"unicode/utf8"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	authv3 "github.com/envoyproxy/go-control-plane/envoy/service/auth/v3"
+	"google.golang.org/protobuf/types/known/timestamppb"
+
+	"yardcleat.example/yardcleat/internal/http1"
+	"yardcleat.example/yardcleat/node"
+)
+
+// partialBodyHeader tells the service whether the body is cut. Envoy sets the same header.
+const partialBodyHeader = "x-envoy-auth-partial-body"
+
+// RequestRules say what the service is sent of a request. They are not changed after [Dial].
+type RequestRules struct {
+	// MaxBodyBytes of the body are sent at most; what is cut is marked as partial. Zero: no body.
+	MaxBodyBytes int
+	// AllowedHeaders are the only ones that are sent, in canonical form. Empty: all are sent.
+	AllowedHeaders []string
+	// DisallowedHeaders are not sent, in canonical form, even where they are allowed.
+	DisallowedHeaders []string
+}
+
+// checkRequest returns the message for a request.
+func (rules *RequestRules) checkRequest(r *node.Request) *authv3.CheckRequest {
+	return &authv3.CheckRequest{Attributes: &authv3.AttributeContext{
+		Source:      &authv3.AttributeContext_Peer{Principal: r.Customer, Address: socketAddress(r.ClientAddress)},
+		Destination: &authv3.AttributeContext_Peer{Address: socketAddress(r.LocalAddress)},
+		Request: &authv3.AttributeContext_Request{
+			Time: timestamppb.Now(),
+			Http: rules.httpRequest(r),
+		},
+		ContextExtensions: map[string]string{"class": r.Class, "customer": r.Customer, "plan": r.Plan},
+	}}
+}
+
+func (rules *RequestRules) httpRequest(r *node.Request) *authv3.AttributeContext_HttpRequest {
+	headers := rules.headers(r.Call.Header)
+	body := r.Call.Body[:min(len(r.Call.Body), rules.MaxBodyBytes)]
+	if rules.MaxBodyBytes > 0 && len(r.Call.Body) > 0 {
+		headers[partialBodyHeader] = strconv.FormatBool(len(body) < len(r.Call.Body))
+	}
+	message := &authv3.AttributeContext_HttpRequest{
+		Id:       validText(r.Trace),
+		Method:   r.Call.Method,
+		Path:     r.Call.Target,
+		Host:     r.Call.Host,
+		Scheme:   "http",
+		Protocol: "HTTP/1.1",
+		Headers:  headers,
+		Size:     int64(len(r.Call.Body)),
+	}
+	if utf8.Valid(body) {
+		message.Body = string(body)
+	} else {
+		message.RawBody = body
+	}
+	return message
+}
+
+// headers returns those that are sent, by lower-case name; repeated ones are joined by commas.
+func (rules *RequestRules) headers(all http1.Header) map[string]string {
+	headers := make(map[string]string, len(all))
+	for _, field := range all {
+		if !rules.sends(field.Name) {
+			continue
+		}
+		name := strings.ToLower(field.Name)
+		value := validText(field.Value)
+		if earlier, repeated := headers[name]; repeated {
+			value = earlier + "," + value
+		}
+		headers[name] = value
+	}
+	return headers
+}
+
+func (rules *RequestRules) sends(header string) bool {
+	if len(rules.AllowedHeaders) > 0 && !slices.Contains(rules.AllowedHeaders, header) {
+		return false
+	}
+	return !slices.Contains(rules.DisallowedHeaders, header)
+}
+
+// validText replaces what is not UTF-8, by the same character as Envoy does: a message with it
+// could not be sent, and a client's header would look like a failure of the service.
+func validText(s string) string { return strings.ToValidUTF8(s, "!") }
+
+// socketAddress returns the message of an address host:port, or nil where it is none.
+func socketAddress(hostPort string) *corev3.Address {
+	host, portText, err := net.SplitHostPort(hostPort)
+	if err != nil {
+		return nil
+	}
+	port, err := strconv.ParseUint(portText, 10, 16)
+	if err != nil {
+		return nil
+	}
+	return &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
+		Address:       host,
+		PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(port)},
+	}}}
+}
