--- a/fleet/eds.go
+++ b/fleet/eds.go
@@ -45,7 +45,7 @@
 // a NACK and changes nothing; a lost stream is opened again.
 func Watch(ctx context.Context, o Options) error {
 	if o.File != "" {
-		list, err := Recall(o.File)
+		list, err := LoadCache(o.File)
 		if err != nil {
 			o.Log.Warn("the remembered server list is left aside", "error", err)
 		} else if list != nil {
@@ -102,7 +102,7 @@
 			o.Deliver(policy.SnapshotUpdate, list)
 			o.Log.Info("server list", "version", resp.GetVersionInfo(), "servers", len(list))
 			if o.File != "" {
-				if err := Remember(o.File, list); err != nil {
+				if err := SaveCache(o.File, list); err != nil {
 					o.Log.Warn("the server list can't be remembered", "error", err)
 				}
 			}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-type line struct {
+type cachedServer struct {
 	Address string             `json:"address"`
 	Zone    string             `json:"zone,omitempty"`
 	Cell    int                `json:"cell,omitempty"`
@@ -61,25 +61,25 @@
 	Started *time.Time         `json:"started,omitempty"`
 }
 
-var cachedServers = snapshotfile.Format[struct{}, []line]{Version: 1, Payload: "servers"}
+var cacheFormat = snapshotfile.Format[struct{}, []cachedServer]{Version: 1, Payload: "servers"}
 
-// Remember writes a list to a file, in one step.
-func Remember(path string, list []node.Server) error {
-	lines := make([]line, 0, len(list))
+// SaveCache writes a list to a file, in one step.
+func SaveCache(path string, list []node.Server) error {
+	lines := make([]cachedServer, 0, len(list))
 	for _, s := range list {
-		l := line{Address: s.Address, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, State: s.State}
+		l := cachedServer{Address: s.Address, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, State: s.State}
 		if !s.StartTime.IsZero() {
 			l.Started = &s.StartTime
 		}
 		lines = append(lines, l)
 	}
-	return cachedServers.Write(path, struct{}{}, lines)
+	return cacheFormat.Write(path, struct{}{}, lines)
 }
 
-// Recall reads a remembered list. It is nil, without an error, where there is
+// LoadCache reads a remembered list. It is nil, without an error, where there is
 // no file; a torn or foreign file is an error.
-func Recall(path string) ([]node.Server, error) {
-	_, lines, err := cachedServers.Read(path)
+func LoadCache(path string) ([]node.Server, error) {
+	_, lines, err := cacheFormat.Read(path)
 	var damaged *snapshotfile.DamagedError
 	var version *snapshotfile.VersionError
 	switch {
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -16,7 +16,7 @@
 // with the same bytes again.
 func TestRememberedListOfAnEarlierBuild(t *testing.T) {
 	golden := filepath.Join("testdata", "servers")
-	got, err := Recall(golden)
+	got, err := LoadCache(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 		t.Errorf("recalled %+v, want %+v", got, want)
 	}
 	again := filepath.Join(t.TempDir(), "servers")
-	if err := Remember(again, want); err != nil {
+	if err := SaveCache(again, want); err != nil {
 		t.Fatal(err)
 	}
 	before, err := os.ReadFile(golden)
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -108,7 +108,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(g.Kill)
-	return g, g.fronts[0].l.Addr().String(), g.fronts[1].l.Addr().String()
+	return g, g.listeners[0].net.Addr().String(), g.listeners[1].net.Addr().String()
 }
 
 // drive has workers call one after the other, b.N times in all, and reports the
@@ -318,7 +318,7 @@
 	b.Run("ReverseProxy", func(b *testing.B) { run(b, reverseProxy(b, atOnce(b))) })
 	b.Run("yardcleat", func(b *testing.B) {
 		g, _, _ := benchWith(b, "listener \"http2\" \"kiosks\" { address = \"127.0.0.1:0\" }\n", many(b)...)
-		run(b, g.fronts[2].l.Addr().String())
+		run(b, g.listeners[2].net.Addr().String())
 	})
 }
 
@@ -375,7 +375,7 @@
 	b.Run("yardcleat", func(b *testing.B) {
 		hang(func(addr string) {
 			g, _, _ := benchWith(b, "listener \"http2\" \"kiosks\" { address = \"127.0.0.1:0\" }\n", addr)
-			measure(b, g.fronts[2].l.Addr().String())
+			measure(b, g.listeners[2].net.Addr().String())
 		})
 	})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -38,36 +38,36 @@
 	Network network.Network
 	Log     *slog.Logger
 	Seed    uint64 // of the module's chance; 0: drawn
-	// Deafen changes what the module hears of the server list; for tests. nil:
+	// TransformEndpoints changes what the module hears of the server list; for tests. nil:
 	// nothing.
-	Deafen func([]node.Server) []node.Server
-	// Carry stands between the node and its connections to servers; for tests. nil:
+	TransformEndpoints func([]node.Server) []node.Server
+	// WrapUpstream stands between the node and its connections to servers; for tests. nil:
 	// nothing.
-	Carry func(node.Upstream) node.Upstream
+	WrapUpstream func(node.Upstream) node.Upstream
 	// Wall is the wall clock, as peers and the counter's windows go by it; nil:
 	// the system's.
 	Wall func() time.Time
-	// Stall says what counts as a gap in which the process did not run; zero: the
+	// Pause says what counts as a gap in which the process did not run; zero: the
 	// default.
-	Stall pause.Settings
+	Pause pause.Settings
 }
 
 // Gateway is a running node with all that is around it.
 type Gateway struct {
-	cfg     *config.Config
-	o       Options
-	node    *node.Node
-	led     *usageRecorder // nil: no counter
-	keep    *keeper        // nil: no roster
-	serving sync.WaitGroup
-	closes  []func() // in reverse order
-	fronts  []front
-	killed  atomic.Bool // nothing is to be saved any more
+	cfg       *config.Config
+	o         Options
+	node      *node.Node
+	led       *usageRecorder // nil: no counter
+	keep      *keeper        // nil: no roster
+	serving   sync.WaitGroup
+	closes    []func() // in reverse order
+	listeners []listener
+	killed    atomic.Bool // nothing is to be saved any more
 }
 
-// front is a listener with its server.
-type front struct {
-	l     net.Listener
+// listener is a listener with its server.
+type listener struct {
+	net   net.Listener
 	drain func(context.Context)
 }
 
@@ -87,21 +87,21 @@
 		}
 	}()
 	base := time.Now()
-	if o.Stall == (pause.Settings{}) {
-		o.Stall = pause.Default()
+	if o.Pause == (pause.Settings{}) {
+		o.Pause = pause.Default()
 	}
-	clock := pauseclock.New(base, o.Network, o.Stall)
+	clock := pauseclock.New(base, o.Network, o.Pause)
 	g.closes = append(g.closes, clock.Close)
 	g.o.Network = clock.Watched(o.Network)
 	o.Network = g.o.Network
 	opt := node.Options{Settings: cfg.Settings(), Seed: o.Seed, Logger: o.Log, ResponseMargin: cfg.Limits.AnswerMargin,
-		MaxUnanswered: cfg.Limits.Requests, TimeOrigin: base, Clock: clock, Pause: o.Stall, SendToPeer: func(int, []byte) {}}
+		MaxUnanswered: cfg.Limits.Requests, TimeOrigin: base, Clock: clock, Pause: o.Pause, SendToPeer: func(int, []byte) {}}
 	pool := upstream.New(upstream.Options{Network: o.Network, ConnectTime: cfg.Limits.ConnectTime, Idle: cfg.Limits.IdleUpstream,
-		Limits:     g.limits(cfg.Limits.AnswerBody),
-		TurnedAway: g.turnedAway(), HTTP2: cfg.Servers.HTTP2, Stood: clock.Stood})
+		Limits:     g.messageLimits(cfg.Limits.AnswerBody),
+		TurnedAway: g.rejectionSignal(), HTTP2: cfg.Servers.HTTP2, Stood: clock.Stood})
 	g.closes = append(g.closes, pool.Close)
-	if opt.Upstream = pool; g.o.Carry != nil {
-		opt.Upstream = g.o.Carry(pool)
+	if opt.Upstream = pool; g.o.WrapUpstream != nil {
+		opt.Upstream = g.o.WrapUpstream(pool)
 	}
 	if a := cfg.Authoriser; a != nil {
 		c, err := ask.Dial(o.Network, a.Addresses, ask.RequestRules{MaxBodyBytes: a.Body, AllowedHeaders: a.Allowed, DisallowedHeaders: a.Forbidden})
@@ -159,7 +159,7 @@
 	close(started)
 	g.start(ctx, cancel, g.node.Run)
 	if cfg.StateDir != "" {
-		r, err := readMemory(cfg.StateDir, cfg.Number, o.Wall())
+		r, err := loadCustomerSnapshots(cfg.StateDir, cfg.Number, o.Wall())
 		if err != nil {
 			o.Log.Warn("the remembered stores are left aside", "error", err)
 		} else if len(r.Customers) > 0 {
@@ -167,7 +167,7 @@
 			g.node.RestoreSnapshot(r)
 		}
 		ctx, cancel := context.WithCancel(ctx)
-		g.start(ctx, cancel, g.remember)
+		g.start(ctx, cancel, g.saveSnapshotsPeriodically)
 	}
 	if led != nil {
 		ctx, cancel := context.WithCancel(ctx)
@@ -177,7 +177,7 @@
 		ctx, cancel := context.WithCancel(ctx)
 		g.start(ctx, cancel, g.keep.run)
 	}
-	if err := g.servers(ctx); err != nil {
+	if err := g.startEndpoints(ctx); err != nil {
 		return g, err
 	}
 	in := intake.New(cfg)
@@ -203,19 +203,19 @@
 	})
 }
 
-// servers starts what keeps the node's server list.
-func (g *Gateway) servers(ctx context.Context) error {
+// startEndpoints starts what keeps the node's server list.
+func (g *Gateway) startEndpoints(ctx context.Context) error {
 	s := g.cfg.Servers
 	if s.EDSAddress == "" {
 		list, err := fleet.Static(s.Static)
 		if err != nil {
 			return err
 		}
-		g.members(policy.SnapshotUpdate, list)
+		g.updateEndpoints(policy.SnapshotUpdate, list)
 		return nil
 	}
 	o := fleet.Options{Network: g.o.Network, Address: s.EDSAddress, Cluster: s.EDSCluster,
-		NodeID: fmt.Sprintf("node-%d", g.cfg.Number), Log: g.o.Log, Deliver: g.members}
+		NodeID: fmt.Sprintf("node-%d", g.cfg.Number), Log: g.o.Log, Deliver: g.updateEndpoints}
 	if g.cfg.StateDir != "" {
 		o.File = filepath.Join(g.cfg.StateDir, "servers")
 	}
@@ -228,15 +228,15 @@
 	return nil
 }
 
-func (g *Gateway) members(kind policy.EndpointUpdateKind, list []node.Server) {
-	if g.o.Deafen != nil {
-		list = g.o.Deafen(list)
+func (g *Gateway) updateEndpoints(kind policy.EndpointUpdateKind, list []node.Server) {
+	if g.o.TransformEndpoints != nil {
+		list = g.o.TransformEndpoints(list)
 	}
 	g.node.UpdateEndpoints(kind, list)
 	g.phase((*membership.Member).Listed)
 }
 
-func (g *Gateway) limits(body int64) http1.Limits {
+func (g *Gateway) messageLimits(body int64) http1.Limits {
 	l := g.cfg.Limits
 	return http1.Limits{Line: l.Line, Fields: l.Fields, Header: l.Header, Body: body}
 }
@@ -264,18 +264,18 @@
 	log := g.o.Log.With("listener", l.Name)
 	log.Info("listening", "kind", string(l.Kind), "address", nl.Addr().String())
 	if l.Kind == config.ExtAuthz {
-		s := extauthz.New(extauthz.Options{Node: g.node, Intake: in, Log: log, Name: g.name(l), TurnedAway: g.turnedAway()})
+		s := extauthz.New(extauthz.Options{Node: g.node, Intake: in, Log: log, Name: g.tracePrefix(l), TurnedAway: g.rejectionSignal()})
 		g.serve(log, nl, s.Serve, s.Drain)
 		return nil
 	}
 	if l.Kind == config.HTTP2 {
-		s := g.http2(l, in, log)
+		s := g.newHTTP2Server(l, in, log)
 		g.serve(log, nl, s.Serve, s.Drain)
 		return nil
 	}
-	s := g.http1(l, in, log)
+	s := g.newHTTP1Server(l, in, log)
 	if l.Kind == config.HTTPS {
-		t, err := newTLS(l, s, g.http2(l, in, log), log)
+		t, err := newTLSListener(l, s, g.newHTTP2Server(l, in, log), log)
 		if err != nil {
 			nl.Close()
 			return err
@@ -287,18 +287,18 @@
 	return nil
 }
 
-func (g *Gateway) http2(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp2.Server {
+func (g *Gateway) newHTTP2Server(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp2.Server {
 	lim := g.cfg.Limits
 	const heldBodies = 4 // whole bodies that one connection may have held
-	return fronthttp2.New(fronthttp2.Options{Node: g.node, Intake: in, Log: log, Name: g.name(l) + "h2", HeaderBytes: lim.Header,
+	return fronthttp2.New(fronthttp2.Options{Node: g.node, Intake: in, Log: log, Name: g.tracePrefix(l) + "h2", HeaderBytes: lim.Header,
 		Fields: lim.Fields, Body: lim.Body, Held: heldBodies * max(lim.Body, 64<<10), Streams: lim.Streams, Abuse: lim.Abuse,
 		HeaderTime: lim.HeaderTime, BodyTime: lim.BodyTime, IdleTime: lim.IdleTime, WriteTime: lim.WriteTime, Connections: lim.Connections})
 }
 
-func (g *Gateway) http1(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp.Server {
+func (g *Gateway) newHTTP1Server(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp.Server {
 	lim := g.cfg.Limits
-	return fronthttp.New(fronthttp.Options{Node: g.node, Intake: in, Log: log, Limits: g.limits(lim.Body),
-		Name:       g.name(l),
+	return fronthttp.New(fronthttp.Options{Node: g.node, Intake: in, Log: log, Limits: g.messageLimits(lim.Body),
+		Name:       g.tracePrefix(l),
 		HeaderTime: lim.HeaderTime, BodyTime: lim.BodyTime, IdleTime: lim.IdleTime, WriteTime: lim.WriteTime,
 		Connections: lim.Connections})
 }
@@ -309,15 +309,15 @@
 			log.Error("listener ended", "error", err)
 		}
 	})
-	g.fronts = append(g.fronts, front{nl, drain})
+	g.listeners = append(g.listeners, listener{nl, drain})
 }
 
-// name begins the traces that a listener gives; it differs for every process.
-func (g *Gateway) name(l config.Listener) string {
+// tracePrefix begins the traces that a listener gives; it differs for every process.
+func (g *Gateway) tracePrefix(l config.Listener) string {
 	return fmt.Sprintf("%s-%d-%x", l.Name, g.cfg.Number, g.o.Seed&0xffffff)
 }
 
-func (g *Gateway) turnedAway() upstream.TurnedAway {
+func (g *Gateway) rejectionSignal() upstream.TurnedAway {
 	return upstream.TurnedAway{Status: g.cfg.Servers.TurnedAwayStatus, Header: g.cfg.Servers.TurnedAwayHeader}
 }
 
@@ -325,11 +325,11 @@
 // closed. When the context ends first, what is left is failed.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.phase((*membership.Member).Drain)
-	for _, f := range g.fronts {
-		f.l.Close()
+	for _, f := range g.listeners {
+		f.net.Close()
 	}
 	var drained sync.WaitGroup
-	for _, f := range g.fronts {
+	for _, f := range g.listeners {
 		drained.Go(func() { f.drain(ctx) })
 	}
 	err := g.node.Drain(ctx)
@@ -358,8 +358,8 @@
 }
 
 func (g *Gateway) close() {
-	for _, f := range g.fronts {
-		f.l.Close()
+	for _, f := range g.listeners {
+		f.net.Close()
 	}
 	g.serving.Wait()
 	for i := len(g.closes) - 1; i >= 0; i-- {
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -33,12 +33,12 @@
 // The customers' stores that an earlier build remembered come back, and are written
 // with the same bytes again.
 func TestStoresOfAnEarlierBuild(t *testing.T) {
-	got, err := readMemory("testdata", 3, storedAt.Add(5*time.Second))
+	got, err := loadCustomerSnapshots("testdata", 3, storedAt.Add(5*time.Second))
 	if want := (policy.RestoreSnapshot{Age: 5 * time.Second, Customers: storedStores}); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
 	dir := t.TempDir()
-	if err := writeMemory(dir, 3, storedAt, storedStores); err != nil {
+	if err := saveCustomerSnapshots(dir, 3, storedAt, storedStores); err != nil {
 		t.Fatal(err)
 	}
 	sameFile(t, filepath.Join(dir, "stores"), filepath.Join("testdata", "stores"))
--- a/gateway/hard_test.go
+++ b/gateway/hard_test.go
@@ -439,7 +439,7 @@
 	for _, a := range []string{"10.0.1.1:80", "10.0.1.2:80", "10.0.1.7:80", "10.0.1.8:80", "10.0.1.9:80"} {
 		list = append(list, node.Server{Address: a, Server: policy.Server{ID: fleet.ID(a), Weight: 1}})
 	}
-	if err := fleet.Remember(filepath.Join(dir, "servers"), list); err != nil {
+	if err := fleet.SaveCache(filepath.Join(dir, "servers"), list); err != nil {
 		t.Fatal(err)
 	}
 	inWorld(t, extra, func(w *world) {
@@ -474,19 +474,19 @@
 	})
 	// A torn file is left aside.
 	path := filepath.Join(t.TempDir(), "servers")
-	if err := fleet.Remember(path, []node.Server{{Address: "10.0.1.9:80", Server: policy.Server{ID: 1, Weight: 1}}}); err != nil {
+	if err := fleet.SaveCache(path, []node.Server{{Address: "10.0.1.9:80", Server: policy.Server{ID: 1, Weight: 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	whole, _ := os.ReadFile(path)
 	for i := range whole {
 		os.WriteFile(path, whole[:i], 0o600)
-		if list, err := fleet.Recall(path); err == nil || list != nil {
+		if list, err := fleet.LoadCache(path); err == nil || list != nil {
 			t.Fatalf("cut at %d: %v, %v", i, list, err)
 		}
 		flipped := bytes.Clone(whole)
 		flipped[i] ^= 1
 		os.WriteFile(path, flipped, 0o600)
-		if list, err := fleet.Recall(path); err == nil && (len(list) != 1 || list[0].Address != "10.0.1.9:80") {
+		if list, err := fleet.LoadCache(path); err == nil && (len(list) != 1 || list[0].Address != "10.0.1.9:80") {
 			t.Fatalf("flipped at %d: %v", i, list)
 		}
 	}
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -16,10 +16,10 @@
 // anew every other second and replaced in one step. A torn, foreign or other node's
 // file is left aside with a message.
 const (
-	memoryFile    = "stores"
-	memoryEvery   = 2 * time.Second
-	memoryVersion = 1
-	memoryKeep    = time.Hour // older ones say nothing any more: stores are full again
+	customerSnapshotFile    = "stores"
+	snapshotInterval        = 2 * time.Second
+	customerSnapshotVersion = 1
+	maxSnapshotAge          = time.Hour // older ones say nothing any more: stores are full again
 )
 
 // snapshotHeader says which node wrote the file, and when by the wall clock.
@@ -28,17 +28,17 @@
 	Wrote time.Time `json:"wrote"`
 }
 
-var customerSnapshots = snapshotfile.Format[snapshotHeader, []policy.CustomerSnapshot]{Version: memoryVersion, Payload: "stores"}
+var customerSnapshots = snapshotfile.Format[snapshotHeader, []policy.CustomerSnapshot]{Version: customerSnapshotVersion, Payload: "stores"}
 
-func writeMemory(dir string, node int, now time.Time, list []policy.CustomerSnapshot) error {
+func saveCustomerSnapshots(dir string, node int, now time.Time, list []policy.CustomerSnapshot) error {
 	header := snapshotHeader{Node: node, Wrote: now.Round(0)}
-	return customerSnapshots.Write(filepath.Join(dir, memoryFile), header, list)
+	return customerSnapshots.Write(filepath.Join(dir, customerSnapshotFile), header, list)
 }
 
-// readMemory reads what an earlier process wrote; nothing where there is none or it
+// loadCustomerSnapshots reads what an earlier process wrote; nothing where there is none or it
 // is too old.
-func readMemory(dir string, node int, now time.Time) (r policy.RestoreSnapshot, err error) {
-	header, customers, err := customerSnapshots.Read(filepath.Join(dir, memoryFile))
+func loadCustomerSnapshots(dir string, node int, now time.Time) (r policy.RestoreSnapshot, err error) {
+	header, customers, err := customerSnapshots.Read(filepath.Join(dir, customerSnapshotFile))
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return r, nil
@@ -49,22 +49,22 @@
 	}
 	// A clock set back makes it no younger than just written.
 	age := max(0, now.Sub(header.Wrote))
-	if age > memoryKeep {
+	if age > maxSnapshotAge {
 		return r, nil
 	}
 	return policy.RestoreSnapshot{Age: age, Customers: customers}, nil
 }
 
-// remember writes the memory until the context ends, and once more then.
-func (g *Gateway) remember(ctx context.Context) {
-	tick := time.NewTicker(memoryEvery)
+// saveSnapshotsPeriodically writes the memory until the context ends, and once more then.
+func (g *Gateway) saveSnapshotsPeriodically(ctx context.Context) {
+	tick := time.NewTicker(snapshotInterval)
 	defer tick.Stop()
 	write := func(ctx context.Context) {
 		list, ok := g.node.SaveSnapshot(ctx)
 		if !ok {
 			return
 		}
-		if err := writeMemory(g.cfg.StateDir, g.cfg.Number, g.o.Wall(), list); err != nil {
+		if err := saveCustomerSnapshots(g.cfg.StateDir, g.cfg.Number, g.o.Wall(), list); err != nil {
 			g.o.Log.Error("stores can't be remembered; the node serves on", "error", err)
 		}
 	}
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -25,7 +25,7 @@
 			}
 			time.Sleep(2 * time.Second)
 			if !keep {
-				os.Remove(filepath.Join(dir, memoryFile))
+				os.Remove(filepath.Join(dir, customerSnapshotFile))
 			}
 			w.node.Kill()
 			time.Sleep(away)
@@ -46,31 +46,31 @@
 	dir := t.TempDir()
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	list := []policy.CustomerSnapshot{{Key: 7, Plan: "p", GatewaySpread: 3, Tokens: 2.5}, {Key: 8, Plan: "q", GatewaySpread: 1, Tokens: 1}}
-	if r, err := readMemory(dir, 3, now); err != nil || len(r.Customers) != 0 {
+	if r, err := loadCustomerSnapshots(dir, 3, now); err != nil || len(r.Customers) != 0 {
 		t.Errorf("of nothing: %+v, %v", r, err)
 	}
-	if err := writeMemory(dir, 3, now, list); err != nil {
+	if err := saveCustomerSnapshots(dir, 3, now, list); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := readMemory(dir, 3, now.Add(5*time.Second)); err != nil || len(r.Customers) != 2 || r.Customers[0] != list[0] || r.Age != 5*time.Second {
+	if r, err := loadCustomerSnapshots(dir, 3, now.Add(5*time.Second)); err != nil || len(r.Customers) != 2 || r.Customers[0] != list[0] || r.Age != 5*time.Second {
 		t.Errorf("%+v, %v", r, err)
 	}
-	if r, err := readMemory(dir, 3, now.Add(2*time.Hour)); err != nil || len(r.Customers) != 0 {
+	if r, err := loadCustomerSnapshots(dir, 3, now.Add(2*time.Hour)); err != nil || len(r.Customers) != 0 {
 		t.Errorf("of two hours ago: %+v, %v", r, err)
 	}
-	if _, err := readMemory(dir, 4, now); err == nil {
+	if _, err := loadCustomerSnapshots(dir, 4, now); err == nil {
 		t.Error("another node's was taken")
 	}
-	path := filepath.Join(dir, memoryFile)
+	path := filepath.Join(dir, customerSnapshotFile)
 	whole, _ := os.ReadFile(path)
 	for cut := range whole {
 		os.WriteFile(path, whole[:cut], 0o600)
-		if r, err := readMemory(dir, 3, now); err == nil || len(r.Customers) > 0 {
+		if r, err := loadCustomerSnapshots(dir, 3, now); err == nil || len(r.Customers) > 0 {
 			t.Fatalf("cut at %d it was taken", cut)
 		}
 	}
 	os.WriteFile(path, []byte(strings.Replace(string(whole), "2.5", "9.5", 1)), 0o600)
-	if _, err := readMemory(dir, 3, now); err == nil {
+	if _, err := loadCustomerSnapshots(dir, 3, now); err == nil {
 		t.Error("a changed one was taken")
 	}
 }
