--- a/gateway/customer_snapshots.go
+++ b/gateway/customer_snapshots.go
@@ -12,71 +12,98 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// What the module knows of customers' stores outlives the process in a file, written
-// anew every other second and replaced in one step. A torn, foreign or other node's
-// file is left aside with a message.
+// What the policy knows of the customers' token buckets outlives the process in a file of the
+// state directory.
 const (
 	customerSnapshotFile    = "stores"
-	snapshotInterval        = 2 * time.Second
 	customerSnapshotVersion = 1
-	maxSnapshotAge          = time.Hour // older ones say nothing any more: stores are full again
+	snapshotInterval        = 2 * time.Second
+	// maxSnapshotAge is how old a snapshot may be. Buckets are full again by then.
+	maxSnapshotAge = time.Hour
 )
 
-// snapshotHeader says which node wrote the file, and when by the wall clock.
+// snapshotHeader says which gateway wrote the file, and when by the wall clock.
 type snapshotHeader struct {
 	Node  int       `json:"node"`
 	Wrote time.Time `json:"wrote"`
 }
 
-var customerSnapshots = snapshotfile.Format[snapshotHeader, []policy.CustomerSnapshot]{Version: customerSnapshotVersion, Payload: "stores"}
+var customerSnapshots = snapshotfile.Format[snapshotHeader, []policy.CustomerSnapshot]{
+	Version: customerSnapshotVersion,
+	Payload: "stores",
+}
 
-func saveCustomerSnapshots(dir string, node int, now time.Time, list []policy.CustomerSnapshot) error {
-	header := snapshotHeader{Node: node, Wrote: now.Round(0)}
+// ForeignSnapshotError says that a file was written by the gateway of another number.
+type ForeignSnapshotError struct{ Got, Want int }
+
+func (e *ForeignSnapshotError) Error() string {
+	return fmt.Sprintf("of node %d, not %d", e.Got, e.Want)
+}
+
+func saveCustomerSnapshots(dir string, number int, now time.Time, list []policy.CustomerSnapshot) error {
+	header := snapshotHeader{Node: number, Wrote: now.Round(0)} // without the monotonic clock
 	return customerSnapshots.Write(filepath.Join(dir, customerSnapshotFile), header, list)
 }
 
-// loadCustomerSnapshots reads what an earlier process wrote; nothing where there is none or it
-// is too old.
-func loadCustomerSnapshots(dir string, node int, now time.Time) (r policy.RestoreSnapshot, err error) {
+// loadCustomerSnapshots returns what an earlier process of this gateway saved, or nothing where
+// there is none or it is too old. Errors are those of package snapshotfile and
+// [*ForeignSnapshotError].
+func loadCustomerSnapshots(dir string, number int, now time.Time) (policy.RestoreSnapshot, error) {
 	header, customers, err := customerSnapshots.Read(filepath.Join(dir, customerSnapshotFile))
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return r, nil
+		return policy.RestoreSnapshot{}, nil
 	case err != nil:
-		return r, err
-	case header.Node != node:
-		return r, fmt.Errorf("of node %d, not %d", header.Node, node)
+		return policy.RestoreSnapshot{}, err
+	case header.Node != number:
+		return policy.RestoreSnapshot{}, &ForeignSnapshotError{Got: header.Node, Want: number}
 	}
-	// A clock set back makes it no younger than just written.
+	// After the wall clock was set back, a snapshot counts as written now.
 	age := max(0, now.Sub(header.Wrote))
 	if age > maxSnapshotAge {
-		return r, nil
+		return policy.RestoreSnapshot{}, nil
 	}
 	return policy.RestoreSnapshot{Age: age, Customers: customers}, nil
 }
 
-// saveSnapshotsPeriodically writes the memory until the context ends, and once more then.
-func (g *Gateway) saveSnapshotsPeriodically(ctx context.Context) {
-	tick := time.NewTicker(snapshotInterval)
-	defer tick.Stop()
-	write := func(ctx context.Context) {
-		list, ok := g.node.SaveSnapshot(ctx)
-		if !ok {
-			return
-		}
-		if err := saveCustomerSnapshots(g.cfg.StateDir, g.cfg.Number, g.o.Wall(), list); err != nil {
-			g.o.Log.Error("stores can't be remembered; the node serves on", "error", err)
-		}
+// restoreCustomerSnapshots hands the policy what an earlier process saved.
+func (g *Gateway) restoreCustomerSnapshots() {
+	snapshot, err := loadCustomerSnapshots(g.cfg.StateDir, g.cfg.Number, g.o.Wall())
+	if err != nil {
+		g.o.Log.Warn("customer snapshots can't be used; starting without them", "error", err)
+		return
+	}
+	if len(snapshot.Customers) == 0 {
+		return
 	}
+	g.o.Log.Info("customer snapshots restored", "customers", len(snapshot.Customers), "age", snapshot.Age)
+	g.node.RestoreSnapshot(snapshot)
+}
+
+// saveSnapshotsPeriodically saves until the context ends, and once more then, unless the gateway
+// was killed.
+func (g *Gateway) saveSnapshotsPeriodically(ctx context.Context) {
+	ticker := time.NewTicker(snapshotInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
-			write(ctx)
+		case <-ticker.C:
+			g.saveSnapshots(ctx)
 		case <-ctx.Done():
 			if !g.killed.Load() {
-				write(context.Background()) // the node's loop ends after this
+				g.saveSnapshots(context.WithoutCancel(ctx)) // the node's loop ends after this
 			}
 			return
 		}
 	}
 }
+
+func (g *Gateway) saveSnapshots(ctx context.Context) {
+	list, ok := g.node.SaveSnapshot(ctx)
+	if !ok {
+		return
+	}
+	if err := saveCustomerSnapshots(g.cfg.StateDir, g.cfg.Number, g.o.Wall(), list); err != nil {
+		g.o.Log.Error("saving customer snapshots failed; retrying at the next interval", "error", err)
+	}
+}
--- /dev/null
+++ b/gateway/endpoints.go
@@ -0,0 +1,54 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"path/filepath"
+
+	"yardcleat.example/yardcleat/fleet"
+	"yardcleat.example/yardcleat/membership"
+	"yardcleat.example/yardcleat/node"
+	"yardcleat.example/yardcleat/policy"
+)
+
+// endpointCacheFile is the name of the last good endpoint list in the state directory.
+const endpointCacheFile = "servers"
+
+// startEndpoints hands the node the endpoint list of the configuration, or starts a client of the
+// management server that does.
+func (g *Gateway) startEndpoints() error {
+	s := g.cfg.Servers
+	if s.EDSAddress == "" {
+		list, err := fleet.Static(s.Static)
+		if err != nil {
+			return err
+		}
+		g.updateEndpoints(policy.SnapshotUpdate, list)
+		return nil
+	}
+	options := fleet.Options{
+		Network: g.o.Network,
+		Address: s.EDSAddress,
+		Cluster: s.EDSCluster,
+		NodeID:  fmt.Sprintf("node-%d", g.cfg.Number),
+		Log:     g.o.Log,
+		Deliver: g.updateEndpoints,
+	}
+	if g.cfg.StateDir != "" {
+		options.File = filepath.Join(g.cfg.StateDir, endpointCacheFile)
+	}
+	g.goUntilClosed(func(ctx context.Context) {
+		if err := fleet.Watch(ctx, options); err != nil {
+			g.o.Log.Error("endpoint discovery failed", "error", err)
+		}
+	})
+	return nil
+}
+
+func (g *Gateway) updateEndpoints(kind policy.EndpointUpdateKind, list []node.Server) {
+	if g.o.TransformEndpoints != nil {
+		list = g.o.TransformEndpoints(list)
+	}
+	g.node.UpdateEndpoints(kind, list)
+	g.phase((*membership.Member).Listed)
+}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,336 +1,111 @@
-// Package gateway puts a node together from a configuration: module, loop,
-// fronts, upstream, peers, server list and authoriser.
+// Package gateway puts an instance together from its configuration: the policy in its event loop
+// (package node), listeners, connections to servers, peers, the endpoint list, the authorization
+// client and the files that outlive the process.
 package gateway
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"yardcleat.example/yardcleat/authz"
 	"yardcleat.example/yardcleat/config"
-	"yardcleat.example/yardcleat/fleet"
-	"yardcleat.example/yardcleat/front/extauthz"
-	fronthttp "yardcleat.example/yardcleat/front/http1"
-	fronthttp2 "yardcleat.example/yardcleat/front/http2"
-	"yardcleat.example/yardcleat/intake"
-	"yardcleat.example/yardcleat/internal/http1"
 	"yardcleat.example/yardcleat/internal/network"
-	"yardcleat.example/yardcleat/internal/pauseclock"
 	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/node"
 	"yardcleat.example/yardcleat/pause"
-	"yardcleat.example/yardcleat/peer"
-	"yardcleat.example/yardcleat/policy"
-	"yardcleat.example/yardcleat/storage"
-	"yardcleat.example/yardcleat/upstream"
-	ask "yardcleat.example/yardcleat/upstream/extauthz"
 )
 
 // Options is what a Gateway takes beside its configuration.
 type Options struct {
+	// Network is what the gateway listens and dials on. Required.
 	Network network.Network
-	Log     *slog.Logger
-	Seed    uint64 // of the module's chance; 0: drawn
-	// TransformEndpoints changes what the module hears of the server list; for tests. nil:
-	// nothing.
+	// Log takes the gateway's log. Required.
+	Log *slog.Logger
+	// Seed of the random numbers of all decisions. Zero: a random one.
+	Seed uint64
+	// TransformEndpoints changes each endpoint list before it is used; for tests. It is called
+	// from the goroutine that receives lists. Nil: lists are used as they come.
 	TransformEndpoints func([]node.Server) []node.Server
-	// WrapUpstream stands between the node and its connections to servers; for tests. nil:
-	// nothing.
+	// WrapUpstream returns what is used in place of the connections to servers; for tests. Nil:
+	// they are used themselves.
 	WrapUpstream func(node.Upstream) node.Upstream
-	// Wall is the wall clock, as peers and the counter's windows go by it; nil:
-	// the system's.
+	// Wall is the wall clock, which peers and the windows of the usage counter go by. It is
+	// called from several goroutines. Nil: the system's.
 	Wall func() time.Time
-	// Pause says what counts as a gap in which the process did not run; zero: the
-	// default.
+	// Pause says how a pause of the process is detected. Zero: pause.Default.
 	Pause pause.Settings
 }
 
-// Gateway is a running node with all that is around it.
-type Gateway struct {
-	cfg       *config.Config
-	o         Options
-	node      *node.Node
-	led       *usageRecorder // nil: no counter
-	keep      *keeper        // nil: no roster
-	serving   sync.WaitGroup
-	closes    []func() // in reverse order
-	listeners []listener
-	killed    atomic.Bool // nothing is to be saved any more
-}
-
-// listener is a listener with its server.
-type listener struct {
-	net   net.Listener
-	drain func(context.Context)
-}
-
-// Start starts a node. What was opened is closed where it fails.
-func Start(cfg *config.Config, o Options) (g *Gateway, err error) {
+func (o *Options) setDefaults() {
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
 	}
 	if o.Wall == nil {
 		o.Wall = time.Now
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	g = &Gateway{cfg: cfg, o: o, closes: []func(){cancel}}
-	defer func() {
-		if err != nil {
-			g.close()
-		}
-	}()
-	base := time.Now()
 	if o.Pause == (pause.Settings{}) {
 		o.Pause = pause.Default()
 	}
-	clock := pauseclock.New(base, o.Network, o.Pause)
-	g.closes = append(g.closes, clock.Close)
-	g.o.Network = clock.Watched(o.Network)
-	o.Network = g.o.Network
-	opt := node.Options{Settings: cfg.Settings(), Seed: o.Seed, Logger: o.Log, ResponseMargin: cfg.Limits.AnswerMargin,
-		MaxUnanswered: cfg.Limits.Requests, TimeOrigin: base, Clock: clock, Pause: o.Pause, SendToPeer: func(int, []byte) {}}
-	pool := upstream.New(upstream.Options{Network: o.Network, ConnectTime: cfg.Limits.ConnectTime, Idle: cfg.Limits.IdleUpstream,
-		Limits:     g.messageLimits(cfg.Limits.AnswerBody),
-		TurnedAway: g.rejectionSignal(), HTTP2: cfg.Servers.HTTP2, Stood: clock.Stood})
-	g.closes = append(g.closes, pool.Close)
-	if opt.Upstream = pool; g.o.WrapUpstream != nil {
-		opt.Upstream = g.o.WrapUpstream(pool)
-	}
-	if a := cfg.Authoriser; a != nil {
-		c, err := ask.Dial(o.Network, a.Addresses, ask.RequestRules{MaxBodyBytes: a.Body, AllowedHeaders: a.Allowed, DisallowedHeaders: a.Forbidden})
-		if err != nil {
-			return g, fmt.Errorf("authoriser: %w", err)
-		}
-		g.closes = append(g.closes, func() { c.Close() })
-		opt.Authorizer, opt.Authz = c, authz.New(authzSettings(cfg, o.Seed))
-	}
-	inc, err := peer.Incarnation(cfg.StateDir, opt.TimeOrigin)
-	if err != nil {
-		o.Log.Warn("incarnation", "error", err)
-	}
-	var led *usageRecorder
-	// Messages that come before the node runs are lost, as any may be.
-	started := make(chan struct{})
-	deliver := func(from int, data []byte) {
-		select {
-		case <-started:
-		default:
-			return
-		}
-		if (led == nil || !led.heard(from, data)) && (g.keep == nil || !g.keep.heard(from, data)) {
-			g.node.ReceivePeerMessage(from, data)
-		}
-	}
-	if cfg.Roster != nil {
-		g.keep = g.newKeeper()
-	}
-	if len(cfg.Peers.Addresses) > 0 || cfg.Roster != nil {
-		p := cfg.Peers
-		mail, err := peer.Listen(peer.Options{Network: o.Network, Listen: p.Listen, Addresses: p.Addresses, Me: cfg.Number,
-			Keys: peer.NewKeyring(p.Keys, p.KeyFile, o.Log), Incarnation: inc, Freshness: p.Freshness, Rate: p.MailPerSecond, Log: o.Log, Wall: o.Wall,
-			Deliver: deliver})
-		if err != nil {
-			return g, err
-		}
-		opt.SendToPeer = mail.Tell
-		if g.keep != nil {
-			g.keep.mail = mail
-		}
-		g.closes = append(g.closes, mail.Close)
-	}
-	var db *storage.Store
-	led, db, err = g.newLedger(inc, opt.SendToPeer)
-	if err != nil {
-		return g, err
-	}
-	if led != nil {
-		opt.UsageRecorder, g.led = led, led
-	}
-	if g.node, err = node.New(opt); err != nil {
-		return g, err
-	}
-	close(started)
-	g.start(ctx, cancel, g.node.Run)
-	if cfg.StateDir != "" {
-		r, err := loadCustomerSnapshots(cfg.StateDir, cfg.Number, o.Wall())
-		if err != nil {
-			o.Log.Warn("the remembered stores are left aside", "error", err)
-		} else if len(r.Customers) > 0 {
-			o.Log.Info("stores remembered", "customers", len(r.Customers), "age", r.Age)
-			g.node.RestoreSnapshot(r)
-		}
-		ctx, cancel := context.WithCancel(ctx)
-		g.start(ctx, cancel, g.saveSnapshotsPeriodically)
-	}
-	if led != nil {
-		ctx, cancel := context.WithCancel(ctx)
-		g.start(ctx, cancel, func(ctx context.Context) { led.run(ctx, db) })
-	}
-	if g.keep != nil {
-		ctx, cancel := context.WithCancel(ctx)
-		g.start(ctx, cancel, g.keep.run)
-	}
-	if err := g.startEndpoints(ctx); err != nil {
-		return g, err
-	}
-	in := intake.New(cfg)
-	for _, l := range cfg.Listeners {
-		if err := g.listen(l, in); err != nil {
-			return g, fmt.Errorf("listener %q: %w", l.Name, err)
-		}
+}
+
+// Gateway is a running instance. [Gateway.Drain] or [Gateway.Kill] must be called once, and ends
+// everything that it owns: listeners, connections, files and goroutines.
+type Gateway struct {
+	cfg  *config.Config
+	o    Options
+	node *node.Node
+	led  *usageRecorder // nil: no counter is configured
+	keep *keeper        // nil: no roster is configured
+	// running is closed when node, led and keep may be used by peers' messages.
+	running   chan struct{}
+	listeners []listener
+	serving   sync.WaitGroup // of the listeners' goroutines
+	// closes are called in reverse order: what was opened last is closed first, so that each part
+	// can use the earlier ones until it has ended.
+	closes []func()
+	killed atomic.Bool // nothing may be saved any more
+}
+
+// Start starts a gateway and returns without waiting for peers or for an endpoint list. An error
+// says which part can't be used; what was opened until then is closed. The configuration must not
+// be changed afterwards.
+func Start(cfg *config.Config, o Options) (*Gateway, error) {
+	o.setDefaults()
+	g := &Gateway{cfg: cfg, o: o, running: make(chan struct{})}
+	if err := g.start(); err != nil {
+		g.close()
+		return nil, err
 	}
-	g.phase((*membership.Member).Serve)
 	return g, nil
 }
 
-// start runs f until the gateway closes it in its turn.
-func (g *Gateway) start(ctx context.Context, cancel func(), f func(context.Context)) {
-	done := make(chan struct{})
+// goUntilClosed runs f in a goroutine. When the gateway closes, its context is canceled and
+// close waits for its end.
+func (g *Gateway) goUntilClosed(f func(context.Context)) {
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
 	go func() {
-		defer close(done)
+		defer close(ended)
 		f(ctx)
 	}()
 	g.closes = append(g.closes, func() {
 		cancel()
-		<-done
-	})
-}
-
-// startEndpoints starts what keeps the node's server list.
-func (g *Gateway) startEndpoints(ctx context.Context) error {
-	s := g.cfg.Servers
-	if s.EDSAddress == "" {
-		list, err := fleet.Static(s.Static)
-		if err != nil {
-			return err
-		}
-		g.updateEndpoints(policy.SnapshotUpdate, list)
-		return nil
-	}
-	o := fleet.Options{Network: g.o.Network, Address: s.EDSAddress, Cluster: s.EDSCluster,
-		NodeID: fmt.Sprintf("node-%d", g.cfg.Number), Log: g.o.Log, Deliver: g.updateEndpoints}
-	if g.cfg.StateDir != "" {
-		o.File = filepath.Join(g.cfg.StateDir, "servers")
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	g.start(ctx, cancel, func(ctx context.Context) {
-		if err := fleet.Watch(ctx, o); err != nil {
-			g.o.Log.Error("discovery", "error", err)
-		}
+		<-ended
 	})
-	return nil
-}
-
-func (g *Gateway) updateEndpoints(kind policy.EndpointUpdateKind, list []node.Server) {
-	if g.o.TransformEndpoints != nil {
-		list = g.o.TransformEndpoints(list)
-	}
-	g.node.UpdateEndpoints(kind, list)
-	g.phase((*membership.Member).Listed)
-}
-
-func (g *Gateway) messageLimits(body int64) http1.Limits {
-	l := g.cfg.Limits
-	return http1.Limits{Line: l.Line, Fields: l.Fields, Header: l.Header, Body: body}
 }
 
-func authzSettings(cfg *config.Config, seed uint64) authz.Settings {
-	names := map[config.Authorisation]authz.Mode{config.Skip: authz.Skip, config.RefuseClass: authz.FailClosed,
-		config.AllowClass: authz.FailOpen}
-	a := cfg.Authoriser
-	s := authz.Settings{Classes: map[string]authz.Class{}, Plans: map[string]authz.Plan{}, Addresses: len(a.Addresses),
-		Timeout: a.Timeout, MaxInFlight: a.MostOut, Seed: seed}
-	for _, c := range cfg.Classes {
-		s.Classes[c.Name] = authz.Class{Mode: names[c.Authorisation], LatencyObjective: c.LatencyObjective, PriorityWeight: c.Worth, CacheTTL: c.Remember}
-	}
-	for _, p := range cfg.Plans {
-		s.Plans[p.Name] = authz.Plan{Rate: p.Rate, Burst: p.Burst}
-	}
-	return s
-}
-
-func (g *Gateway) listen(l config.Listener, in *intake.Intake) error {
-	nl, err := g.o.Network.Listen(l.Address)
-	if err != nil {
-		return err
-	}
-	log := g.o.Log.With("listener", l.Name)
-	log.Info("listening", "kind", string(l.Kind), "address", nl.Addr().String())
-	if l.Kind == config.ExtAuthz {
-		s := extauthz.New(extauthz.Options{Node: g.node, Intake: in, Log: log, Name: g.tracePrefix(l), TurnedAway: g.rejectionSignal()})
-		g.serve(log, nl, s.Serve, s.Drain)
-		return nil
-	}
-	if l.Kind == config.HTTP2 {
-		s := g.newHTTP2Server(l, in, log)
-		g.serve(log, nl, s.Serve, s.Drain)
-		return nil
-	}
-	s := g.newHTTP1Server(l, in, log)
-	if l.Kind == config.HTTPS {
-		t, err := newTLSListener(l, s, g.newHTTP2Server(l, in, log), log)
-		if err != nil {
-			nl.Close()
-			return err
-		}
-		g.serve(log, nl, t.Serve, t.Drain)
-		return nil
-	}
-	g.serve(log, nl, s.Serve, s.Drain)
-	return nil
-}
-
-func (g *Gateway) newHTTP2Server(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp2.Server {
-	lim := g.cfg.Limits
-	const heldBodies = 4 // whole bodies that one connection may have held
-	return fronthttp2.New(fronthttp2.Options{Node: g.node, Intake: in, Log: log, Name: g.tracePrefix(l) + "h2", HeaderBytes: lim.Header,
-		Fields: lim.Fields, Body: lim.Body, Held: heldBodies * max(lim.Body, 64<<10), Streams: lim.Streams, Abuse: lim.Abuse,
-		HeaderTime: lim.HeaderTime, BodyTime: lim.BodyTime, IdleTime: lim.IdleTime, WriteTime: lim.WriteTime, Connections: lim.Connections})
-}
-
-func (g *Gateway) newHTTP1Server(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp.Server {
-	lim := g.cfg.Limits
-	return fronthttp.New(fronthttp.Options{Node: g.node, Intake: in, Log: log, Limits: g.messageLimits(lim.Body),
-		Name:       g.tracePrefix(l),
-		HeaderTime: lim.HeaderTime, BodyTime: lim.BodyTime, IdleTime: lim.IdleTime, WriteTime: lim.WriteTime,
-		Connections: lim.Connections})
-}
-
-func (g *Gateway) serve(log *slog.Logger, nl net.Listener, serve func(net.Listener) error, drain func(context.Context)) {
-	g.serving.Go(func() {
-		if err := serve(nl); err != nil {
-			log.Error("listener ended", "error", err)
-		}
-	})
-	g.listeners = append(g.listeners, listener{nl, drain})
-}
-
-// tracePrefix begins the traces that a listener gives; it differs for every process.
-func (g *Gateway) tracePrefix(l config.Listener) string {
-	return fmt.Sprintf("%s-%d-%x", l.Name, g.cfg.Number, g.o.Seed&0xffffff)
-}
-
-func (g *Gateway) rejectionSignal() upstream.TurnedAway {
-	return upstream.TurnedAway{Status: g.cfg.Servers.TurnedAwayStatus, Header: g.cfg.Servers.TurnedAwayHeader}
-}
-
-// Drain stops in order: no new connections, what is held ends, the rest is
-// closed. When the context ends first, what is left is failed.
+// Drain shuts down in order: new connections are not accepted, requests under way are finished,
+// then everything is closed. When the context ends first, the requests that are left fail, and
+// its error is returned.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.phase((*membership.Member).Drain)
-	for _, f := range g.listeners {
-		f.net.Close()
-	}
+	g.stopListening()
 	var drained sync.WaitGroup
-	for _, f := range g.listeners {
-		drained.Go(func() { f.drain(ctx) })
+	for _, l := range g.listeners {
+		drained.Go(func() { l.drain(ctx) })
 	}
 	err := g.node.Drain(ctx)
 	drained.Wait()
@@ -341,26 +116,24 @@
 	return err
 }
 
-// phase tells the member of a step in this node's life.
-func (g *Gateway) phase(step func(*membership.Member) []membership.Action) {
-	if g.keep != nil && !g.killed.Load() {
-		g.keep.post(func() []membership.Action { return step(g.keep.m) })
-	}
-}
-
-// Kill stops at once, as a killed process does: what is held is failed, and
-// nothing is saved.
+// Kill stops at once, as a killed process does: requests under way fail, and nothing is saved.
 func (g *Gateway) Kill() {
 	g.killed.Store(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	g.Drain(ctx)
+	_ = g.Drain(ctx) // the error can only say that the context was canceled, as it was meant to be
 }
 
-func (g *Gateway) close() {
-	for _, f := range g.listeners {
-		f.net.Close()
+// phase has the membership take a step in the life of this gateway.
+func (g *Gateway) phase(step func(*membership.Member) []membership.Action) {
+	if g.keep != nil && !g.killed.Load() {
+		g.keep.post(func() []membership.Action { return step(g.keep.m) })
 	}
+}
+
+// close ends all that was started, the listeners first.
+func (g *Gateway) close() {
+	g.stopListening()
 	g.serving.Wait()
 	for i := len(g.closes) - 1; i >= 0; i-- {
 		g.closes[i]()
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -152,13 +152,15 @@
 		}
 		g.Kill()
 		time.Sleep(time.Minute) // timers of what was closed run out
-		for _, want := range []string{`msg="stores remembered" customers=2`, `msg="server list remembered" servers=2`} {
+		for _, want := range []string{`msg="customer snapshots restored" customers=2`, `msg="server list remembered" servers=2`} {
 			if !strings.Contains(log.String(), want) {
 				t.Errorf("the log lacks %s", want)
 			}
 		}
-		if strings.Contains(log.String(), "left aside") {
-			t.Error("something was left aside")
+		for _, unwanted := range []string{"left aside", "can't be used"} {
+			if strings.Contains(log.String(), unwanted) {
+				t.Errorf("the log says of something that it is %s", unwanted)
+			}
 		}
 		entries, err := os.ReadDir(dir)
 		if err != nil {
--- /dev/null
+++ b/gateway/listeners.go
@@ -0,0 +1,150 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+
+	"yardcleat.example/yardcleat/config"
+	"yardcleat.example/yardcleat/front/extauthz"
+	fronthttp "yardcleat.example/yardcleat/front/http1"
+	fronthttp2 "yardcleat.example/yardcleat/front/http2"
+	"yardcleat.example/yardcleat/intake"
+)
+
+const (
+	// heldBodies is how many bodies of the largest size one HTTP/2 connection may keep in memory.
+	heldBodies = 4
+	// minHeldBodyBytes stands for the largest size where that is configured to be smaller.
+	minHeldBodyBytes = 64 << 10
+	// seedBits of the seed in a trace id keep those of two processes apart.
+	seedBits = 24
+)
+
+// ListenerError says that a configured listener can't be opened.
+type ListenerError struct {
+	Name string // in the configuration
+	Err  error
+}
+
+func (e *ListenerError) Error() string { return fmt.Sprintf("listener %q: %v", e.Name, e.Err) }
+
+// Unwrap returns the cause.
+func (e *ListenerError) Unwrap() error { return e.Err }
+
+// frontend is a server of one protocol.
+type frontend interface {
+	// Serve accepts connections until the listener is closed, and returns nil then.
+	Serve(net.Listener) error
+	// Drain returns when all connections are closed, at the end of the context at the latest.
+	Drain(context.Context)
+}
+
+// listener is an open listener and the drain function of its frontend.
+type listener struct {
+	net   net.Listener
+	drain func(context.Context)
+}
+
+// startListeners opens the configured listeners and serves them.
+func (g *Gateway) startListeners(in *intake.Intake) error {
+	for _, l := range g.cfg.Listeners {
+		if err := g.listen(l, in); err != nil {
+			return &ListenerError{Name: l.Name, Err: err}
+		}
+	}
+	return nil
+}
+
+func (g *Gateway) listen(l config.Listener, in *intake.Intake) error {
+	open, err := g.o.Network.Listen(l.Address)
+	if err != nil {
+		return err
+	}
+	log := g.o.Log.With("listener", l.Name)
+	log.Info("listening", "kind", string(l.Kind), "address", open.Addr().String())
+	f, err := g.newFrontend(l, in, log)
+	if err != nil {
+		return errors.Join(err, open.Close())
+	}
+	g.listeners = append(g.listeners, listener{open, f.Drain})
+	g.serving.Go(func() {
+		if err := f.Serve(open); err != nil {
+			log.Error("listener failed", "error", err)
+		}
+	})
+	return nil
+}
+
+func (g *Gateway) newFrontend(l config.Listener, in *intake.Intake, log *slog.Logger) (frontend, error) {
+	switch l.Kind {
+	case config.ExtAuthz:
+		return extauthz.New(extauthz.Options{
+			Node:       g.node,
+			Intake:     in,
+			Log:        log,
+			Name:       g.tracePrefix(l),
+			TurnedAway: g.rejectionSignal(),
+		}), nil
+	case config.HTTP2:
+		return g.newHTTP2Server(l, in, log), nil
+	case config.HTTPS:
+		return newTLSListener(l, g.newHTTP1Server(l, in, log), g.newHTTP2Server(l, in, log), log)
+	default:
+		return g.newHTTP1Server(l, in, log), nil
+	}
+}
+
+func (g *Gateway) newHTTP2Server(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp2.Server {
+	limits := g.cfg.Limits
+	return fronthttp2.New(fronthttp2.Options{
+		Node:        g.node,
+		Intake:      in,
+		Log:         log,
+		Name:        g.tracePrefix(l) + "h2",
+		HeaderBytes: limits.Header,
+		Fields:      limits.Fields,
+		Body:        limits.Body,
+		Held:        heldBodies * max(limits.Body, minHeldBodyBytes),
+		Streams:     limits.Streams,
+		Abuse:       limits.Abuse,
+		HeaderTime:  limits.HeaderTime,
+		BodyTime:    limits.BodyTime,
+		IdleTime:    limits.IdleTime,
+		WriteTime:   limits.WriteTime,
+		Connections: limits.Connections,
+	})
+}
+
+func (g *Gateway) newHTTP1Server(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp.Server {
+	limits := g.cfg.Limits
+	return fronthttp.New(fronthttp.Options{
+		Node:        g.node,
+		Intake:      in,
+		Log:         log,
+		Limits:      g.messageLimits(limits.Body),
+		Name:        g.tracePrefix(l),
+		HeaderTime:  limits.HeaderTime,
+		BodyTime:    limits.BodyTime,
+		IdleTime:    limits.IdleTime,
+		WriteTime:   limits.WriteTime,
+		Connections: limits.Connections,
+	})
+}
+
+// tracePrefix begins the trace ids that a listener gives to requests; it differs between
+// processes.
+func (g *Gateway) tracePrefix(l config.Listener) string {
+	return fmt.Sprintf("%s-%d-%x", l.Name, g.cfg.Number, g.o.Seed&(1<<seedBits-1))
+}
+
+// stopListening closes the listeners, which ends their Serve. A second call does nothing.
+func (g *Gateway) stopListening() {
+	for _, l := range g.listeners {
+		if err := l.net.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			g.o.Log.Warn("closing a listener failed", "address", l.net.Addr().String(), "error", err)
+		}
+	}
+}
--- /dev/null
+++ b/gateway/start.go
@@ -0,0 +1,257 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"yardcleat.example/yardcleat/authz"
+	"yardcleat.example/yardcleat/config"
+	"yardcleat.example/yardcleat/intake"
+	"yardcleat.example/yardcleat/internal/http1"
+	"yardcleat.example/yardcleat/internal/pauseclock"
+	"yardcleat.example/yardcleat/membership"
+	"yardcleat.example/yardcleat/node"
+	"yardcleat.example/yardcleat/peer"
+	"yardcleat.example/yardcleat/storage"
+	"yardcleat.example/yardcleat/upstream"
+	authzclient "yardcleat.example/yardcleat/upstream/extauthz"
+)
+
+// AuthorizerError says that the client of the authorization service can't be made.
+type AuthorizerError struct{ Err error }
+
+func (e *AuthorizerError) Error() string { return fmt.Sprintf("authorizer: %v", e.Err) }
+
+// Unwrap returns the client's error.
+func (e *AuthorizerError) Unwrap() error { return e.Err }
+
+// start opens all parts in the order in which they depend on each other. Each step appends to
+// g.closes what it opens.
+func (g *Gateway) start() error {
+	options := g.nodeOptions(g.startClock())
+	if err := g.dialAuthorizer(&options); err != nil {
+		return err
+	}
+	incarnation := g.nextIncarnation(options.TimeOrigin)
+	if err := g.connectPeers(&options, incarnation); err != nil {
+		return err
+	}
+	usageStore, err := g.openUsage(&options, incarnation)
+	if err != nil {
+		return err
+	}
+	if err := g.startNode(options); err != nil {
+		return err
+	}
+	g.startBackground(usageStore)
+	if err := g.startEndpoints(); err != nil {
+		return err
+	}
+	if err := g.startListeners(intake.New(g.cfg)); err != nil {
+		return err
+	}
+	g.phase((*membership.Member).Serve)
+	return nil
+}
+
+// startClock starts the clock that detects pauses of the process. From then on the gateway's
+// network is watched by it.
+func (g *Gateway) startClock() (clock *pauseclock.Clock, origin time.Time) {
+	origin = time.Now()
+	clock = pauseclock.New(origin, g.o.Network, g.o.Pause)
+	g.closes = append(g.closes, clock.Close)
+	g.o.Network = clock.Watched(g.o.Network)
+	return clock, origin
+}
+
+// nodeOptions returns those of a gateway without peers, authorizer and usage counter.
+func (g *Gateway) nodeOptions(clock *pauseclock.Clock, origin time.Time) node.Options {
+	return node.Options{
+		Settings:       g.cfg.Settings(),
+		Seed:           g.o.Seed,
+		Logger:         g.o.Log,
+		Upstream:       g.newUpstream(clock),
+		ResponseMargin: g.cfg.Limits.AnswerMargin,
+		MaxUnanswered:  g.cfg.Limits.Requests,
+		TimeOrigin:     origin,
+		Clock:          clock,
+		Pause:          g.o.Pause,
+		SendToPeer:     func(int, []byte) {},
+	}
+}
+
+func (g *Gateway) newUpstream(clock *pauseclock.Clock) node.Upstream {
+	pool := upstream.New(upstream.Options{
+		Network:     g.o.Network,
+		ConnectTime: g.cfg.Limits.ConnectTime,
+		Idle:        g.cfg.Limits.IdleUpstream,
+		Limits:      g.messageLimits(g.cfg.Limits.AnswerBody),
+		TurnedAway:  g.rejectionSignal(),
+		HTTP2:       g.cfg.Servers.HTTP2,
+		Stood:       clock.Stood,
+	})
+	g.closes = append(g.closes, pool.Close)
+	if g.o.WrapUpstream != nil {
+		return g.o.WrapUpstream(pool)
+	}
+	return pool
+}
+
+// messageLimits are those of HTTP messages with bodies of a size.
+func (g *Gateway) messageLimits(bodyBytes int64) http1.Limits {
+	l := g.cfg.Limits
+	return http1.Limits{Line: l.Line, Fields: l.Fields, Header: l.Header, Body: bodyBytes}
+}
+
+// rejectionSignal is how servers say that they have not executed a request.
+func (g *Gateway) rejectionSignal() upstream.TurnedAway {
+	return upstream.TurnedAway{Status: g.cfg.Servers.TurnedAwayStatus, Header: g.cfg.Servers.TurnedAwayHeader}
+}
+
+func (g *Gateway) dialAuthorizer(options *node.Options) error {
+	a := g.cfg.Authoriser
+	if a == nil {
+		return nil
+	}
+	rules := authzclient.RequestRules{MaxBodyBytes: a.Body, AllowedHeaders: a.Allowed, DisallowedHeaders: a.Forbidden}
+	client, err := authzclient.Dial(g.o.Network, a.Addresses, rules)
+	if err != nil {
+		return &AuthorizerError{err}
+	}
+	g.closes = append(g.closes, g.logged("closing the authorization client failed", client.Close))
+	options.Authorizer = client
+	options.Authz = authz.New(authzSettings(g.cfg, g.o.Seed))
+	return nil
+}
+
+// logged returns a function that calls another one and logs its error.
+func (g *Gateway) logged(message string, f func() error) func() {
+	return func() {
+		if err := f(); err != nil {
+			g.o.Log.Warn(message, "error", err)
+		}
+	}
+}
+
+func authzSettings(cfg *config.Config, seed uint64) authz.Settings {
+	modes := map[config.Authorisation]authz.Mode{
+		config.Skip:        authz.Skip,
+		config.RefuseClass: authz.FailClosed,
+		config.AllowClass:  authz.FailOpen,
+	}
+	settings := authz.Settings{
+		Classes:     map[string]authz.Class{},
+		Plans:       map[string]authz.Plan{},
+		Addresses:   len(cfg.Authoriser.Addresses),
+		Timeout:     cfg.Authoriser.Timeout,
+		MaxInFlight: cfg.Authoriser.MostOut,
+		Seed:        seed,
+	}
+	for _, c := range cfg.Classes {
+		settings.Classes[c.Name] = authz.Class{
+			Mode:             modes[c.Authorisation],
+			LatencyObjective: c.LatencyObjective,
+			PriorityWeight:   c.Worth,
+			CacheTTL:         c.Remember,
+		}
+	}
+	for _, p := range cfg.Plans {
+		settings.Plans[p.Name] = authz.Plan{Rate: p.Rate, Burst: p.Burst}
+	}
+	return settings
+}
+
+// nextIncarnation tells the messages of this process apart from those of earlier ones.
+func (g *Gateway) nextIncarnation(startedAt time.Time) uint64 {
+	incarnation, err := peer.Incarnation(g.cfg.StateDir, startedAt)
+	if err != nil {
+		g.o.Log.Warn("incarnation could not be stored; the clock alone gives it", "error", err)
+	}
+	return incarnation
+}
+
+// connectPeers joins the other gateways, where any are configured.
+func (g *Gateway) connectPeers(options *node.Options, incarnation uint64) error {
+	if g.cfg.Roster != nil {
+		g.keep = g.newKeeper()
+	}
+	p := g.cfg.Peers
+	if len(p.Addresses) == 0 && g.cfg.Roster == nil {
+		return nil
+	}
+	transport, err := peer.Listen(peer.Options{
+		Network:     g.o.Network,
+		Listen:      p.Listen,
+		Addresses:   p.Addresses,
+		Me:          g.cfg.Number,
+		Keys:        peer.NewKeyring(p.Keys, p.KeyFile, g.o.Log),
+		Incarnation: incarnation,
+		Freshness:   p.Freshness,
+		Rate:        p.MailPerSecond,
+		Log:         g.o.Log,
+		Wall:        g.o.Wall,
+		Deliver:     g.receivePeerMessage,
+	})
+	if err != nil {
+		return err
+	}
+	g.closes = append(g.closes, transport.Close)
+	options.SendToPeer = transport.Tell
+	if g.keep != nil {
+		g.keep.mail = transport
+	}
+	return nil
+}
+
+// receivePeerMessage hands a message to the part that it is for. Messages that come before the
+// node runs are dropped, as the network may do with any.
+func (g *Gateway) receivePeerMessage(from int, data []byte) {
+	select {
+	case <-g.running:
+	default:
+		return
+	}
+	switch {
+	case g.led != nil && g.led.heard(from, data):
+	case g.keep != nil && g.keep.heard(from, data):
+	default:
+		g.node.ReceivePeerMessage(from, data)
+	}
+}
+
+// openUsage opens the usage counter and its store; both are nil where none is configured.
+func (g *Gateway) openUsage(options *node.Options, incarnation uint64) (*storage.Store, error) {
+	recorder, store, err := g.newLedger(incarnation, options.SendToPeer)
+	if err != nil || recorder == nil {
+		return nil, err
+	}
+	g.led = recorder
+	options.UsageRecorder = recorder
+	return store, nil
+}
+
+func (g *Gateway) startNode(options node.Options) error {
+	n, err := node.New(options)
+	if err != nil {
+		return err
+	}
+	g.node = n
+	close(g.running)
+	g.goUntilClosed(n.Run)
+	return nil
+}
+
+// startBackground starts what runs beside the node: snapshots, usage and membership.
+func (g *Gateway) startBackground(usageStore *storage.Store) {
+	if g.cfg.StateDir != "" {
+		g.restoreCustomerSnapshots()
+		g.goUntilClosed(g.saveSnapshotsPeriodically)
+	}
+	if g.led != nil {
+		g.goUntilClosed(func(ctx context.Context) { g.led.run(ctx, usageStore) })
+	}
+	if g.keep != nil {
+		g.goUntilClosed(g.keep.run)
+	}
+}
--- a/gateway/tls.go
+++ b/gateway/tls.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"crypto/tls"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -16,63 +17,93 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-// tlsListener ends TLS and hands each connection to the front that ALPN names. Its
-// certificate is read again when its files change; connections that are open
-// keep the one they began with.
-type tlsListener struct {
-	config      config.Listener
-	http1       *fronthttp.Server
-	http2       *fronthttp2.Server
-	log         *slog.Logger
-	tlsConfig   *tls.Config
-	mu          sync.Mutex
-	certificate *tls.Certificate
-	fileStamp   string    // of the files that cert was read from
-	checkedAt   time.Time // when they were last looked at
-}
-
 const (
 	handshakeTimeout         = 5 * time.Second
 	certificateCheckInterval = time.Second
 )
 
-func newTLSListener(l config.Listener, h1 *fronthttp.Server, h2 *fronthttp2.Server, log *slog.Logger) (*tlsListener, error) {
-	t := &tlsListener{config: l, http1: h1, http2: h2, log: log}
-	if err := t.loadCertificate(); err != nil {
+// tlsListener terminates TLS and hands each connection to the server of the protocol that ALPN
+// has chosen. The certificate is reloaded when its files change; open connections keep theirs.
+type tlsListener struct {
+	config    config.Listener
+	http1     *fronthttp.Server
+	http2     *fronthttp2.Server
+	log       *slog.Logger
+	tlsConfig *tls.Config
+
+	mu          sync.Mutex // guards what follows
+	certificate *tls.Certificate
+	files       certificateFiles // that the certificate was loaded from
+	checkedAt   time.Time        // when the files were last looked at
+}
+
+// certificateFiles tells versions of a certificate's files apart.
+type certificateFiles struct{ certificate, key fileVersion }
+
+type fileVersion struct {
+	modifiedAt int64 // Unix time in nanoseconds
+	size       int64 // bytes
+}
+
+// CertificateError says that a certificate and its key can't be used.
+type CertificateError struct {
+	CertificateFile, KeyFile string
+	Err                      error
+}
+
+func (e *CertificateError) Error() string {
+	return fmt.Sprintf("certificate %s with key %s: %v", e.CertificateFile, e.KeyFile, e.Err)
+}
+
+// Unwrap returns the cause.
+func (e *CertificateError) Unwrap() error { return e.Err }
+
+func newTLSListener(l config.Listener, http1 *fronthttp.Server, http2 *fronthttp2.Server, log *slog.Logger) (*tlsListener, error) {
+	t := &tlsListener{config: l, http1: http1, http2: http2, log: log}
+	files, err := t.statFiles()
+	if err != nil {
+		return nil, err
+	}
+	if err := t.loadCertificate(files); err != nil {
 		return nil, err
 	}
-	t.tlsConfig = &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"h2", "http/1.1"},
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return t.currentCertificate(), nil }}
+	t.tlsConfig = &tls.Config{
+		MinVersion:     tls.VersionTLS12,
+		NextProtos:     []string{"h2", "http/1.1"},
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return t.currentCertificate(), nil },
+	}
 	return t, nil
 }
 
-// statFiles tells whether the files have changed.
-func (t *tlsListener) statFiles() (string, error) {
-	s := ""
-	for _, path := range []string{t.config.Cert, t.config.Key} {
-		info, err := os.Stat(path)
-		if err != nil {
-			return "", err
-		}
-		s += fmt.Sprint(info.ModTime().UnixNano(), " ", info.Size(), " ")
+func (t *tlsListener) statFiles() (files certificateFiles, err error) {
+	if files.certificate, err = statVersion(t.config.Cert); err != nil {
+		return files, err
 	}
-	return s, nil
+	files.key, err = statVersion(t.config.Key)
+	return files, err
 }
 
-func (t *tlsListener) loadCertificate() error {
-	stamp, err := t.statFiles()
+func statVersion(path string) (fileVersion, error) {
+	info, err := os.Stat(path)
 	if err != nil {
-		return err
+		return fileVersion{}, err
 	}
-	cert, err := tls.LoadX509KeyPair(t.config.Cert, t.config.Key)
+	return fileVersion{modifiedAt: info.ModTime().UnixNano(), size: info.Size()}, nil
+}
+
+// loadCertificate loads the certificate. The files are those found before, so that a change in
+// between is found the next time.
+func (t *tlsListener) loadCertificate(files certificateFiles) error {
+	certificate, err := tls.LoadX509KeyPair(t.config.Cert, t.config.Key)
 	if err != nil {
-		return fmt.Errorf("certificate %s with key %s: %w", t.config.Cert, t.config.Key, err)
+		return &CertificateError{CertificateFile: t.config.Cert, KeyFile: t.config.Key, Err: err}
 	}
-	t.certificate, t.fileStamp = &cert, stamp
+	t.certificate = &certificate
+	t.files = files
 	return nil
 }
 
-// currentCertificate is the one to use now. Files that can't be used change nothing.
+// currentCertificate returns the one to use now. When new files can't be used, the last one stays.
 func (t *tlsListener) currentCertificate() *tls.Certificate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,41 +111,50 @@
 		return t.certificate
 	}
 	t.checkedAt = time.Now()
-	stamp, err := t.statFiles()
-	if err == nil && stamp == t.fileStamp {
-		return t.certificate
+	reloaded, err := t.reloadCertificate()
+	switch {
+	case err != nil:
+		t.log.Error("reloading the certificate failed; keeping the current one", "error", err)
+	case reloaded:
+		t.log.Info("certificate reloaded")
 	}
-	if err == nil {
-		err = t.loadCertificate()
+	return t.certificate
+}
+
+// reloadCertificate loads the certificate again where its files have changed.
+func (t *tlsListener) reloadCertificate() (reloaded bool, err error) {
+	files, err := t.statFiles()
+	if err != nil || files == t.files {
+		return false, err
 	}
-	if err != nil {
-		t.log.Error("the new certificate can't be used; the last one is kept", "error", err)
-	} else {
-		t.log.Info("certificate replaced")
+	if err := t.loadCertificate(files); err != nil {
+		return false, err
 	}
-	return t.certificate
+	return true, nil
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (t *tlsListener) Serve(l net.Listener) error {
-	return network.Accept(l, t.log, t.serve)
+	return network.Accept(l, t.log, t.serveConn)
 }
 
-func (t *tlsListener) serve(nc net.Conn) {
-	tc := tls.Server(nc, t.tlsConfig)
+// serveConn owns the connection, and returns when it has ended.
+func (t *tlsListener) serveConn(conn net.Conn) {
+	tlsConn := tls.Server(conn, t.tlsConfig)
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
-	switch err := tc.HandshakeContext(ctx); {
-	case err != nil:
-		nc.Close()
-	case tc.ConnectionState().NegotiatedProtocol == "h2":
-		t.http2.ServeConn(tc)
-	default:
-		t.http1.ServeConn(tc)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
+		t.log.Debug("TLS handshake failed", "error", errors.Join(err, conn.Close()))
+		return
+	}
+	if tlsConn.ConnectionState().NegotiatedProtocol == "h2" {
+		t.http2.ServeConn(tlsConn)
+	} else {
+		t.http1.ServeConn(tlsConn)
 	}
 }
 
-// Drain drains both fronts.
+// Drain drains the servers of both protocols.
 func (t *tlsListener) Drain(ctx context.Context) {
 	var both sync.WaitGroup
 	both.Go(func() { t.http1.Drain(ctx) })
