--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -4,15 +4,11 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"hash/fnv"
-	"io/fs"
 	"slices"
-	"time"
 
 	"yardcleat.example/yardcleat/config"
-	"yardcleat.example/yardcleat/internal/snapshotfile"
 	"yardcleat.example/yardcleat/node"
 	"yardcleat.example/yardcleat/policy"
 )
@@ -51,53 +47,3 @@
 	}
 	return nil
 }
-
-type cachedServer struct {
-	Address string             `json:"address"`
-	Zone    string             `json:"zone,omitempty"`
-	Cell    int                `json:"cell,omitempty"`
-	Weight  float64            `json:"weight"`
-	State   policy.ServerState `json:"state,omitempty"`
-	Started *time.Time         `json:"started,omitempty"`
-}
-
-var cacheFormat = snapshotfile.Format[struct{}, []cachedServer]{Version: 1, Payload: "servers"}
-
-// SaveCache writes a list to a file, in one step.
-func SaveCache(path string, list []node.Server) error {
-	lines := make([]cachedServer, 0, len(list))
-	for _, s := range list {
-		l := cachedServer{Address: s.Address, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, State: s.State}
-		if !s.StartTime.IsZero() {
-			l.Started = &s.StartTime
-		}
-		lines = append(lines, l)
-	}
-	return cacheFormat.Write(path, struct{}{}, lines)
-}
-
-// LoadCache reads a remembered list. It is nil, without an error, where there is
-// no file; a torn or foreign file is an error.
-func LoadCache(path string) ([]node.Server, error) {
-	_, lines, err := cacheFormat.Read(path)
-	var damaged *snapshotfile.DamagedError
-	var version *snapshotfile.VersionError
-	switch {
-	case errors.Is(err, fs.ErrNotExist):
-		return nil, nil
-	case errors.As(err, &damaged), errors.As(err, &version):
-		return nil, fmt.Errorf("fleet: %s is %w", path, err)
-	case err != nil:
-		return nil, err
-	}
-	var list []node.Server
-	for _, l := range lines {
-		s := node.Server{Address: l.Address, Server: policy.Server{ID: ID(l.Address), Zone: l.Zone, Cell: l.Cell,
-			Weight: l.Weight, State: l.State}}
-		if l.Started != nil {
-			s.StartTime = *l.Started
-		}
-		list = append(list, s)
-	}
-	return list, distinct(list)
-}
