--- a/gateway/authz_test.go
+++ b/gateway/authz_test.go
@@ -26,8 +26,8 @@
 	"yardcleat.example/yardcleat/standin/discovery"
 )
 
-// withTwo runs a test with two authorisers of one service.
-func withTwo(t *testing.T, f func(w *world, second *authoriser.Server)) {
+// withTwoAuthorizers runs a test with two authorisers of one service.
+func withTwoAuthorizers(t *testing.T, f func(w *world, second *authoriser.Server)) {
 	inWorldFrom(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
 		`authoriser { addresses = ["10.0.2.1:80", "10.0.2.2:80"] }`, 1), func(w *world) {
 		second := authoriser.New("denied")
@@ -38,10 +38,10 @@
 }
 
 // One of two authorisers fails: requests are asked for at the other, in time.
-func TestOneOfTwoAuthorisers(t *testing.T) {
+func TestFaultyAuthorizerIsReplacedByTheOther(t *testing.T) {
 	for _, fault := range []string{"dead", "silent", "slow"} {
 		t.Run(fault, func(t *testing.T) {
-			withTwo(t, func(w *world, second *authoriser.Server) {
+			withTwoAuthorizers(t, func(w *world, second *authoriser.Server) {
 				switch fault {
 				case "dead":
 					second.Kill()
@@ -71,7 +71,7 @@
 
 // What an authoriser is sent, and what it may change: fields, query parameters,
 // the client's response.
-func TestCheckFields(t *testing.T) {
+func TestAuthorizerReceivesAndChangesFields(t *testing.T) {
 	src := strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`, `authoriser {
   address = "10.0.2.9:80"
   body = 4
@@ -95,10 +95,10 @@
 		}
 		go a.Serve(w.listen("10.0.2.9:80"))
 		var got *http.Request
-		w.raw(func(c net.Conn, r *http.Request, n int) {
+		w.serveScripted(func(c net.Conn, r *http.Request, n int) {
 			got = r
 			io.Copy(io.Discard, r.Body)
-			ok(c)
+			writeOK(c)
 		})
 		req := w.request("POST", "/loans/1?token=t&who=x&y=1", "k-school", strings.NewReader("abcdef"))
 		for k, v := range map[string]string{"Cookie": "secret", "X-Set": "old", "X-More": "1", "X-Drop": "d"} {
@@ -132,10 +132,10 @@
 
 // With a share of access log lines lost, a place under a cap is held until the
 // attempt's time-out: the cap is never passed, less goes through it.
-func TestLostLogs(t *testing.T) {
+func TestLostAccessLogsHoldCapacityUntilTimeout(t *testing.T) {
 	for _, share := range []float64{0, 0.01, 0.1} {
 		inWorld(t, cappedPlan, func(w *world) {
-			check, done := w.checker("1000")
+			check, done := w.dialChecks("1000")
 			defer done()
 			cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
 				grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return w.host.Dial(ctx, addr) }))
@@ -187,10 +187,10 @@
 }
 
 // A client's bytes that no gRPC message takes don't make the authoriser look bad.
-func TestFieldsNotUTF8(t *testing.T) {
+func TestHeadersThatAreNotUTF8AreSentToTheAuthorizer(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		for i := range 20 {
-			got := w.rawClient(fmt.Sprintf("POST /loans/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nIdempotency-Key: k%d\xff\r\n"+
+			got := w.sendRaw(fmt.Sprintf("POST /loans/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nIdempotency-Key: k%d\xff\r\n"+
 				"X-Request-Id: \xc3\x28\r\nConnection: close\r\n\r\n", i))
 			if !strings.HasPrefix(got, "HTTP/1.1 200 ") && !strings.HasPrefix(got, "HTTP/1.1 429 ") {
 				t.Fatalf("%q", got)
@@ -202,9 +202,9 @@
 // Log lines come doubled, late, out of order, for attempts of others, and from
 // two proxies for one attempt: only the first for an attempt counts, and a place
 // under the cap is freed once.
-func TestOddLogs(t *testing.T) {
+func TestRepeatedAndForeignAccessLogsCountOnce(t *testing.T) {
 	inWorld(t, cappedPlan, func(w *world) {
-		check, done := w.checker("3000")
+		check, done := w.dialChecks("3000")
 		defer done()
 		var streams []grpc.ClientStreamingClient[alsv3.StreamAccessLogsMessage, alsv3.StreamAccessLogsResponse]
 		ctx, cancel := context.WithCancel(context.Background())
@@ -270,7 +270,7 @@
 
 // UNAVAILABLE half of the time, from one authoriser of two and from both: what
 // can be is asked again at the other.
-func TestUnavailable(t *testing.T) {
+func TestUnavailableChecksAreRetried(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		inWorldFrom(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
 			`authoriser { addresses = ["10.0.2.8:80", "10.0.2.9:80"] }`, 1), func(w *world) {
@@ -305,7 +305,7 @@
 }
 
 // An earlier answer stands in for as long as the class says, a denial too.
-func TestRememberedAnswer(t *testing.T) {
+func TestCachedAuthorizationReplacesAMissingOne(t *testing.T) {
 	src := strings.Replace(worldConfig, `authorisation = "refuse"`, "authorisation = \"refuse\"\n  remember = \"10s\"", 1)
 	inWorldFrom(t, src, func(w *world) {
 		ask := func(key string) got {
@@ -336,7 +336,7 @@
 
 // An allowed loan-change meets a draining server: the drain is told between the
 // allow and the send.
-func TestAllowedThenDrained(t *testing.T) {
+func TestAllowedRequestAvoidsDrainingServer(t *testing.T) {
 	inWorld(t, fmt.Sprintf("node { state_dir = %q }", t.TempDir()), func(w *world) {
 		d := discovery.New("c", 0, nil)
 		go d.Serve(w.listen("10.0.3.1:80"))
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -58,8 +58,8 @@
 log { level = "error" }
 `
 
-// atOnce is a server that answers at once, written with the least there is.
-func atOnce(b *testing.B) string {
+// openAtOnce is a server that answers at once, written with the least there is.
+func openAtOnce(b *testing.B) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -89,11 +89,11 @@
 	return l.Addr().String()
 }
 
-func benchGateway(b *testing.B, servers ...string) (g *Gateway, httpAddr, checkAddr string) {
-	return benchWith(b, "", servers...)
+func startBenchGateway(b *testing.B, servers ...string) (g *Gateway, httpAddr, checkAddr string) {
+	return startBenchGatewayWith(b, "", servers...)
 }
 
-func benchWith(b *testing.B, extra string, servers ...string) (g *Gateway, httpAddr, checkAddr string) {
+func startBenchGatewayWith(b *testing.B, extra string, servers ...string) (g *Gateway, httpAddr, checkAddr string) {
 	var lines string
 	for i, s := range servers {
 		lines += fmt.Sprintf("  server \"s%d\" { address = \"%s\" }\n", i, s)
@@ -111,10 +111,10 @@
 	return g, g.listeners[0].net.Addr().String(), g.listeners[1].net.Addr().String()
 }
 
-// drive has workers call one after the other, b.N times in all, and reports the
+// driveWorkers has workers call one after the other, b.N times in all, and reports the
 // rate and the median and 99th percentile of what a call takes. open makes a
 // worker's call.
-func drive(b *testing.B, workers int, open func() (call func() error, done func(), err error)) {
+func driveWorkers(b *testing.B, workers int, open func() (call func() error, done func(), err error)) {
 	var left atomic.Int64
 	left.Store(int64(b.N))
 	all := make([][]time.Duration, workers)
@@ -149,10 +149,10 @@
 	}
 }
 
-// load sends requests over connections kept open.
-func load(b *testing.B, addr string, conns int) {
+// loadHTTP sends requests over connections kept open.
+func loadHTTP(b *testing.B, addr string, conns int) {
 	request := "GET /records/1 HTTP/1.1\r\nHost: " + addr + "\r\nX-Api-Key: k\r\nUser-Agent: bench\r\nAccept: */*\r\n\r\n"
-	drive(b, conns, func() (func() error, func(), error) {
+	driveWorkers(b, conns, func() (func() error, func(), error) {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			return nil, nil, err
@@ -193,10 +193,10 @@
 	return l.Addr().String()
 }
 
-// many starts so many servers that the cap on attempts out at one does not count.
-func many(b *testing.B) (servers []string) {
+// startManyServers starts so many servers that the cap on attempts out at one does not count.
+func startManyServers(b *testing.B) (servers []string) {
 	for range 64 {
-		servers = append(servers, atOnce(b))
+		servers = append(servers, openAtOnce(b))
 	}
 	return servers
 }
@@ -205,11 +205,11 @@
 // proxy at all.
 func BenchmarkProxying(b *testing.B) {
 	for _, conns := range []int{1, 64, 1000} {
-		b.Run(fmt.Sprintf("none/%d", conns), func(b *testing.B) { load(b, atOnce(b), conns) })
-		b.Run(fmt.Sprintf("ReverseProxy/%d", conns), func(b *testing.B) { load(b, reverseProxy(b, atOnce(b)), conns) })
+		b.Run(fmt.Sprintf("none/%d", conns), func(b *testing.B) { loadHTTP(b, openAtOnce(b), conns) })
+		b.Run(fmt.Sprintf("ReverseProxy/%d", conns), func(b *testing.B) { loadHTTP(b, reverseProxy(b, openAtOnce(b)), conns) })
 		b.Run(fmt.Sprintf("yardcleat/%d", conns), func(b *testing.B) {
-			_, addr, _ := benchGateway(b, many(b)...)
-			load(b, addr, conns)
+			_, addr, _ := startBenchGateway(b, startManyServers(b)...)
+			loadHTTP(b, addr, conns)
 		})
 	}
 }
@@ -236,7 +236,7 @@
 		req := &authv3.CheckRequest{Attributes: &authv3.AttributeContext{Request: &authv3.AttributeContext_Request{
 			Http: &authv3.AttributeContext_HttpRequest{Method: "GET", Path: "/records/1", Host: "h",
 				Headers: map[string]string{"x-api-key": "k", "x-envoy-expected-rq-timeout-ms": "20", "user-agent": "bench"}}}}}
-		drive(b, workers, func() (func() error, func(), error) {
+		driveWorkers(b, workers, func() (func() error, func(), error) {
 			return func() error {
 				_, err := auth.Check(context.Background(), req)
 				return err
@@ -256,7 +256,7 @@
 			run(b, l.Addr().String(), workers)
 		})
 		b.Run(fmt.Sprintf("yardcleat/%d", workers), func(b *testing.B) {
-			_, _, addr := benchGateway(b, atOnce(b))
+			_, _, addr := startBenchGateway(b, openAtOnce(b))
 			run(b, addr, workers)
 		})
 	}
@@ -277,8 +277,8 @@
 				defer c.Kill()
 				extra = fmt.Sprintf("counter { addresses = [%q] }\nnode { state_dir = %q }\n", l.Addr().String(), b.TempDir())
 			}
-			_, addr, _ := benchWith(b, extra, many(b)...)
-			load(b, addr, 64)
+			_, addr, _ := startBenchGatewayWith(b, extra, startManyServers(b)...)
+			loadHTTP(b, addr, 64)
 		})
 	}
 }
@@ -297,7 +297,7 @@
 				}}})
 		}
 		var next atomic.Int32
-		drive(b, conns*streams, func() (func() error, func(), error) {
+		driveWorkers(b, conns*streams, func() (func() error, func(), error) {
 			client := clients[next.Add(1)%conns]
 			return func() error {
 				req, _ := http.NewRequest("GET", "http://"+addr+"/records/1", nil)
@@ -315,9 +315,9 @@
 			}, client.CloseIdleConnections, nil
 		})
 	}
-	b.Run("ReverseProxy", func(b *testing.B) { run(b, reverseProxy(b, atOnce(b))) })
+	b.Run("ReverseProxy", func(b *testing.B) { run(b, reverseProxy(b, openAtOnce(b))) })
 	b.Run("yardcleat", func(b *testing.B) {
-		g, _, _ := benchWith(b, "listener \"http2\" \"kiosks\" { address = \"127.0.0.1:0\" }\n", many(b)...)
+		g, _, _ := startBenchGatewayWith(b, "listener \"http2\" \"kiosks\" { address = \"127.0.0.1:0\" }\n", startManyServers(b)...)
 		run(b, g.listeners[2].net.Addr().String())
 	})
 }
@@ -374,7 +374,7 @@
 	b.Run("ReverseProxy", func(b *testing.B) { hang(func(addr string) { measure(b, reverseProxy(b, addr)) }) })
 	b.Run("yardcleat", func(b *testing.B) {
 		hang(func(addr string) {
-			g, _, _ := benchWith(b, "listener \"http2\" \"kiosks\" { address = \"127.0.0.1:0\" }\n", addr)
+			g, _, _ := startBenchGatewayWith(b, "listener \"http2\" \"kiosks\" { address = \"127.0.0.1:0\" }\n", addr)
 			measure(b, g.listeners[2].net.Addr().String())
 		})
 	})
--- a/gateway/customer_snapshots_test.go
+++ b/gateway/customer_snapshots_test.go
@@ -14,7 +14,7 @@
 // A node that is killed and started again knows what its customers had used, two
 // seconds back at most; without its folder it would let most of a store pass again.
 // After a time it knows that stores have filled up.
-func TestStoresOutliveAKill(t *testing.T) {
+func TestCustomerSnapshotsOutliveAKill(t *testing.T) {
 	run := func(keep bool, away time.Duration) (again int) {
 		dir := t.TempDir()
 		withCounter(t, dir, func(w *world, c *counter.Server) {
@@ -42,7 +42,7 @@
 }
 
 // A memory that is torn, damaged, another node's or old is left aside.
-func TestTornMemory(t *testing.T) {
+func TestUnusableCustomerSnapshotsAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	list := []policy.CustomerSnapshot{{Key: 7, Plan: "p", GatewaySpread: 3, Tokens: 2.5}, {Key: 8, Plan: "q", GatewaySpread: 1, Tokens: 1}}
--- a/gateway/frames_test.go
+++ b/gateway/frames_test.go
@@ -24,12 +24,12 @@
 // Each frame of RFC 9113 that a client may send for nothing, many times over or
 // where it can't be meant: the connection ends with the right error, soon, and
 // others are served meanwhile. docs/frames.md has the table.
-func TestFrames(t *testing.T) {
-	open := func(c *rawH2) { c.request(1, false, "POST", "/notes/1") } // its body is awaited
+func TestAbusiveHTTP2FramesEndTheConnection(t *testing.T) {
+	open := func(c *rawHTTP2Client) { c.request(1, false, "POST", "/notes/1") } // its body is awaited
 	many := func(b []byte) []byte { return bytes.Repeat(b, 400) }
 	for _, f := range []struct {
 		name  string
-		first func(c *rawH2)
+		first func(c *rawHTTP2Client)
 		send  []byte
 		want  http2.ErrCode
 	}{
@@ -71,14 +71,14 @@
 	} {
 		t.Run(f.name, func(t *testing.T) {
 			inWorld(t, http2Listener, func(w *world) {
-				c := w.h2()
+				c := w.dialHTTP2()
 				f.first(c)
 				go c.nc.Write(f.send)
-				got := c.read(5 * time.Second)
-				if count(got, f.want.String()) != 1 || count(got, "goaway") != 1 {
+				got := c.readFrames(5 * time.Second)
+				if countFrames(got, f.want.String()) != 1 || countFrames(got, "goaway") != 1 {
 					t.Errorf("got %v, want GOAWAY with %v", got, f.want)
 				}
-				w.fine()
+				w.expectOthersServed()
 				c.nc.Close()
 			})
 		})
@@ -87,22 +87,22 @@
 
 // A header block that never ends is cut by its time; a long download pays for its
 // WINDOW_UPDATE frames.
-func TestFramesInTime(t *testing.T) {
+func TestSlowHTTP2HeadersAreCutOff(t *testing.T) {
 	inWorld(t, http2Listener, func(w *world) {
-		c := w.h2()
+		c := w.dialHTTP2()
 		c.request(1, false, "POST", "/notes/1")
 		c.nc.Write(frame(http2.FrameHeaders, 0, 3, 0x82))
-		if got := c.read(30 * time.Second); count(got, "end") != 1 {
+		if got := c.readFrames(30 * time.Second); countFrames(got, "end") != 1 {
 			t.Errorf("a header block may take for ever: %v", got)
 		}
 		c.nc.Close()
 	})
 	inWorld(t, http2Listener, func(w *world) {
 		body := strings.Repeat("x", 90_000)
-		w.raw(func(c net.Conn, _ *http.Request, _ int) {
+		w.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		})
-		c := w.h2()
+		c := w.dialHTTP2()
 		got := 0
 		for id := uint32(1); id < 40; id += 2 {
 			c.request(id, true, "GET", "/records/1")
@@ -129,7 +129,7 @@
 }
 
 // Over HTTP/1.1, what stands around chunks is bounded by what is in them.
-func TestChunkExtensions(t *testing.T) {
+func TestChunkOverheadIsBounded(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		nc, err := w.host.Dial(context.Background(), "10.0.0.1:80")
 		if err != nil {
@@ -153,10 +153,10 @@
 
 // A node is stopped just as it writes several answers on one connection, at any
 // moment: time goes on, and the answers are written when it does.
-func TestStoppedWhileWriting(t *testing.T) {
+func TestResponsesSurviveAPauseWhileWriting(t *testing.T) {
 	for at := 50 * time.Millisecond; at < 56*time.Millisecond; at += 250 * time.Microsecond {
 		inWorld(t, http2Listener, func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			for id := uint32(1); id < 16; id += 2 {
 				c.request(id, true, "GET", "/records/1")
 			}
@@ -164,7 +164,7 @@
 			w.nodeHost.Pause()
 			time.Sleep(time.Second)
 			w.nodeHost.Resume()
-			if got := c.read(3 * time.Second); count(got, ": 200")+count(got, ": 429") < 4 {
+			if got := c.readFrames(3 * time.Second); countFrames(got, ": 200")+countFrames(got, ": 429") < 4 {
 				t.Errorf("stopped after %v: %v", at, got)
 			}
 			c.nc.Close()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestWholePath(t *testing.T) {
+func TestRequestIsAuthorizedAndServed(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		if g := w.do("GET", "/records/1", "k-school"); g.status != 200 || !strings.Contains(g.body, `"class":"lookup"`) {
 			t.Errorf("lookup: %+v", g)
@@ -231,7 +231,7 @@
 	})
 }
 
-func TestRefusedBeforeTheModule(t *testing.T) {
+func TestInvalidRequestsAreRejectedBeforeThePolicy(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		for _, c := range []struct {
 			method, path, key string
@@ -262,7 +262,7 @@
 }
 
 // A customer beyond its quota is told so, with the time to come back.
-func TestQuota(t *testing.T) {
+func TestCustomerOverQuotaIsRejectedWithRetryAfter(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		served, refused := 0, 0
 		for range 60 {
@@ -284,7 +284,7 @@
 
 // An authoriser that is late, silent or dead: the class that needs it is
 // refused in good time, others are served.
-func TestAuthoriserFails(t *testing.T) {
+func TestFailedAuthorizerRejectsInTime(t *testing.T) {
 	for _, c := range []struct{ fault, arg, reason string }{
 		{"slow", "250ms", "authorisation-late"}, {"silent", "", "authorisation-late"}, {"dead", "", "authorisation-unreachable"},
 	} {
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -25,20 +25,20 @@
 // storedAt is when an earlier build wrote testdata/stores.
 var storedAt = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-var storedStores = []policy.CustomerSnapshot{
+var storedCustomers = []policy.CustomerSnapshot{
 	{Key: 17446744073709551557, Plan: "basic", FirstGateway: 2, GatewaySpread: 5, Tokens: 12.5},
 	{Key: 7, Plan: "extended", FirstGateway: 0, GatewaySpread: 1, Tokens: 0},
 }
 
 // The customers' stores that an earlier build remembered come back, and are written
 // with the same bytes again.
-func TestStoresOfAnEarlierBuild(t *testing.T) {
+func TestCustomerSnapshotsOfAnEarlierBuild(t *testing.T) {
 	got, err := loadCustomerSnapshots("testdata", 3, storedAt.Add(5*time.Second))
-	if want := (policy.RestoreSnapshot{Age: 5 * time.Second, Customers: storedStores}); err != nil || !reflect.DeepEqual(got, want) {
+	if want := (policy.RestoreSnapshot{Age: 5 * time.Second, Customers: storedCustomers}); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
 	dir := t.TempDir()
-	if err := saveCustomerSnapshots(dir, 3, storedAt, storedStores); err != nil {
+	if err := saveCustomerSnapshots(dir, 3, storedAt, storedCustomers); err != nil {
 		t.Fatal(err)
 	}
 	sameFile(t, filepath.Join(dir, "stores"), filepath.Join("testdata", "stores"))
@@ -108,7 +108,7 @@
 
 // A node that starts on the files of an earlier build takes all of them from
 // state_dir, under their names, and leaves no others.
-func TestNodeTakesStateOfAnEarlierBuild(t *testing.T) {
+func TestGatewayLoadsStateOfAnEarlierBuild(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir := filepath.Join(t.TempDir(), "state")
 		if err := os.Mkdir(dir, 0o700); err != nil {
@@ -180,7 +180,7 @@
 }
 
 // What a node says of itself has exactly these bytes, in both directions.
-func TestHelloHasGoldenBytes(t *testing.T) {
+func TestMembershipMessageHasGoldenBytes(t *testing.T) {
 	for _, c := range []struct {
 		bytes string
 		hello membership.Hello
@@ -204,7 +204,7 @@
 
 // Totals told to a peer have exactly these bytes, in both directions; customers are
 // named by their hash.
-func TestTotalsHaveGoldenBytes(t *testing.T) {
+func TestUsageMessageHasGoldenBytes(t *testing.T) {
 	const golden = "54" + "0102030405060708" + // mark, incarnation
 		"f41766e6b11eece4" + "000000b1" + "000000000001e240" + // customer, window, thousandths
 		"c2ddf84d17004149" + "000000b2" + "0000000000000001"
--- a/gateway/hard_test.go
+++ b/gateway/hard_test.go
@@ -23,12 +23,12 @@
 	"yardcleat.example/yardcleat/standin/discovery"
 )
 
-// raw puts a scripted server in the place of both catalogue servers. handle
+// serveScripted puts a scripted server in the place of both catalogue servers. handle
 // gets each request's connection and its number, counted over both, from 1; the
 // request was read whole but for its body.
-func (w *world) raw(handle func(c net.Conn, r *http.Request, n int)) (requests *atomic.Int32) {
+func (w *world) serveScripted(handle func(c net.Conn, r *http.Request, n int)) (requests *atomic.Int32) {
 	requests = &atomic.Int32{}
-	w.listeners(func(c net.Conn) {
+	w.serveScriptedConnections(func(c net.Conn) {
 		br := bufio.NewReader(c)
 		for {
 			req, err := http.ReadRequest(br)
@@ -41,10 +41,10 @@
 	return requests
 }
 
-func ok(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }
+func writeOK(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }
 
 // How a server ends an attempt decides, with the class, whether it goes again.
-func TestEndsOfAttempts(t *testing.T) {
+func TestAttemptOutcomeDecidesOnRetry(t *testing.T) {
 	ends := map[string]func(c net.Conn, r *http.Request){
 		"reset":       func(c net.Conn, _ *http.Request) { c.(interface{ Reset() }).Reset() },
 		"closed":      func(c net.Conn, _ *http.Request) { c.Close() },
@@ -65,12 +65,12 @@
 		}{{"GET", "/records/1", true}, {"POST", "/loans/1", false}, {"POST", "/notes/1", false}} {
 			t.Run(name+" "+c.path, func(t *testing.T) {
 				inWorld(t, "", func(w *world) {
-					n := w.raw(func(c net.Conn, r *http.Request, n int) {
+					n := w.serveScripted(func(c net.Conn, r *http.Request, n int) {
 						if n == 1 {
 							end(c, r)
 							return
 						}
-						ok(c)
+						writeOK(c)
 					})
 					g := w.do(c.method, c.path, "k-school", "Idempotency-Key", "k")
 					want, sent := 502, int32(1)
@@ -90,16 +90,16 @@
 }
 
 // What proves that nothing ran lets any class go again.
-func TestNeverRan(t *testing.T) {
+func TestUnexecutedAttemptsAreRetried(t *testing.T) {
 	for _, path := range []string{"/loans/1", "/notes/1"} {
 		t.Run("turned away "+path, func(t *testing.T) {
 			inWorld(t, "", func(w *world) {
-				n := w.raw(func(c net.Conn, r *http.Request, n int) {
+				n := w.serveScripted(func(c net.Conn, r *http.Request, n int) {
 					if n == 1 {
 						io.WriteString(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 						return
 					}
-					ok(c)
+					writeOK(c)
 				})
 				if g := w.do("POST", path, "k-school", "Idempotency-Key", "k"); g.status != 200 || n.Load() != 2 {
 					t.Errorf("status %d after %d attempts", g.status, n.Load())
@@ -122,16 +122,16 @@
 // A server closes a kept connection just as a request goes out on it: with
 // bytes sent it may have run, and is not sent again. Closed before a byte was
 // sent, the same attempt goes on a new connection.
-func TestKeepAliveRace(t *testing.T) {
+func TestServerClosesIdleConnectionAsARequestIsSent(t *testing.T) {
 	inWorld(t, "", func(w *world) {
-		n := w.raw(func(c net.Conn, r *http.Request, n int) {
+		n := w.serveScripted(func(c net.Conn, r *http.Request, n int) {
 			switch n {
 			case 1, 2:
-				ok(c)
+				writeOK(c)
 			case 3:
 				c.Close() // the request was on its way
 			default:
-				ok(c)
+				writeOK(c)
 			}
 		})
 		for i := range 2 {
@@ -147,8 +147,8 @@
 		}
 	})
 	inWorld(t, "", func(w *world) {
-		n := w.raw(func(c net.Conn, r *http.Request, n int) {
-			ok(c)
+		n := w.serveScripted(func(c net.Conn, r *http.Request, n int) {
+			writeOK(c)
 			c.Close() // idle connections don't last
 		})
 		for i := range 6 {
@@ -164,15 +164,15 @@
 
 // An answer that comes after the time-out is nobody's: the next request on the
 // client's connection gets its own.
-func TestLateAnswer(t *testing.T) {
+func TestLateResponseIsDiscarded(t *testing.T) {
 	inWorld(t, "", func(w *world) {
-		w.raw(func(c net.Conn, r *http.Request, n int) {
+		w.serveScripted(func(c net.Conn, r *http.Request, n int) {
 			if n == 1 {
 				time.Sleep(time.Second)
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 				return
 			}
-			ok(c)
+			writeOK(c)
 		})
 		g := w.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300")
 		if g.status != 504 || g.header.Get("X-Yardcleat-Reason") != "server-late" || g.took > 300*time.Millisecond {
@@ -186,10 +186,10 @@
 }
 
 // A server may answer before it has read the body.
-func TestAnswerBeforeBody(t *testing.T) {
+func TestResponseBeforeTheWholeBody(t *testing.T) {
 	inWorld(t, "", func(w *world) {
-		w.raw(func(c net.Conn, r *http.Request, n int) {
-			ok(c)
+		w.serveScripted(func(c net.Conn, r *http.Request, n int) {
+			writeOK(c)
 			time.Sleep(10 * time.Second) // and never reads it
 			c.Close()
 		})
@@ -217,7 +217,7 @@
 // A client leaves, or its time runs out, while its request waits for the
 // authoriser, in the queue, or with an attempt out. Whoever still waits has an
 // answer by then; nothing is sent for those that left, and nothing stays held.
-func TestClientsEnd(t *testing.T) {
+func TestDisconnectedClientsLeaveNothingBehind(t *testing.T) {
 	points := map[string]func(w *world){
 		"at the authoriser": func(w *world) { w.auth.Do("silent", "") },
 		"attempt out":       func(w *world) { w.faults("hang", "") },
@@ -238,7 +238,7 @@
 				if g.status != 503 && g.status != 504 && g.status != 429 || g.took > patience {
 					t.Errorf("%+v", g)
 				}
-				w.quiet()
+				w.expectNothingInFlight()
 			})
 		})
 		t.Run(name+", client leaves", func(t *testing.T) {
@@ -259,14 +259,14 @@
 						t.Errorf("sent after its client left: %+v", s)
 					}
 				}
-				w.quiet()
+				w.expectNothingInFlight()
 			})
 		})
 	}
 }
 
-// quiet checks that nothing is held any more.
-func (w *world) quiet() {
+// expectNothingInFlight checks that nothing is held any more.
+func (w *world) expectNothingInFlight() {
 	w.t.Helper()
 	time.Sleep(5 * time.Second)
 	if n := w.node.node.Unanswered(); n != 0 {
@@ -274,8 +274,8 @@
 	}
 }
 
-// rawClient sends bytes and returns what comes back until the end.
-func (w *world) rawClient(parts ...string) string {
+// sendRaw sends bytes and returns what comes back until the end.
+func (w *world) sendRaw(parts ...string) string {
 	c, err := w.host.Dial(context.Background(), "10.0.0.1:80")
 	if err != nil {
 		w.t.Fatal(err)
@@ -295,7 +295,7 @@
 }
 
 // Slow and endless senders are cut off in time; others are served meanwhile.
-func TestSlowSenders(t *testing.T) {
+func TestSlowClientsAreCutOff(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		done := make(chan struct{})
 		const key = "X-Api-Key: k-school\r\n"
@@ -307,7 +307,7 @@
 		}
 		for name, parts := range slow {
 			go func() {
-				got := w.rawClient(parts...)
+				got := w.sendRaw(parts...)
 				if name != "nothing" && !strings.HasPrefix(got, "HTTP/1.1 408 ") {
 					t.Errorf("%s: %q", name, got)
 				}
@@ -330,14 +330,14 @@
 }
 
 // Pipelined requests are answered in order; 100-continue comes before a body.
-func TestPipelineAndContinue(t *testing.T) {
+func TestPipelinedRequestsAndExpectContinue(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		one := "GET /records/%d HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nX-Request-Id: r%d\r\n\r\n"
 		var in string
 		for i := range 5 {
 			in += fmt.Sprintf(one, i, i)
 		}
-		got := w.rawClient(in + "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+		got := w.sendRaw(in + "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		at := 0
 		for i := range 5 {
 			k := strings.Index(got[at:], fmt.Sprintf("X-Request-Id: r%d\r\n", i))
@@ -349,7 +349,7 @@
 		if !strings.Contains(got[at:], "HTTP/1.1 401 ") || strings.Count(got, "HTTP/1.1 ") != 6 {
 			t.Errorf("%q", got)
 		}
-		got = w.rawClient("POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nExpect: 100-continue\r\n"+
+		got = w.sendRaw("POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nExpect: 100-continue\r\n"+
 			"Content-Length: 3\r\nConnection: close\r\n\r\n", "abc")
 		if !strings.HasPrefix(got, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 ") {
 			t.Errorf("%q", got)
@@ -358,7 +358,7 @@
 }
 
 // A drain ends what is held, refuses what is new, and leaves nothing behind.
-func TestDrain(t *testing.T) {
+func TestDrainFinishesRequestsInFlight(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		done := make(chan got, 3)
 		for range 3 {
@@ -382,13 +382,13 @@
 }
 
 // A panic in a decision fails what is held and is logged; the node goes on.
-func TestPanic(t *testing.T) {
+func TestPanicInADecisionIsContained(t *testing.T) {
 	var log bytes.Buffer
 	synctest.Test(t, func(t *testing.T) {
 		n, err := node.New(node.Options{Settings: policy.Settings{Gateways: 1, Resolution: time.Millisecond,
 			Plans:   []policy.Plan{{Name: "p"}},
 			Classes: []policy.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second}}},
-			Logger: slog.New(slog.NewTextHandler(&log, nil)), MaxUnanswered: 10, SendToPeer: func(int, []byte) {}, Upstream: silent{}})
+			Logger: slog.New(slog.NewTextHandler(&log, nil)), MaxUnanswered: 10, SendToPeer: func(int, []byte) {}, Upstream: silentUpstream{}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -422,17 +422,19 @@
 	}
 }
 
-// silent is an upstream that takes attempts and never ends them.
-type silent struct{}
+// silentUpstream is an upstream that takes attempts and never ends them.
+type silentUpstream struct{}
 
-func (silent) Start(node.Attempt, func(node.Result)) node.OutgoingAttempt { return silent{} }
-func (silent) Cancel()                                                    {}
-func (silent) Withdraw() bool                                             { return false }
+func (silentUpstream) Start(node.Attempt, func(node.Result)) node.OutgoingAttempt {
+	return silentUpstream{}
+}
+func (silentUpstream) Cancel()        {}
+func (silentUpstream) Withdraw() bool { return false }
 
 // A node restarted with its last list, which is stale: three servers in it are
 // gone, one is draining. What it can't know costs attempts; each request has its
 // answer, and what discovery tells counts at once.
-func TestStaleList(t *testing.T) {
+func TestRestartWithAStaleEndpointCache(t *testing.T) {
 	dir := t.TempDir()
 	extra := `node { state_dir = "` + dir + `" }`
 	var list []node.Server
@@ -494,7 +496,7 @@
 
 // Smuggled requests: raw bytes in, what the client is told and what reaches a
 // server out. Behind each stands a request that a laxer parser would see.
-func TestSmuggling(t *testing.T) {
+func TestSmuggledRequestsAreRejected(t *testing.T) {
 	const head = "POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\n"
 	const hidden = "GET /records/smuggled HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\n\r\n"
 	for name, in := range map[string]string{
@@ -512,7 +514,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			inWorld(t, "", func(w *world) {
-				got := w.rawClient(in)
+				got := w.sendRaw(in)
 				if !strings.HasPrefix(got, "HTTP/1.1 400 ") || strings.Count(got, "HTTP/1.1 ") != 1 || !strings.Contains(got, "Connection: close\r\n") {
 					t.Errorf("%q", got)
 				}
@@ -524,7 +526,7 @@
 	}
 	// A body is a body: what stands in it reaches the server as such.
 	inWorld(t, "", func(w *world) {
-		got := w.rawClient(head + fmt.Sprintf("Connection: close\r\nContent-Length: %d\r\n\r\n", len(hidden)) + hidden)
+		got := w.sendRaw(head + fmt.Sprintf("Connection: close\r\nContent-Length: %d\r\n\r\n", len(hidden)) + hidden)
 		if !strings.HasPrefix(got, "HTTP/1.1 200 ") || strings.Count(got, "HTTP/1.1 ") != 1 {
 			t.Errorf("%q", got)
 		}
--- a/gateway/http2_test.go
+++ b/gateway/http2_test.go
@@ -38,8 +38,8 @@
 }
 `
 
-// rawH2 is a client that speaks frames.
-type rawH2 struct {
+// rawHTTP2Client is a client that speaks frames.
+type rawHTTP2Client struct {
 	w    *world
 	nc   net.Conn
 	fr   *http2.Framer
@@ -47,13 +47,13 @@
 	hbuf bytes.Buffer
 }
 
-func (w *world) h2(settings ...http2.Setting) *rawH2 {
+func (w *world) dialHTTP2(settings ...http2.Setting) *rawHTTP2Client {
 	w.t.Helper()
 	nc, err := w.host.Dial(context.Background(), "10.0.0.1:82")
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	c := &rawH2{w: w, nc: nc, fr: http2.NewFramer(nc, nc)}
+	c := &rawHTTP2Client{w: w, nc: nc, fr: http2.NewFramer(nc, nc)}
 	c.henc = hpack.NewEncoder(&c.hbuf)
 	c.fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	io.WriteString(nc, http2.ClientPreface)
@@ -61,7 +61,7 @@
 	return c
 }
 
-func (c *rawH2) block(method, path string, fields ...string) []byte {
+func (c *rawHTTP2Client) headerBlock(method, path string, fields ...string) []byte {
 	c.hbuf.Reset()
 	all := append([]string{":method", method, ":scheme", "http", ":path", path, ":authority", "h", "x-api-key", "k-school"}, fields...)
 	for i := 0; i+1 < len(all); i += 2 {
@@ -70,12 +70,12 @@
 	return c.hbuf.Bytes()
 }
 
-func (c *rawH2) request(id uint32, end bool, method, path string, fields ...string) {
-	c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: c.block(method, path, fields...), EndStream: end, EndHeaders: true})
+func (c *rawHTTP2Client) request(id uint32, end bool, method, path string, fields ...string) {
+	c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: c.headerBlock(method, path, fields...), EndStream: end, EndHeaders: true})
 }
 
-// read reads frames until the connection ends or a time is over.
-func (c *rawH2) read(d time.Duration) (frames []string) {
+// readFrames reads frames until the connection ends or a time is over.
+func (c *rawHTTP2Client) readFrames(d time.Duration) (frames []string) {
 	c.nc.SetReadDeadline(time.Now().Add(d))
 	for {
 		f, err := c.fr.ReadFrame()
@@ -96,7 +96,7 @@
 	}
 }
 
-func count(frames []string, what string) (n int) {
+func countFrames(frames []string, what string) (n int) {
 	for _, f := range frames {
 		if strings.Contains(f, what) {
 			n++
@@ -105,37 +105,37 @@
 	return n
 }
 
-// fine checks that others are served meanwhile.
-func (w *world) fine() {
+// expectOthersServed checks that others are served meanwhile.
+func (w *world) expectOthersServed() {
 	w.t.Helper()
 	if g := w.do("GET", "/records/1", "k-school"); g.status != 200 || g.took > time.Second {
 		w.t.Errorf("others are not served: %+v", g)
 	}
 }
 
-// fine2 is fine where the quota may be used up: an answer comes at once.
-func (w *world) fine2() {
+// expectOthersAnswered is fine where the quota may be used up: an answer comes at once.
+func (w *world) expectOthersAnswered() {
 	w.t.Helper()
 	if g := w.do("GET", "/records/1", "k-school"); g.status != 200 && g.status != 429 || g.took > time.Second {
 		w.t.Errorf("others are not answered: %+v", g)
 	}
 }
 
-func TestHTTP2(t *testing.T) {
+func TestHTTP2Listener(t *testing.T) {
 	for name, test := range map[string]func(w *world){
 		"plain": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			c.request(1, true, "GET", "/records/1")
 			c.request(3, false, "POST", "/notes/1", "content-length", "3")
 			c.fr.WriteData(3, true, []byte("abc"))
-			if got := c.read(time.Second); count(got, "1: 200") != 1 || count(got, "3: 200") != 1 {
+			if got := c.readFrames(time.Second); countFrames(got, "1: 200") != 1 || countFrames(got, "3: 200") != 1 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"reset is the client gone": func(w *world) {
 			w.faults("hang", "")
-			c := w.h2()
+			c := w.dialHTTP2()
 			c.request(1, true, "POST", "/notes/1")
 			time.Sleep(100 * time.Millisecond)
 			c.fr.WriteRSTStream(1, http2.ErrCodeCancel)
@@ -146,12 +146,12 @@
 			c.nc.Close()
 		},
 		"rapid reset": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			for i := range uint32(500) {
 				c.request(2*i+1, true, "GET", "/records/1")
 				c.fr.WriteRSTStream(2*i+1, http2.ErrCodeCancel)
 			}
-			if got := c.read(time.Second); count(got, "ENHANCE_YOUR_CALM") != 1 || count(got, "end") != 1 {
+			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 || countFrames(got, "end") != 1 {
 				w.t.Error(got)
 			}
 			if n := len(w.arrived()); n > 60 {
@@ -161,49 +161,49 @@
 		},
 		"too many streams": func(w *world) {
 			w.faults("hang", "")
-			c := w.h2()
+			c := w.dialHTTP2()
 			for i := range uint32(40) {
 				c.request(2*i+1, true, "GET", "/records/1")
 			}
-			if got := c.read(100 * time.Millisecond); count(got, "REFUSED_STREAM") != 20 {
+			if got := c.readFrames(100 * time.Millisecond); countFrames(got, "REFUSED_STREAM") != 20 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"pings": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			for range 200 {
 				c.fr.WritePing(false, [8]byte{})
 			}
-			if got := c.read(time.Second); count(got, "ENHANCE_YOUR_CALM") != 1 {
+			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"settings": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			for range 200 {
 				c.fr.WriteSettings()
 			}
-			if got := c.read(time.Second); count(got, "ENHANCE_YOUR_CALM") != 1 {
+			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"empty data": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1")
 			for range 200 {
 				c.fr.WriteData(1, false, nil)
 			}
-			if got := c.read(time.Second); count(got, "ENHANCE_YOUR_CALM") != 1 {
+			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"continuations without end": func(w *world) {
-			c := w.h2()
-			c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: c.block("GET", "/records/1")})
+			c := w.dialHTTP2()
+			c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: c.headerBlock("GET", "/records/1")})
 			for range 2000 {
 				c.hbuf.Reset()
 				c.henc.WriteField(hpack.HeaderField{Name: "x-a", Value: strings.Repeat("b", 1000), Sensitive: true})
@@ -211,37 +211,37 @@
 					break
 				}
 			}
-			if got := c.read(time.Second); count(got, "end") != 1 || count(got, "200") != 0 {
+			if got := c.readFrames(time.Second); countFrames(got, "end") != 1 || countFrames(got, "200") != 0 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"header bomb": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			var fields []string
 			for range 500 {
 				fields = append(fields, "x-a", strings.Repeat("b", 500)) // one byte each, indexed
 			}
 			c.request(1, true, "GET", "/records/1", fields...)
-			if got := c.read(time.Second); count(got, "1: 431") != 1 {
+			if got := c.readFrames(time.Second); countFrames(got, "1: 431") != 1 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"window of zero": func(w *world) {
 			// A thousand streams on fifty connections that take no byte of an answer.
-			var all []*rawH2
+			var all []*rawHTTP2Client
 			for range 50 {
-				c := w.h2(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
+				c := w.dialHTTP2(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 				for i := range uint32(20) {
 					c.request(2*i+1, true, "GET", "/records/1")
 				}
 				all = append(all, c)
 			}
 			time.Sleep(500 * time.Millisecond)
-			w.fine2()
-			got := all[0].read(time.Minute)
-			if count(got, ": ") < 20 || count(got, "CANCEL") != 20 {
+			w.expectOthersAnswered()
+			got := all[0].readFrames(time.Minute)
+			if countFrames(got, ": ") < 20 || countFrames(got, "CANCEL") != 20 {
 				w.t.Error(got)
 			}
 			for _, c := range all {
@@ -249,28 +249,28 @@
 			}
 		},
 		"body that stops": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1")
 			c.fr.WriteData(1, false, []byte("abc"))
-			if got := c.read(5 * time.Second); count(got, "1: 408") != 1 {
+			if got := c.readFrames(5 * time.Second); countFrames(got, "1: 408") != 1 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"body too long": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1")
 			for range 7 {
 				c.fr.WriteData(1, false, make([]byte, 16000))
 				time.Sleep(10 * time.Millisecond)
 			}
-			if got := c.read(time.Second); count(got, "1: 413") != 1 || count(got, "1: NO_ERROR") != 1 {
+			if got := c.readFrames(time.Second); countFrames(got, "1: 413") != 1 || countFrames(got, "1: NO_ERROR") != 1 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"length that differs": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1", "content-length", "5")
 			c.fr.WriteData(1, true, []byte("abc"))
 			c.request(3, true, "POST", "/notes/1", "content-length", "5")
@@ -278,13 +278,13 @@
 			c.request(7, true, "GET", "/records/1", "connection", "close")
 			c.request(9, true, "GET", "/records/1", "host", "other")
 			c.request(11, true, "GET", "/records/1 HTTP/1.1")
-			if got := c.read(time.Second); count(got, "PROTOCOL_ERROR") != 6 || len(w.arrived()) != 0 {
+			if got := c.readFrames(time.Second); countFrames(got, "PROTOCOL_ERROR") != 6 || len(w.arrived()) != 0 {
 				w.t.Error(got)
 			}
 			c.nc.Close()
 		},
 		"drain in the middle": func(w *world) {
-			c := w.h2()
+			c := w.dialHTTP2()
 			c.request(1, true, "GET", "/records/1")
 			c.request(3, false, "POST", "/notes/1")
 			time.Sleep(10 * time.Millisecond)
@@ -297,8 +297,8 @@
 			time.Sleep(10 * time.Millisecond)
 			c.request(5, true, "GET", "/records/1")
 			c.fr.WriteData(3, true, []byte("abc"))
-			got := c.read(3 * time.Second)
-			if count(got, "goaway 3 NO_ERROR") != 1 || count(got, "1: 200") != 1 || count(got, "3: ") != 1 || count(got, "5: ") != 0 || count(got, "end") != 1 {
+			got := c.readFrames(3 * time.Second)
+			if countFrames(got, "goaway 3 NO_ERROR") != 1 || countFrames(got, "1: 200") != 1 || countFrames(got, "3: ") != 1 || countFrames(got, "5: ") != 0 || countFrames(got, "end") != 1 {
 				w.t.Error(got)
 			}
 			if err := <-done; err != nil {
@@ -313,8 +313,8 @@
 				w.faults("ok", "")
 				if name != "drain in the middle" {
 					time.Sleep(3 * time.Second)
-					w.fine()
-					w.quiet()
+					w.expectOthersServed()
+					w.expectNothingInFlight()
 				}
 			})
 		})
@@ -323,7 +323,7 @@
 
 // Go's own client over HTTP/2 and TLS; the certificate is replaced in service,
 // and open connections stay.
-func TestTLS(t *testing.T) {
+func TestTLSListenerReloadsItsCertificate(t *testing.T) {
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert"), filepath.Join(dir, "key")
 	write := func(serial int64) {
@@ -408,13 +408,13 @@
 	})
 }
 
-// http2Servers is the world's configuration with servers that speak HTTP/2.
-func http2Servers() string {
+// http2ServersConfig is the world's configuration with servers that speak HTTP/2.
+func http2ServersConfig() string {
 	return strings.Replace(worldConfig, "servers {", "servers {\n  protocol = \"http2\"", 1)
 }
 
-func TestHTTP2Servers(t *testing.T) {
-	inWorldFrom(t, http2Servers(), func(w *world) {
+func TestServersOverHTTP2(t *testing.T) {
+	inWorldFrom(t, http2ServersConfig(), func(w *world) {
 		done := make(chan got, 12)
 		for i := range 12 {
 			go func() { done <- w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
@@ -445,7 +445,7 @@
 
 // What ends a stream decides whether an unsafe request goes again: only
 // REFUSED_STREAM and a GOAWAY below it prove that nothing ran.
-func TestHTTP2Ends(t *testing.T) {
+func TestHTTP2StreamErrorDecidesOnRetry(t *testing.T) {
 	for name, c := range map[string]struct {
 		end   func(fr *http2.Framer, nc net.Conn, id uint32)
 		again bool
@@ -467,7 +467,7 @@
 		"data before headers": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteData(id, true, []byte("x")) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorldFrom(t, http2Servers(), func(w *world) {
+			inWorldFrom(t, http2ServersConfig(), func(w *world) {
 				requests := 0
 				serve := func(nc net.Conn) {
 					io.ReadFull(nc, make([]byte, len(http2.ClientPreface)))
@@ -490,7 +490,7 @@
 						}
 					}
 				}
-				w.listeners(serve)
+				w.serveScriptedConnections(serve)
 				g := w.do("POST", "/notes/1", "k-school")
 				want, sent := 502, 1
 				if c.again {
@@ -504,8 +504,8 @@
 	}
 }
 
-// listeners puts scripted connections in the place of both servers.
-func (w *world) listeners(serve func(net.Conn)) {
+// serveScriptedConnections puts scripted connections in the place of both servers.
+func (w *world) serveScriptedConnections(serve func(net.Conn)) {
 	synctest.Wait()
 	for i, s := range w.servers {
 		s.Kill()
--- a/gateway/proxied_test.go
+++ b/gateway/proxied_test.go
@@ -29,8 +29,8 @@
 }
 `
 
-// checker asks by Check and reports nothing.
-func (w *world) checker(patience string) (check func(path string) *authv3.CheckResponse, done func()) {
+// dialChecks asks by Check and reports nothing.
+func (w *world) dialChecks(patience string) (check func(path string) *authv3.CheckResponse, done func()) {
 	cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return w.host.Dial(ctx, addr) }))
 	if err != nil {
@@ -50,9 +50,9 @@
 
 // A Check whose proxy never logs holds its place under the cap until its
 // time-out, and no longer.
-func TestNeverLogged(t *testing.T) {
+func TestCheckWithoutAccessLogHoldsCapacityUntilTimeout(t *testing.T) {
 	inWorld(t, cappedPlan, func(w *world) {
-		check, done := w.checker("1000")
+		check, done := w.dialChecks("1000")
 		defer done()
 		for i := range 2 {
 			if r := check("/records/1"); r.GetOkResponse() == nil {
@@ -71,9 +71,9 @@
 }
 
 // A Check that is held as the node drains has its answer.
-func TestDrainWithCheck(t *testing.T) {
+func TestDrainAnswersQueuedCheck(t *testing.T) {
 	inWorld(t, cappedPlan, func(w *world) {
-		check, done := w.checker("2000")
+		check, done := w.dialChecks("2000")
 		defer done()
 		for range 2 {
 			check("/records/1")
@@ -98,7 +98,7 @@
 
 // A proxy that logs frees the cap at once, and its clients get what those of
 // the HTTP front get.
-func TestThroughProxy(t *testing.T) {
+func TestRequestsThroughAnExtAuthzProxy(t *testing.T) {
 	inWorld(t, cappedPlan, func(w *world) {
 		p, err := proxy.New(proxy.Options{Network: w.host, Gateway: "10.0.0.1:81", Patience: time.Second})
 		if err != nil {
@@ -124,7 +124,7 @@
 			t.Errorf("%d attempts arrived", n)
 		}
 		p.Kill()
-		w.quiet()
+		w.expectNothingInFlight()
 		if got := fmt.Sprint(w.node.node.Unanswered()); got != "0" {
 			t.Error(got)
 		}
