--- a/gateway/authz_test.go
+++ b/gateway/authorization_test.go
@@ -366,3 +366,31 @@
 		d.Kill()
 	})
 }
+
+// An authoriser that is late, silent or dead: the class that needs it is
+// refused in good time, others are served.
+func TestFailedAuthorizerRejectsInTime(t *testing.T) {
+	for _, c := range []struct{ fault, arg, reason string }{
+		{"slow", "250ms", "authorisation-late"}, {"silent", "", "authorisation-late"}, {"dead", "", "authorisation-unreachable"},
+	} {
+		t.Run(c.fault, func(t *testing.T) {
+			inWorld(t, "", func(w *world) {
+				if c.fault == "dead" {
+					w.auth.Kill()
+				} else {
+					w.auth.Do(c.fault, c.arg)
+				}
+				g := w.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k1")
+				if g.status != 503 || g.header.Get("X-Yardcleat-Reason") != c.reason || g.took > 250*time.Millisecond {
+					t.Errorf("%+v", g)
+				}
+				if g := w.do("GET", "/records/1", "k-school"); g.status != 200 {
+					t.Errorf("lookup: %+v", g)
+				}
+				if n := len(w.arrived()); n != 1 {
+					t.Errorf("%d attempts arrived", n)
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/gateway/endpoint_cache_test.go
@@ -0,0 +1,78 @@
+package gateway
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"yardcleat.example/yardcleat/fleet"
+	"yardcleat.example/yardcleat/node"
+	"yardcleat.example/yardcleat/policy"
+	"yardcleat.example/yardcleat/standin/discovery"
+)
+
+// A node restarted with its last list, which is stale: three servers in it are
+// gone, one is draining. What it can't know costs attempts; each request has its
+// answer, and what discovery tells counts at once.
+func TestRestartWithAStaleEndpointCache(t *testing.T) {
+	dir := t.TempDir()
+	extra := `node { state_dir = "` + dir + `" }`
+	var list []node.Server
+	for _, a := range []string{"10.0.1.1:80", "10.0.1.2:80", "10.0.1.7:80", "10.0.1.8:80", "10.0.1.9:80"} {
+		list = append(list, node.Server{Address: a, Server: policy.Server{ID: fleet.ID(a), Weight: 1}})
+	}
+	if err := fleet.SaveCache(filepath.Join(dir, "servers"), list); err != nil {
+		t.Fatal(err)
+	}
+	inWorld(t, extra, func(w *world) {
+		served := 0
+		for i := range 8 { // discovery is not there yet
+			switch g := w.do("GET", fmt.Sprint("/records/", i), "k-school"); {
+			case g.status == 200:
+				served++
+			case g.header.Get("X-Yardcleat-Reason") != "server-gone": // three attempts, three gone
+				t.Errorf("%+v", g)
+			}
+		}
+		if served < 5 {
+			t.Errorf("%d of 8 served", served)
+		}
+		d := discovery.New("c", 0, nil)
+		go d.Serve(w.listen("10.0.3.1:80"))
+		d.Set([]discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Draining: true}, {Name: "s2", Address: "10.0.1.2:80", Cell: 1}})
+		time.Sleep(3 * time.Second) // the stream is opened again
+		told := time.Now()
+		for i := range 10 {
+			if g := w.do("GET", fmt.Sprint("/records/", i), "k-school"); g.status != 200 {
+				t.Errorf("%+v", g)
+			}
+		}
+		for _, s := range w.arrived() {
+			if s.Server == "s1" && s.At.After(told) {
+				t.Errorf("sent to the draining server: %+v", s)
+			}
+		}
+		d.Kill()
+	})
+	// A torn file is left aside.
+	path := filepath.Join(t.TempDir(), "servers")
+	if err := fleet.SaveCache(path, []node.Server{{Address: "10.0.1.9:80", Server: policy.Server{ID: 1, Weight: 1}}}); err != nil {
+		t.Fatal(err)
+	}
+	whole, _ := os.ReadFile(path)
+	for i := range whole {
+		os.WriteFile(path, whole[:i], 0o600)
+		if list, err := fleet.LoadCache(path); err == nil || list != nil {
+			t.Fatalf("cut at %d: %v, %v", i, list, err)
+		}
+		flipped := bytes.Clone(whole)
+		flipped[i] ^= 1
+		os.WriteFile(path, flipped, 0o600)
+		if list, err := fleet.LoadCache(path); err == nil && (len(list) != 1 || list[0].Address != "10.0.1.9:80") {
+			t.Fatalf("flipped at %d: %v", i, list)
+		}
+	}
+}
--- a/gateway/frames_test.go
+++ b/gateway/http2_frames_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/binary"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -127,47 +125,3 @@
 		c.nc.Close()
 	})
 }
-
-// Over HTTP/1.1, what stands around chunks is bounded by what is in them.
-func TestChunkOverheadIsBounded(t *testing.T) {
-	inWorld(t, "", func(w *world) {
-		nc, err := w.host.Dial(context.Background(), "10.0.0.1:80")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer nc.Close()
-		io.WriteString(nc, "POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nTransfer-Encoding: chunked\r\n\r\n")
-		go func() {
-			for range 12 {
-				if _, err := io.WriteString(nc, "1;"+strings.Repeat("e", 4000)+"\r\nx\r\n"); err != nil {
-					return
-				}
-			}
-		}()
-		b, _ := io.ReadAll(nc)
-		if !strings.HasPrefix(string(b), "HTTP/1.1 400 ") {
-			t.Errorf("%.80q", b)
-		}
-	})
-}
-
-// A node is stopped just as it writes several answers on one connection, at any
-// moment: time goes on, and the answers are written when it does.
-func TestResponsesSurviveAPauseWhileWriting(t *testing.T) {
-	for at := 50 * time.Millisecond; at < 56*time.Millisecond; at += 250 * time.Microsecond {
-		inWorld(t, http2Listener, func(w *world) {
-			c := w.dialHTTP2()
-			for id := uint32(1); id < 16; id += 2 {
-				c.request(id, true, "GET", "/records/1")
-			}
-			time.Sleep(at)
-			w.nodeHost.Pause()
-			time.Sleep(time.Second)
-			w.nodeHost.Resume()
-			if got := c.readFrames(3 * time.Second); countFrames(got, ": 200")+countFrames(got, ": 429") < 4 {
-				t.Errorf("stopped after %v: %v", at, got)
-			}
-			c.nc.Close()
-		})
-	}
-}
--- a/gateway/http2_test.go
+++ b/gateway/http2_test.go
@@ -3,23 +3,11 @@
 import (
 	"bytes"
 	"context"
-	"crypto/ecdsa"
-	"crypto/elliptic"
-	"crypto/rand"
-	"crypto/tls"
-	"crypto/x509"
-	"crypto/x509/pkix"
-	"encoding/pem"
 	"fmt"
 	"io"
-	"math/big"
 	"net"
-	"net/http"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"golang.org/x/net/http2"
@@ -321,207 +309,23 @@
 	}
 }
 
-// Go's own client over HTTP/2 and TLS; the certificate is replaced in service,
-// and open connections stay.
-func TestTLSListenerReloadsItsCertificate(t *testing.T) {
-	dir := t.TempDir()
-	cert, key := filepath.Join(dir, "cert"), filepath.Join(dir, "key")
-	write := func(serial int64) {
-		priv, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-		if err != nil {
-			t.Fatal(err)
-		}
-		tmpl := &x509.Certificate{SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: "gateway"}, DNSNames: []string{"gateway"},
-			NotBefore: time.Unix(0, 0), NotAfter: time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)}
-		der, err := x509.CreateCertificate(rand.Reader, tmpl, tmpl, &priv.PublicKey, priv)
-		if err != nil {
-			t.Fatal(err)
-		}
-		k, err := x509.MarshalPKCS8PrivateKey(priv)
-		if err != nil {
-			t.Fatal(err)
-		}
-		os.WriteFile(cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600)
-		os.WriteFile(key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: k}), 0o600)
-	}
-	write(1)
-	inWorld(t, fmt.Sprintf("listener \"https\" \"all\" {\n address = \"10.0.0.1:443\"\n cert_file = %q\n key_file = %q\n}\n", cert, key), func(w *world) {
-		client := func(protos ...string) *http.Client {
-			cfg := &tls.Config{InsecureSkipVerify: true, NextProtos: protos, ServerName: "gateway"}
-			dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
-				nc, err := w.host.Dial(ctx, "10.0.0.1:443")
-				if err != nil {
-					return nil, err
-				}
-				tc := tls.Client(nc, cfg)
-				return tc, tc.HandshakeContext(ctx)
-			}
-			if protos[0] == "h2" {
-				return &http.Client{Transport: &http2.Transport{DialTLSContext: func(ctx context.Context, n, a string, _ *tls.Config) (net.Conn, error) {
-					return dial(ctx, n, a)
-				}}}
-			}
-			return &http.Client{Transport: &http.Transport{DialTLSContext: dial}}
-		}
-		get := func(c *http.Client) (proto string, serial int64) {
-			req, _ := http.NewRequest("GET", "https://gateway/records/1", nil)
-			req.Header.Set("X-Api-Key", "k-school")
-			res, err := c.Do(req)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer res.Body.Close()
-			io.Copy(io.Discard, res.Body)
-			if res.StatusCode != 200 {
-				t.Errorf("status %d", res.StatusCode)
-			}
-			if res.TLS != nil {
-				serial = res.TLS.PeerCertificates[0].SerialNumber.Int64()
+// A node is stopped just as it writes several answers on one connection, at any
+// moment: time goes on, and the answers are written when it does.
+func TestResponsesSurviveAPauseWhileWriting(t *testing.T) {
+	for at := 50 * time.Millisecond; at < 56*time.Millisecond; at += 250 * time.Microsecond {
+		inWorld(t, http2Listener, func(w *world) {
+			c := w.dialHTTP2()
+			for id := uint32(1); id < 16; id += 2 {
+				c.request(id, true, "GET", "/records/1")
 			}
-			return res.Proto, serial
-		}
-		h2, h1 := client("h2"), client("http/1.1")
-		if p, n := get(h2); p != "HTTP/2.0" || n != 1 {
-			t.Errorf("%s, certificate %d", p, n)
-		}
-		if p, n := get(h1); p != "HTTP/1.1" || n != 1 {
-			t.Errorf("%s, certificate %d", p, n)
-		}
-		time.Sleep(2 * time.Second)
-		os.WriteFile(cert, []byte("torn"), 0o600)
-		other := client("h2")
-		if _, n := get(other); n != 1 {
-			t.Errorf("certificate %d after a torn one", n)
-		}
-		time.Sleep(2 * time.Second)
-		write(2)
-		if _, n := get(h2); n != 1 {
-			t.Errorf("the open connection has certificate %d", n)
-		}
-		fresh := client("h2")
-		if _, n := get(fresh); n != 2 {
-			t.Errorf("a new connection has certificate %d", n)
-		}
-		for _, c := range []*http.Client{h2, h1, other, fresh} {
-			c.CloseIdleConnections()
-		}
-	})
-}
-
-// http2ServersConfig is the world's configuration with servers that speak HTTP/2.
-func http2ServersConfig() string {
-	return strings.Replace(worldConfig, "servers {", "servers {\n  protocol = \"http2\"", 1)
-}
-
-func TestServersOverHTTP2(t *testing.T) {
-	inWorldFrom(t, http2ServersConfig(), func(w *world) {
-		done := make(chan got, 12)
-		for i := range 12 {
-			go func() { done <- w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
-		}
-		for range 12 {
-			if g := <-done; g.status != 200 {
-				t.Errorf("%+v", g)
+			time.Sleep(at)
+			w.nodeHost.Pause()
+			time.Sleep(time.Second)
+			w.nodeHost.Resume()
+			if got := c.readFrames(3 * time.Second); countFrames(got, ": 200")+countFrames(got, ": 429") < 4 {
+				t.Errorf("stopped after %v: %v", at, got)
 			}
-		}
-		res, err := w.client.Do(w.request("POST", "/notes/1", "k-school", strings.NewReader(strings.Repeat("x", 300_000))))
-		if err != nil {
-			t.Fatal(err)
-		}
-		res.Body.Close()
-		if res.StatusCode != 200 {
-			t.Errorf("status %d", res.StatusCode)
-		}
-		w.faults("hang", "")
-		if g := w.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300"); g.status != 504 {
-			t.Errorf("%+v", g)
-		}
-		time.Sleep(100 * time.Millisecond)
-		if s := w.arrived()[len(w.arrived())-1]; s.End.Sub(s.At) > 310*time.Millisecond || s.Answered {
-			t.Errorf("the stream was not reset: %+v", s)
-		}
-	})
-}
-
-// What ends a stream decides whether an unsafe request goes again: only
-// REFUSED_STREAM and a GOAWAY below it prove that nothing ran.
-func TestHTTP2StreamErrorDecidesOnRetry(t *testing.T) {
-	for name, c := range map[string]struct {
-		end   func(fr *http2.Framer, nc net.Conn, id uint32)
-		again bool
-	}{
-		"REFUSED_STREAM": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteRSTStream(id, http2.ErrCodeRefusedStream) }, true},
-		"GOAWAY below":   {func(fr *http2.Framer, _ net.Conn, _ uint32) { fr.WriteGoAway(0, http2.ErrCodeNo, nil) }, true},
-		"GOAWAY at it, then closed": {func(fr *http2.Framer, nc net.Conn, id uint32) {
-			fr.WriteGoAway(id, http2.ErrCodeNo, nil)
-			nc.Close()
-		}, false},
-		"INTERNAL_ERROR": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteRSTStream(id, http2.ErrCodeInternal) }, false},
-		"CANCEL":         {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteRSTStream(id, http2.ErrCodeCancel) }, false},
-		"closed":         {func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Close() }, false},
-		"reset":          {func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.(interface{ Reset() }).Reset() }, false},
-		"not HTTP/2": {func(_ *http2.Framer, nc net.Conn, _ uint32) {
-			io.WriteString(nc, "HTTP/1.1 400 Bad\r\n\r\n")
-			nc.Close()
-		}, false},
-		"data before headers": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteData(id, true, []byte("x")) }, false},
-	} {
-		t.Run(name, func(t *testing.T) {
-			inWorldFrom(t, http2ServersConfig(), func(w *world) {
-				requests := 0
-				serve := func(nc net.Conn) {
-					io.ReadFull(nc, make([]byte, len(http2.ClientPreface)))
-					fr := http2.NewFramer(nc, nc)
-					fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-					fr.WriteSettings()
-					for {
-						f, err := fr.ReadFrame()
-						if err != nil {
-							return
-						}
-						if h, is := f.(*http2.MetaHeadersFrame); is {
-							if requests++; requests == 1 {
-								c.end(fr, nc, h.StreamID)
-								continue
-							}
-							var b bytes.Buffer
-							hpack.NewEncoder(&b).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
-							fr.WriteHeaders(http2.HeadersFrameParam{StreamID: h.StreamID, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true})
-						}
-					}
-				}
-				w.serveScriptedConnections(serve)
-				g := w.do("POST", "/notes/1", "k-school")
-				want, sent := 502, 1
-				if c.again {
-					want, sent = 200, 2
-				}
-				if g.status != want || requests != sent {
-					t.Errorf("status %d after %d attempts, want %d after %d: %s", g.status, requests, want, sent, g.body)
-				}
-			})
+			c.nc.Close()
 		})
 	}
 }
-
-// serveScriptedConnections puts scripted connections in the place of both servers.
-func (w *world) serveScriptedConnections(serve func(net.Conn)) {
-	synctest.Wait()
-	for i, s := range w.servers {
-		s.Kill()
-		l := w.listen(fmt.Sprintf("10.0.1.%d:80", i+1))
-		w.closes = append(w.closes, func() { l.Close() })
-		go func() {
-			for {
-				c, err := l.Accept()
-				if err != nil {
-					return
-				}
-				go func() {
-					defer c.Close()
-					serve(c)
-				}()
-			}
-		}()
-	}
-}
--- /dev/null
+++ b/gateway/http2_upstream_test.go
@@ -0,0 +1,133 @@
+package gateway
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+)
+
+// http2ServersConfig is the world's configuration with servers that speak HTTP/2.
+func http2ServersConfig() string {
+	return strings.Replace(worldConfig, "servers {", "servers {\n  protocol = \"http2\"", 1)
+}
+
+func TestServersOverHTTP2(t *testing.T) {
+	inWorldFrom(t, http2ServersConfig(), func(w *world) {
+		done := make(chan got, 12)
+		for i := range 12 {
+			go func() { done <- w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
+		}
+		for range 12 {
+			if g := <-done; g.status != 200 {
+				t.Errorf("%+v", g)
+			}
+		}
+		res, err := w.client.Do(w.request("POST", "/notes/1", "k-school", strings.NewReader(strings.Repeat("x", 300_000))))
+		if err != nil {
+			t.Fatal(err)
+		}
+		res.Body.Close()
+		if res.StatusCode != 200 {
+			t.Errorf("status %d", res.StatusCode)
+		}
+		w.faults("hang", "")
+		if g := w.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300"); g.status != 504 {
+			t.Errorf("%+v", g)
+		}
+		time.Sleep(100 * time.Millisecond)
+		if s := w.arrived()[len(w.arrived())-1]; s.End.Sub(s.At) > 310*time.Millisecond || s.Answered {
+			t.Errorf("the stream was not reset: %+v", s)
+		}
+	})
+}
+
+// What ends a stream decides whether an unsafe request goes again: only
+// REFUSED_STREAM and a GOAWAY below it prove that nothing ran.
+func TestHTTP2StreamErrorDecidesOnRetry(t *testing.T) {
+	for name, c := range map[string]struct {
+		end   func(fr *http2.Framer, nc net.Conn, id uint32)
+		again bool
+	}{
+		"REFUSED_STREAM": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteRSTStream(id, http2.ErrCodeRefusedStream) }, true},
+		"GOAWAY below":   {func(fr *http2.Framer, _ net.Conn, _ uint32) { fr.WriteGoAway(0, http2.ErrCodeNo, nil) }, true},
+		"GOAWAY at it, then closed": {func(fr *http2.Framer, nc net.Conn, id uint32) {
+			fr.WriteGoAway(id, http2.ErrCodeNo, nil)
+			nc.Close()
+		}, false},
+		"INTERNAL_ERROR": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteRSTStream(id, http2.ErrCodeInternal) }, false},
+		"CANCEL":         {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteRSTStream(id, http2.ErrCodeCancel) }, false},
+		"closed":         {func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Close() }, false},
+		"reset":          {func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.(interface{ Reset() }).Reset() }, false},
+		"not HTTP/2": {func(_ *http2.Framer, nc net.Conn, _ uint32) {
+			io.WriteString(nc, "HTTP/1.1 400 Bad\r\n\r\n")
+			nc.Close()
+		}, false},
+		"data before headers": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteData(id, true, []byte("x")) }, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			inWorldFrom(t, http2ServersConfig(), func(w *world) {
+				requests := 0
+				serve := func(nc net.Conn) {
+					io.ReadFull(nc, make([]byte, len(http2.ClientPreface)))
+					fr := http2.NewFramer(nc, nc)
+					fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+					fr.WriteSettings()
+					for {
+						f, err := fr.ReadFrame()
+						if err != nil {
+							return
+						}
+						if h, is := f.(*http2.MetaHeadersFrame); is {
+							if requests++; requests == 1 {
+								c.end(fr, nc, h.StreamID)
+								continue
+							}
+							var b bytes.Buffer
+							hpack.NewEncoder(&b).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
+							fr.WriteHeaders(http2.HeadersFrameParam{StreamID: h.StreamID, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true})
+						}
+					}
+				}
+				w.serveScriptedConnections(serve)
+				g := w.do("POST", "/notes/1", "k-school")
+				want, sent := 502, 1
+				if c.again {
+					want, sent = 200, 2
+				}
+				if g.status != want || requests != sent {
+					t.Errorf("status %d after %d attempts, want %d after %d: %s", g.status, requests, want, sent, g.body)
+				}
+			})
+		})
+	}
+}
+
+// serveScriptedConnections puts scripted connections in the place of both servers.
+func (w *world) serveScriptedConnections(serve func(net.Conn)) {
+	synctest.Wait()
+	for i, s := range w.servers {
+		s.Kill()
+		l := w.listen(fmt.Sprintf("10.0.1.%d:80", i+1))
+		w.closes = append(w.closes, func() { l.Close() })
+		go func() {
+			for {
+				c, err := l.Accept()
+				if err != nil {
+					return
+				}
+				go func() {
+					defer c.Close()
+					serve(c)
+				}()
+			}
+		}()
+	}
+}
--- /dev/null
+++ b/gateway/testbed_test.go
@@ -0,0 +1,215 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"yardcleat.example/yardcleat/audit"
+	"yardcleat.example/yardcleat/config"
+	"yardcleat.example/yardcleat/internal/network"
+	"yardcleat.example/yardcleat/standin/authoriser"
+	"yardcleat.example/yardcleat/standin/catalogue"
+)
+
+// world is a gateway in a bubble of virtual time with two servers and an
+// authoriser around it.
+type world struct {
+	t        *testing.T
+	mem      *network.Memory
+	rack     *catalogue.Rack
+	servers  []*catalogue.Server
+	auth     *authoriser.Server
+	node     *Gateway
+	client   *http.Client
+	host     *network.Host // the clients'
+	nodeHost *network.Host
+	closes   []func()
+	src      string // the node's configuration
+
+	mu   sync.Mutex
+	seen []audit.Seen
+}
+
+const worldConfig = `
+listener "http" "desks" { address = "10.0.0.1:80" }
+listener "ext_authz" "proxies" { address = "10.0.0.1:81" }
+class "lookup" {
+  effect = "safe"
+  aim = "800ms"
+  deadline = "3s"
+  route {
+    method = "GET"
+    path = "/records/{id}"
+  }
+}
+class "loan-change" {
+  effect = "keyed"
+  group = "cell"
+  window = "2s"
+  aim = "600ms"
+  deadline = "2s"
+  authorisation = "refuse"
+  route {
+    method = "POST"
+    path = "/loans/{id}"
+  }
+}
+class "note" {
+  effect = "unsafe"
+  aim = "600ms"
+  deadline = "2s"
+  route {
+    method = "POST"
+    path = "/notes/{id}"
+  }
+}
+plan "basic" {
+  rate = 10
+  burst = 20
+}
+customer "school" {
+  plan = "basic"
+  keys = ["k-school"]
+}
+customer "denied" {
+  plan = "basic"
+  keys = ["k-denied"]
+}
+authoriser { address = "10.0.2.1:80" }
+servers {
+  server "a" {
+    address = "10.0.1.1:80"
+    cell = 1
+  }
+  server "b" {
+    address = "10.0.1.2:80"
+    cell = 2
+  }
+  turned_away {
+    status = 503
+    header = "x-not-run"
+  }
+}
+`
+
+// inWorld runs a test in a bubble. Whatever it starts must have ended when it
+// returns: synctest fails it otherwise.
+func inWorld(t *testing.T, extra string, f func(w *world)) {
+	t.Helper()
+	src := worldConfig
+	if strings.Contains(extra, "state_dir") && !strings.Contains(extra, "counter {") { // the list comes by discovery
+		src = src[:strings.Index(src, "  server \"a\"")] + "  eds {\n    address = \"10.0.3.1:80\"\n    cluster = \"c\"\n  }\n" +
+			src[strings.Index(src, "  turned_away"):]
+	}
+	inWorldFrom(t, src+extra, f)
+}
+
+// inWorldFrom is inWorld with a whole configuration.
+func inWorldFrom(t *testing.T, src string, f func(w *world)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		w := &world{t: t, mem: network.NewMemory(time.Millisecond, 1), rack: &catalogue.Rack{Name: "r", Window: 2 * time.Second}}
+		for i := 1; i <= 2; i++ {
+			s := catalogue.New(catalogue.Options{Name: fmt.Sprint("s", i), Rack: w.rack, Cores: 2, Queue: 8,
+				Classes: []catalogue.Class{
+					{Name: "lookup", Method: "GET", Prefix: "/records/", Work: 50 * time.Millisecond},
+					{Name: "loan-change", Method: "POST", Prefix: "/loans/", Work: 30 * time.Millisecond, Keyed: true},
+					{Name: "note", Method: "POST", Prefix: "/notes/", Work: 30 * time.Millisecond}},
+				Record: func(s audit.Seen) {
+					w.mu.Lock()
+					defer w.mu.Unlock()
+					w.seen = append(w.seen, s)
+				}})
+			go s.Serve(w.listen(fmt.Sprintf("10.0.1.%d:80", i)))
+			w.servers = append(w.servers, s)
+		}
+		w.auth = authoriser.New("denied")
+		go w.auth.Serve(w.listen("10.0.2.1:80"))
+		w.src = src
+		cfg, err := config.Parse([]byte(w.src), "test.hcl")
+		if err != nil {
+			t.Fatal(err)
+		}
+		w.nodeHost = w.mem.Host("node")
+		w.node, err = Start(cfg, Options{Network: w.nodeHost, Log: slog.New(slog.NewTextHandler(t.Output(), nil)), Seed: 1})
+		if err != nil {
+			t.Fatal(err)
+		}
+		w.host = w.mem.Host("client")
+		w.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
+			return w.host.Dial(ctx, addr)
+		}}}
+		f(w)
+		w.client.CloseIdleConnections()
+		w.node.Kill()
+		for _, c := range w.closes {
+			c()
+		}
+		for _, s := range w.servers {
+			s.Kill()
+		}
+		w.auth.Kill()
+		time.Sleep(time.Minute) // timers of what was closed run out
+	})
+}
+
+func (w *world) listen(addr string) net.Listener {
+	l, err := w.mem.Host(addr).Listen(addr)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	return l
+}
+
+type got struct {
+	status int
+	header http.Header
+	body   string
+	took   time.Duration
+}
+
+func (w *world) do(method, path, key string, fields ...string) got {
+	w.t.Helper()
+	req, err := http.NewRequest(method, "http://10.0.0.1:80"+path, nil)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	req.Header.Set("X-Api-Key", key)
+	for i := 0; i+1 < len(fields); i += 2 {
+		req.Header.Set(fields[i], fields[i+1])
+	}
+	start := time.Now()
+	res, err := w.client.Do(req)
+	if err != nil {
+		return got{status: -1, body: err.Error(), took: time.Since(start)}
+	}
+	defer res.Body.Close()
+	b, err := io.ReadAll(res.Body)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	return got{res.StatusCode, res.Header, string(b), time.Since(start)}
+}
+
+func (w *world) arrived() []audit.Seen {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.seen
+}
+
+func (w *world) faults(fault, arg string) {
+	for _, s := range w.servers {
+		if err := s.Do(fault, arg); err != nil {
+			w.t.Fatal(err)
+		}
+	}
+}
