--- a/gateway/attempt_outcomes_test.go
+++ b/gateway/attempt_outcomes_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -12,9 +13,8 @@
 	"time"
 )
 
-// serveScripted puts a scripted server in the place of both catalogue servers. handle
-// gets each request's connection and its number, counted over both, from 1; the
-// request was read whole but for its body.
+// serveScripted replaces both servers by a scripted one. handle gets the connection of each
+// request, the request without its body, and its number over both servers from 1.
 func (w *world) serveScripted(handle func(c net.Conn, r *http.Request, n int)) (requests *atomic.Int32) {
 	requests = &atomic.Int32{}
 	w.serveScriptedConnections(func(c net.Conn) {
@@ -30,22 +30,21 @@
 	return requests
 }
 
-func writeOK(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }
-
-// How a server ends an attempt decides, with the class, whether it goes again.
+// How an attempt ends decides, with the class of the request, whether it is retried.
 func TestAttemptOutcomeDecidesOnRetry(t *testing.T) {
-	ends := map[string]func(c net.Conn, r *http.Request){
-		"reset":       func(c net.Conn, _ *http.Request) { c.(interface{ Reset() }).Reset() },
-		"closed":      func(c net.Conn, _ *http.Request) { c.Close() },
-		"half-closed": func(c net.Conn, _ *http.Request) { c.(interface{ CloseWrite() error }).CloseWrite() },
-		"cut in the body": func(c net.Conn, _ *http.Request) {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")
-			c.Close()
+	ends := map[string]func(w *world, c net.Conn){
+		"reset":  func(_ *world, c net.Conn) { c.(interface{ Reset() }).Reset() },
+		"closed": func(w *world, c net.Conn) { closeIt(w.t, c) },
+		"half-closed": func(w *world, c net.Conn) {
+			if err := c.(interface{ CloseWrite() error }).CloseWrite(); err != nil {
+				w.t.Error(err)
+			}
 		},
-		"cut in the head":  func(c net.Conn, _ *http.Request) { io.WriteString(c, "HTTP/1.1 200 OK\r\nConte"); c.Close() },
-		"not HTTP":         func(c net.Conn, _ *http.Request) { io.WriteString(c, "hello\r\n"); c.Close() },
-		"status 500":       func(c net.Conn, _ *http.Request) { io.WriteString(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n") },
-		"plain status 503": func(c net.Conn, _ *http.Request) { io.WriteString(c, "HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n") },
+		"cut in the body":  respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
+		"cut in the head":  respondAndClose("HTTP/1.1 200 OK\r\nConte"),
+		"not HTTP":         respondAndClose("hello\r\n"),
+		"status 500":       func(w *world, c net.Conn) { w.respond(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n") },
+		"plain status 503": func(w *world, c net.Conn) { w.respond(c, "HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n") },
 	}
 	for name, end := range ends {
 		for _, c := range []struct {
@@ -54,12 +53,12 @@
 		}{{"GET", "/records/1", true}, {"POST", "/loans/1", false}, {"POST", "/notes/1", false}} {
 			t.Run(name+" "+c.path, func(t *testing.T) {
 				inWorld(t, "", func(w *world) {
-					n := w.serveScripted(func(c net.Conn, r *http.Request, n int) {
+					n := w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 						if n == 1 {
-							end(c, r)
+							end(w, c)
 							return
 						}
-						writeOK(c)
+						w.respondOK(c)
 					})
 					g := w.do(c.method, c.path, "k-school", "Idempotency-Key", "k")
 					want, sent := 502, int32(1)
@@ -78,17 +77,25 @@
 	}
 }
 
-// What proves that nothing ran lets any class go again.
+// respondAndClose returns a scripted end of an attempt.
+func respondAndClose(response string) func(*world, net.Conn) {
+	return func(w *world, c net.Conn) {
+		w.respond(c, response)
+		closeIt(w.t, c)
+	}
+}
+
+// An attempt that was provably not executed is retried for any class.
 func TestUnexecutedAttemptsAreRetried(t *testing.T) {
 	for _, path := range []string{"/loans/1", "/notes/1"} {
 		t.Run("turned away "+path, func(t *testing.T) {
 			inWorld(t, "", func(w *world) {
-				n := w.serveScripted(func(c net.Conn, r *http.Request, n int) {
+				n := w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 					if n == 1 {
-						io.WriteString(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+						w.respond(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 						return
 					}
-					writeOK(c)
+					w.respondOK(c)
 				})
 				if g := w.do("POST", path, "k-school", "Idempotency-Key", "k"); g.status != 200 || n.Load() != 2 {
 					t.Errorf("status %d after %d attempts", g.status, n.Load())
@@ -108,19 +115,19 @@
 	}
 }
 
-// A server closes a kept connection just as a request goes out on it: with
-// bytes sent it may have run, and is not sent again. Closed before a byte was
-// sent, the same attempt goes on a new connection.
+// A server closes an idle connection just as a request is sent on it: once bytes were sent it may
+// have been executed and is not retried. Closed before a byte was sent, the same attempt uses a
+// new connection.
 func TestServerClosesIdleConnectionAsARequestIsSent(t *testing.T) {
 	inWorld(t, "", func(w *world) {
-		n := w.serveScripted(func(c net.Conn, r *http.Request, n int) {
+		n := w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 			switch n {
 			case 1, 2:
-				writeOK(c)
+				w.respondOK(c)
 			case 3:
-				c.Close() // the request was on its way
+				closeIt(t, c) // the request was on its way
 			default:
-				writeOK(c)
+				w.respondOK(c)
 			}
 		})
 		for i := range 2 {
@@ -136,9 +143,9 @@
 		}
 	})
 	inWorld(t, "", func(w *world) {
-		n := w.serveScripted(func(c net.Conn, r *http.Request, n int) {
-			writeOK(c)
-			c.Close() // idle connections don't last
+		n := w.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
+			w.respondOK(c)
+			closeIt(t, c) // idle connections don't last
 		})
 		for i := range 6 {
 			if g := w.do("POST", "/notes/1", "k-school"); g.status != 200 {
@@ -151,17 +158,17 @@
 	})
 }
 
-// An answer that comes after the time-out is nobody's: the next request on the
-// client's connection gets its own.
+// A response after the timeout is discarded: the next request on the client's connection gets its
+// own.
 func TestLateResponseIsDiscarded(t *testing.T) {
 	inWorld(t, "", func(w *world) {
-		w.serveScripted(func(c net.Conn, r *http.Request, n int) {
+		w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 			if n == 1 {
 				time.Sleep(time.Second)
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
+				w.respond(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 				return
 			}
-			writeOK(c)
+			w.respondOK(c)
 		})
 		g := w.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300")
 		if g.status != 504 || g.header.Get("X-Yardcleat-Reason") != "server-late" || g.took > 300*time.Millisecond {
@@ -174,21 +181,21 @@
 	})
 }
 
-// A server may answer before it has read the body.
+// A server may respond before it has read the body.
 func TestResponseBeforeTheWholeBody(t *testing.T) {
 	inWorld(t, "", func(w *world) {
-		w.serveScripted(func(c net.Conn, r *http.Request, n int) {
-			writeOK(c)
+		w.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
+			w.respondOK(c)
 			time.Sleep(10 * time.Second) // and never reads it
-			c.Close()
+			closeIt(t, c)
 		})
-		res, err := w.client.Do(w.request("POST", "/notes/1", "k-school", strings.NewReader(strings.Repeat("x", 500_000))))
+		res, err := w.client.Do(w.postRequest("/notes/1", strings.NewReader(strings.Repeat("x", 500_000))))
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer res.Body.Close()
-		if b, _ := io.ReadAll(res.Body); res.StatusCode != 200 || string(b) != "ok" {
-			t.Errorf("status %d, %q", res.StatusCode, b)
+		b, err := io.ReadAll(res.Body)
+		if err := errors.Join(err, res.Body.Close()); err != nil || res.StatusCode != 200 || string(b) != "ok" {
+			t.Errorf("status %d, %q, %v", res.StatusCode, b, err)
 		}
 	})
 }
--- a/gateway/authorization_test.go
+++ b/gateway/authorization_test.go
@@ -26,18 +26,19 @@
 	"yardcleat.example/yardcleat/standin/discovery"
 )
 
-// withTwoAuthorizers runs a test with two authorisers of one service.
+// withTwoAuthorizers runs a test with an authorization service that has two addresses.
 func withTwoAuthorizers(t *testing.T, f func(w *world, second *authoriser.Server)) {
+	t.Helper()
 	inWorldFrom(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
 		`authoriser { addresses = ["10.0.2.1:80", "10.0.2.2:80"] }`, 1), func(w *world) {
 		second := authoriser.New("denied")
-		go second.Serve(w.listen("10.0.2.2:80"))
+		w.serve(second.Serve, "10.0.2.2:80")
 		f(w, second)
 		second.Kill()
 	})
 }
 
-// One of two authorisers fails: requests are asked for at the other, in time.
+// One of two addresses fails: requests are checked at the other one, in time.
 func TestFaultyAuthorizerIsReplacedByTheOther(t *testing.T) {
 	for _, fault := range []string{"dead", "silent", "slow"} {
 		t.Run(fault, func(t *testing.T) {
@@ -46,9 +47,9 @@
 				case "dead":
 					second.Kill()
 				case "silent":
-					second.Do("silent", "")
+					w.breakAuthorizer(second, "silent", "")
 				case "slow":
-					second.Do("slow", "150ms")
+					w.breakAuthorizer(second, "slow", "150ms")
 				}
 				refused := 0
 				for i := range 40 {
@@ -69,8 +70,8 @@
 	}
 }
 
-// What an authoriser is sent, and what it may change: fields, query parameters,
-// the client's response.
+// What the service is sent of a request, and what it may change: headers, query parameters and
+// headers of the response.
 func TestAuthorizerReceivesAndChangesFields(t *testing.T) {
 	src := strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`, `authoriser {
   address = "10.0.2.9:80"
@@ -93,14 +94,16 @@
 				QueryParametersToRemove: []string{"token"},
 				ResponseHeadersToAdd:    []*corev3.HeaderValueOption{option("x-told", "yes", false)}}}}
 		}
-		go a.Serve(w.listen("10.0.2.9:80"))
+		w.serve(a.Serve, "10.0.2.9:80")
 		var got *http.Request
 		w.serveScripted(func(c net.Conn, r *http.Request, n int) {
 			got = r
-			io.Copy(io.Discard, r.Body)
-			writeOK(c)
+			if _, err := io.Copy(io.Discard, r.Body); err != nil {
+				t.Error(err)
+			}
+			w.respondOK(c)
 		})
-		req := w.request("POST", "/loans/1?token=t&who=x&y=1", "k-school", strings.NewReader("abcdef"))
+		req := w.postRequest("/loans/1?token=t&who=x&y=1", strings.NewReader("abcdef"))
 		for k, v := range map[string]string{"Cookie": "secret", "X-Set": "old", "X-More": "1", "X-Drop": "d"} {
 			req.Header.Set(k, v)
 		}
@@ -108,7 +111,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		res.Body.Close()
+		closeIt(t, res.Body)
 		if res.StatusCode != 200 || res.Header.Get("X-Told") != "yes" {
 			t.Errorf("%d, %v", res.StatusCode, res.Header)
 		}
@@ -130,8 +133,19 @@
 	})
 }
 
-// With a share of access log lines lost, a place under a cap is held until the
-// attempt's time-out: the cap is never passed, less goes through it.
+type accessLogStream = grpc.ClientStreamingClient[alsv3.StreamAccessLogsMessage, alsv3.StreamAccessLogsResponse]
+
+func sendAccessLog(t *testing.T, stream accessLogStream, entries ...*datav3.HTTPAccessLogEntry) {
+	t.Helper()
+	message := &alsv3.StreamAccessLogsMessage{LogEntries: &alsv3.StreamAccessLogsMessage_HttpLogs{
+		HttpLogs: &alsv3.StreamAccessLogsMessage_HTTPAccessLogEntries{LogEntry: entries}}}
+	if err := stream.Send(message); err != nil {
+		t.Error(err)
+	}
+}
+
+// When a share of the access logs is lost, their attempts hold the concurrency cap until their
+// timeout: the cap is never exceeded, and fewer requests pass.
 func TestLostAccessLogsHoldCapacityUntilTimeout(t *testing.T) {
 	for _, share := range []float64{0, 0.01, 0.1} {
 		inWorld(t, cappedPlan, func(w *world) {
@@ -142,7 +156,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer cc.Close()
+			defer closeIt(t, cc)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			stream, err := alsv3.NewAccessLogServiceClient(cc).StreamAccessLogs(ctx)
@@ -169,10 +183,9 @@
 					most = max(most, len(out))
 					if lost := rng.Float64() < share; !lost {
 						time.AfterFunc(20*time.Millisecond, func() {
-							stream.Send(&alsv3.StreamAccessLogsMessage{LogEntries: &alsv3.StreamAccessLogsMessage_HttpLogs{
-								HttpLogs: &alsv3.StreamAccessLogsMessage_HTTPAccessLogEntries{LogEntry: []*datav3.HTTPAccessLogEntry{{
-									Request:  &datav3.HTTPRequestProperties{RequestHeaders: map[string]string{extauthz.FieldAttempt: token}},
-									Response: &datav3.HTTPResponseProperties{ResponseCode: wrapperspb.UInt32(200)}}}}}})
+							sendAccessLog(t, stream, &datav3.HTTPAccessLogEntry{
+								Request:  &datav3.HTTPRequestProperties{RequestHeaders: map[string]string{extauthz.FieldAttempt: token}},
+								Response: &datav3.HTTPResponseProperties{ResponseCode: wrapperspb.UInt32(200)}})
 						})
 					}
 				}
@@ -186,7 +199,8 @@
 	}
 }
 
-// A client's bytes that no gRPC message takes don't make the authoriser look bad.
+// Headers that are not UTF-8, which gRPC messages can't hold, do not look like failures of the
+// service.
 func TestHeadersThatAreNotUTF8AreSentToTheAuthorizer(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		for i := range 20 {
@@ -199,14 +213,13 @@
 	})
 }
 
-// Log lines come doubled, late, out of order, for attempts of others, and from
-// two proxies for one attempt: only the first for an attempt counts, and a place
-// under the cap is freed once.
+// Access logs come twice, late, out of order, for attempts of other gateways and from two proxies
+// for one attempt: only the first one of an attempt counts, and frees the cap once.
 func TestRepeatedAndForeignAccessLogsCountOnce(t *testing.T) {
 	inWorld(t, cappedPlan, func(w *world) {
 		check, done := w.dialChecks("3000")
 		defer done()
-		var streams []grpc.ClientStreamingClient[alsv3.StreamAccessLogsMessage, alsv3.StreamAccessLogsResponse]
+		var streams []accessLogStream
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		for range 2 {
@@ -215,7 +228,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer cc.Close()
+			defer closeIt(t, cc)
 			s, err := alsv3.NewAccessLogServiceClient(cc).StreamAccessLogs(ctx)
 			if err != nil {
 				t.Fatal(err)
@@ -239,8 +252,7 @@
 					CommonProperties: &datav3.AccessLogCommon{Duration: durationpb.New(20 * time.Millisecond)},
 					Response:         &datav3.HTTPResponseProperties{ResponseCode: wrapperspb.UInt32(200)}})
 			}
-			streams[proxy].Send(&alsv3.StreamAccessLogsMessage{LogEntries: &alsv3.StreamAccessLogsMessage_HttpLogs{
-				HttpLogs: &alsv3.StreamAccessLogsMessage_HTTPAccessLogEntries{LogEntry: lines}}})
+			sendAccessLog(t, streams[proxy], lines...)
 			time.Sleep(10 * time.Millisecond)
 		}
 		old := ""
@@ -268,8 +280,8 @@
 	})
 }
 
-// UNAVAILABLE half of the time, from one authoriser of two and from both: what
-// can be is asked again at the other.
+// Half of the checks fail with UNAVAILABLE, at one of two addresses and at both: they are retried at
+// the other one.
 func TestUnavailableChecksAreRetried(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		inWorldFrom(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
@@ -283,7 +295,7 @@
 					}
 					return &authv3.CheckResponse{Status: &rpc.Status{}}
 				}
-				go a.Serve(w.listen(fmt.Sprintf("10.0.2.%d:80", 8+i)))
+				w.serve(a.Serve, fmt.Sprintf("10.0.2.%d:80", 8+i))
 				w.closes = append(w.closes, a.Kill)
 			}
 			served := 0
@@ -304,7 +316,7 @@
 	}
 }
 
-// An earlier answer stands in for as long as the class says, a denial too.
+// An earlier result, a denial too, replaces a missing one for as long as the class says.
 func TestCachedAuthorizationReplacesAMissingOne(t *testing.T) {
 	src := strings.Replace(worldConfig, `authorisation = "refuse"`, "authorisation = \"refuse\"\n  remember = \"10s\"", 1)
 	inWorldFrom(t, src, func(w *world) {
@@ -317,7 +329,7 @@
 		if g := ask("k-denied"); g.status != 403 {
 			t.Fatalf("%+v", g)
 		}
-		w.auth.Do("silent", "")
+		w.breakAuthorizer(w.auth, "silent", "")
 		if g := ask("k-school"); g.status != 200 {
 			t.Errorf("%+v", g)
 		}
@@ -334,16 +346,16 @@
 	})
 }
 
-// An allowed loan-change meets a draining server: the drain is told between the
-// allow and the send.
+// A server starts to drain after a request was allowed and before it is sent: the request goes to
+// the other one.
 func TestAllowedRequestAvoidsDrainingServer(t *testing.T) {
 	inWorld(t, fmt.Sprintf("node { state_dir = %q }", t.TempDir()), func(w *world) {
 		d := discovery.New("c", 0, nil)
-		go d.Serve(w.listen("10.0.3.1:80"))
+		w.serve(d.Serve, "10.0.3.1:80")
 		list := []discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Cell: 1}, {Name: "s2", Address: "10.0.1.2:80", Cell: 2}}
 		d.Set(list)
 		time.Sleep(3 * time.Second)
-		w.auth.Do("slow", "100ms")
+		w.breakAuthorizer(w.auth, "slow", "100ms")
 		done := make(chan got, 4)
 		for i := range 4 {
 			go func() { done <- w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
@@ -367,8 +379,8 @@
 	})
 }
 
-// An authoriser that is late, silent or dead: the class that needs it is
-// refused in good time, others are served.
+// The service is slow, silent or dead: the class that needs it is rejected in time, others are
+// served.
 func TestFailedAuthorizerRejectsInTime(t *testing.T) {
 	for _, c := range []struct{ fault, arg, reason string }{
 		{"slow", "250ms", "authorisation-late"}, {"silent", "", "authorisation-late"}, {"dead", "", "authorisation-unreachable"},
@@ -378,7 +390,7 @@
 				if c.fault == "dead" {
 					w.auth.Kill()
 				} else {
-					w.auth.Do(c.fault, c.arg)
+					w.breakAuthorizer(w.auth, c.fault, c.arg)
 				}
 				g := w.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k1")
 				if g.status != 503 || g.header.Get("X-Yardcleat-Reason") != c.reason || g.took > 250*time.Millisecond {
--- a/gateway/client_disconnect_test.go
+++ b/gateway/client_disconnect_test.go
@@ -8,25 +8,27 @@
 	"time"
 )
 
-func (w *world) request(method, path, key string, body io.Reader) *http.Request {
-	req, err := http.NewRequest(method, "http://10.0.0.1:80"+path, body)
+// postRequest returns a request of the customer "school" with an idempotency key.
+func (w *world) postRequest(path string, body io.Reader) *http.Request {
+	w.t.Helper()
+	req, err := http.NewRequest(http.MethodPost, "http://10.0.0.1:80"+path, body)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	req.Header.Set("X-Api-Key", key)
+	req.Header.Set("X-Api-Key", "k-school")
 	req.Header.Set("Idempotency-Key", "k")
 	return req
 }
 
-// A client leaves, or its time runs out, while its request waits for the
-// authoriser, in the queue, or with an attempt out. Whoever still waits has an
-// answer by then; nothing is sent for those that left, and nothing stays held.
+// A client disconnects, or its timeout expires, while its request waits for the authorization
+// service, in the queue, or with an attempt in flight. Clients that still wait have a response by
+// then, no attempt is sent for those that disconnected, and nothing stays in flight.
 func TestDisconnectedClientsLeaveNothingBehind(t *testing.T) {
 	points := map[string]func(w *world){
-		"at the authoriser": func(w *world) { w.auth.Do("silent", "") },
-		"attempt out":       func(w *world) { w.faults("hang", "") },
+		"at the authoriser": func(w *world) { w.breakAuthorizer(w.auth, "silent", "") },
+		"attempt out":       func(w *world) { w.breakServers("hang") },
 		"in the queue": func(w *world) {
-			w.faults("hang", "")
+			w.breakServers("hang")
 			for range 12 { // both servers have all they may
 				go w.do("GET", "/records/1", "k-school")
 			}
@@ -50,13 +52,14 @@
 				set(w)
 				ctx, cancel := context.WithTimeout(context.Background(), 60*time.Millisecond)
 				defer cancel()
-				if res, err := w.client.Do(w.request("POST", "/loans/1", "k-school", nil).WithContext(ctx)); err == nil {
+				if res, err := w.client.Do(w.postRequest("/loans/1", nil).WithContext(ctx)); err == nil {
+					closeIt(t, res.Body)
 					t.Errorf("status %d", res.StatusCode)
 				}
 				left := time.Now()
 				time.Sleep(20 * time.Millisecond)
-				w.faults("ok", "")
-				w.auth.Do("ok", "")
+				w.breakServers("ok")
+				w.breakAuthorizer(w.auth, "ok", "")
 				time.Sleep(5 * time.Second)
 				for _, s := range w.arrived() {
 					if s.Class == "loan-change" && s.At.Sub(left) > 3*time.Millisecond {
@@ -69,7 +72,7 @@
 	}
 }
 
-// expectNothingInFlight checks that nothing is held any more.
+// expectNothingInFlight checks that all requests are answered after a while.
 func (w *world) expectNothingInFlight() {
 	w.t.Helper()
 	time.Sleep(5 * time.Second)
--- a/gateway/customer_snapshots_test.go
+++ b/gateway/customer_snapshots_test.go
@@ -11,21 +11,25 @@
 	"yardcleat.example/yardcleat/standin/counter"
 )
 
-// A node that is killed and started again knows what its customers had used, two
-// seconds back at most; without its folder it would let most of a store pass again.
-// After a time it knows that stores have filled up.
+// A gateway that is killed and started again knows what its customers had used up to two seconds
+// before; without the file it would admit most of a bucket again. After a while it knows that the
+// buckets are full.
 func TestCustomerSnapshotsOutliveAKill(t *testing.T) {
 	run := func(keep bool, away time.Duration) (again int) {
 		dir := t.TempDir()
 		withCounter(t, dir, func(w *world, c *counter.Server) {
-			c.Do("refuse", "") // nothing else can tell
+			if err := c.Do("refuse", ""); err != nil { // nothing else knows the usage
+				t.Error(err)
+			}
 			time.Sleep(21 * time.Second)
 			if first := w.pass(25, "k-slow"); first < 15 || first > 23 {
 				t.Errorf("%d of a store of 20 passed", first)
 			}
 			time.Sleep(2 * time.Second)
 			if !keep {
-				os.Remove(filepath.Join(dir, customerSnapshotFile))
+				if err := os.Remove(filepath.Join(dir, customerSnapshotFile)); err != nil {
+					t.Error(err)
+				}
 			}
 			w.node.Kill()
 			time.Sleep(away)
@@ -41,7 +45,7 @@
 	}
 }
 
-// A memory that is torn, damaged, another node's or old is left aside.
+// A file that is truncated, changed, another gateway's or old is not used.
 func TestUnusableCustomerSnapshotsAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -62,14 +66,14 @@
 		t.Error("another node's was taken")
 	}
 	path := filepath.Join(dir, customerSnapshotFile)
-	whole, _ := os.ReadFile(path)
+	whole := readFile(t, path)
 	for cut := range whole {
-		os.WriteFile(path, whole[:cut], 0o600)
+		writeFile(t, path, whole[:cut])
 		if r, err := loadCustomerSnapshots(dir, 3, now); err == nil || len(r.Customers) > 0 {
 			t.Fatalf("cut at %d it was taken", cut)
 		}
 	}
-	os.WriteFile(path, []byte(strings.Replace(string(whole), "2.5", "9.5", 1)), 0o600)
+	writeFile(t, path, []byte(strings.Replace(string(whole), "2.5", "9.5", 1)))
 	if _, err := loadCustomerSnapshots(dir, 3, now); err == nil {
 		t.Error("a changed one was taken")
 	}
--- a/gateway/endpoint_cache_test.go
+++ b/gateway/endpoint_cache_test.go
@@ -1,9 +1,7 @@
 package gateway
 
 import (
-	"bytes"
 	"fmt"
-	"os"
 	"path/filepath"
 	"testing"
 	"time"
@@ -14,9 +12,9 @@
 	"yardcleat.example/yardcleat/standin/discovery"
 )
 
-// A node restarted with its last list, which is stale: three servers in it are
-// gone, one is draining. What it can't know costs attempts; each request has its
-// answer, and what discovery tells counts at once.
+// A gateway restarts with its last endpoint list, which is stale: three servers in it are gone, one
+// is draining. What it can't know costs attempts; each request has a response, and a new list
+// from discovery counts at once.
 func TestRestartWithAStaleEndpointCache(t *testing.T) {
 	dir := t.TempDir()
 	extra := `node { state_dir = "` + dir + `" }`
@@ -41,7 +39,7 @@
 			t.Errorf("%d of 8 served", served)
 		}
 		d := discovery.New("c", 0, nil)
-		go d.Serve(w.listen("10.0.3.1:80"))
+		w.serve(d.Serve, "10.0.3.1:80")
 		d.Set([]discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Draining: true}, {Name: "s2", Address: "10.0.1.2:80", Cell: 1}})
 		time.Sleep(3 * time.Second) // the stream is opened again
 		told := time.Now()
@@ -57,22 +55,4 @@
 		}
 		d.Kill()
 	})
-	// A torn file is left aside.
-	path := filepath.Join(t.TempDir(), "servers")
-	if err := fleet.SaveCache(path, []node.Server{{Address: "10.0.1.9:80", Server: policy.Server{ID: 1, Weight: 1}}}); err != nil {
-		t.Fatal(err)
-	}
-	whole, _ := os.ReadFile(path)
-	for i := range whole {
-		os.WriteFile(path, whole[:i], 0o600)
-		if list, err := fleet.LoadCache(path); err == nil || list != nil {
-			t.Fatalf("cut at %d: %v, %v", i, list, err)
-		}
-		flipped := bytes.Clone(whole)
-		flipped[i] ^= 1
-		os.WriteFile(path, flipped, 0o600)
-		if list, err := fleet.LoadCache(path); err == nil && (len(list) != 1 || list[0].Address != "10.0.1.9:80") {
-			t.Fatalf("flipped at %d: %v", i, list)
-		}
-	}
 }
--- a/gateway/ext_authz_proxy_test.go
+++ b/gateway/ext_authz_proxy_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -29,7 +30,7 @@
 }
 `
 
-// dialChecks asks by Check and reports nothing.
+// dialChecks returns a function that sends checks as a proxy does, without access logs.
 func (w *world) dialChecks(patience string) (check func(path string) *authv3.CheckResponse, done func()) {
 	cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return w.host.Dial(ctx, addr) }))
@@ -45,11 +46,11 @@
 			w.t.Fatal(err)
 		}
 		return resp
-	}, func() { cc.Close() }
+	}, func() { closeIt(w.t, cc) }
 }
 
-// A Check whose proxy never logs holds its place under the cap until its
-// time-out, and no longer.
+// A check whose proxy never logs holds its share of the concurrency cap until its timeout, and no
+// longer.
 func TestCheckWithoutAccessLogHoldsCapacityUntilTimeout(t *testing.T) {
 	inWorld(t, cappedPlan, func(w *world) {
 		check, done := w.dialChecks("1000")
@@ -70,7 +71,7 @@
 	})
 }
 
-// A Check that is held as the node drains has its answer.
+// A check that is queued when the gateway drains has its response.
 func TestDrainAnswersQueuedCheck(t *testing.T) {
 	inWorld(t, cappedPlan, func(w *world) {
 		check, done := w.dialChecks("2000")
@@ -96,16 +97,15 @@
 	})
 }
 
-// A proxy that logs frees the cap at once, and its clients get what those of
-// the HTTP front get.
+// A proxy that logs frees the concurrency cap at once, and its clients get the same responses as
+// those of the HTTP listener.
 func TestRequestsThroughAnExtAuthzProxy(t *testing.T) {
 	inWorld(t, cappedPlan, func(w *world) {
 		p, err := proxy.New(proxy.Options{Network: w.host, Gateway: "10.0.0.1:81", Patience: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := w.listen("10.0.4.1:80")
-		go p.Serve(l)
+		w.serve(p.Serve, "10.0.4.1:80")
 		for i := range 10 {
 			req, _ := http.NewRequest("GET", "http://10.0.4.1:80/records/1", nil)
 			req.Header.Set("X-Api-Key", "k-capped")
@@ -113,8 +113,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			body, _ := io.ReadAll(res.Body)
-			res.Body.Close()
+			body, err := io.ReadAll(res.Body)
+			if err := errors.Join(err, res.Body.Close()); err != nil {
+				t.Error(err)
+			}
 			if res.StatusCode != 200 || !strings.Contains(string(body), `"class":"lookup"`) {
 				t.Errorf("%d: status %d, %s", i, res.StatusCode, body)
 			}
--- a/gateway/http2_frames_test.go
+++ b/gateway/http2_frames_test.go
@@ -19,9 +19,9 @@
 	return append(binary.BigEndian.AppendUint32(append(b, byte(flags)), stream), payload...)
 }
 
-// Each frame of RFC 9113 that a client may send for nothing, many times over or
-// where it can't be meant: the connection ends with the right error, soon, and
-// others are served meanwhile. docs/frames.md has the table.
+// Each frame of RFC 9113 that a client may send in vain, very often or where it has no meaning: the
+// connection soon ends with the right error, and other clients are served meanwhile.
+// docs/frames.md has the table.
 func TestAbusiveHTTP2FramesEndTheConnection(t *testing.T) {
 	open := func(c *rawHTTP2Client) { c.request(1, false, "POST", "/notes/1") } // its body is awaited
 	many := func(b []byte) []byte { return bytes.Repeat(b, 400) }
@@ -71,40 +71,47 @@
 			inWorld(t, http2Listener, func(w *world) {
 				c := w.dialHTTP2()
 				f.first(c)
-				go c.nc.Write(f.send)
+				go func() {
+					_, err := c.nc.Write(f.send)
+					w.logError(err)
+				}()
 				got := c.readFrames(5 * time.Second)
 				if countFrames(got, f.want.String()) != 1 || countFrames(got, "goaway") != 1 {
 					t.Errorf("got %v, want GOAWAY with %v", got, f.want)
 				}
 				w.expectOthersServed()
-				c.nc.Close()
+				closeIt(c.w.t, c.nc)
 			})
 		})
 	}
 }
 
-// A header block that never ends is cut by its time; a long download pays for its
-// WINDOW_UPDATE frames.
+// A header block that never ends is cut off by its timeout. The WINDOW_UPDATE frames of a long
+// download do not count as abuse.
 func TestSlowHTTP2HeadersAreCutOff(t *testing.T) {
 	inWorld(t, http2Listener, func(w *world) {
 		c := w.dialHTTP2()
 		c.request(1, false, "POST", "/notes/1")
-		c.nc.Write(frame(http2.FrameHeaders, 0, 3, 0x82))
+		if _, err := c.nc.Write(frame(http2.FrameHeaders, 0, 3, 0x82)); err != nil {
+			t.Fatal(err)
+		}
 		if got := c.readFrames(30 * time.Second); countFrames(got, "end") != 1 {
 			t.Errorf("a header block may take for ever: %v", got)
 		}
-		c.nc.Close()
+		closeIt(c.w.t, c.nc)
 	})
 	inWorld(t, http2Listener, func(w *world) {
 		body := strings.Repeat("x", 90_000)
 		w.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+			w.respond(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 		})
 		c := w.dialHTTP2()
 		got := 0
 		for id := uint32(1); id < 40; id += 2 {
 			c.request(id, true, "GET", "/records/1")
-			c.nc.SetReadDeadline(time.Now().Add(3 * time.Second))
+			if err := c.nc.SetReadDeadline(time.Now().Add(3 * time.Second)); err != nil {
+				t.Fatal(err)
+			}
 			for whole := 0; whole < len(body); {
 				f, err := c.fr.ReadFrame()
 				if err != nil {
@@ -113,8 +120,8 @@
 				if d, ok := f.(*http2.DataFrame); ok {
 					whole, got = whole+len(d.Data()), got+len(d.Data())
 					// One for each frame on both levels, as clients do.
-					c.fr.WriteWindowUpdate(0, uint32(len(d.Data())))
-					c.fr.WriteWindowUpdate(id, uint32(len(d.Data())))
+					c.w.logError(c.fr.WriteWindowUpdate(0, uint32(len(d.Data()))))
+					c.w.logError(c.fr.WriteWindowUpdate(id, uint32(len(d.Data()))))
 				} else if g, ok := f.(*http2.GoAwayFrame); ok {
 					t.Fatalf("after %d bytes: %v", got, g.ErrCode)
 				} else if m, ok := f.(*http2.MetaHeadersFrame); ok && m.PseudoValue("status") != "200" {
@@ -122,6 +129,6 @@
 				}
 			}
 		}
-		c.nc.Close()
+		closeIt(c.w.t, c.nc)
 	})
 }
--- a/gateway/http2_test.go
+++ b/gateway/http2_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -44,31 +45,42 @@
 	c := &rawHTTP2Client{w: w, nc: nc, fr: http2.NewFramer(nc, nc)}
 	c.henc = hpack.NewEncoder(&c.hbuf)
 	c.fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	io.WriteString(nc, http2.ClientPreface)
-	c.fr.WriteSettings(settings...)
+	if _, err := io.WriteString(nc, http2.ClientPreface); err != nil {
+		w.t.Fatal(err)
+	}
+	c.w.logError(c.fr.WriteSettings(settings...))
 	return c
 }
 
+// encode appends a field to the header block in hbuf.
+func (c *rawHTTP2Client) encode(field hpack.HeaderField) {
+	if err := c.henc.WriteField(field); err != nil {
+		c.w.t.Fatal(err)
+	}
+}
+
 func (c *rawHTTP2Client) headerBlock(method, path string, fields ...string) []byte {
 	c.hbuf.Reset()
 	all := append([]string{":method", method, ":scheme", "http", ":path", path, ":authority", "h", "x-api-key", "k-school"}, fields...)
 	for i := 0; i+1 < len(all); i += 2 {
-		c.henc.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]})
+		c.encode(hpack.HeaderField{Name: all[i], Value: all[i+1]})
 	}
 	return c.hbuf.Bytes()
 }
 
 func (c *rawHTTP2Client) request(id uint32, end bool, method, path string, fields ...string) {
-	c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: c.headerBlock(method, path, fields...), EndStream: end, EndHeaders: true})
+	c.w.logError(c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: c.headerBlock(method, path, fields...), EndStream: end, EndHeaders: true}))
 }
 
 // readFrames reads frames until the connection ends or a time is over.
 func (c *rawHTTP2Client) readFrames(d time.Duration) (frames []string) {
-	c.nc.SetReadDeadline(time.Now().Add(d))
+	if err := c.nc.SetReadDeadline(time.Now().Add(d)); err != nil {
+		c.w.t.Fatal(err)
+	}
 	for {
 		f, err := c.fr.ReadFrame()
 		if err != nil {
-			if err == io.EOF || strings.Contains(err.Error(), "reset") {
+			if errors.Is(err, io.EOF) || strings.Contains(err.Error(), "reset") {
 				frames = append(frames, "end")
 			}
 			return frames
@@ -115,29 +127,29 @@
 			c := w.dialHTTP2()
 			c.request(1, true, "GET", "/records/1")
 			c.request(3, false, "POST", "/notes/1", "content-length", "3")
-			c.fr.WriteData(3, true, []byte("abc"))
+			c.w.logError(c.fr.WriteData(3, true, []byte("abc")))
 			if got := c.readFrames(time.Second); countFrames(got, "1: 200") != 1 || countFrames(got, "3: 200") != 1 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"reset is the client gone": func(w *world) {
-			w.faults("hang", "")
+			w.breakServers("hang")
 			c := w.dialHTTP2()
 			c.request(1, true, "POST", "/notes/1")
 			time.Sleep(100 * time.Millisecond)
-			c.fr.WriteRSTStream(1, http2.ErrCodeCancel)
+			c.w.logError(c.fr.WriteRSTStream(1, http2.ErrCodeCancel))
 			time.Sleep(100 * time.Millisecond)
 			if n := w.node.node.Unanswered(); n != 0 {
 				w.t.Errorf("%d requests are still open", n)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"rapid reset": func(w *world) {
 			c := w.dialHTTP2()
 			for i := range uint32(500) {
 				c.request(2*i+1, true, "GET", "/records/1")
-				c.fr.WriteRSTStream(2*i+1, http2.ErrCodeCancel)
+				c.w.logError(c.fr.WriteRSTStream(2*i+1, http2.ErrCodeCancel))
 			}
 			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 || countFrames(got, "end") != 1 {
 				w.t.Error(got)
@@ -145,10 +157,10 @@
 			if n := len(w.arrived()); n > 60 {
 				w.t.Errorf("%d attempts reached servers", n)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"too many streams": func(w *world) {
-			w.faults("hang", "")
+			w.breakServers("hang")
 			c := w.dialHTTP2()
 			for i := range uint32(40) {
 				c.request(2*i+1, true, "GET", "/records/1")
@@ -156,45 +168,45 @@
 			if got := c.readFrames(100 * time.Millisecond); countFrames(got, "REFUSED_STREAM") != 20 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"pings": func(w *world) {
 			c := w.dialHTTP2()
 			for range 200 {
-				c.fr.WritePing(false, [8]byte{})
+				c.w.logError(c.fr.WritePing(false, [8]byte{}))
 			}
 			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"settings": func(w *world) {
 			c := w.dialHTTP2()
 			for range 200 {
-				c.fr.WriteSettings()
+				c.w.logError(c.fr.WriteSettings())
 			}
 			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"empty data": func(w *world) {
 			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1")
 			for range 200 {
-				c.fr.WriteData(1, false, nil)
+				c.w.logError(c.fr.WriteData(1, false, nil))
 			}
 			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"continuations without end": func(w *world) {
 			c := w.dialHTTP2()
-			c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: c.headerBlock("GET", "/records/1")})
+			c.w.logError(c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: c.headerBlock("GET", "/records/1")}))
 			for range 2000 {
 				c.hbuf.Reset()
-				c.henc.WriteField(hpack.HeaderField{Name: "x-a", Value: strings.Repeat("b", 1000), Sensitive: true})
+				c.encode(hpack.HeaderField{Name: "x-a", Value: strings.Repeat("b", 1000), Sensitive: true})
 				if c.fr.WriteContinuation(1, false, c.hbuf.Bytes()) != nil {
 					break
 				}
@@ -202,7 +214,7 @@
 			if got := c.readFrames(time.Second); countFrames(got, "end") != 1 || countFrames(got, "200") != 0 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"header bomb": func(w *world) {
 			c := w.dialHTTP2()
@@ -214,7 +226,7 @@
 			if got := c.readFrames(time.Second); countFrames(got, "1: 431") != 1 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"window of zero": func(w *world) {
 			// A thousand streams on fifty connections that take no byte of an answer.
@@ -233,34 +245,34 @@
 				w.t.Error(got)
 			}
 			for _, c := range all {
-				c.nc.Close()
+				closeIt(c.w.t, c.nc)
 			}
 		},
 		"body that stops": func(w *world) {
 			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1")
-			c.fr.WriteData(1, false, []byte("abc"))
+			c.w.logError(c.fr.WriteData(1, false, []byte("abc")))
 			if got := c.readFrames(5 * time.Second); countFrames(got, "1: 408") != 1 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"body too long": func(w *world) {
 			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1")
 			for range 7 {
-				c.fr.WriteData(1, false, make([]byte, 16000))
+				c.w.logError(c.fr.WriteData(1, false, make([]byte, 16000)))
 				time.Sleep(10 * time.Millisecond)
 			}
 			if got := c.readFrames(time.Second); countFrames(got, "1: 413") != 1 || countFrames(got, "1: NO_ERROR") != 1 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"length that differs": func(w *world) {
 			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1", "content-length", "5")
-			c.fr.WriteData(1, true, []byte("abc"))
+			c.w.logError(c.fr.WriteData(1, true, []byte("abc")))
 			c.request(3, true, "POST", "/notes/1", "content-length", "5")
 			c.request(5, true, "GET", "/records/1", "transfer-encoding", "chunked")
 			c.request(7, true, "GET", "/records/1", "connection", "close")
@@ -269,7 +281,7 @@
 			if got := c.readFrames(time.Second); countFrames(got, "PROTOCOL_ERROR") != 6 || len(w.arrived()) != 0 {
 				w.t.Error(got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 		"drain in the middle": func(w *world) {
 			c := w.dialHTTP2()
@@ -284,7 +296,7 @@
 			}()
 			time.Sleep(10 * time.Millisecond)
 			c.request(5, true, "GET", "/records/1")
-			c.fr.WriteData(3, true, []byte("abc"))
+			c.w.logError(c.fr.WriteData(3, true, []byte("abc")))
 			got := c.readFrames(3 * time.Second)
 			if countFrames(got, "goaway 3 NO_ERROR") != 1 || countFrames(got, "1: 200") != 1 || countFrames(got, "3: ") != 1 || countFrames(got, "5: ") != 0 || countFrames(got, "end") != 1 {
 				w.t.Error(got)
@@ -292,13 +304,13 @@
 			if err := <-done; err != nil {
 				w.t.Error(err)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inWorld(t, http2Listener, func(w *world) {
 				test(w)
-				w.faults("ok", "")
+				w.breakServers("ok")
 				if name != "drain in the middle" {
 					time.Sleep(3 * time.Second)
 					w.expectOthersServed()
@@ -325,7 +337,7 @@
 			if got := c.readFrames(3 * time.Second); countFrames(got, ": 200")+countFrames(got, ": 429") < 4 {
 				t.Errorf("stopped after %v: %v", at, got)
 			}
-			c.nc.Close()
+			closeIt(c.w.t, c.nc)
 		})
 	}
 }
--- a/gateway/http2_upstream_test.go
+++ b/gateway/http2_upstream_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -30,15 +31,15 @@
 				t.Errorf("%+v", g)
 			}
 		}
-		res, err := w.client.Do(w.request("POST", "/notes/1", "k-school", strings.NewReader(strings.Repeat("x", 300_000))))
+		res, err := w.client.Do(w.postRequest("/notes/1", strings.NewReader(strings.Repeat("x", 300_000))))
 		if err != nil {
 			t.Fatal(err)
 		}
-		res.Body.Close()
+		closeIt(t, res.Body)
 		if res.StatusCode != 200 {
 			t.Errorf("status %d", res.StatusCode)
 		}
-		w.faults("hang", "")
+		w.breakServers("hang")
 		if g := w.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300"); g.status != 504 {
 			t.Errorf("%+v", g)
 		}
@@ -49,37 +50,41 @@
 	})
 }
 
-// What ends a stream decides whether an unsafe request goes again: only
-// REFUSED_STREAM and a GOAWAY below it prove that nothing ran.
+// How a stream ends decides whether a non-idempotent request is retried: only REFUSED_STREAM and a
+// GOAWAY below the stream prove that it was not executed.
 func TestHTTP2StreamErrorDecidesOnRetry(t *testing.T) {
 	for name, c := range map[string]struct {
-		end   func(fr *http2.Framer, nc net.Conn, id uint32)
+		end   func(fr *http2.Framer, nc net.Conn, id uint32) error
 		again bool
 	}{
-		"REFUSED_STREAM": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteRSTStream(id, http2.ErrCodeRefusedStream) }, true},
-		"GOAWAY below":   {func(fr *http2.Framer, _ net.Conn, _ uint32) { fr.WriteGoAway(0, http2.ErrCodeNo, nil) }, true},
-		"GOAWAY at it, then closed": {func(fr *http2.Framer, nc net.Conn, id uint32) {
-			fr.WriteGoAway(id, http2.ErrCodeNo, nil)
-			nc.Close()
+		"REFUSED_STREAM": {resetStream(http2.ErrCodeRefusedStream), true},
+		"GOAWAY below":   {func(fr *http2.Framer, _ net.Conn, _ uint32) error { return fr.WriteGoAway(0, http2.ErrCodeNo, nil) }, true},
+		"GOAWAY at it, then closed": {func(fr *http2.Framer, nc net.Conn, id uint32) error {
+			return errors.Join(fr.WriteGoAway(id, http2.ErrCodeNo, nil), nc.Close())
 		}, false},
-		"INTERNAL_ERROR": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteRSTStream(id, http2.ErrCodeInternal) }, false},
-		"CANCEL":         {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteRSTStream(id, http2.ErrCodeCancel) }, false},
-		"closed":         {func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Close() }, false},
-		"reset":          {func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.(interface{ Reset() }).Reset() }, false},
-		"not HTTP/2": {func(_ *http2.Framer, nc net.Conn, _ uint32) {
-			io.WriteString(nc, "HTTP/1.1 400 Bad\r\n\r\n")
-			nc.Close()
+		"INTERNAL_ERROR": {resetStream(http2.ErrCodeInternal), false},
+		"CANCEL":         {resetStream(http2.ErrCodeCancel), false},
+		"closed":         {func(_ *http2.Framer, nc net.Conn, _ uint32) error { return nc.Close() }, false},
+		"reset": {func(_ *http2.Framer, nc net.Conn, _ uint32) error {
+			nc.(interface{ Reset() }).Reset()
+			return nil
 		}, false},
-		"data before headers": {func(fr *http2.Framer, _ net.Conn, id uint32) { fr.WriteData(id, true, []byte("x")) }, false},
+		"not HTTP/2": {func(_ *http2.Framer, nc net.Conn, _ uint32) error {
+			_, err := io.WriteString(nc, "HTTP/1.1 400 Bad\r\n\r\n")
+			return errors.Join(err, nc.Close())
+		}, false},
+		"data before headers": {func(fr *http2.Framer, _ net.Conn, id uint32) error { return fr.WriteData(id, true, []byte("x")) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inWorldFrom(t, http2ServersConfig(), func(w *world) {
 				requests := 0
 				serve := func(nc net.Conn) {
-					io.ReadFull(nc, make([]byte, len(http2.ClientPreface)))
+					if _, err := io.ReadFull(nc, make([]byte, len(http2.ClientPreface))); err != nil {
+						return // a connection that was not used
+					}
 					fr := http2.NewFramer(nc, nc)
 					fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-					fr.WriteSettings()
+					w.logError(fr.WriteSettings())
 					for {
 						f, err := fr.ReadFrame()
 						if err != nil {
@@ -87,12 +92,12 @@
 						}
 						if h, is := f.(*http2.MetaHeadersFrame); is {
 							if requests++; requests == 1 {
-								c.end(fr, nc, h.StreamID)
+								w.logError(c.end(fr, nc, h.StreamID))
 								continue
 							}
 							var b bytes.Buffer
-							hpack.NewEncoder(&b).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
-							fr.WriteHeaders(http2.HeadersFrameParam{StreamID: h.StreamID, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true})
+							w.logError(hpack.NewEncoder(&b).WriteField(hpack.HeaderField{Name: ":status", Value: "200"}))
+							w.logError(fr.WriteHeaders(http2.HeadersFrameParam{StreamID: h.StreamID, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true}))
 						}
 					}
 				}
@@ -110,13 +115,18 @@
 	}
 }
 
+// resetStream returns a scripted end of a stream.
+func resetStream(code http2.ErrCode) func(*http2.Framer, net.Conn, uint32) error {
+	return func(fr *http2.Framer, _ net.Conn, id uint32) error { return fr.WriteRSTStream(id, code) }
+}
+
 // serveScriptedConnections puts scripted connections in the place of both servers.
 func (w *world) serveScriptedConnections(serve func(net.Conn)) {
 	synctest.Wait()
 	for i, s := range w.servers {
 		s.Kill()
 		l := w.listen(fmt.Sprintf("10.0.1.%d:80", i+1))
-		w.closes = append(w.closes, func() { l.Close() })
+		w.closes = append(w.closes, func() { closeIt(w.t, l) })
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -124,8 +134,10 @@
 					return
 				}
 				go func() {
-					defer c.Close()
 					serve(c)
+					if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+						w.t.Error(err)
+					}
 				}()
 			}
 		}()
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -2,17 +2,20 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"google.golang.org/grpc"
 	"yardcleat.example/yardcleat/audit"
 	"yardcleat.example/yardcleat/config"
 	"yardcleat.example/yardcleat/internal/network"
@@ -20,8 +23,8 @@
 	"yardcleat.example/yardcleat/standin/catalogue"
 )
 
-// world is a gateway in a bubble of virtual time with two servers and an
-// authoriser around it.
+// world is a gateway in a bubble of virtual time, with two fake servers and a fake authorization
+// service.
 type world struct {
 	t        *testing.T
 	mem      *network.Memory
@@ -101,8 +104,8 @@
 }
 `
 
-// inWorld runs a test in a bubble. Whatever it starts must have ended when it
-// returns: synctest fails it otherwise.
+// inWorld runs a test in a bubble, with more configuration. Every goroutine that it starts must
+// have ended when it returns: synctest fails it otherwise.
 func inWorld(t *testing.T, extra string, f func(w *world)) {
 	t.Helper()
 	src := worldConfig
@@ -129,11 +132,11 @@
 					defer w.mu.Unlock()
 					w.seen = append(w.seen, s)
 				}})
-			go s.Serve(w.listen(fmt.Sprintf("10.0.1.%d:80", i)))
+			w.serve(s.Serve, fmt.Sprintf("10.0.1.%d:80", i))
 			w.servers = append(w.servers, s)
 		}
 		w.auth = authoriser.New("denied")
-		go w.auth.Serve(w.listen("10.0.2.1:80"))
+		w.serve(w.auth.Serve, "10.0.2.1:80")
 		w.src = src
 		cfg, err := config.Parse([]byte(w.src), "test.hcl")
 		if err != nil {
@@ -162,6 +165,73 @@
 	})
 }
 
+// serve runs a fake until it is closed; an earlier end is an error of the test.
+func (w *world) serve(serve func(net.Listener) error, address string) {
+	w.t.Helper()
+	l := w.listen(address)
+	go func() {
+		err := serve(l)
+		closed := errors.Is(err, http.ErrServerClosed) || errors.Is(err, grpc.ErrServerStopped)
+		if err != nil && !closed {
+			w.t.Errorf("fake at %s: %v", address, err)
+		}
+	}()
+}
+
+// breakAuthorizer sets a fault of an authorization service.
+func (w *world) breakAuthorizer(a *authoriser.Server, fault, arg string) {
+	w.t.Helper()
+	if err := a.Do(fault, arg); err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+// logError logs the error of a write to a connection that the gateway may close at any time. A
+// write that had to succeed shows in what the gateway does.
+func (w *world) logError(err error) {
+	w.t.Helper()
+	if err != nil {
+		w.t.Logf("not written: %v", err)
+	}
+}
+
+// respond writes the response of a scripted server.
+func (w *world) respond(c net.Conn, response string) {
+	w.t.Helper()
+	_, err := io.WriteString(c, response)
+	w.logError(err)
+}
+
+// respondOK writes a response with the body "ok".
+func (w *world) respondOK(c net.Conn) {
+	w.respond(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+}
+
+// closeIt closes what must be open.
+func closeIt(tb testing.TB, c io.Closer) {
+	tb.Helper()
+	if err := c.Close(); err != nil {
+		tb.Error(err)
+	}
+}
+
+// writeFile replaces the content of a file.
+func writeFile(tb testing.TB, path string, content []byte) {
+	tb.Helper()
+	if err := os.WriteFile(path, content, 0o600); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+func readFile(tb testing.TB, path string) []byte {
+	tb.Helper()
+	content, err := os.ReadFile(path)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return content
+}
+
 func (w *world) listen(addr string) net.Listener {
 	l, err := w.mem.Host(addr).Listen(addr)
 	if err != nil {
@@ -192,9 +262,8 @@
 	if err != nil {
 		return got{status: -1, body: err.Error(), took: time.Since(start)}
 	}
-	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
-	if err != nil {
+	if err := errors.Join(err, res.Body.Close()); err != nil {
 		w.t.Fatal(err)
 	}
 	return got{res.StatusCode, res.Header, string(b), time.Since(start)}
@@ -206,9 +275,10 @@
 	return w.seen
 }
 
-func (w *world) faults(fault, arg string) {
+// breakServers sets a fault of both servers.
+func (w *world) breakServers(fault string) {
 	for _, s := range w.servers {
-		if err := s.Do(fault, arg); err != nil {
+		if err := s.Do(fault, ""); err != nil {
 			w.t.Fatal(err)
 		}
 	}
--- a/gateway/tls_test.go
+++ b/gateway/tls_test.go
@@ -9,12 +9,12 @@
 	"crypto/x509"
 	"crypto/x509/pkix"
 	"encoding/pem"
+	"errors"
 	"fmt"
 	"io"
 	"math/big"
 	"net"
 	"net/http"
-	"os"
 	"path/filepath"
 	"testing"
 	"time"
@@ -22,8 +22,8 @@
 	"golang.org/x/net/http2"
 )
 
-// Go's own client over HTTP/2 and TLS; the certificate is replaced in service,
-// and open connections stay.
+// Go's own client over HTTP/2 and TLS; the certificate is replaced in service, and open connections
+// keep theirs.
 func TestTLSListenerReloadsItsCertificate(t *testing.T) {
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "cert"), filepath.Join(dir, "key")
@@ -42,8 +42,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		os.WriteFile(cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600)
-		os.WriteFile(key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: k}), 0o600)
+		writeFile(t, cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}))
+		writeFile(t, key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: k}))
 	}
 	write(1)
 	inWorld(t, fmt.Sprintf("listener \"https\" \"all\" {\n address = \"10.0.0.1:443\"\n cert_file = %q\n key_file = %q\n}\n", cert, key), func(w *world) {
@@ -71,8 +71,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer res.Body.Close()
-			io.Copy(io.Discard, res.Body)
+			_, err = io.Copy(io.Discard, res.Body)
+			if err := errors.Join(err, res.Body.Close()); err != nil {
+				t.Error(err)
+			}
 			if res.StatusCode != 200 {
 				t.Errorf("status %d", res.StatusCode)
 			}
@@ -89,7 +91,7 @@
 			t.Errorf("%s, certificate %d", p, n)
 		}
 		time.Sleep(2 * time.Second)
-		os.WriteFile(cert, []byte("torn"), 0o600)
+		writeFile(t, cert, []byte("torn"))
 		other := client("h2")
 		if _, n := get(other); n != 1 {
 			t.Errorf("certificate %d after a torn one", n)
--- a/gateway/untrusted_clients_test.go
+++ b/gateway/untrusted_clients_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	defer c.Close()
+	defer closeIt(w.t, c)
 	for i, p := range parts {
 		if i > 0 {
 			time.Sleep(time.Second)
@@ -24,12 +24,14 @@
 			break
 		}
 	}
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	if err := c.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		w.t.Error(err)
+	}
 	b, _ := io.ReadAll(c)
 	return string(b)
 }
 
-// Slow and endless senders are cut off in time; others are served meanwhile.
+// Slow and endless clients are cut off in time; others are served meanwhile.
 func TestSlowClientsAreCutOff(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		done := make(chan struct{})
@@ -64,7 +66,7 @@
 	})
 }
 
-// Pipelined requests are answered in order; 100-continue comes before a body.
+// Pipelined requests have their responses in order; 100 Continue comes before the body.
 func TestPipelinedRequestsAndExpectContinue(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		one := "GET /records/%d HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nX-Request-Id: r%d\r\n\r\n"
@@ -92,8 +94,8 @@
 	})
 }
 
-// Smuggled requests: raw bytes in, what the client is told and what reaches a
-// server out. Behind each stands a request that a laxer parser would see.
+// Request smuggling: each input hides a request that a laxer parser would see. The client gets one
+// error, and nothing reaches a server.
 func TestSmuggledRequestsAreRejected(t *testing.T) {
 	const head = "POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\n"
 	const hidden = "GET /records/smuggled HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\n\r\n"
@@ -134,15 +136,17 @@
 	})
 }
 
-// Over HTTP/1.1, what stands around chunks is bounded by what is in them.
+// Over HTTP/1.1, the overhead of chunks is bounded in proportion to their content.
 func TestChunkOverheadIsBounded(t *testing.T) {
 	inWorld(t, "", func(w *world) {
 		nc, err := w.host.Dial(context.Background(), "10.0.0.1:80")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
-		io.WriteString(nc, "POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nTransfer-Encoding: chunked\r\n\r\n")
+		defer closeIt(t, nc)
+		if _, err := io.WriteString(nc, "POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+			t.Fatal(err)
+		}
 		go func() {
 			for range 12 {
 				if _, err := io.WriteString(nc, "1;"+strings.Repeat("e", 4000)+"\r\nx\r\n"); err != nil {
