--- /dev/null
+++ b/gateway/endpoint_cache_test.go
@@ -0,0 +1,58 @@
+package gateway
+
+import (
+	"fmt"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"yardcleat.example/yardcleat/fleet"
+	"yardcleat.example/yardcleat/node"
+	"yardcleat.example/yardcleat/policy"
+	"yardcleat.example/yardcleat/standin/discovery"
+)
+
+// A gateway restarts with its last endpoint list, which is stale: three servers in it are gone, one
+// is draining. What it can't know costs attempts; each request has a response, and a new list
+// from discovery counts at once.
+func TestRestartWithAStaleEndpointCache(t *testing.T) {
+	dir := t.TempDir()
+	extra := `node { state_dir = "` + dir + `" }`
+	var list []node.Server
+	for _, a := range []string{"10.0.1.1:80", "10.0.1.2:80", "10.0.1.7:80", "10.0.1.8:80", "10.0.1.9:80"} {
+		list = append(list, node.Server{Address: a, Server: policy.Server{ID: fleet.ID(a), Weight: 1}})
+	}
+	if err := fleet.SaveCache(filepath.Join(dir, "servers"), list); err != nil {
+		t.Fatal(err)
+	}
+	inWorld(t, extra, func(w *world) {
+		served := 0
+		for i := range 8 { // discovery is not there yet
+			switch g := w.do("GET", fmt.Sprint("/records/", i), "k-school"); {
+			case g.status == 200:
+				served++
+			case g.header.Get("X-Yardcleat-Reason") != "server-gone": // three attempts, three gone
+				t.Errorf("%+v", g)
+			}
+		}
+		if served < 5 {
+			t.Errorf("%d of 8 served", served)
+		}
+		d := discovery.New("c", 0, nil)
+		w.serve(d.Serve, "10.0.3.1:80")
+		d.Set([]discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Draining: true}, {Name: "s2", Address: "10.0.1.2:80", Cell: 1}})
+		time.Sleep(3 * time.Second) // the stream is opened again
+		told := time.Now()
+		for i := range 10 {
+			if g := w.do("GET", fmt.Sprint("/records/", i), "k-school"); g.status != 200 {
+				t.Errorf("%+v", g)
+			}
+		}
+		for _, s := range w.arrived() {
+			if s.Server == "s1" && s.At.After(told) {
+				t.Errorf("sent to the draining server: %+v", s)
+			}
+		}
+		d.Kill()
+	})
+}
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"io/fs"
 	"log/slog"
@@ -12,7 +11,7 @@
 	"time"
 
 	"yardcleat.example/yardcleat/config"
-	"yardcleat.example/yardcleat/internal/files"
+	"yardcleat.example/yardcleat/internal/snapshotfile"
 	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/peer"
 )
@@ -55,7 +54,7 @@
 // newMembershipLoop returns the loop of a fleet with a roster. A snapshot that cannot be read
 // counts as none.
 func (g *Gateway) newMembershipLoop() *membershipLoop {
-	snapshot, err := recallMember(g.cfg.StateDir)
+	snapshot, err := loadMembershipSnapshot(g.cfg.StateDir)
 	if err != nil {
 		g.o.Log.Warn("membership snapshot unreadable; enforcing no quota share until a membership change completes", "error", err)
 	}
@@ -164,7 +163,7 @@
 // saveSnapshot stores a snapshot. When that fails the change goes on: after a restart the
 // node enforces no share until a change completes.
 func (l *membershipLoop) saveSnapshot(s membership.Snapshot) {
-	if err := rememberMember(l.gateway.cfg.StateDir, s); err != nil {
+	if err := saveMembershipSnapshot(l.gateway.cfg.StateDir, s); err != nil {
 		l.gateway.o.Log.Error("saving the membership snapshot failed; after a restart this node enforces no quota share at first",
 			"error", err)
 	}
@@ -178,8 +177,8 @@
 	resized := make(chan struct{})
 	g.node.Do(func() {
 		g.node.Resize(a.Gateways, a.PreviousSize)
-		if g.led != nil {
-			g.led.resize(a.Gateways)
+		if g.usageRecorder != nil {
+			g.usageRecorder.resize(a.Gateways)
 		}
 		close(resized)
 	})
@@ -204,33 +203,25 @@
 	l.gateway.o.Log.LogAttrs(ctx, level, n.Message, attributes...)
 }
 
-const memberFile = "roster-epoch"
+// membershipSnapshotFile is the name of the snapshot in the state directory.
+const membershipSnapshotFile = "roster-epoch"
 
-func recallMember(dir string) (m membership.Snapshot, err error) {
+// loadMembershipSnapshot reads what an earlier process saved; the zero value where there is none.
+func loadMembershipSnapshot(dir string) (membership.Snapshot, error) {
 	if dir == "" {
-		return m, nil
+		return membership.Snapshot{}, nil
 	}
-	b, err := os.ReadFile(filepath.Join(dir, memberFile))
+	snapshot, err := snapshotfile.ReadPlain[membership.Snapshot](filepath.Join(dir, membershipSnapshotFile))
 	if errors.Is(err, fs.ErrNotExist) {
-		return m, nil
+		return membership.Snapshot{}, nil
 	}
-	if err == nil {
-		err = json.Unmarshal(b, &m)
-	}
-	if err != nil {
-		return membership.Snapshot{}, err
-	}
-	return m, nil
+	return snapshot, err
 }
 
-// rememberMember replaces the file in one step, and has it on the disk.
-func rememberMember(dir string, m membership.Snapshot) error {
+// saveMembershipSnapshot replaces the file atomically and waits until it is on the disk.
+func saveMembershipSnapshot(dir string, snapshot membership.Snapshot) error {
 	if dir == "" {
 		return nil
 	}
-	b, err := json.Marshal(m)
-	if err != nil {
-		return err
-	}
-	return files.Replace(filepath.Join(dir, memberFile), b)
+	return snapshotfile.WritePlain(filepath.Join(dir, membershipSnapshotFile), snapshot)
 }
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -122,7 +122,7 @@
 		latency = n.activeTimeSince(r.attempts.startedAt)
 	}
 	if result.Code == policy.OK && n.options.Authz != nil {
-		n.options.Authz.Took(r.request.Class, latency)
+		n.options.Authz.RecordLatency(r.request.Class, latency)
 	}
 	n.queuePolicyEvent(policy.AttemptResult{
 		ID:       r.id,
--- a/node/authorization.go
+++ b/node/authorization.go
@@ -13,10 +13,10 @@
 func (n *Node) authorize(r *pendingRequest) {
 	r.awaitAuthorization()
 	if n.lastID%authorizationPruneInterval == 0 {
-		n.options.Authz.Forget(n.wallTime())
+		n.options.Authz.RemoveExpired(n.wallTime())
 	}
 	request := r.request
-	actions := n.options.Authz.Begin(n.wallTime(), authz.Request{
+	actions := n.options.Authz.StartRequest(n.wallTime(), authz.Request{
 		ID:        uint64(r.id),
 		Class:     request.Class,
 		Customer:  request.Customer,
@@ -31,33 +31,33 @@
 func (n *Node) executeAuthorization(actions []authz.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case authz.Check:
+		case authz.SendCheck:
 			n.startCheck(action)
-		case authz.Cancel:
+		case authz.CancelCheck:
 			if r := n.requests[policy.RequestID(action.ID)]; r != nil {
 				r.work.stop()
 			}
-		case authz.Settle:
+		case authz.Resolve:
 			n.concludeAuthorization(action)
-		case authz.Wake:
+		case authz.ScheduleTick:
 			n.timerWheel.Add(n.now+action.After, func() { n.executeAuthorization(n.options.Authz.Tick(n.wallTime())) })
-		case authz.Note:
-			n.options.Logger.Warn(action.Text, "address", action.Target)
+		case authz.OperatorNote:
+			n.options.Logger.Warn(action.Text, "address", action.Address)
 		}
 	}
 }
 
 // startCheck sends an authorization check. Its result comes back as an event, or its
 // timer expires.
-func (n *Node) startCheck(action authz.Check) {
+func (n *Node) startCheck(action authz.SendCheck) {
 	r := n.requests[policy.RequestID(action.ID)]
-	r.authorization.number = action.Try
+	r.authorization.number = action.Attempt
 	r.authorization.startedAt = n.now
-	r.work.timeout = n.timerWheel.Add(n.now+action.Budget, func() {
-		n.finishCheck(r, action.Try, AuthorizationResult{Verdict: authz.Late, Detail: "authorization check timed out"})
+	r.work.timeout = n.timerWheel.Add(n.now+action.Timeout, func() {
+		n.finishCheck(r, action.Attempt, AuthorizationResult{Verdict: authz.TimedOut, Detail: "authorization check timed out"})
 	})
-	r.work.cancel = n.options.Authorizer.Check(action.Target, r.request, action.Budget, func(result AuthorizationResult) {
-		n.enqueue(checkFinished{request: r, check: action.Try, result: result})
+	r.work.cancel = n.options.Authorizer.Check(action.Address, r.request, action.Timeout, func(result AuthorizationResult) {
+		n.enqueue(checkFinished{request: r, check: action.Attempt, result: result})
 	})
 }
 
@@ -71,12 +71,12 @@
 	r.authorization.result = result
 	elapsed := n.now - r.authorization.startedAt
 	latency := n.activeTimeSince(r.authorization.startedAt)
-	n.executeAuthorization(n.options.Authz.Answered(n.wallTime(), uint64(r.id), check, authz.Answer{
-		Verdict: result.Verdict,
-		Latency: latency,
-		Stood:   latency < elapsed,
-		Life:    result.CacheTTL,
-		Kept:    result,
+	n.executeAuthorization(n.options.Authz.FinishCheck(n.wallTime(), uint64(r.id), check, authz.CheckResult{
+		Outcome:       result.Verdict,
+		Latency:       latency,
+		ProcessPaused: latency < elapsed,
+		CacheTTL:      result.CacheTTL,
+		Payload:       result,
 	}))
 }
 
@@ -87,25 +87,25 @@
 	}
 	r.work.stop()
 	r.awaitDecision()
-	n.executeAuthorization(n.options.Authz.Gone(n.wallTime(), uint64(r.id)))
+	n.executeAuthorization(n.options.Authz.CancelRequest(n.wallTime(), uint64(r.id)))
 }
 
 // concludeAuthorization ends the authorization of a request by the decider's verdict,
 // which rests on the last check or, where that gave no result, on a cached result or
 // the default of the class.
-func (n *Node) concludeAuthorization(action authz.Settle) {
+func (n *Node) concludeAuthorization(action authz.Resolve) {
 	r := n.requests[policy.RequestID(action.ID)]
 	if r == nil || r.state != stateAuthorizing {
 		return
 	}
 	result := r.authorization.result
-	if action.StoodIn {
-		result, _ = action.Kept.(AuthorizationResult)
+	if action.FromFallback {
+		result, _ = action.CachedPayload.(AuthorizationResult)
 		result.Detail = "authorization service gave no response; using a cached result or the class default"
 	}
 	r.detail = result.Detail
 	r.awaitDecision()
-	reason := authorizationFailure(action.Step)
+	reason := authorizationFailure(action.Decision)
 	if reason == ReasonNone {
 		result.apply(&r.request.Call)
 		r.authorization.granted = result
--- a/node/authorizer.go
+++ b/node/authorizer.go
@@ -13,7 +13,7 @@
 // AuthorizationResult is the result of an authorization check. An allowed request is
 // changed as the result says before it is forwarded.
 type AuthorizationResult struct {
-	Verdict  authz.Verdict
+	Verdict  authz.Outcome
 	Denial   *Response     // with a verdict of Denied: the response for the client
 	CacheTTL time.Duration // how long the result may be used again; 0: the service did not say
 	Detail   string        // for the log
--- a/node/reasons.go
+++ b/node/reasons.go
@@ -38,15 +38,15 @@
 
 // authorizationFailure is the reason of a rejection by the authorization decider, and
 // ReasonNone for a request that it lets through.
-func authorizationFailure(step authz.Step) Reason {
+func authorizationFailure(step authz.Decision) Reason {
 	switch step {
 	case authz.Deny:
 		return ReasonAuthorizationDenied
-	case authz.RefuseLate:
+	case authz.RejectTimedOut:
 		return ReasonAuthorizationTimeout
-	case authz.RefuseError:
+	case authz.RejectUnreachable:
 		return ReasonAuthorizationUnreachable
-	case authz.RefuseQuota:
+	case authz.RejectOverQuota:
 		return ReasonQuota
 	}
 	return ReasonNone
