--- a/day/env.go
+++ b/day/env.go
@@ -169,7 +169,7 @@
 	host := b.Memory.Host(fmt.Sprint("node-", number))
 	log := slog.New(slog.NewTextHandler(b.Log, &slog.HandlerOptions{Level: cfg.LogLevel})).With("node", number)
 	g, err := gateway.Start(cfg, gateway.Options{Network: host, Log: log, Seed: b.Seed, TransformEndpoints: b.Deafen, WrapUpstream: b.Carry, Pause: b.Stall,
-		Wall: func() time.Time {
+		WallClock: func() time.Time {
 			ahead, _ := b.wall.Load(number)
 			d, _ := ahead.(time.Duration)
 			return time.Now().Add(d)
--- a/gateway/attempt_outcomes_test.go
+++ b/gateway/attempt_outcomes_test.go
@@ -15,7 +15,7 @@
 
 // serveScripted replaces both servers by a scripted one. handle gets the connection of each
 // request, the request without its body, and its number over both servers from 1.
-func (w *world) serveScripted(handle func(c net.Conn, r *http.Request, n int)) (requests *atomic.Int32) {
+func (w *testBed) serveScripted(handle func(c net.Conn, r *http.Request, n int)) (requests *atomic.Int32) {
 	requests = &atomic.Int32{}
 	w.serveScriptedConnections(func(c net.Conn) {
 		br := bufio.NewReader(c)
@@ -32,10 +32,10 @@
 
 // How an attempt ends decides, with the class of the request, whether it is retried.
 func TestAttemptOutcomeDecidesOnRetry(t *testing.T) {
-	ends := map[string]func(w *world, c net.Conn){
-		"reset":  func(_ *world, c net.Conn) { c.(interface{ Reset() }).Reset() },
-		"closed": func(w *world, c net.Conn) { closeIt(w.t, c) },
-		"half-closed": func(w *world, c net.Conn) {
+	ends := map[string]func(w *testBed, c net.Conn){
+		"reset":  func(_ *testBed, c net.Conn) { c.(interface{ Reset() }).Reset() },
+		"closed": func(w *testBed, c net.Conn) { mustClose(w.t, c) },
+		"half-closed": func(w *testBed, c net.Conn) {
 			if err := c.(interface{ CloseWrite() error }).CloseWrite(); err != nil {
 				w.t.Error(err)
 			}
@@ -43,8 +43,8 @@
 		"cut in the body":  respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
 		"cut in the head":  respondAndClose("HTTP/1.1 200 OK\r\nConte"),
 		"not HTTP":         respondAndClose("hello\r\n"),
-		"status 500":       func(w *world, c net.Conn) { w.respond(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n") },
-		"plain status 503": func(w *world, c net.Conn) { w.respond(c, "HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n") },
+		"status 500":       func(w *testBed, c net.Conn) { w.respond(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n") },
+		"plain status 503": func(w *testBed, c net.Conn) { w.respond(c, "HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n") },
 	}
 	for name, end := range ends {
 		for _, c := range []struct {
@@ -52,7 +52,7 @@
 			again        bool // may be sent again to the other server, of another cell
 		}{{"GET", "/records/1", true}, {"POST", "/loans/1", false}, {"POST", "/notes/1", false}} {
 			t.Run(name+" "+c.path, func(t *testing.T) {
-				inWorld(t, "", func(w *world) {
+				runInTestBed(t, "", func(w *testBed) {
 					n := w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 						if n == 1 {
 							end(w, c)
@@ -78,10 +78,10 @@
 }
 
 // respondAndClose returns a scripted end of an attempt.
-func respondAndClose(response string) func(*world, net.Conn) {
-	return func(w *world, c net.Conn) {
+func respondAndClose(response string) func(*testBed, net.Conn) {
+	return func(w *testBed, c net.Conn) {
 		w.respond(c, response)
-		closeIt(w.t, c)
+		mustClose(w.t, c)
 	}
 }
 
@@ -89,7 +89,7 @@
 func TestUnexecutedAttemptsAreRetried(t *testing.T) {
 	for _, path := range []string{"/loans/1", "/notes/1"} {
 		t.Run("turned away "+path, func(t *testing.T) {
-			inWorld(t, "", func(w *world) {
+			runInTestBed(t, "", func(w *testBed) {
 				n := w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 					if n == 1 {
 						w.respond(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
@@ -103,7 +103,7 @@
 			})
 		})
 		t.Run("not connected "+path, func(t *testing.T) {
-			inWorld(t, "", func(w *world) {
+			runInTestBed(t, "", func(w *testBed) {
 				w.servers[0].Kill()
 				for i := range 6 {
 					if g := w.do("POST", path, "k-school", "Idempotency-Key", fmt.Sprint(i)); g.status != 200 {
@@ -119,13 +119,13 @@
 // have been executed and is not retried. Closed before a byte was sent, the same attempt uses a
 // new connection.
 func TestServerClosesIdleConnectionAsARequestIsSent(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		n := w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 			switch n {
 			case 1, 2:
 				w.respondOK(c)
 			case 3:
-				closeIt(t, c) // the request was on its way
+				mustClose(t, c) // the request was on its way
 			default:
 				w.respondOK(c)
 			}
@@ -142,10 +142,10 @@
 			t.Errorf("%d attempts, want 3", n.Load())
 		}
 	})
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		n := w.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
 			w.respondOK(c)
-			closeIt(t, c) // idle connections don't last
+			mustClose(t, c) // idle connections don't last
 		})
 		for i := range 6 {
 			if g := w.do("POST", "/notes/1", "k-school"); g.status != 200 {
@@ -161,7 +161,7 @@
 // A response after the timeout is discarded: the next request on the client's connection gets its
 // own.
 func TestLateResponseIsDiscarded(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 			if n == 1 {
 				time.Sleep(time.Second)
@@ -183,11 +183,11 @@
 
 // A server may respond before it has read the body.
 func TestResponseBeforeTheWholeBody(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		w.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
 			w.respondOK(c)
 			time.Sleep(10 * time.Second) // and never reads it
-			closeIt(t, c)
+			mustClose(t, c)
 		})
 		res, err := w.client.Do(w.postRequest("/notes/1", strings.NewReader(strings.Repeat("x", 500_000))))
 		if err != nil {
--- a/gateway/authorization_test.go
+++ b/gateway/authorization_test.go
@@ -27,10 +27,10 @@
 )
 
 // withTwoAuthorizers runs a test with an authorization service that has two addresses.
-func withTwoAuthorizers(t *testing.T, f func(w *world, second *authoriser.Server)) {
+func withTwoAuthorizers(t *testing.T, f func(w *testBed, second *authoriser.Server)) {
 	t.Helper()
-	inWorldFrom(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
-		`authoriser { addresses = ["10.0.2.1:80", "10.0.2.2:80"] }`, 1), func(w *world) {
+	runInTestBedWith(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
+		`authoriser { addresses = ["10.0.2.1:80", "10.0.2.2:80"] }`, 1), func(w *testBed) {
 		second := authoriser.New("denied")
 		w.serve(second.Serve, "10.0.2.2:80")
 		f(w, second)
@@ -42,7 +42,7 @@
 func TestFaultyAuthorizerIsReplacedByTheOther(t *testing.T) {
 	for _, fault := range []string{"dead", "silent", "slow"} {
 		t.Run(fault, func(t *testing.T) {
-			withTwoAuthorizers(t, func(w *world, second *authoriser.Server) {
+			withTwoAuthorizers(t, func(w *testBed, second *authoriser.Server) {
 				switch fault {
 				case "dead":
 					second.Kill()
@@ -78,7 +78,7 @@
   body = 4
   disallowed_headers = ["cookie"]
 }`, 1)
-	inWorldFrom(t, src, func(w *world) {
+	runInTestBedWith(t, src, func(w *testBed) {
 		var sent *authv3.CheckRequest
 		a := authoriser.New()
 		option := func(name, value string, add bool) *corev3.HeaderValueOption {
@@ -111,7 +111,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		closeIt(t, res.Body)
+		mustClose(t, res.Body)
 		if res.StatusCode != 200 || res.Header.Get("X-Told") != "yes" {
 			t.Errorf("%d, %v", res.StatusCode, res.Header)
 		}
@@ -148,7 +148,7 @@
 // timeout: the cap is never exceeded, and fewer requests pass.
 func TestLostAccessLogsHoldCapacityUntilTimeout(t *testing.T) {
 	for _, share := range []float64{0, 0.01, 0.1} {
-		inWorld(t, cappedPlan, func(w *world) {
+		runInTestBed(t, cappedPlan, func(w *testBed) {
 			check, done := w.dialChecks("1000")
 			defer done()
 			cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -156,7 +156,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer closeIt(t, cc)
+			defer mustClose(t, cc)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			stream, err := alsv3.NewAccessLogServiceClient(cc).StreamAccessLogs(ctx)
@@ -202,7 +202,7 @@
 // Headers that are not UTF-8, which gRPC messages can't hold, do not look like failures of the
 // service.
 func TestHeadersThatAreNotUTF8AreSentToTheAuthorizer(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		for i := range 20 {
 			got := w.sendRaw(fmt.Sprintf("POST /loans/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nIdempotency-Key: k%d\xff\r\n"+
 				"X-Request-Id: \xc3\x28\r\nConnection: close\r\n\r\n", i))
@@ -216,7 +216,7 @@
 // Access logs come twice, late, out of order, for attempts of other gateways and from two proxies
 // for one attempt: only the first one of an attempt counts, and frees the cap once.
 func TestRepeatedAndForeignAccessLogsCountOnce(t *testing.T) {
-	inWorld(t, cappedPlan, func(w *world) {
+	runInTestBed(t, cappedPlan, func(w *testBed) {
 		check, done := w.dialChecks("3000")
 		defer done()
 		var streams []accessLogStream
@@ -228,7 +228,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer closeIt(t, cc)
+			defer mustClose(t, cc)
 			s, err := alsv3.NewAccessLogServiceClient(cc).StreamAccessLogs(ctx)
 			if err != nil {
 				t.Fatal(err)
@@ -284,8 +284,8 @@
 // the other one.
 func TestUnavailableChecksAreRetried(t *testing.T) {
 	for _, both := range []bool{false, true} {
-		inWorldFrom(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
-			`authoriser { addresses = ["10.0.2.8:80", "10.0.2.9:80"] }`, 1), func(w *world) {
+		runInTestBedWith(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
+			`authoriser { addresses = ["10.0.2.8:80", "10.0.2.9:80"] }`, 1), func(w *testBed) {
 			for i := range 2 {
 				rng := rand.New(rand.NewPCG(uint64(i), 1))
 				a := authoriser.New()
@@ -319,8 +319,8 @@
 // An earlier result, a denial too, replaces a missing one for as long as the class says.
 func TestCachedAuthorizationReplacesAMissingOne(t *testing.T) {
 	src := strings.Replace(worldConfig, `authorisation = "refuse"`, "authorisation = \"refuse\"\n  remember = \"10s\"", 1)
-	inWorldFrom(t, src, func(w *world) {
-		ask := func(key string) got {
+	runInTestBedWith(t, src, func(w *testBed) {
+		ask := func(key string) response {
 			return w.do("POST", "/loans/1", key, "Idempotency-Key", fmt.Sprint(time.Now().UnixNano()))
 		}
 		if g := ask("k-school"); g.status != 200 {
@@ -349,14 +349,14 @@
 // A server starts to drain after a request was allowed and before it is sent: the request goes to
 // the other one.
 func TestAllowedRequestAvoidsDrainingServer(t *testing.T) {
-	inWorld(t, fmt.Sprintf("node { state_dir = %q }", t.TempDir()), func(w *world) {
+	runInTestBed(t, fmt.Sprintf("node { state_dir = %q }", t.TempDir()), func(w *testBed) {
 		d := discovery.New("c", 0, nil)
 		w.serve(d.Serve, "10.0.3.1:80")
 		list := []discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Cell: 1}, {Name: "s2", Address: "10.0.1.2:80", Cell: 2}}
 		d.Set(list)
 		time.Sleep(3 * time.Second)
 		w.breakAuthorizer(w.auth, "slow", "100ms")
-		done := make(chan got, 4)
+		done := make(chan response, 4)
 		for i := range 4 {
 			go func() { done <- w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
 		}
@@ -386,7 +386,7 @@
 		{"slow", "250ms", "authorisation-late"}, {"silent", "", "authorisation-late"}, {"dead", "", "authorisation-unreachable"},
 	} {
 		t.Run(c.fault, func(t *testing.T) {
-			inWorld(t, "", func(w *world) {
+			runInTestBed(t, "", func(w *testBed) {
 				if c.fault == "dead" {
 					w.auth.Kill()
 				} else {
--- a/gateway/client_disconnect_test.go
+++ b/gateway/client_disconnect_test.go
@@ -9,7 +9,7 @@
 )
 
 // postRequest returns a request of the customer "school" with an idempotency key.
-func (w *world) postRequest(path string, body io.Reader) *http.Request {
+func (w *testBed) postRequest(path string, body io.Reader) *http.Request {
 	w.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://10.0.0.1:80"+path, body)
 	if err != nil {
@@ -24,10 +24,10 @@
 // service, in the queue, or with an attempt in flight. Clients that still wait have a response by
 // then, no attempt is sent for those that disconnected, and nothing stays in flight.
 func TestDisconnectedClientsLeaveNothingBehind(t *testing.T) {
-	points := map[string]func(w *world){
-		"at the authoriser": func(w *world) { w.breakAuthorizer(w.auth, "silent", "") },
-		"attempt out":       func(w *world) { w.breakServers("hang") },
-		"in the queue": func(w *world) {
+	points := map[string]func(w *testBed){
+		"at the authoriser": func(w *testBed) { w.breakAuthorizer(w.auth, "silent", "") },
+		"attempt out":       func(w *testBed) { w.breakServers("hang") },
+		"in the queue": func(w *testBed) {
 			w.breakServers("hang")
 			for range 12 { // both servers have all they may
 				go w.do("GET", "/records/1", "k-school")
@@ -37,7 +37,7 @@
 	}
 	for name, set := range points {
 		t.Run(name+", time runs out", func(t *testing.T) {
-			inWorld(t, "", func(w *world) {
+			runInTestBed(t, "", func(w *testBed) {
 				set(w)
 				const patience = 300 * time.Millisecond
 				g := w.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k", "X-Envoy-Expected-Rq-Timeout-Ms", "300")
@@ -48,12 +48,12 @@
 			})
 		})
 		t.Run(name+", client leaves", func(t *testing.T) {
-			inWorld(t, "", func(w *world) {
+			runInTestBed(t, "", func(w *testBed) {
 				set(w)
 				ctx, cancel := context.WithTimeout(context.Background(), 60*time.Millisecond)
 				defer cancel()
 				if res, err := w.client.Do(w.postRequest("/loans/1", nil).WithContext(ctx)); err == nil {
-					closeIt(t, res.Body)
+					mustClose(t, res.Body)
 					t.Errorf("status %d", res.StatusCode)
 				}
 				left := time.Now()
@@ -73,7 +73,7 @@
 }
 
 // expectNothingInFlight checks that all requests are answered after a while.
-func (w *world) expectNothingInFlight() {
+func (w *testBed) expectNothingInFlight() {
 	w.t.Helper()
 	time.Sleep(5 * time.Second)
 	if n := w.node.node.Unanswered(); n != 0 {
--- a/gateway/customer_snapshots.go
+++ b/gateway/customer_snapshots.go
@@ -68,15 +68,15 @@
 
 // restoreCustomerSnapshots hands the policy what an earlier process saved.
 func (g *Gateway) restoreCustomerSnapshots() {
-	snapshot, err := loadCustomerSnapshots(g.cfg.StateDir, g.cfg.Number, g.o.Wall())
+	snapshot, err := loadCustomerSnapshots(g.cfg.StateDir, g.cfg.Number, g.options.WallClock())
 	if err != nil {
-		g.o.Log.Warn("customer snapshots can't be used; starting without them", "error", err)
+		g.options.Log.Warn("customer snapshots can't be used; starting without them", "error", err)
 		return
 	}
 	if len(snapshot.Customers) == 0 {
 		return
 	}
-	g.o.Log.Info("customer snapshots restored", "customers", len(snapshot.Customers), "age", snapshot.Age)
+	g.options.Log.Info("customer snapshots restored", "customers", len(snapshot.Customers), "age", snapshot.Age)
 	g.node.RestoreSnapshot(snapshot)
 }
 
@@ -103,7 +103,7 @@
 	if !ok {
 		return
 	}
-	if err := saveCustomerSnapshots(g.cfg.StateDir, g.cfg.Number, g.o.Wall(), list); err != nil {
-		g.o.Log.Error("saving customer snapshots failed; retrying at the next interval", "error", err)
+	if err := saveCustomerSnapshots(g.cfg.StateDir, g.cfg.Number, g.options.WallClock(), list); err != nil {
+		g.options.Log.Error("saving customer snapshots failed; retrying at the next interval", "error", err)
 	}
 }
--- a/gateway/customer_snapshots_test.go
+++ b/gateway/customer_snapshots_test.go
@@ -17,7 +17,7 @@
 func TestCustomerSnapshotsOutliveAKill(t *testing.T) {
 	run := func(keep bool, away time.Duration) (again int) {
 		dir := t.TempDir()
-		withFakeCounter(t, dir, func(w *world, c *counter.Server) {
+		withFakeCounter(t, dir, func(w *testBed, c *counter.Server) {
 			if err := c.Do("refuse", ""); err != nil { // nothing else knows the usage
 				t.Error(err)
 			}
--- a/gateway/endpoint_cache_test.go
+++ b/gateway/endpoint_cache_test.go
@@ -25,7 +25,7 @@
 	if err := fleet.SaveCache(filepath.Join(dir, "servers"), list); err != nil {
 		t.Fatal(err)
 	}
-	inWorld(t, extra, func(w *world) {
+	runInTestBed(t, extra, func(w *testBed) {
 		served := 0
 		for i := range 8 { // discovery is not there yet
 			switch g := w.do("GET", fmt.Sprint("/records/", i), "k-school"); {
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -27,11 +27,11 @@
 		return nil
 	}
 	options := fleet.Options{
-		Network: g.o.Network,
+		Network: g.options.Network,
 		Address: s.EDSAddress,
 		Cluster: s.EDSCluster,
 		NodeID:  fmt.Sprintf("node-%d", g.cfg.Number),
-		Log:     g.o.Log,
+		Log:     g.options.Log,
 		Deliver: g.updateEndpoints,
 	}
 	if g.cfg.StateDir != "" {
@@ -39,15 +39,15 @@
 	}
 	g.goUntilClosed(func(ctx context.Context) {
 		if err := fleet.Watch(ctx, options); err != nil {
-			g.o.Log.Error("endpoint discovery failed", "error", err)
+			g.options.Log.Error("endpoint discovery failed", "error", err)
 		}
 	})
 	return nil
 }
 
 func (g *Gateway) updateEndpoints(kind policy.EndpointUpdateKind, list []node.Server) {
-	if g.o.TransformEndpoints != nil {
-		list = g.o.TransformEndpoints(list)
+	if g.options.TransformEndpoints != nil {
+		list = g.options.TransformEndpoints(list)
 	}
 	g.node.UpdateEndpoints(kind, list)
 	g.changePhase((*membership.StateMachine).EndpointsReady)
--- a/gateway/ext_authz_proxy_test.go
+++ b/gateway/ext_authz_proxy_test.go
@@ -31,7 +31,7 @@
 `
 
 // dialChecks returns a function that sends checks as a proxy does, without access logs.
-func (w *world) dialChecks(patience string) (check func(path string) *authv3.CheckResponse, done func()) {
+func (w *testBed) dialChecks(patience string) (check func(path string) *authv3.CheckResponse, done func()) {
 	cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return w.host.Dial(ctx, addr) }))
 	if err != nil {
@@ -46,13 +46,13 @@
 			w.t.Fatal(err)
 		}
 		return resp
-	}, func() { closeIt(w.t, cc) }
+	}, func() { mustClose(w.t, cc) }
 }
 
 // A check whose proxy never logs holds its share of the concurrency cap until its timeout, and no
 // longer.
 func TestCheckWithoutAccessLogHoldsCapacityUntilTimeout(t *testing.T) {
-	inWorld(t, cappedPlan, func(w *world) {
+	runInTestBed(t, cappedPlan, func(w *testBed) {
 		check, done := w.dialChecks("1000")
 		defer done()
 		for i := range 2 {
@@ -73,7 +73,7 @@
 
 // A check that is queued when the gateway drains has its response.
 func TestDrainAnswersQueuedCheck(t *testing.T) {
-	inWorld(t, cappedPlan, func(w *world) {
+	runInTestBed(t, cappedPlan, func(w *testBed) {
 		check, done := w.dialChecks("2000")
 		defer done()
 		for range 2 {
@@ -100,7 +100,7 @@
 // A proxy that logs frees the concurrency cap at once, and its clients get the same responses as
 // those of the HTTP listener.
 func TestRequestsThroughAnExtAuthzProxy(t *testing.T) {
-	inWorld(t, cappedPlan, func(w *world) {
+	runInTestBed(t, cappedPlan, func(w *testBed) {
 		p, err := proxy.New(proxy.Options{Network: w.host, Gateway: "10.0.0.1:81", Patience: time.Second})
 		if err != nil {
 			t.Fatal(err)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -32,9 +32,9 @@
 	// WrapUpstream returns what is used in place of the connections to servers; for tests. Nil:
 	// they are used themselves.
 	WrapUpstream func(node.Upstream) node.Upstream
-	// Wall is the wall clock, which peers and the windows of the usage counter go by. It is
+	// WallClock is the wall clock, which peers and the windows of the usage counter go by. It is
 	// called from several goroutines. Nil: the system's.
-	Wall func() time.Time
+	WallClock func() time.Time
 	// Pause says how a pause of the process is detected. Zero: pause.DefaultSettings.
 	Pause pause.Settings
 }
@@ -43,8 +43,8 @@
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
 	}
-	if o.Wall == nil {
-		o.Wall = time.Now
+	if o.WallClock == nil {
+		o.WallClock = time.Now
 	}
 	if o.Pause == (pause.Settings{}) {
 		o.Pause = pause.DefaultSettings()
@@ -54,9 +54,9 @@
 // Gateway is a running instance. [Gateway.Drain] or [Gateway.Kill] must be called once, and ends
 // everything that it owns: listeners, connections, files and goroutines.
 type Gateway struct {
-	cfg  *config.Config
-	o    Options
-	node *node.Node
+	cfg     *config.Config
+	options Options
+	node    *node.Node
 	// usageRecorder is nil where no counter is configured.
 	usageRecorder *usageRecorder
 	// membership is nil where no roster is configured.
@@ -76,7 +76,7 @@
 // be changed afterwards.
 func Start(cfg *config.Config, o Options) (*Gateway, error) {
 	o.setDefaults()
-	g := &Gateway{cfg: cfg, o: o, running: make(chan struct{})}
+	g := &Gateway{cfg: cfg, options: o, running: make(chan struct{})}
 	if err := g.start(); err != nil {
 		g.close()
 		return nil, err
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestRequestIsAuthorizedAndServed(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		if g := w.do("GET", "/records/1", "k-school"); g.status != 200 || !strings.Contains(g.body, `"class":"lookup"`) {
 			t.Errorf("lookup: %+v", g)
 		}
@@ -23,7 +23,7 @@
 }
 
 func TestInvalidRequestsAreRejectedBeforeThePolicy(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		for _, c := range []struct {
 			method, path, key string
 			fields            []string
@@ -54,7 +54,7 @@
 
 // A customer beyond its quota is told so, with the time to come back.
 func TestCustomerOverQuotaIsRejectedWithRetryAfter(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		served, refused := 0, 0
 		for range 60 {
 			switch g := w.do("GET", "/records/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "500"); {
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -134,7 +134,7 @@
 		begun := time.Now()
 		wall := func() time.Time { return storedAt.Add(time.Since(begun)) }
 		var log bytes.Buffer
-		g, err := Start(cfg, Options{Network: network.NewMemory(time.Millisecond, 1).Host("node"), Seed: 1, Wall: wall,
+		g, err := Start(cfg, Options{Network: network.NewMemory(time.Millisecond, 1).Host("node"), Seed: 1, WallClock: wall,
 			Log: slog.New(slog.NewTextHandler(&log, nil))})
 		if err != nil {
 			t.Fatal(err)
--- a/gateway/http2_frames_test.go
+++ b/gateway/http2_frames_test.go
@@ -68,7 +68,7 @@
 		{"longer than allowed", open, frame(http2.FrameData, 0, 1, make([]byte, 20<<10)...), http2.ErrCodeFrameSize},
 	} {
 		t.Run(f.name, func(t *testing.T) {
-			inWorld(t, http2Listener, func(w *world) {
+			runInTestBed(t, http2Listener, func(w *testBed) {
 				c := w.dialHTTP2()
 				f.first(c)
 				go func() {
@@ -80,7 +80,7 @@
 					t.Errorf("got %v, want GOAWAY with %v", got, f.want)
 				}
 				w.expectOthersServed()
-				closeIt(c.w.t, c.nc)
+				mustClose(c.w.t, c.nc)
 			})
 		})
 	}
@@ -89,7 +89,7 @@
 // A header block that never ends is cut off by its timeout. The WINDOW_UPDATE frames of a long
 // download do not count as abuse.
 func TestSlowHTTP2HeadersAreCutOff(t *testing.T) {
-	inWorld(t, http2Listener, func(w *world) {
+	runInTestBed(t, http2Listener, func(w *testBed) {
 		c := w.dialHTTP2()
 		c.request(1, false, "POST", "/notes/1")
 		if _, err := c.nc.Write(frame(http2.FrameHeaders, 0, 3, 0x82)); err != nil {
@@ -98,9 +98,9 @@
 		if got := c.readFrames(30 * time.Second); countFrames(got, "end") != 1 {
 			t.Errorf("a header block may take for ever: %v", got)
 		}
-		closeIt(c.w.t, c.nc)
+		mustClose(c.w.t, c.nc)
 	})
-	inWorld(t, http2Listener, func(w *world) {
+	runInTestBed(t, http2Listener, func(w *testBed) {
 		body := strings.Repeat("x", 90_000)
 		w.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
 			w.respond(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
@@ -129,6 +129,6 @@
 				}
 			}
 		}
-		closeIt(c.w.t, c.nc)
+		mustClose(c.w.t, c.nc)
 	})
 }
--- a/gateway/http2_test.go
+++ b/gateway/http2_test.go
@@ -29,14 +29,14 @@
 
 // rawHTTP2Client is a client that speaks frames.
 type rawHTTP2Client struct {
-	w    *world
+	w    *testBed
 	nc   net.Conn
 	fr   *http2.Framer
 	henc *hpack.Encoder
 	hbuf bytes.Buffer
 }
 
-func (w *world) dialHTTP2(settings ...http2.Setting) *rawHTTP2Client {
+func (w *testBed) dialHTTP2(settings ...http2.Setting) *rawHTTP2Client {
 	w.t.Helper()
 	nc, err := w.host.Dial(context.Background(), "10.0.0.1:82")
 	if err != nil {
@@ -106,7 +106,7 @@
 }
 
 // expectOthersServed checks that others are served meanwhile.
-func (w *world) expectOthersServed() {
+func (w *testBed) expectOthersServed() {
 	w.t.Helper()
 	if g := w.do("GET", "/records/1", "k-school"); g.status != 200 || g.took > time.Second {
 		w.t.Errorf("others are not served: %+v", g)
@@ -114,7 +114,7 @@
 }
 
 // expectOthersAnswered is fine where the quota may be used up: an answer comes at once.
-func (w *world) expectOthersAnswered() {
+func (w *testBed) expectOthersAnswered() {
 	w.t.Helper()
 	if g := w.do("GET", "/records/1", "k-school"); g.status != 200 && g.status != 429 || g.took > time.Second {
 		w.t.Errorf("others are not answered: %+v", g)
@@ -122,8 +122,8 @@
 }
 
 func TestHTTP2Listener(t *testing.T) {
-	for name, test := range map[string]func(w *world){
-		"plain": func(w *world) {
+	for name, test := range map[string]func(w *testBed){
+		"plain": func(w *testBed) {
 			c := w.dialHTTP2()
 			c.request(1, true, "GET", "/records/1")
 			c.request(3, false, "POST", "/notes/1", "content-length", "3")
@@ -131,9 +131,9 @@
 			if got := c.readFrames(time.Second); countFrames(got, "1: 200") != 1 || countFrames(got, "3: 200") != 1 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"reset is the client gone": func(w *world) {
+		"reset is the client gone": func(w *testBed) {
 			w.breakServers("hang")
 			c := w.dialHTTP2()
 			c.request(1, true, "POST", "/notes/1")
@@ -143,9 +143,9 @@
 			if n := w.node.node.Unanswered(); n != 0 {
 				w.t.Errorf("%d requests are still open", n)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"rapid reset": func(w *world) {
+		"rapid reset": func(w *testBed) {
 			c := w.dialHTTP2()
 			for i := range uint32(500) {
 				c.request(2*i+1, true, "GET", "/records/1")
@@ -157,9 +157,9 @@
 			if n := len(w.arrived()); n > 60 {
 				w.t.Errorf("%d attempts reached servers", n)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"too many streams": func(w *world) {
+		"too many streams": func(w *testBed) {
 			w.breakServers("hang")
 			c := w.dialHTTP2()
 			for i := range uint32(40) {
@@ -168,9 +168,9 @@
 			if got := c.readFrames(100 * time.Millisecond); countFrames(got, "REFUSED_STREAM") != 20 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"pings": func(w *world) {
+		"pings": func(w *testBed) {
 			c := w.dialHTTP2()
 			for range 200 {
 				c.w.logError(c.fr.WritePing(false, [8]byte{}))
@@ -178,9 +178,9 @@
 			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"settings": func(w *world) {
+		"settings": func(w *testBed) {
 			c := w.dialHTTP2()
 			for range 200 {
 				c.w.logError(c.fr.WriteSettings())
@@ -188,9 +188,9 @@
 			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"empty data": func(w *world) {
+		"empty data": func(w *testBed) {
 			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1")
 			for range 200 {
@@ -199,9 +199,9 @@
 			if got := c.readFrames(time.Second); countFrames(got, "ENHANCE_YOUR_CALM") != 1 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"continuations without end": func(w *world) {
+		"continuations without end": func(w *testBed) {
 			c := w.dialHTTP2()
 			c.w.logError(c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: c.headerBlock("GET", "/records/1")}))
 			for range 2000 {
@@ -214,9 +214,9 @@
 			if got := c.readFrames(time.Second); countFrames(got, "end") != 1 || countFrames(got, "200") != 0 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"header bomb": func(w *world) {
+		"header bomb": func(w *testBed) {
 			c := w.dialHTTP2()
 			var fields []string
 			for range 500 {
@@ -226,9 +226,9 @@
 			if got := c.readFrames(time.Second); countFrames(got, "1: 431") != 1 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"window of zero": func(w *world) {
+		"window of zero": func(w *testBed) {
 			// A thousand streams on fifty connections that take no byte of an answer.
 			var all []*rawHTTP2Client
 			for range 50 {
@@ -245,19 +245,19 @@
 				w.t.Error(got)
 			}
 			for _, c := range all {
-				closeIt(c.w.t, c.nc)
+				mustClose(c.w.t, c.nc)
 			}
 		},
-		"body that stops": func(w *world) {
+		"body that stops": func(w *testBed) {
 			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1")
 			c.w.logError(c.fr.WriteData(1, false, []byte("abc")))
 			if got := c.readFrames(5 * time.Second); countFrames(got, "1: 408") != 1 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"body too long": func(w *world) {
+		"body too long": func(w *testBed) {
 			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1")
 			for range 7 {
@@ -267,9 +267,9 @@
 			if got := c.readFrames(time.Second); countFrames(got, "1: 413") != 1 || countFrames(got, "1: NO_ERROR") != 1 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"length that differs": func(w *world) {
+		"length that differs": func(w *testBed) {
 			c := w.dialHTTP2()
 			c.request(1, false, "POST", "/notes/1", "content-length", "5")
 			c.w.logError(c.fr.WriteData(1, true, []byte("abc")))
@@ -281,9 +281,9 @@
 			if got := c.readFrames(time.Second); countFrames(got, "PROTOCOL_ERROR") != 6 || len(w.arrived()) != 0 {
 				w.t.Error(got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
-		"drain in the middle": func(w *world) {
+		"drain in the middle": func(w *testBed) {
 			c := w.dialHTTP2()
 			c.request(1, true, "GET", "/records/1")
 			c.request(3, false, "POST", "/notes/1")
@@ -304,11 +304,11 @@
 			if err := <-done; err != nil {
 				w.t.Error(err)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, http2Listener, func(w *world) {
+			runInTestBed(t, http2Listener, func(w *testBed) {
 				test(w)
 				w.breakServers("ok")
 				if name != "drain in the middle" {
@@ -325,7 +325,7 @@
 // moment: time goes on, and the answers are written when it does.
 func TestResponsesSurviveAPauseWhileWriting(t *testing.T) {
 	for at := 50 * time.Millisecond; at < 56*time.Millisecond; at += 250 * time.Microsecond {
-		inWorld(t, http2Listener, func(w *world) {
+		runInTestBed(t, http2Listener, func(w *testBed) {
 			c := w.dialHTTP2()
 			for id := uint32(1); id < 16; id += 2 {
 				c.request(id, true, "GET", "/records/1")
@@ -337,7 +337,7 @@
 			if got := c.readFrames(3 * time.Second); countFrames(got, ": 200")+countFrames(got, ": 429") < 4 {
 				t.Errorf("stopped after %v: %v", at, got)
 			}
-			closeIt(c.w.t, c.nc)
+			mustClose(c.w.t, c.nc)
 		})
 	}
 }
--- a/gateway/http2_upstream_test.go
+++ b/gateway/http2_upstream_test.go
@@ -21,8 +21,8 @@
 }
 
 func TestServersOverHTTP2(t *testing.T) {
-	inWorldFrom(t, http2ServersConfig(), func(w *world) {
-		done := make(chan got, 12)
+	runInTestBedWith(t, http2ServersConfig(), func(w *testBed) {
+		done := make(chan response, 12)
 		for i := range 12 {
 			go func() { done <- w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
 		}
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		closeIt(t, res.Body)
+		mustClose(t, res.Body)
 		if res.StatusCode != 200 {
 			t.Errorf("status %d", res.StatusCode)
 		}
@@ -76,7 +76,7 @@
 		"data before headers": {func(fr *http2.Framer, _ net.Conn, id uint32) error { return fr.WriteData(id, true, []byte("x")) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorldFrom(t, http2ServersConfig(), func(w *world) {
+			runInTestBedWith(t, http2ServersConfig(), func(w *testBed) {
 				requests := 0
 				serve := func(nc net.Conn) {
 					if _, err := io.ReadFull(nc, make([]byte, len(http2.ClientPreface))); err != nil {
@@ -121,12 +121,12 @@
 }
 
 // serveScriptedConnections puts scripted connections in the place of both servers.
-func (w *world) serveScriptedConnections(serve func(net.Conn)) {
+func (w *testBed) serveScriptedConnections(serve func(net.Conn)) {
 	synctest.Wait()
 	for i, s := range w.servers {
 		s.Kill()
 		l := w.listen(fmt.Sprintf("10.0.1.%d:80", i+1))
-		w.closes = append(w.closes, func() { closeIt(w.t, l) })
+		w.closes = append(w.closes, func() { mustClose(w.t, l) })
 		go func() {
 			for {
 				c, err := l.Accept()
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -15,8 +15,8 @@
 
 // A drain ends what is held, refuses what is new, and leaves nothing behind.
 func TestDrainFinishesRequestsInFlight(t *testing.T) {
-	inWorld(t, "", func(w *world) {
-		done := make(chan got, 3)
+	runInTestBed(t, "", func(w *testBed) {
+		done := make(chan response, 3)
 		for range 3 {
 			go func() { done <- w.do("GET", "/records/1", "k-school") }()
 		}
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -59,11 +59,11 @@
 }
 
 func (g *Gateway) listen(l config.Listener, in *intake.Intake) error {
-	open, err := g.o.Network.Listen(l.Address)
+	open, err := g.options.Network.Listen(l.Address)
 	if err != nil {
 		return err
 	}
-	log := g.o.Log.With("listener", l.Name)
+	log := g.options.Log.With("listener", l.Name)
 	log.Info("listening", "kind", string(l.Kind), "address", open.Addr().String())
 	f, err := g.newFrontend(l, in, log)
 	if err != nil {
@@ -137,14 +137,14 @@
 // tracePrefix begins the trace ids that a listener gives to requests; it differs between
 // processes.
 func (g *Gateway) tracePrefix(l config.Listener) string {
-	return fmt.Sprintf("%s-%d-%x", l.Name, g.cfg.Number, g.o.Seed&(1<<seedBits-1))
+	return fmt.Sprintf("%s-%d-%x", l.Name, g.cfg.Number, g.options.Seed&(1<<seedBits-1))
 }
 
 // stopListening closes the listeners, which ends their Serve. A second call does nothing.
 func (g *Gateway) stopListening() {
 	for _, l := range g.listeners {
 		if err := l.net.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			g.o.Log.Warn("closing a listener failed", "address", l.net.Addr().String(), "error", err)
+			g.options.Log.Warn("closing a listener failed", "address", l.net.Addr().String(), "error", err)
 		}
 	}
 }
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -56,7 +56,7 @@
 func (g *Gateway) newMembershipLoop() *membershipLoop {
 	snapshot, err := loadMembershipSnapshot(g.cfg.StateDir)
 	if err != nil {
-		g.o.Log.Warn("membership snapshot unreadable; enforcing no quota share until a membership change completes", "error", err)
+		g.options.Log.Warn("membership snapshot unreadable; enforcing no quota share until a membership change completes", "error", err)
 	}
 	return &membershipLoop{
 		gateway:  g,
@@ -130,7 +130,7 @@
 	l.rosterFile = content
 	roster, err := config.ParseRoster(content, path)
 	if err != nil {
-		l.gateway.o.Log.Error("roster file invalid; keeping the accepted roster", "error", err)
+		l.gateway.options.Log.Error("roster file invalid; keeping the accepted roster", "error", err)
 		return
 	}
 	l.execute(ctx, l.machine.HandleRoster(time.Now(), *roster))
@@ -153,7 +153,7 @@
 		case membership.SendAnnouncement:
 			l.transport.Tell(a.To, encodeAnnouncement(a.Announcement))
 		case membership.PhaseChanged:
-			l.gateway.o.Log.Info("membership phase changed", "phase", a.Phase.String())
+			l.gateway.options.Log.Info("membership phase changed", "phase", a.Phase.String())
 		case membership.OperatorNote:
 			l.logNote(ctx, a)
 		}
@@ -164,7 +164,7 @@
 // node enforces no share until a change completes.
 func (l *membershipLoop) saveSnapshot(s membership.Snapshot) {
 	if err := saveMembershipSnapshot(l.gateway.cfg.StateDir, s); err != nil {
-		l.gateway.o.Log.Error("saving the membership snapshot failed; after a restart this node enforces no quota share at first",
+		l.gateway.options.Log.Error("saving the membership snapshot failed; after a restart this node enforces no quota share at first",
 			"error", err)
 	}
 }
@@ -200,7 +200,7 @@
 	for _, a := range n.Attributes {
 		attributes = append(attributes, slog.Any(a.Key, a.Value))
 	}
-	l.gateway.o.Log.LogAttrs(ctx, level, n.Message, attributes...)
+	l.gateway.options.Log.LogAttrs(ctx, level, n.Message, attributes...)
 }
 
 // membershipSnapshotFile is the name of the snapshot in the state directory.
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -56,9 +56,9 @@
 // network is watched by it.
 func (g *Gateway) startClock() (clock *pauseclock.Clock, origin time.Time) {
 	origin = time.Now()
-	clock = pauseclock.New(origin, g.o.Network, g.o.Pause)
+	clock = pauseclock.New(origin, g.options.Network, g.options.Pause)
 	g.closes = append(g.closes, clock.Close)
-	g.o.Network = clock.WatchNetwork(g.o.Network)
+	g.options.Network = clock.WatchNetwork(g.options.Network)
 	return clock, origin
 }
 
@@ -66,21 +66,21 @@
 func (g *Gateway) nodeOptions(clock *pauseclock.Clock, origin time.Time) node.Options {
 	return node.Options{
 		Settings:       g.cfg.Settings(),
-		Seed:           g.o.Seed,
-		Logger:         g.o.Log,
+		Seed:           g.options.Seed,
+		Logger:         g.options.Log,
 		Upstream:       g.newUpstream(clock),
 		ResponseMargin: g.cfg.Limits.AnswerMargin,
 		MaxUnanswered:  g.cfg.Limits.Requests,
 		TimeOrigin:     origin,
 		Clock:          clock,
-		Pause:          g.o.Pause,
+		Pause:          g.options.Pause,
 		SendToPeer:     func(int, []byte) {},
 	}
 }
 
 func (g *Gateway) newUpstream(clock *pauseclock.Clock) node.Upstream {
 	pool := upstream.New(upstream.Options{
-		Network:     g.o.Network,
+		Network:     g.options.Network,
 		ConnectTime: g.cfg.Limits.ConnectTime,
 		Idle:        g.cfg.Limits.IdleUpstream,
 		Limits:      g.messageLimits(g.cfg.Limits.AnswerBody),
@@ -89,8 +89,8 @@
 		Stood:       clock.PausedSince,
 	})
 	g.closes = append(g.closes, pool.Close)
-	if g.o.WrapUpstream != nil {
-		return g.o.WrapUpstream(pool)
+	if g.options.WrapUpstream != nil {
+		return g.options.WrapUpstream(pool)
 	}
 	return pool
 }
@@ -112,13 +112,13 @@
 		return nil
 	}
 	rules := authzclient.RequestRules{MaxBodyBytes: a.Body, AllowedHeaders: a.Allowed, DisallowedHeaders: a.Forbidden}
-	client, err := authzclient.Dial(g.o.Network, a.Addresses, rules)
+	client, err := authzclient.Dial(g.options.Network, a.Addresses, rules)
 	if err != nil {
 		return &AuthorizerError{err}
 	}
 	g.closes = append(g.closes, g.logged("closing the authorization client failed", client.Close))
 	options.Authorizer = client
-	options.Authz = authz.New(authzSettings(g.cfg, g.o.Seed))
+	options.Authz = authz.New(authzSettings(g.cfg, g.options.Seed))
 	return nil
 }
 
@@ -126,7 +126,7 @@
 func (g *Gateway) logged(message string, f func() error) func() {
 	return func() {
 		if err := f(); err != nil {
-			g.o.Log.Warn(message, "error", err)
+			g.options.Log.Warn(message, "error", err)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 func (g *Gateway) nextIncarnation(startedAt time.Time) uint64 {
 	incarnation, err := peer.Incarnation(g.cfg.StateDir, startedAt)
 	if err != nil {
-		g.o.Log.Warn("incarnation could not be stored; the clock alone gives it", "error", err)
+		g.options.Log.Warn("incarnation could not be stored; the clock alone gives it", "error", err)
 	}
 	return incarnation
 }
@@ -178,16 +178,16 @@
 		return nil
 	}
 	transport, err := peer.Listen(peer.Options{
-		Network:     g.o.Network,
+		Network:     g.options.Network,
 		Listen:      p.Listen,
 		Addresses:   p.Addresses,
 		Me:          g.cfg.Number,
-		Keys:        peer.NewKeyring(p.Keys, p.KeyFile, g.o.Log),
+		Keys:        peer.NewKeyring(p.Keys, p.KeyFile, g.options.Log),
 		Incarnation: incarnation,
 		Freshness:   p.Freshness,
 		Rate:        p.MailPerSecond,
-		Log:         g.o.Log,
-		Wall:        g.o.Wall,
+		Log:         g.options.Log,
+		Wall:        g.options.WallClock,
 		Deliver:     g.receivePeerMessage,
 	})
 	if err != nil {
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -23,9 +23,9 @@
 	"yardcleat.example/yardcleat/standin/catalogue"
 )
 
-// world is a gateway in a bubble of virtual time, with two fake servers and a fake authorization
+// testBed is a gateway in a bubble of virtual time, with two fake servers and a fake authorization
 // service.
-type world struct {
+type testBed struct {
 	t        *testing.T
 	mem      *network.Memory
 	rack     *catalogue.Rack
@@ -104,23 +104,23 @@
 }
 `
 
-// inWorld runs a test in a bubble, with more configuration. Every goroutine that it starts must
+// runInTestBed runs a test in a bubble, with more configuration. Every goroutine that it starts must
 // have ended when it returns: synctest fails it otherwise.
-func inWorld(t *testing.T, extra string, f func(w *world)) {
+func runInTestBed(t *testing.T, extra string, f func(w *testBed)) {
 	t.Helper()
 	src := worldConfig
 	if strings.Contains(extra, "state_dir") && !strings.Contains(extra, "counter {") { // the list comes by discovery
 		src = src[:strings.Index(src, "  server \"a\"")] + "  eds {\n    address = \"10.0.3.1:80\"\n    cluster = \"c\"\n  }\n" +
 			src[strings.Index(src, "  turned_away"):]
 	}
-	inWorldFrom(t, src+extra, f)
+	runInTestBedWith(t, src+extra, f)
 }
 
-// inWorldFrom is inWorld with a whole configuration.
-func inWorldFrom(t *testing.T, src string, f func(w *world)) {
+// runInTestBedWith is inWorld with a whole configuration.
+func runInTestBedWith(t *testing.T, src string, f func(w *testBed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, mem: network.NewMemory(time.Millisecond, 1), rack: &catalogue.Rack{Name: "r", Window: 2 * time.Second}}
+		w := &testBed{t: t, mem: network.NewMemory(time.Millisecond, 1), rack: &catalogue.Rack{Name: "r", Window: 2 * time.Second}}
 		for i := 1; i <= 2; i++ {
 			s := catalogue.New(catalogue.Options{Name: fmt.Sprint("s", i), Rack: w.rack, Cores: 2, Queue: 8,
 				Classes: []catalogue.Class{
@@ -166,7 +166,7 @@
 }
 
 // serve runs a fake until it is closed; an earlier end is an error of the test.
-func (w *world) serve(serve func(net.Listener) error, address string) {
+func (w *testBed) serve(serve func(net.Listener) error, address string) {
 	w.t.Helper()
 	l := w.listen(address)
 	go func() {
@@ -179,7 +179,7 @@
 }
 
 // breakAuthorizer sets a fault of an authorization service.
-func (w *world) breakAuthorizer(a *authoriser.Server, fault, arg string) {
+func (w *testBed) breakAuthorizer(a *authoriser.Server, fault, arg string) {
 	w.t.Helper()
 	if err := a.Do(fault, arg); err != nil {
 		w.t.Fatal(err)
@@ -188,7 +188,7 @@
 
 // logError logs the error of a write to a connection that the gateway may close at any time. A
 // write that had to succeed shows in what the gateway does.
-func (w *world) logError(err error) {
+func (w *testBed) logError(err error) {
 	w.t.Helper()
 	if err != nil {
 		w.t.Logf("not written: %v", err)
@@ -196,19 +196,19 @@
 }
 
 // respond writes the response of a scripted server.
-func (w *world) respond(c net.Conn, response string) {
+func (w *testBed) respond(c net.Conn, response string) {
 	w.t.Helper()
 	_, err := io.WriteString(c, response)
 	w.logError(err)
 }
 
 // respondOK writes a response with the body "ok".
-func (w *world) respondOK(c net.Conn) {
+func (w *testBed) respondOK(c net.Conn) {
 	w.respond(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 }
 
-// closeIt closes what must be open.
-func closeIt(tb testing.TB, c io.Closer) {
+// mustClose closes what must be open.
+func mustClose(tb testing.TB, c io.Closer) {
 	tb.Helper()
 	if err := c.Close(); err != nil {
 		tb.Error(err)
@@ -232,7 +232,7 @@
 	return content
 }
 
-func (w *world) listen(addr string) net.Listener {
+func (w *testBed) listen(addr string) net.Listener {
 	l, err := w.mem.Host(addr).Listen(addr)
 	if err != nil {
 		w.t.Fatal(err)
@@ -240,14 +240,14 @@
 	return l
 }
 
-type got struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	took   time.Duration
 }
 
-func (w *world) do(method, path, key string, fields ...string) got {
+func (w *testBed) do(method, path, key string, fields ...string) response {
 	w.t.Helper()
 	req, err := http.NewRequest(method, "http://10.0.0.1:80"+path, nil)
 	if err != nil {
@@ -260,23 +260,23 @@
 	start := time.Now()
 	res, err := w.client.Do(req)
 	if err != nil {
-		return got{status: -1, body: err.Error(), took: time.Since(start)}
+		return response{status: -1, body: err.Error(), took: time.Since(start)}
 	}
 	b, err := io.ReadAll(res.Body)
 	if err := errors.Join(err, res.Body.Close()); err != nil {
 		w.t.Fatal(err)
 	}
-	return got{res.StatusCode, res.Header, string(b), time.Since(start)}
+	return response{res.StatusCode, res.Header, string(b), time.Since(start)}
 }
 
-func (w *world) arrived() []audit.Seen {
+func (w *testBed) arrived() []audit.Seen {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.seen
 }
 
 // breakServers sets a fault of both servers.
-func (w *world) breakServers(fault string) {
+func (w *testBed) breakServers(fault string) {
 	for _, s := range w.servers {
 		if err := s.Do(fault, ""); err != nil {
 			w.t.Fatal(err)
--- a/gateway/tls_test.go
+++ b/gateway/tls_test.go
@@ -46,7 +46,7 @@
 		writeFile(t, key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: k}))
 	}
 	write(1)
-	inWorld(t, fmt.Sprintf("listener \"https\" \"all\" {\n address = \"10.0.0.1:443\"\n cert_file = %q\n key_file = %q\n}\n", cert, key), func(w *world) {
+	runInTestBed(t, fmt.Sprintf("listener \"https\" \"all\" {\n address = \"10.0.0.1:443\"\n cert_file = %q\n key_file = %q\n}\n", cert, key), func(w *testBed) {
 		client := func(protos ...string) *http.Client {
 			cfg := &tls.Config{InsecureSkipVerify: true, NextProtos: protos, ServerName: "gateway"}
 			dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/gateway/untrusted_clients_test.go
+++ b/gateway/untrusted_clients_test.go
@@ -10,12 +10,12 @@
 )
 
 // sendRaw sends bytes and returns what comes back until the end.
-func (w *world) sendRaw(parts ...string) string {
+func (w *testBed) sendRaw(parts ...string) string {
 	c, err := w.host.Dial(context.Background(), "10.0.0.1:80")
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	defer closeIt(w.t, c)
+	defer mustClose(w.t, c)
 	for i, p := range parts {
 		if i > 0 {
 			time.Sleep(time.Second)
@@ -33,7 +33,7 @@
 
 // Slow and endless clients are cut off in time; others are served meanwhile.
 func TestSlowClientsAreCutOff(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		done := make(chan struct{})
 		const key = "X-Api-Key: k-school\r\n"
 		slow := map[string][]string{
@@ -68,7 +68,7 @@
 
 // Pipelined requests have their responses in order; 100 Continue comes before the body.
 func TestPipelinedRequestsAndExpectContinue(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		one := "GET /records/%d HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nX-Request-Id: r%d\r\n\r\n"
 		var in string
 		for i := range 5 {
@@ -113,7 +113,7 @@
 		"HTTP/1.0 chunked":    "POST /notes/1 HTTP/1.0\r\nHost: h\r\nX-Api-Key: k-school\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, "", func(w *world) {
+			runInTestBed(t, "", func(w *testBed) {
 				got := w.sendRaw(in)
 				if !strings.HasPrefix(got, "HTTP/1.1 400 ") || strings.Count(got, "HTTP/1.1 ") != 1 || !strings.Contains(got, "Connection: close\r\n") {
 					t.Errorf("%q", got)
@@ -125,7 +125,7 @@
 		})
 	}
 	// A body is a body: what stands in it reaches the server as such.
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		got := w.sendRaw(head + fmt.Sprintf("Connection: close\r\nContent-Length: %d\r\n\r\n", len(hidden)) + hidden)
 		if !strings.HasPrefix(got, "HTTP/1.1 200 ") || strings.Count(got, "HTTP/1.1 ") != 1 {
 			t.Errorf("%q", got)
@@ -138,12 +138,12 @@
 
 // Over HTTP/1.1, the overhead of chunks is bounded in proportion to their content.
 func TestChunkOverheadIsBounded(t *testing.T) {
-	inWorld(t, "", func(w *world) {
+	runInTestBed(t, "", func(w *testBed) {
 		nc, err := w.host.Dial(context.Background(), "10.0.0.1:80")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer closeIt(t, nc)
+		defer mustClose(t, nc)
 		if _, err := io.WriteString(nc, "POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -58,7 +58,7 @@
 		sendToPeer:      sendToPeer,
 		peersByCustomer: map[string][]int{},
 		client: rediscounter.New(rediscounter.Options{
-			Network:    g.o.Network,
+			Network:    g.options.Network,
 			Addresses:  counter.Addresses,
 			ClientName: fmt.Sprintf("node-%d", g.cfg.Number),
 			Timeout:    counter.Limit,
@@ -99,12 +99,12 @@
 		return err
 	}
 	if moved := contents.MovedAside; moved != nil {
-		g.o.Log.Warn("stored usage moved aside; starting without it",
+		g.options.Log.Warn("stored usage moved aside; starting without it",
 			"error", moved.Cause, "path", moved.Path, "moved_to", moved.MovedTo)
 	}
 	r.storage = &usageStorage{gateway: g, tracker: r.tracker, store: store}
 	g.closes = append(g.closes, r.storage.close)
-	r.tracker.LoadStored(g.o.Wall(), contents.Entries)
+	r.tracker.LoadStored(g.options.WallClock(), contents.Entries)
 	return nil
 }
 
@@ -128,13 +128,13 @@
 // RequestSeen implements node.UsageRecorder.
 func (r *usageRecorder) RequestSeen(request *node.Request) {
 	peers := r.peersByCustomer[request.Customer]
-	r.perform(r.tracker.RecordRequest(r.gateway.o.Wall(), request.Customer, request.Plan, peers))
+	r.perform(r.tracker.RecordRequest(r.gateway.options.WallClock(), request.Customer, request.Plan, peers))
 }
 
 // RequestForwarded implements node.UsageRecorder.
 func (r *usageRecorder) RequestForwarded(request *node.Request) {
 	peers := r.peersByCustomer[request.Customer]
-	r.tracker.RecordForwarded(r.gateway.o.Wall(), request.Customer, request.Plan, peers, request.Units)
+	r.tracker.RecordForwarded(r.gateway.options.WallClock(), request.Customer, request.Plan, peers, request.Units)
 }
 
 // run ticks the tracker and saves its changes until the context ends, and then saves once
@@ -153,7 +153,7 @@
 			}
 			return
 		}
-		r.gateway.node.Do(func() { r.perform(r.tracker.Tick(r.gateway.o.Wall())) })
+		r.gateway.node.Do(func() { r.perform(r.tracker.Tick(r.gateway.options.WallClock())) })
 		if r.storage != nil && time.Since(savedAt) >= usageSaveInterval {
 			savedAt = time.Now()
 			r.storage.save(ctx)
@@ -181,15 +181,15 @@
 func (r *usageRecorder) call(call usage.CounterCall) {
 	r.client.Do(call, func(response usage.CounterResponse) {
 		r.gateway.node.Do(func() {
-			r.perform(r.tracker.HandleResponse(r.gateway.o.Wall(), call.ID, response))
+			r.perform(r.tracker.HandleResponse(r.gateway.options.WallClock(), call.ID, response))
 		})
 	})
 }
 
 func (r *usageRecorder) logShardState(note usage.OperatorNote) {
-	log := r.gateway.o.Log.Warn
+	log := r.gateway.options.Log.Warn
 	if note.State == usage.Healthy {
-		log = r.gateway.o.Log.Info
+		log = r.gateway.options.Log.Info
 	}
 	log("counter shard state changed",
 		"shard", note.Shard, "state", note.State.String(), "evidence", note.Evidence.String())
@@ -202,7 +202,7 @@
 		return false
 	}
 	if entries, err := r.codec.decode(from, message); err == nil {
-		r.gateway.node.Do(func() { r.tracker.MergeFromPeer(r.gateway.o.Wall(), from, entries) })
+		r.gateway.node.Do(func() { r.tracker.MergeFromPeer(r.gateway.options.WallClock(), from, entries) })
 	}
 	return true
 }
--- a/gateway/usage_storage.go
+++ b/gateway/usage_storage.go
@@ -30,7 +30,7 @@
 			return
 		}
 		if err := s.store.Save(s.unsaved); err != nil {
-			s.gateway.o.Log.Error("saving usage failed; retrying with the next save", "error", err)
+			s.gateway.options.Log.Error("saving usage failed; retrying with the next save", "error", err)
 			return
 		}
 		s.unsaved = nil
@@ -48,7 +48,7 @@
 	}
 	results := make(chan result, 1)
 	s.gateway.node.Do(func() {
-		changes, more := s.tracker.StorageChanges(s.gateway.o.Wall(), maxTotalsPerSave)
+		changes, more := s.tracker.StorageChanges(s.gateway.options.WallClock(), maxTotalsPerSave)
 		results <- result{changes, more}
 	})
 	select {
--- a/gateway/usage_test.go
+++ b/gateway/usage_test.go
@@ -29,13 +29,13 @@
 
 // withFakeCounter runs a test in a world with a counter. stateDir is the node's state
 // directory, or "" for none.
-func withFakeCounter(t *testing.T, stateDir string, test func(w *world, c *counter.Server)) {
+func withFakeCounter(t *testing.T, stateDir string, test func(w *testBed, c *counter.Server)) {
 	t.Helper()
 	extra := counterBlock
 	if stateDir != "" {
 		extra += fmt.Sprintf("node { state_dir = %q }\n", stateDir)
 	}
-	inWorld(t, extra, func(w *world) {
+	runInTestBed(t, extra, func(w *testBed) {
 		c := counter.New()
 		go c.Serve(w.listen("10.0.5.1:80"))
 		test(w, c)
@@ -45,7 +45,7 @@
 }
 
 // restart kills the node and starts it again.
-func (w *world) restart() {
+func (w *testBed) restart() {
 	w.t.Helper()
 	w.node.Kill()
 	w.client.CloseIdleConnections()
@@ -60,7 +60,7 @@
 }
 
 // countServed sends requests and returns how many were served.
-func (w *world) countServed(n int, key string) int {
+func (w *testBed) countServed(n int, key string) int {
 	served := 0
 	for i := range n {
 		if g := w.do("GET", fmt.Sprint("/records/", i), key); g.status == 200 {
@@ -95,7 +95,7 @@
 		{"old copy", counterFault("save"), counterFault("restore")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			withFakeCounter(t, "", func(w *world, server *counter.Server) {
+			withFakeCounter(t, "", func(w *testBed, server *counter.Server) {
 				forwarded := w.countServed(5, "k-school")
 				time.Sleep(time.Second)
 				applyFault(server, c.before)
@@ -131,7 +131,7 @@
 // its storage.
 func TestKilledNodeRestoresUnconfirmedUsageFromStorage(t *testing.T) {
 	dir := t.TempDir()
-	withFakeCounter(t, dir, func(w *world, c *counter.Server) {
+	withFakeCounter(t, dir, func(w *testBed, c *counter.Server) {
 		forwarded := w.countServed(5, "k-school")
 		time.Sleep(2 * time.Second)
 		c.Do("silent", "")
@@ -162,7 +162,7 @@
 // further requests are served.
 func servedAfterRestart(t *testing.T, counterUp bool) (served int) {
 	t.Helper()
-	withFakeCounter(t, "", func(w *world, c *counter.Server) {
+	withFakeCounter(t, "", func(w *testBed, c *counter.Server) {
 		if !counterUp {
 			c.Do("refuse", "")
 		}
