--- a/gateway/start.go
+++ b/gateway/start.go
@@ -69,8 +69,8 @@
 		Seed:           g.options.Seed,
 		Logger:         g.options.Log,
 		Upstream:       g.newUpstream(clock),
-		ResponseMargin: g.cfg.Limits.AnswerMargin,
-		MaxUnanswered:  g.cfg.Limits.Requests,
+		ResponseMargin: g.cfg.Limits.ResponseMargin,
+		MaxUnanswered:  g.cfg.Limits.MaxUnanswered,
 		TimeOrigin:     origin,
 		Clock:          clock,
 		Pause:          g.options.Pause,
@@ -81,9 +81,9 @@
 func (g *Gateway) newUpstream(clock *pauseclock.Clock) node.Upstream {
 	pool := upstream.New(upstream.Options{
 		Network:     g.options.Network,
-		ConnectTime: g.cfg.Limits.ConnectTime,
-		Idle:        g.cfg.Limits.IdleUpstream,
-		Limits:      g.messageLimits(g.cfg.Limits.AnswerBody),
+		ConnectTime: g.cfg.Limits.ConnectTimeout,
+		Idle:        g.cfg.Limits.MaxIdleUpstream,
+		Limits:      g.messageLimits(g.cfg.Limits.MaxResponseBody),
 		TurnedAway:  g.rejectionSignal(),
 		HTTP2:       g.cfg.Servers.HTTP2,
 		Stood:       clock.PausedSince,
@@ -98,20 +98,20 @@
 // messageLimits are those of HTTP messages with bodies of a size.
 func (g *Gateway) messageLimits(bodyBytes int64) http1.Limits {
 	l := g.cfg.Limits
-	return http1.Limits{Line: l.Line, Fields: l.Fields, Header: l.Header, Body: bodyBytes}
+	return http1.Limits{Line: l.MaxLineBytes, Fields: l.MaxHeaderFields, Header: l.MaxHeaderBytes, Body: bodyBytes}
 }
 
 // rejectionSignal is how servers say that they have not executed a request.
 func (g *Gateway) rejectionSignal() upstream.TurnedAway {
-	return upstream.TurnedAway{Status: g.cfg.Servers.TurnedAwayStatus, Header: g.cfg.Servers.TurnedAwayHeader}
+	return upstream.TurnedAway{Status: g.cfg.Servers.RejectionStatus, Header: g.cfg.Servers.RejectionHeader}
 }
 
 func (g *Gateway) dialAuthorizer(options *node.Options) error {
-	a := g.cfg.Authoriser
+	a := g.cfg.Authorizer
 	if a == nil {
 		return nil
 	}
-	rules := authzclient.RequestRules{MaxBodyBytes: a.Body, AllowedHeaders: a.Allowed, DisallowedHeaders: a.Forbidden}
+	rules := authzclient.RequestRules{MaxBodyBytes: a.MaxRequestBody, AllowedHeaders: a.AllowedHeaders, DisallowedHeaders: a.DisallowedHeaders}
 	client, err := authzclient.Dial(g.options.Network, a.Addresses, rules)
 	if err != nil {
 		return &AuthorizerError{err}
@@ -132,25 +132,25 @@
 }
 
 func authzSettings(cfg *config.Config, seed uint64) authz.Settings {
-	modes := map[config.Authorisation]authz.Mode{
-		config.Skip:        authz.Skip,
-		config.RefuseClass: authz.FailClosed,
-		config.AllowClass:  authz.FailOpen,
+	modes := map[config.AuthorizationMode]authz.Mode{
+		config.SkipAuthorization: authz.Skip,
+		config.FailClosed:        authz.FailClosed,
+		config.FailOpen:          authz.FailOpen,
 	}
 	settings := authz.Settings{
 		Classes:     map[string]authz.Class{},
 		Plans:       map[string]authz.Plan{},
-		Addresses:   len(cfg.Authoriser.Addresses),
-		Timeout:     cfg.Authoriser.Timeout,
-		MaxInFlight: cfg.Authoriser.MostOut,
+		Addresses:   len(cfg.Authorizer.Addresses),
+		Timeout:     cfg.Authorizer.Timeout,
+		MaxInFlight: cfg.Authorizer.MaxInFlight,
 		Seed:        seed,
 	}
 	for _, c := range cfg.Classes {
 		settings.Classes[c.Name] = authz.Class{
-			Mode:             modes[c.Authorisation],
+			Mode:             modes[c.Authorization],
 			LatencyObjective: c.LatencyObjective,
-			PriorityWeight:   c.Worth,
-			CacheTTL:         c.Remember,
+			PriorityWeight:   c.PriorityWeight,
+			CacheTTL:         c.AuthorizationCacheTTL,
 		}
 	}
 	for _, p := range cfg.Plans {
@@ -184,8 +184,8 @@
 		Me:          g.cfg.Number,
 		Keys:        peer.NewKeyring(p.Keys, p.KeyFile, g.options.Log),
 		Incarnation: incarnation,
-		Freshness:   p.Freshness,
-		Rate:        p.MailPerSecond,
+		Freshness:   p.MaxMessageAge,
+		Rate:        p.MessagesPerSecond,
 		Log:         g.options.Log,
 		Wall:        g.options.WallClock,
 		Deliver:     g.receivePeerMessage,
--- a/gateway/tls.go
+++ b/gateway/tls.go
@@ -76,10 +76,10 @@
 }
 
 func (t *tlsListener) statFiles() (files certificateFiles, err error) {
-	if files.certificate, err = statVersion(t.config.Cert); err != nil {
+	if files.certificate, err = statVersion(t.config.CertFile); err != nil {
 		return files, err
 	}
-	files.key, err = statVersion(t.config.Key)
+	files.key, err = statVersion(t.config.KeyFile)
 	return files, err
 }
 
@@ -94,9 +94,9 @@
 // loadCertificate loads the certificate. The files are those found before, so that a change in
 // between is found the next time.
 func (t *tlsListener) loadCertificate(files certificateFiles) error {
-	certificate, err := tls.LoadX509KeyPair(t.config.Cert, t.config.Key)
+	certificate, err := tls.LoadX509KeyPair(t.config.CertFile, t.config.KeyFile)
 	if err != nil {
-		return &CertificateError{CertificateFile: t.config.Cert, KeyFile: t.config.Key, Err: err}
+		return &CertificateError{CertificateFile: t.config.CertFile, KeyFile: t.config.KeyFile, Err: err}
 	}
 	t.certificate = &certificate
 	t.files = files
