--- a/edgenode/config_test.go
+++ b/edgenode/config_test.go
@@ -1,10 +1,13 @@
 package edgenode
 
 import (
+	"encoding/json"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
 
+	"yardcleat.example/yardcleat/edgenode/discovery"
 	"yardcleat.example/yardcleat/policy"
 )
 
@@ -48,6 +51,100 @@
 	}
 }
 
+// wantPolicy is what settingsJSON says.
+var wantPolicy = policy.Settings{
+	Gateways: 2, Zone: "a",
+	Classes: []policy.Class{
+		{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second},
+		{Name: "loan-change", LatencyObjective: 600 * time.Millisecond, Deadline: 2 * time.Second,
+			Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell, DedupWindow: 2 * time.Second},
+	},
+	Plans: []policy.Plan{
+		{Name: "basic", Rate: 50, Burst: 100},
+		{Name: "extended", Rate: 4.5, Burst: 7, MaxInFlight: 2, HardRate: 9, HardBurst: 14},
+	},
+	Resolution: 2 * time.Millisecond, MaxAttempts: 6, CanCancel: true, CanMessagePeers: true, PeerMessagesPerSecond: 60,
+	MaxRequestUnits: 4, MaxRetryAfter: 500 * time.Millisecond, LoadMetricNames: []string{"active", "waiting"},
+	ResponseGrace: 8 * time.Millisecond, InitialCapacity: 0.3, WarmupTime: 8 * time.Second,
+	ColdOverloadFactor: 3, ColdOverloadTime: time.Second,
+}
+
+func TestEveryKeyIsRead(t *testing.T) {
+	const known = `{"index":9,"snapshot":true,"endpoints":[{"name":"s-1","address":"10.0.1.1:80","zone":"a","type":"t","group":3,"status":"ready","weight":1.5,"since_ms":1700000000000}]}`
+	src := strings.NewReplacer(`"peers_all":""`, `"peers_all":"10.0.0.9:72","counter":"10.0.4.1:6379"`,
+		`{"index":1,"snapshot":true,"endpoints":[]}`, known).Replace(configJSON)
+	got, err := Parse([]byte(src))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &Config{
+		Name: "n0", Listen: "10.0.0.1:80", Discovery: "10.0.3.1:80", Seed: "8c1f30d27a5be964",
+		Limits:     Limits{Cores: 0.5, MemoryMB: 64, Sockets: 256},
+		PeerListen: "10.0.0.1:70", Peers: []string{"10.0.0.1:71", "10.0.0.2:71"}, PeersAll: "10.0.0.9:72", Counter: "10.0.4.1:6379",
+		Known: json.RawMessage(known), Settings: json.RawMessage(settingsJSON),
+		Policy: got.Policy, ConnIdle: 10 * time.Second, DialTimeout: 250 * time.Millisecond,
+		Remembered: []discovery.Host{{Name: "s-1", Address: "10.0.1.1:80", Zone: "a", Type: "t", Group: 3, Status: "ready", Weight: 1.5, SinceMS: 1700000000000}},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v\nwant %+v", got, want)
+	}
+	if !reflect.DeepEqual(got.Policy, wantPolicy) {
+		t.Errorf("%#v\nwant %#v", got.Policy, wantPolicy)
+	}
+}
+
+// The text of each mistake, word for word.
+func TestMistakes(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
+		{`"listen":"10.0.0.1:80",`, ``, `listen: missing`},
+		{`"discovery":"10.0.3.1:80",`, ``, `discovery: missing`},
+		{`"8c1f30d27a5be964"`, `"xyz"`, `seed: "xyz" is no hex number of 64 bits`},
+		{`"8c1f30d27a5be964"`, `"18c1f30d27a5be964"`, `seed: "18c1f30d27a5be964" is no hex number of 64 bits`},
+		{`"sockets":256`, `"sockets":63`, `limits.sockets: 63 is below 64`},
+		{`"sockets":256`, `"sockets":"many"`, `limits.sockets: a string is no int`},
+		{`"sockets":256`, `"sockets":70.5`, `limits.sockets: a number 70.5 is no int`},
+		{`"memory_mb":64`, `"memory_mb":15.9`, `limits.memory_mb: 15.9 is below 16`},
+		{`"memory_mb":64`, `"memory_mb":"x"`, `limits.memory_mb: a string is no float64`},
+		{`"cores":0.5`, `"cores":0`, `limits.cores: 0 is not above 0`},
+		{`"cores":0.5`, `"cores":[]`, `limits.cores: a array is no float64`},
+		{`"name":"n0"`, `"name":1`, `name: a number is no string`},
+		{`,"10.0.0.2:71"`, ``, `peers: 1 addresses for 2 edge nodes`},
+		{`["10.0.0.1:71","10.0.0.2:71"]`, `7`, `peers: a number is no []string`},
+		{`"peer_listen":"10.0.0.1:70",`, ``, `peer_listen: missing`},
+		{`"peers_all":""`, `"peers_all":{}`, `peers_all: a object is no string`},
+		{`"peers_all":""`, `"counter":{}`, `counter: a object is no string`},
+		{`"conn_idle_ms":10000`, `"conn_idle_ms":0`, `settings: caps.conn_idle_ms: "0" is no time in ms above 0`},
+		{`"conn_idle_ms":10000`, `"conn_idle_ms":1e9`, `settings: caps.conn_idle_ms: "1e+09" is no time in ms above 0`},
+		{`"conn_idle_ms":10000,`, ``, `settings: caps.conn_idle_ms: "" is no time in ms above 0`},
+		{`"dial_timeout_ms":250`, `"dial_timeout_ms":"soon"`, `settings: caps.dial_timeout_ms: "soon" is no time in ms above 0`},
+		{`"dial_timeout_ms":250`, `"dial_timeout_ms":null`, `settings: caps.dial_timeout_ms: "" is no time in ms above 0`},
+		{`"semantics":"by_key"`, `"semantics":"magic"`, `settings: classes.1.semantics or classes.1.group: unknown`},
+		{`"rate":50`, `"rate":"fast"`, `settings: plans.0.rate: "fast" is no number`},
+		{`"zones":["a","b"]`, `"zones":[["a"],"b"]`, `settings: zones: a list of lists`},
+		{`"index":1,`, ``, `known: no index or no endpoints`},
+		{`"endpoints":[]`, `"endpoints":[{"name":"s","status":"odd","address":"x"}]`, `known: endpoints[0].status: "odd" is unknown`},
+		{`"endpoints":[]`, `"endpoints":[{"name":"s","status":"ready"}]`, `known: endpoints[0].address: empty`},
+		{`"endpoints":[]`, `"endpoints":[{"status":"ready"}]`, `known: endpoints[0].name: empty`},
+		{`"endpoints":[]`, `"endpoints":[{"name":"s","status":"gone"},{"name":"s","status":"gone"}]`, `known: endpoints[1].name: "s" twice`},
+		{`"settings":` + settingsJSON, `"settings":3`, `settings: caps.conn_idle_ms: "" is no time in ms above 0`},
+		{`,"settings":` + settingsJSON, ``, `settings: missing`},
+		{`{"name"`, `{name`, `invalid character 'n' looking for beginning of object key string`},
+	} {
+		src := strings.Replace(configJSON, c.old, c.new, 1)
+		if src == configJSON {
+			t.Fatalf("%s is not in the configuration", c.old)
+		}
+		if _, err := Parse([]byte(src)); err == nil || err.Error() != c.want {
+			t.Errorf("%s: %v, want %s", c.new, err, c.want)
+		}
+	}
+	noList := strings.Replace(configJSON, `{"index":1,"snapshot":true,"endpoints":[]}`, `3`, 1)
+	const want = "known: json: cannot unmarshal number into Go value of type " // and the name of our type
+	if _, err := Parse([]byte(noList)); err == nil || !strings.HasPrefix(err.Error(), want) {
+		t.Errorf("%v, want %s", err, want)
+	}
+}
+
 // What can't be meant is an error that names the key.
 func TestBadConfigurations(t *testing.T) {
 	for _, c := range []struct{ old, new, says string }{
