--- a/config/every_key_test.go
+++ b/config/every_key_test.go
@@ -44,21 +44,21 @@
 		Listeners: []Listener{
 			{Kind: HTTP, Name: "desks", Address: "127.0.0.1:8080"},
 			{Kind: HTTP2, Name: "apps", Address: "127.0.0.1:8081"},
-			{Kind: HTTPS, Name: "public", Address: "[::1]:8443", Cert: "/etc/cert.pem", Key: "/etc/key.pem"},
+			{Kind: HTTPS, Name: "public", Address: "[::1]:8443", CertFile: "/etc/cert.pem", KeyFile: "/etc/key.pem"},
 			{Kind: ExtAuthz, Name: "proxies", Address: "127.0.0.1:8082"},
 		},
-		Clients: Clients{KeyHeader: "X-Customer", PatienceHeader: "X-Time-Left", MaxRetryAfter: 7 * time.Second},
+		Clients: Clients{KeyHeader: "X-Customer", ClientTimeoutHeader: "X-Time-Left", MaxRetryAfter: 7 * time.Second},
 		Classes: []Class{
 			{
 				Class: policy.Class{Name: "lookup", Idempotency: policy.Idempotent, DedupScope: policy.DedupAllServers,
 					LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second},
-				Units: 2, Worth: 4, Authorisation: AllowClass, Remember: 30 * time.Second,
+				Units: 2, PriorityWeight: 4, Authorization: FailOpen, AuthorizationCacheTTL: 30 * time.Second,
 				Routes: []Route{{Method: "GET", Path: "/records/{id}"}, {Method: "HEAD", Path: "/files/{rest...}"}},
 			},
 			{
 				Class: policy.Class{Name: "loan-change", Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell,
 					DedupWindow: 2 * time.Second, LatencyObjective: 600 * time.Millisecond, Deadline: 2 * time.Second},
-				Units: 1, Worth: 1, Authorisation: RefuseClass,
+				Units: 1, PriorityWeight: 1, Authorization: FailClosed,
 				Routes: []Route{{Method: "POST", Path: "/loans/{id}"}},
 			},
 		},
@@ -66,23 +66,23 @@
 			{Name: "basic", Rate: 1.5, Burst: 5},
 			{Name: "extended", Rate: 5, Burst: 10, MaxInFlight: 8, OverQuotaValue: 0.5, OverQuotaCost: 2, HardRate: 10, HardBurst: 20},
 		},
-		Customers: []Customer{{Name: "school-1", Plan: "basic", Keys: []string{"key-1", "key-2"}, First: 2, Nodes: 1}},
+		Customers: []Customer{{Name: "school-1", Plan: "basic", Keys: []string{"key-1", "key-2"}, FirstGateway: 2, GatewaySpread: 1}},
 		Peers: Peers{Listen: "127.0.0.1:8090", Addresses: map[int]string{0: "127.0.0.1:8190", 2: "127.0.0.1:8290"},
-			Keys: [][]byte{fleetKey}, MailPerSecond: 80, Freshness: 3 * time.Second},
+			Keys: [][]byte{fleetKey}, MessagesPerSecond: 80, MaxMessageAge: 3 * time.Second},
 		Servers: Servers{
-			Static:    []Server{{Name: "catalogue-1", Address: "127.0.0.1:9001", Zone: "room-a", Cell: 3, Weight: 2.5}},
-			ColdShare: 0.25, WarmWithin: 17 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second,
-			HTTP2: true, TurnedAwayStatus: 429, TurnedAwayHeader: "X-Not-Run",
+			Static:          []Server{{Name: "catalogue-1", Address: "127.0.0.1:9001", Zone: "room-a", Cell: 3, Weight: 2.5}},
+			InitialCapacity: 0.25, WarmupTime: 17 * time.Second, ColdOverloadFactor: 3, ColdOverloadTime: 2 * time.Second,
+			HTTP2: true, RejectionStatus: 429, RejectionHeader: "X-Not-Run",
 		},
-		Authoriser: &Authoriser{Addresses: []string{"127.0.0.1:9201", "127.0.0.1:9200"}, Timeout: 150 * time.Millisecond,
-			MostOut: 50, Body: 4096, Allowed: []string{"Authorization", "X-A"}, Forbidden: []string{"Cookie"}},
-		Counter: &Counter{Addresses: []string{"127.0.0.1:6379", "127.0.0.1:6380"}, Calls: 700, Limit: 90 * time.Millisecond,
-			Window: 30 * time.Second, Keep: 2 * time.Hour},
+		Authorizer: &Authorizer{Addresses: []string{"127.0.0.1:9201", "127.0.0.1:9200"}, Timeout: 150 * time.Millisecond,
+			MaxInFlight: 50, MaxRequestBody: 4096, AllowedHeaders: []string{"Authorization", "X-A"}, DisallowedHeaders: []string{"Cookie"}},
+		Counter: &Counter{Addresses: []string{"127.0.0.1:6379", "127.0.0.1:6380"}, CallsPerSecond: 700, Timeout: 90 * time.Millisecond,
+			Window: 30 * time.Second, Retention: 2 * time.Hour},
 		Limits: Limits{
-			Line: 4096, Fields: 50, Header: 16384, Body: 65536, AnswerBody: 131072,
-			HeaderTime: 3 * time.Second, BodyTime: 4 * time.Second, IdleTime: time.Minute, WriteTime: 6 * time.Second,
-			Connections: 1000, Streams: 20, Abuse: 30, Requests: 2000, AnswerMargin: 20 * time.Millisecond,
-			ConnectTime: 300 * time.Millisecond, IdleUpstream: 8, MaxAttempts: 5,
+			MaxLineBytes: 4096, MaxHeaderFields: 50, MaxHeaderBytes: 16384, MaxRequestBody: 65536, MaxResponseBody: 131072,
+			HeaderTimeout: 3 * time.Second, BodyTimeout: 4 * time.Second, IdleTimeout: time.Minute, WriteTimeout: 6 * time.Second,
+			MaxConnections: 1000, MaxStreams: 20, FrameBudget: 30, MaxUnanswered: 2000, ResponseMargin: 20 * time.Millisecond,
+			ConnectTimeout: 300 * time.Millisecond, MaxIdleUpstream: 8, MaxAttempts: 5,
 		},
 	})
 }
@@ -90,28 +90,28 @@
 func TestDefaults(t *testing.T) {
 	compareFields(t, parseTestdata(t, "minimal.hcl"), &Config{
 		Listeners: []Listener{{Kind: HTTP, Name: "desks", Address: "127.0.0.1:8080"}},
-		Clients:   Clients{KeyHeader: "X-Api-Key", PatienceHeader: "X-Envoy-Expected-Rq-Timeout-Ms", MaxRetryAfter: time.Second},
+		Clients:   Clients{KeyHeader: "X-Api-Key", ClientTimeoutHeader: "X-Envoy-Expected-Rq-Timeout-Ms", MaxRetryAfter: time.Second},
 		Classes: []Class{{
 			Class: policy.Class{Name: "lookup", Idempotency: policy.NonIdempotent, DedupScope: policy.DedupAllServers,
 				LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second},
-			Units: 1, Worth: 1, Authorisation: Skip, Routes: []Route{{Method: "GET", Path: "/records"}},
+			Units: 1, PriorityWeight: 1, Authorization: SkipAuthorization, Routes: []Route{{Method: "GET", Path: "/records"}},
 		}},
 		Plans:     []policy.Plan{{Name: "basic"}},
-		Customers: []Customer{{Name: "school-1", Plan: "basic", Keys: []string{"key-1"}, Nodes: 1}},
+		Customers: []Customer{{Name: "school-1", Plan: "basic", Keys: []string{"key-1"}, GatewaySpread: 1}},
 		Peers: Peers{Listen: "127.0.0.1:8090", Addresses: map[int]string{}, Keys: [][]byte{fleetKey},
-			MailPerSecond: 60, Freshness: 10 * time.Second},
+			MessagesPerSecond: 60, MaxMessageAge: 10 * time.Second},
 		Servers: Servers{
-			Static:    []Server{{Name: "catalogue-1", Address: "127.0.0.1:9001", Weight: 1}},
-			ColdShare: 0.2, FallMultiple: 2, FallTime: time.Second, TurnedAwayStatus: 503, TurnedAwayHeader: "X-Not-Run",
+			Static:          []Server{{Name: "catalogue-1", Address: "127.0.0.1:9001", Weight: 1}},
+			InitialCapacity: 0.2, ColdOverloadFactor: 2, ColdOverloadTime: time.Second, RejectionStatus: 503, RejectionHeader: "X-Not-Run",
 		},
-		Authoriser: &Authoriser{Addresses: []string{"127.0.0.1:9200"}, Timeout: 200 * time.Millisecond, MostOut: 1000},
-		Counter: &Counter{Addresses: []string{"127.0.0.1:6379"}, Calls: 500, Limit: 80 * time.Millisecond,
-			Window: time.Minute, Keep: time.Hour},
+		Authorizer: &Authorizer{Addresses: []string{"127.0.0.1:9200"}, Timeout: 200 * time.Millisecond, MaxInFlight: 1000},
+		Counter: &Counter{Addresses: []string{"127.0.0.1:6379"}, CallsPerSecond: 500, Timeout: 80 * time.Millisecond,
+			Window: time.Minute, Retention: time.Hour},
 		Limits: Limits{
-			Line: 8 << 10, Fields: 100, Header: 32 << 10, Body: 1 << 20, AnswerBody: 8 << 20,
-			HeaderTime: 5 * time.Second, BodyTime: 10 * time.Second, IdleTime: 5 * time.Minute, WriteTime: 10 * time.Second,
-			Connections: 20000, Streams: 100, Abuse: 200, Requests: 20000, AnswerMargin: 10 * time.Millisecond,
-			ConnectTime: 250 * time.Millisecond, IdleUpstream: 64, MaxAttempts: 3,
+			MaxLineBytes: 8 << 10, MaxHeaderFields: 100, MaxHeaderBytes: 32 << 10, MaxRequestBody: 1 << 20, MaxResponseBody: 8 << 20,
+			HeaderTimeout: 5 * time.Second, BodyTimeout: 10 * time.Second, IdleTimeout: 5 * time.Minute, WriteTimeout: 10 * time.Second,
+			MaxConnections: 20000, MaxStreams: 100, FrameBudget: 200, MaxUnanswered: 20000, ResponseMargin: 10 * time.Millisecond,
+			ConnectTimeout: 250 * time.Millisecond, MaxIdleUpstream: 64, MaxAttempts: 3,
 		},
 	})
 }
@@ -141,7 +141,7 @@
 	}
 	wantPeers := Peers{RosterFile: rosterFile, Listen: "127.0.0.1:8090", Addresses: map[int]string{0: "10.0.0.1:7000"},
 		Keys:    [][]byte{[]byte(strings.Repeat("\x07", 32)), []byte(strings.Repeat("\x08", 32))},
-		KeyFile: keyFile, MailPerSecond: 80, Freshness: 3 * time.Second}
+		KeyFile: keyFile, MessagesPerSecond: 80, MaxMessageAge: 3 * time.Second}
 	if !reflect.DeepEqual(cfg.Peers, wantPeers) {
 		t.Errorf("peers %+v, want %+v", cfg.Peers, wantPeers)
 	}
--- a/config/load.go
+++ b/config/load.go
@@ -412,7 +412,7 @@
 		}
 		l.unique(seen, "listener", b.Name, b.NameRange)
 		in := Listener{kind, b.Name, l.address(b.Address), l.name(b.Cert, ""), l.name(b.Key, "")}
-		if tls := kind == HTTPS; tls != (in.Cert != "") || tls != (in.Key != "") {
+		if tls := kind == HTTPS; tls != (in.CertFile != "") || tls != (in.KeyFile != "") {
 			l.wrong(b.NameRange, "Certificate", "A listener of kind \"https\" needs cert_file and key_file, and no other kind takes them.")
 		}
 		l.cfg.Listeners = append(l.cfg.Listeners, in)
@@ -434,9 +434,9 @@
 		in = &clientsBlock{}
 	}
 	l.cfg.Clients = Clients{
-		KeyHeader:      l.header(in.KeyHeader, "X-Api-Key"),
-		PatienceHeader: l.header(in.PatienceHeader, "X-Envoy-Expected-Rq-Timeout-Ms"),
-		MaxRetryAfter:  l.duration(in.MaxRetryAfter, time.Second, 0, time.Hour),
+		KeyHeader:           l.header(in.KeyHeader, "X-Api-Key"),
+		ClientTimeoutHeader: l.header(in.PatienceHeader, "X-Envoy-Expected-Rq-Timeout-Ms"),
+		MaxRetryAfter:       l.duration(in.MaxRetryAfter, time.Second, 0, time.Hour),
 	}
 }
 
@@ -462,9 +462,9 @@
 			l.wrong(b.Deadline.Range(), "Deadline before aim", "The deadline must be at least the aim, %v.", c.LatencyObjective)
 		}
 		c.Units = l.number(b.Units, 1, 1, 1000)
-		c.Worth = l.number(b.Worth, 1, 0, 1e6)
-		c.Remember = l.duration(b.Remember, 0, 0, 24*time.Hour)
-		c.Authorisation = oneOf(l, b.Authorisation, Skip, Skip, RefuseClass, AllowClass)
+		c.PriorityWeight = l.number(b.Worth, 1, 0, 1e6)
+		c.AuthorizationCacheTTL = l.duration(b.Remember, 0, 0, 24*time.Hour)
+		c.Authorization = oneOf(l, b.Authorisation, SkipAuthorization, SkipAuthorization, FailClosed, FailOpen)
 		if len(b.Routes) == 0 {
 			l.wrong(b.NameRange, "No route", `A class needs at least one route, such as: route { method = "GET", path = "/records/{id}" }.`)
 		}
@@ -545,7 +545,7 @@
 	for _, b := range in {
 		l.unique(names, "customer", b.Name, b.NameRange)
 		c := Customer{Name: b.Name, Plan: l.name(b.Plan, ""),
-			First: l.whole0(b.First, 0, 0, most-1), Nodes: l.whole0(b.Nodes, most, 1, most)}
+			FirstGateway: l.whole0(b.First, 0, 0, most-1), GatewaySpread: l.whole0(b.Nodes, most, 1, most)}
 		if c.Plan != "" && !slices.ContainsFunc(l.cfg.Plans, func(p policy.Plan) bool { return p.Name == c.Plan }) {
 			var all []string
 			for _, p := range l.cfg.Plans {
@@ -577,8 +577,8 @@
 	}
 	p := &l.cfg.Peers
 	p.Listen = l.address(in.Listen)
-	p.MailPerSecond = l.number(in.MailPerSecond, 60, 1, 1e6)
-	p.Freshness = l.duration(in.Freshness, 10*time.Second, 100*time.Millisecond, time.Hour)
+	p.MessagesPerSecond = l.number(in.MailPerSecond, 60, 1, 1e6)
+	p.MaxMessageAge = l.duration(in.Freshness, 10*time.Second, 100*time.Millisecond, time.Hour)
 	p.Keys = l.keys(in)
 	if path := l.text(in.Roster, ""); path != "" {
 		l.roster(in, path)
@@ -695,18 +695,18 @@
 		l.wrong(in.DefRange, "No source of servers, or two", "Give either server blocks or one eds block.")
 	}
 	s.HTTP2 = oneOf(l, in.Protocol, "http1", "http1", "http2") == "http2"
-	s.ColdShare = l.number(in.ColdShare, 0.2, 0.001, 1)
-	s.WarmWithin = l.duration(in.WarmWithin, 0, 0, time.Hour)
-	s.FallMultiple = l.number(in.FallMultiple, 2, 1, 1000)
-	s.FallTime = l.duration(in.FallTime, time.Second, time.Millisecond, time.Minute)
+	s.InitialCapacity = l.number(in.ColdShare, 0.2, 0.001, 1)
+	s.WarmupTime = l.duration(in.WarmWithin, 0, 0, time.Hour)
+	s.ColdOverloadFactor = l.number(in.FallMultiple, 2, 1, 1000)
+	s.ColdOverloadTime = l.duration(in.FallTime, time.Second, time.Millisecond, time.Minute)
 	if b := in.TurnedAway; b != nil {
-		s.TurnedAwayStatus = l.whole0(b.Status, 503, 400, 599)
-		s.TurnedAwayHeader = l.header(b.Header, "")
+		s.RejectionStatus = l.whole0(b.Status, 503, 400, 599)
+		s.RejectionHeader = l.header(b.Header, "")
 	}
 }
 
 func (l *loader) authoriser(in *file) {
-	asked := slices.ContainsFunc(l.cfg.Classes, func(c Class) bool { return c.Authorisation != Skip })
+	asked := slices.ContainsFunc(l.cfg.Classes, func(c Class) bool { return c.Authorization != SkipAuthorization })
 	b := in.Authoriser
 	if b == nil {
 		if asked {
@@ -714,17 +714,17 @@
 		}
 		return
 	}
-	a := &Authoriser{Addresses: l.addresses(b.Addresses)}
+	a := &Authorizer{Addresses: l.addresses(b.Addresses)}
 	if one := l.address(b.Address); one != "" {
 		a.Addresses = append(a.Addresses, one)
 	}
 	if len(a.Addresses) == 0 {
 		l.wrong(b.DefRange, "No address", "Give address, or addresses for several of one service.")
 	}
-	a.Timeout, a.MostOut = l.duration(b.Timeout, 200*time.Millisecond, time.Millisecond, time.Minute), l.whole0(b.MostOut, 1000, 1, 1e6)
-	a.Body = l.whole0(b.Body, 0, 0, 1<<20)
-	a.Allowed, a.Forbidden = l.fieldNames(b.Allowed), l.fieldNames(b.Forbidden)
-	l.cfg.Authoriser = a
+	a.Timeout, a.MaxInFlight = l.duration(b.Timeout, 200*time.Millisecond, time.Millisecond, time.Minute), l.whole0(b.MostOut, 1000, 1, 1e6)
+	a.MaxRequestBody = l.whole0(b.Body, 0, 0, 1<<20)
+	a.AllowedHeaders, a.DisallowedHeaders = l.fieldNames(b.Allowed), l.fieldNames(b.Forbidden)
+	l.cfg.Authorizer = a
 }
 
 // fieldNames is a list of header field names.
@@ -763,12 +763,12 @@
 	if in == nil {
 		return
 	}
-	c := &Counter{Calls: l.number(in.Calls, 500, 1, 1e6), Limit: l.duration(in.Limit, 80*time.Millisecond, time.Millisecond, time.Minute),
-		Window: l.duration(in.Window, time.Minute, time.Second, 24*time.Hour), Keep: l.duration(in.Keep, time.Hour, time.Second, 30*24*time.Hour)}
+	c := &Counter{CallsPerSecond: l.number(in.Calls, 500, 1, 1e6), Timeout: l.duration(in.Limit, 80*time.Millisecond, time.Millisecond, time.Minute),
+		Window: l.duration(in.Window, time.Minute, time.Second, 24*time.Hour), Retention: l.duration(in.Keep, time.Hour, time.Second, 30*24*time.Hour)}
 	if c.Addresses = l.addresses(in.Addresses); len(c.Addresses) == 0 {
 		l.wrong(in.Addresses.Range(), "No address", "At least one part of the counter is needed.")
 	}
-	if c.Keep < 2*c.Window {
+	if c.Retention < 2*c.Window {
 		l.wrong(l.rangeOf(in.Keep, in.Addresses), "Kept too shortly", "Totals must be kept for at least two windows, %v.", 2*c.Window)
 	}
 	l.cfg.Counter = c
@@ -787,22 +787,22 @@
 		in = &limitsBlock{}
 	}
 	l.cfg.Limits = Limits{
-		Line:         l.whole0(in.Line, 8<<10, 256, 1<<20),
-		Fields:       l.whole0(in.Fields, 100, 8, 10000),
-		Header:       l.whole0(in.Header, 32<<10, 1024, 16<<20),
-		Body:         int64(l.whole0(in.Body, 1<<20, 0, 1<<30)),
-		AnswerBody:   int64(l.whole0(in.AnswerBody, 8<<20, 0, 1<<30)),
-		HeaderTime:   l.duration(in.HeaderTime, 5*time.Second, time.Millisecond, time.Hour),
-		BodyTime:     l.duration(in.BodyTime, 10*time.Second, time.Millisecond, time.Hour),
-		IdleTime:     l.duration(in.IdleTime, 5*time.Minute, time.Millisecond, 24*time.Hour),
-		WriteTime:    l.duration(in.WriteTime, 10*time.Second, time.Millisecond, time.Hour),
-		Connections:  l.whole0(in.Connections, 20000, 1, 1e6),
-		Streams:      l.whole0(in.Streams, 100, 1, 1e5),
-		Abuse:        l.whole0(in.Abuse, 200, 10, 1e6),
-		Requests:     l.whole0(in.Requests, 20000, 1, 1e6),
-		AnswerMargin: l.duration(in.AnswerMargin, 10*time.Millisecond, 0, time.Minute),
-		ConnectTime:  l.duration(in.ConnectTime, 250*time.Millisecond, time.Millisecond, time.Minute),
-		IdleUpstream: l.whole0(in.IdleUpstream, 64, 0, 1e5),
-		MaxAttempts:  l.whole0(in.MaxAttempts, 3, 1, 100),
+		MaxLineBytes:    l.whole0(in.Line, 8<<10, 256, 1<<20),
+		MaxHeaderFields: l.whole0(in.Fields, 100, 8, 10000),
+		MaxHeaderBytes:  l.whole0(in.Header, 32<<10, 1024, 16<<20),
+		MaxRequestBody:  int64(l.whole0(in.Body, 1<<20, 0, 1<<30)),
+		MaxResponseBody: int64(l.whole0(in.AnswerBody, 8<<20, 0, 1<<30)),
+		HeaderTimeout:   l.duration(in.HeaderTime, 5*time.Second, time.Millisecond, time.Hour),
+		BodyTimeout:     l.duration(in.BodyTime, 10*time.Second, time.Millisecond, time.Hour),
+		IdleTimeout:     l.duration(in.IdleTime, 5*time.Minute, time.Millisecond, 24*time.Hour),
+		WriteTimeout:    l.duration(in.WriteTime, 10*time.Second, time.Millisecond, time.Hour),
+		MaxConnections:  l.whole0(in.Connections, 20000, 1, 1e6),
+		MaxStreams:      l.whole0(in.Streams, 100, 1, 1e5),
+		FrameBudget:     l.whole0(in.Abuse, 200, 10, 1e6),
+		MaxUnanswered:   l.whole0(in.Requests, 20000, 1, 1e6),
+		ResponseMargin:  l.duration(in.AnswerMargin, 10*time.Millisecond, 0, time.Minute),
+		ConnectTimeout:  l.duration(in.ConnectTime, 250*time.Millisecond, time.Millisecond, time.Minute),
+		MaxIdleUpstream: l.whole0(in.IdleUpstream, 64, 0, 1e5),
+		MaxAttempts:     l.whole0(in.MaxAttempts, 3, 1, 100),
 	}
 }
--- a/edgenode/config.go
+++ b/edgenode/config.go
@@ -32,10 +32,10 @@
 	Known    json.RawMessage `json:"known"` // the server list, as last held
 	Settings json.RawMessage `json:"settings"`
 
-	Policy      policy.Settings  `json:"-"` // of Settings
-	ConnIdle    time.Duration    `json:"-"` // servers close a connection idle for so long
-	DialTimeout time.Duration    `json:"-"` // to connect to a server
-	Remembered  []discovery.Host `json:"-"` // of Known
+	Policy            policy.Settings      `json:"-"` // of Settings
+	ServerIdleTimeout time.Duration        `json:"-"` // servers close a connection idle for so long
+	DialTimeout       time.Duration        `json:"-"` // to connect to a server
+	CachedEndpoints   []discovery.Endpoint `json:"-"` // of Known
 }
 
 // Limits is what the node's processes may use together.
@@ -86,7 +86,7 @@
 	for _, d := range []struct {
 		key string
 		to  *time.Duration
-	}{{"caps.conn_idle_ms", &c.ConnIdle}, {"caps.dial_timeout_ms", &c.DialTimeout}} {
+	}{{"caps.conn_idle_ms", &c.ServerIdleTimeout}, {"caps.dial_timeout_ms", &c.DialTimeout}} {
 		ms, err := strconv.ParseFloat(flat[d.key], 64)
 		if err != nil || !(ms > 0 && ms < 1e9) {
 			return nil, fmt.Errorf("settings: %s: %q is no time in ms above 0", d.key, flat[d.key])
@@ -98,7 +98,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		c.Remembered = l.Hosts
+		c.CachedEndpoints = l.Endpoints
 	}
 	return c, c.check()
 }
--- a/edgenode/config_test.go
+++ b/edgenode/config_test.go
@@ -43,8 +43,8 @@
 	if len(s.Plans) != 2 || s.Plans[1].Rate != 4.5 || s.Plans[1].MaxInFlight != 2 || s.Plans[1].HardBurst != 14 {
 		t.Errorf("plans %+v", s.Plans)
 	}
-	if c.ConnIdle != 10*time.Second || c.DialTimeout != 250*time.Millisecond {
-		t.Errorf("idle %v, connecting %v", c.ConnIdle, c.DialTimeout)
+	if c.ServerIdleTimeout != 10*time.Second || c.DialTimeout != 250*time.Millisecond {
+		t.Errorf("idle %v, connecting %v", c.ServerIdleTimeout, c.DialTimeout)
 	}
 	if _, err := policy.New(s, 1); err != nil {
 		t.Error(err)
@@ -82,8 +82,8 @@
 		Limits:     Limits{Cores: 0.5, MemoryMB: 64, Sockets: 256},
 		PeerListen: "10.0.0.1:70", Peers: []string{"10.0.0.1:71", "10.0.0.2:71"}, PeersAll: "10.0.0.9:72", Counter: "10.0.4.1:6379",
 		Known: json.RawMessage(known), Settings: json.RawMessage(settingsJSON),
-		Policy: got.Policy, ConnIdle: 10 * time.Second, DialTimeout: 250 * time.Millisecond,
-		Remembered: []discovery.Host{{Name: "s-1", Address: "10.0.1.1:80", Zone: "a", Type: "t", Group: 3, Status: "ready", Weight: 1.5, SinceMS: 1700000000000}},
+		Policy: got.Policy, ServerIdleTimeout: 10 * time.Second, DialTimeout: 250 * time.Millisecond,
+		CachedEndpoints: []discovery.Endpoint{{Name: "s-1", Address: "10.0.1.1:80", Zone: "a", Type: "t", Group: 3, Status: "ready", Weight: 1.5, SinceMS: 1700000000000}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v\nwant %+v", got, want)
@@ -183,7 +183,7 @@
 	f.Add([]byte(configJSON))
 	f.Add([]byte(`{"settings":{"classes":[1,{"a":null}]}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if c, err := Parse(b); err == nil && (c.Limits.Sockets < 64 || c.ConnIdle <= 0) {
+		if c, err := Parse(b); err == nil && (c.Limits.Sockets < 64 || c.ServerIdleTimeout <= 0) {
 			t.Fatalf("%+v", c)
 		}
 	})
--- a/edgenode/crossing_test.go
+++ b/edgenode/crossing_test.go
@@ -22,8 +22,8 @@
 		{3 * time.Second, 3700 * time.Millisecond}, {9 * time.Second, 3700 * time.Millisecond}, {0, 700 * time.Millisecond},
 	} {
 		p := planShutdown([]policy.Class{{Deadline: c.longest / 2}, {Deadline: c.longest}})
-		if !(400*time.Millisecond < p.accept && p.accept <= p.answer && p.answer < p.end && p.end < c.kill) ||
-			p.answer < c.kill-400*time.Millisecond {
+		if !(400*time.Millisecond < p.stopAccepting && p.stopAccepting <= p.finalResponses && p.finalResponses < p.cutConnections && p.cutConnections < c.kill) ||
+			p.finalResponses < c.kill-400*time.Millisecond {
 			t.Errorf("longest %v, SIGKILL at %v: %+v", c.longest, c.kill, p)
 		}
 	}
@@ -118,7 +118,7 @@
 func (s *stage) openIDs() int {
 	s.edge.mu.Lock()
 	defer s.edge.mu.Unlock()
-	return len(s.edge.open)
+	return len(s.edge.openIDs)
 }
 
 // A client leaves while its attempt is in a dial that comes up later: no byte of the
--- a/edgenode/discovery/golden_test.go
+++ b/edgenode/discovery/golden_test.go
@@ -12,7 +12,7 @@
 func TestListHasGoldenJSON(t *testing.T) {
 	const golden = `{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","address":"10.0.0.1:80","zone":"a","type":"t","group":2,` +
 		`"status":"draining","weight":1.5,"since_ms":1764662400000}]}`
-	want := List{Index: 7, Whole: true, Hosts: []Host{{Name: "s-1", Address: "10.0.0.1:80", Zone: "a", Type: "t", Group: 2,
+	want := List{Index: 7, Snapshot: true, Endpoints: []Endpoint{{Name: "s-1", Address: "10.0.0.1:80", Zone: "a", Type: "t", Group: 2,
 		Status: "draining", Weight: 1.5, SinceMS: 1764662400000}}}
 	if got, err := Parse([]byte(golden)); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, %v", got, err)
@@ -24,7 +24,7 @@
 
 // Servers have the same ID at all nodes, of whatever build.
 func TestServerIDIsGolden(t *testing.T) {
-	_, list, _ := NewNames().Take(List{Hosts: []Host{host("s-1", "a:1", "ready", 0)}}, false)
+	_, list, _ := NewEndpointTable().Apply(List{Endpoints: []Endpoint{host("s-1", "a:1", "ready", 0)}}, false)
 	if got, want := list[0].ID, policy.ServerID(0x189bada4); got != want {
 		t.Errorf("ID %#x, want %#x", uint32(got), uint32(want))
 	}
--- a/edgenode/discovery/list.go
+++ b/edgenode/discovery/list.go
@@ -14,8 +14,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Host is one line of discovery's list.
-type Host struct {
+// Endpoint is one line of discovery's list.
+type Endpoint struct {
 	Name    string  `json:"name"` // the same at every edge node
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -28,9 +28,9 @@
 
 // List is one answer of discovery's.
 type List struct {
-	Index int64  `json:"index"`    // its version
-	Whole bool   `json:"snapshot"` // else only what has changed
-	Hosts []Host `json:"endpoints"`
+	Index     int64      `json:"index"`    // its version
+	Snapshot  bool       `json:"snapshot"` // else only what has changed
+	Endpoints []Endpoint `json:"endpoints"`
 }
 
 var states = map[string]policy.ServerState{"ready": policy.Running, "draining": policy.Draining, "gone": policy.Removed}
@@ -39,8 +39,8 @@
 func Parse(b []byte) (List, error) {
 	var l struct {
 		List
-		Index *int64  `json:"index"`
-		Hosts *[]Host `json:"endpoints"`
+		Index *int64      `json:"index"`
+		Hosts *[]Endpoint `json:"endpoints"`
 	}
 	if err := json.Unmarshal(b, &l); err != nil {
 		return List{}, err
@@ -54,7 +54,7 @@
 		switch {
 		case h.Name == "":
 			return List{}, fmt.Errorf("endpoints[%d].name: empty", i)
-		case seen[h.Name] && l.Whole:
+		case seen[h.Name] && l.Snapshot:
 			return List{}, fmt.Errorf("endpoints[%d].name: %q twice", i, h.Name)
 		case !known:
 			return List{}, fmt.Errorf("endpoints[%d].status: %q is unknown", i, h.Status)
@@ -63,24 +63,24 @@
 		}
 		seen[h.Name] = true
 	}
-	return List{Index: *l.Index, Whole: l.Whole, Hosts: *l.Hosts}, nil
+	return List{Index: *l.Index, Snapshot: l.Snapshot, Endpoints: *l.Hosts}, nil
 }
 
-// Names gives servers the numbers that the module and messages between nodes name
+// EndpointTable gives servers the numbers that the module and messages between nodes name
 // them by. A number follows from the name, so that all nodes give the same; of two
 // names with one number, once in 40,000,000 pairs, the later gets the next.
-type Names struct {
-	ids  map[string]policy.ServerID
-	used map[policy.ServerID]bool
-	keys map[string]string // of connections to each, while it is listed
+type EndpointTable struct {
+	ids            map[string]policy.ServerID
+	used           map[policy.ServerID]bool
+	connectionKeys map[string]string // of connections to each, while it is listed
 }
 
-// NewNames returns Names that hold none.
-func NewNames() *Names {
-	return &Names{ids: map[string]policy.ServerID{}, used: map[policy.ServerID]bool{}, keys: map[string]string{}}
+// NewEndpointTable returns Names that hold none.
+func NewEndpointTable() *EndpointTable {
+	return &EndpointTable{ids: map[string]policy.ServerID{}, used: map[policy.ServerID]bool{}, connectionKeys: map[string]string{}}
 }
 
-func (n *Names) id(name string) policy.ServerID {
+func (n *EndpointTable) id(name string) policy.ServerID {
 	if id, ok := n.ids[name]; ok {
 		return id
 	}
@@ -94,20 +94,20 @@
 	return id
 }
 
-// Take turns a list into what a node is told, and the keys of connections to
+// Apply turns a list into what a node is told, and the keys of connections to
 // servers, or starts of servers, that are no longer listed. Those of Remembered
 // lists are new names like any. Names that go are forgotten.
-func (n *Names) Take(l List, remembered bool) (kind policy.EndpointUpdateKind, list []node.Server, left []string) {
+func (n *EndpointTable) Apply(l List, remembered bool) (kind policy.EndpointUpdateKind, list []node.Server, left []string) {
 	switch {
 	case remembered:
 		kind = policy.CachedUpdate
-	case l.Whole:
+	case l.Snapshot:
 		kind = policy.SnapshotUpdate
 	default:
 		kind = policy.DeltaUpdate
 	}
 	listed := map[string]bool{}
-	for _, h := range l.Hosts {
+	for _, h := range l.Endpoints {
 		state := states[h.Status]
 		if _, known := n.ids[h.Name]; !known && state == policy.Removed {
 			continue
@@ -118,10 +118,10 @@
 			s.StartTime = time.UnixMilli(h.SinceMS)
 		}
 		s.ConnectionKey = h.Name + "/" + strconv.FormatInt(h.SinceMS, 36) + "/" + h.Address
-		if old := n.keys[h.Name]; old != "" && old != s.ConnectionKey {
+		if old := n.connectionKeys[h.Name]; old != "" && old != s.ConnectionKey {
 			left = append(left, old)
 		}
-		n.keys[h.Name] = s.ConnectionKey
+		n.connectionKeys[h.Name] = s.ConnectionKey
 		if state == policy.Removed {
 			left = append(left, s.ConnectionKey)
 			n.forget(h.Name)
@@ -129,7 +129,7 @@
 		list = append(list, s)
 	}
 	if kind != policy.DeltaUpdate {
-		for name, key := range n.keys {
+		for name, key := range n.connectionKeys {
 			if !listed[name] {
 				left = append(left, key)
 				n.forget(name)
@@ -139,8 +139,8 @@
 	return kind, list, left
 }
 
-func (n *Names) forget(name string) {
+func (n *EndpointTable) forget(name string) {
 	delete(n.used, n.ids[name])
 	delete(n.ids, name)
-	delete(n.keys, name)
+	delete(n.connectionKeys, name)
 }
--- a/edgenode/discovery/list_test.go
+++ b/edgenode/discovery/list_test.go
@@ -7,44 +7,44 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-func host(name, address, status string, since int64) Host {
-	return Host{Name: name, Address: address, Zone: "a", Group: 1, Status: status, Weight: 1, SinceMS: since}
+func host(name, address, status string, since int64) Endpoint {
+	return Endpoint{Name: name, Address: address, Zone: "a", Group: 1, Status: status, Weight: 1, SinceMS: since}
 }
 
 // What has gone is forgotten, and connections belong to a name, a start and an
 // address together.
 func TestNames(t *testing.T) {
-	n := NewNames()
-	_, first, left := n.Take(List{Whole: true, Hosts: []Host{host("s-1", "a:1", "ready", 0), host("s-2", "b:1", "ready", 5)}}, false)
+	n := NewEndpointTable()
+	_, first, left := n.Apply(List{Snapshot: true, Endpoints: []Endpoint{host("s-1", "a:1", "ready", 0), host("s-2", "b:1", "ready", 5)}}, false)
 	if len(first) != 2 || len(left) != 0 || first[0].ID == first[1].ID || !first[0].StartTime.IsZero() || first[1].StartTime.UnixMilli() != 5 {
 		t.Fatalf("%+v, left %v", first, left)
 	}
-	kind, list, left := n.Take(List{Hosts: []Host{host("s-1", "a:1", "draining", 0), host("s-9", "z:1", "gone", 0)}}, false)
+	kind, list, left := n.Apply(List{Endpoints: []Endpoint{host("s-1", "a:1", "draining", 0), host("s-9", "z:1", "gone", 0)}}, false)
 	if kind != policy.DeltaUpdate || len(list) != 1 || list[0].State != policy.Draining || list[0].ID != first[0].ID || len(left) != 0 {
 		t.Errorf("%v %+v, left %v", kind, list, left)
 	}
 	// A new server at the address of one that has gone; a restart of another.
-	_, list, left = n.Take(List{Hosts: []Host{host("s-1", "a:1", "gone", 0), host("s-3", "a:1", "ready", 9), host("s-2", "b:1", "ready", 7)}}, false)
+	_, list, left = n.Apply(List{Endpoints: []Endpoint{host("s-1", "a:1", "gone", 0), host("s-3", "a:1", "ready", 9), host("s-2", "b:1", "ready", 7)}}, false)
 	if fmt.Sprint(left) != "[s-1/0/a:1 s-2/5/b:1]" || list[1].ConnectionKey == first[0].ConnectionKey || list[2].ConnectionKey == first[1].ConnectionKey || list[2].ID != first[1].ID {
 		t.Errorf("%+v, left %v", list, left)
 	}
-	_, _, left = n.Take(List{Whole: true}, false)
-	if len(left) != 2 || len(n.ids)+len(n.keys)+len(n.used) != 0 {
+	_, _, left = n.Apply(List{Snapshot: true}, false)
+	if len(left) != 2 || len(n.ids)+len(n.connectionKeys)+len(n.used) != 0 {
 		t.Errorf("left %v, still known %v", left, n.ids)
 	}
 }
 
 func TestNamesDoNotGrow(t *testing.T) {
-	n, seen := NewNames(), map[policy.ServerID]bool{}
+	n, seen := NewEndpointTable(), map[policy.ServerID]bool{}
 	for i := range 10000 {
 		name := fmt.Sprint("s-", i)
-		_, list, _ := n.Take(List{Hosts: []Host{host(name, "a:1", "ready", int64(i+1))}}, false)
+		_, list, _ := n.Apply(List{Endpoints: []Endpoint{host(name, "a:1", "ready", int64(i+1))}}, false)
 		if seen[list[0].ID] = true; i > 9 {
-			n.Take(List{Hosts: []Host{host(fmt.Sprint("s-", i-10), "a:1", "gone", int64(i-9))}}, false)
+			n.Apply(List{Endpoints: []Endpoint{host(fmt.Sprint("s-", i-10), "a:1", "gone", int64(i-9))}}, false)
 		}
 	}
-	if len(n.ids) > 11 || len(n.keys) > 11 || len(n.used) > 11 || len(seen) < 9990 {
-		t.Errorf("%d names, %d keys, %d numbers held; %d given", len(n.ids), len(n.keys), len(n.used), len(seen))
+	if len(n.ids) > 11 || len(n.connectionKeys) > 11 || len(n.used) > 11 || len(seen) < 9990 {
+		t.Errorf("%d names, %d keys, %d numbers held; %d given", len(n.ids), len(n.connectionKeys), len(n.used), len(seen))
 	}
 }
 
@@ -68,9 +68,9 @@
 		if err != nil {
 			return
 		}
-		n := NewNames()
-		_, list, _ := n.Take(l, false)
-		if len(list) > len(l.Hosts) {
+		n := NewEndpointTable()
+		_, list, _ := n.Apply(l, false)
+		if len(list) > len(l.Endpoints) {
 			t.Fatal("more servers than hosts")
 		}
 	})
--- a/edgenode/discovery/watch.go
+++ b/edgenode/discovery/watch.go
@@ -17,37 +17,37 @@
 type Options struct {
 	Network network.Network
 	Address string
-	Log     *slog.Logger
+	Logger  *slog.Logger
 	Deliver func(List)
 }
 
-const path = "/discovery/hosts"
+const listPath = "/discovery/hosts"
 
 // Watch keeps a watch out until the context ends: the whole list first, then what
 // changes. What can't be read changes nothing and is asked for again.
 func Watch(ctx context.Context, o Options) {
-	index, pause := int64(-1), least
+	index, pause := int64(-1), minBackoff
 	var failing bool
 	for ctx.Err() == nil {
-		err := o.session(ctx, &index, func() { pause, failing = least, false })
+		err := o.session(ctx, &index, func() { pause, failing = minBackoff, false })
 		if ctx.Err() != nil {
 			return
 		}
 		if !failing {
-			o.Log.Warn("discovery: asking again", "address", o.Address, "error", err)
+			o.Logger.Warn("discovery: asking again", "address", o.Address, "error", err)
 			failing = true
 		}
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, most)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
 // session makes calls over one connection until one fails.
 func (o Options) session(ctx context.Context, index *int64, good func()) error {
-	dial, cancel := context.WithTimeout(ctx, connect)
+	dial, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	nc, err := o.Network.Dial(dial, o.Address)
 	if err != nil {
@@ -56,13 +56,13 @@
 	defer nc.Close()
 	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	r := http1.NewReader(nc, http1.Limits{Line: 4096, Fields: 64, Header: 16 << 10, Body: maxBytes})
+	r := http1.NewReader(nc, http1.Limits{Line: 4096, Fields: 64, Header: 16 << 10, Body: maxResponseBody})
 	for {
 		l, keep, err := o.call(ctx, nc, r, *index)
 		if err != nil {
 			return err
 		}
-		if !l.Whole && *index < 0 {
+		if !l.Snapshot && *index < 0 {
 			return errors.New("changes without a whole list")
 		}
 		*index = l.Index
@@ -75,12 +75,12 @@
 }
 
 func (o Options) call(ctx context.Context, nc net.Conn, r *http1.Reader, after int64) (List, bool, error) {
-	target, wait := path, time.Duration(0)
+	target, wait := listPath, time.Duration(0)
 	if after >= 0 {
-		wait = waitFor
+		wait = longPollTime
 		target += "?after=" + strconv.FormatInt(after, 10) + "&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	}
-	nc.SetDeadline(time.Now().Add(wait + overdue))
+	nc.SetDeadline(time.Now().Add(wait + responseGrace))
 	if ctx.Err() != nil {
 		return List{}, false, ctx.Err()
 	}
--- a/edgenode/discovery/watch_test.go
+++ b/edgenode/discovery/watch_test.go
@@ -77,7 +77,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		Watch(ctx, Options{Network: n, Address: address, Log: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
+		Watch(ctx, Options{Network: n, Address: address, Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
 	}()
 	t.Cleanup(func() { cancel(); <-done })
 	return got
@@ -85,12 +85,12 @@
 
 // gone tells whether what was delivered takes a server out of use.
 func gone(l List) bool {
-	for _, h := range l.Hosts {
+	for _, h := range l.Endpoints {
 		if h.Name == "s-2" {
 			return h.Status != "ready"
 		}
 	}
-	return l.Whole
+	return l.Snapshot
 }
 
 // News that comes while a watch fails is told in time, over orders of failures: each is
@@ -144,7 +144,7 @@
 				}
 			})
 			got := watched(t, network.OS{}, a.l.Addr().String())
-			if l := <-got; !l.Whole || gone(l) {
+			if l := <-got; !l.Snapshot || gone(l) {
 				t.Fatalf("first %+v", l)
 			}
 			select {
@@ -213,12 +213,12 @@
 		got, done := make(chan List, 1), make(chan struct{})
 		go func() {
 			defer close(done)
-			Watch(ctx, Options{Network: readNet{read: read}, Address: a.l.Addr().String(), Log: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
+			Watch(ctx, Options{Network: readNet{read: read}, Address: a.l.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
 		}()
 		for i := 1; i < len(text); i++ {
 			select {
 			case l := <-got:
-				if !l.Whole || l.Index != 7 || len(l.Hosts) != 1 {
+				if !l.Snapshot || l.Index != 7 || len(l.Endpoints) != 1 {
 					t.Fatalf("cut at %d of %q: %+v", i, text, l)
 				}
 			case <-time.After(20 * time.Second):
@@ -256,7 +256,7 @@
 	var got []List
 	go func() {
 		defer close(done)
-		Watch(ctx, Options{Network: network.OS{}, Address: a.l.Addr().String(), Log: slog.New(slog.DiscardHandler), Deliver: func(l List) { got = append(got, l) }})
+		Watch(ctx, Options{Network: network.OS{}, Address: a.l.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got = append(got, l) }})
 	}()
 	<-out
 	cancel()
--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -24,26 +24,26 @@
 
 // Edge is a running edge node.
 type Edge struct {
-	net    network.Network
-	log    *slog.Logger
-	node   *node.Node
-	pool   *upstream.Pool
-	front  *fronthttp.Server
-	l      net.Listener
-	serves sync.WaitGroup
-	closes []func()
-	listed atomic.Bool // a list of servers is held
-	leaves atomic.Bool // it is on its way out
+	network      network.Network
+	logger       *slog.Logger
+	node         *node.Node
+	pool         *upstream.Pool
+	front        *fronthttp.Server
+	listener     net.Listener
+	serving      sync.WaitGroup
+	closers      []func()
+	hasEndpoints atomic.Bool // a list of servers is held
+	draining     atomic.Bool // it is on its way out
 
 	classes []policy.Class
 
-	mu    sync.Mutex
-	open  map[string]bool // ids of requests that something is still done for
-	names *discovery.Names
+	mu        sync.Mutex
+	openIDs   map[string]bool // ids of requests that something is still done for
+	endpoints *discovery.EndpointTable
 
-	moves sync.Mutex // over the next two
-	watch func()     // ends the watch of discovery
-	at    string     // discovery's address
+	watchMutex       sync.Mutex // over the next two
+	stopWatch        func()     // ends the watch of discovery
+	discoveryAddress string     // discovery's address
 }
 
 // Start starts an edge node. What was opened is closed where it fails.
@@ -55,25 +55,25 @@
 	base := time.Now()
 	rules := pause.Default()
 	clock := pauseclock.New(base, n, rules)
-	e = &Edge{net: clock.Watched(n), log: log, classes: cfg.Policy.Classes, open: map[string]bool{}, names: discovery.NewNames()}
-	e.closes = append(e.closes, clock.Close)
+	e = &Edge{network: clock.Watched(n), logger: log, classes: cfg.Policy.Classes, openIDs: map[string]bool{}, endpoints: discovery.NewEndpointTable()}
+	e.closers = append(e.closers, clock.Close)
 	defer func() {
 		if err != nil {
 			e.close()
 		}
 	}()
-	b := share(cfg.Limits)
-	e.pool = upstream.New(upstream.Options{Network: e.net, ConnectTime: cfg.DialTimeout, Idle: b.servers, Most: b.servers,
-		IdleTime: time.Duration(idleShare * float64(cfg.ConnIdle)), Patience: protocol.FieldPatience,
-		Limits:     limits(b.answer),
-		Held:       b.answers,
-		TurnedAway: upstream.TurnedAway{Status: 503, Also: 504, Header: protocol.FieldTurnedAway, Only: 200}, Stood: clock.Stood})
-	e.closes = append(e.closes, e.pool.Close)
-	opt := node.Options{Settings: cfg.Policy, Seed: seed, Logger: log, Upstream: e.pool, ResponseMargin: margin, MaxUnanswered: b.clients, TimeOrigin: base,
-		Clock: clock, Pause: rules, SendToPeer: func(int, []byte) {}, OnRequestDone: e.forgotten}
+	b := divideResources(cfg.Limits)
+	e.pool = upstream.New(upstream.Options{Network: e.network, ConnectTime: cfg.DialTimeout, Idle: b.maxServerConnections, Most: b.maxServerConnections,
+		IdleTime: time.Duration(serverIdleFraction * float64(cfg.ServerIdleTimeout)), Patience: protocol.HeaderClientTimeout,
+		Limits:     messageLimits(b.maxResponseBody),
+		Held:       b.maxBufferedResponses,
+		TurnedAway: upstream.TurnedAway{Status: 503, Also: 504, Header: protocol.HeaderRejection, Only: 200}, Stood: clock.Stood})
+	e.closers = append(e.closers, e.pool.Close)
+	opt := node.Options{Settings: cfg.Policy, Seed: seed, Logger: log, Upstream: e.pool, ResponseMargin: responseMargin, MaxUnanswered: b.maxClientConnections, TimeOrigin: base,
+		Clock: clock, Pause: rules, SendToPeer: func(int, []byte) {}, OnRequestDone: e.requestDone}
 	started := make(chan struct{})
 	if cfg.Policy.CanMessagePeers {
-		mail, err := peer.ListenBare(peer.BareOptions{Network: e.net, Listen: cfg.PeerListen, Addresses: cfg.Peers, All: cfg.PeersAll,
+		mail, err := peer.ListenBare(peer.BareOptions{Network: e.network, Listen: cfg.PeerListen, Addresses: cfg.Peers, All: cfg.PeersAll,
 			Me: cfg.Policy.SelfIndex, Deliver: func(from int, data []byte) {
 				select {
 				case <-started:
@@ -85,33 +85,33 @@
 			return e, err
 		}
 		opt.SendToPeer, opt.SendToAllPeers = mail.Tell, true
-		e.closes = append(e.closes, mail.Close)
+		e.closers = append(e.closers, mail.Close)
 	}
 	if e.node, err = node.New(opt); err != nil {
 		return e, fmt.Errorf("settings: %w", err)
 	}
 	close(started)
-	e.closes = append(e.closes, background(e.node.Run))
-	if len(cfg.Remembered) > 0 {
-		e.list(discovery.List{Hosts: cfg.Remembered}, true)
-		late := time.AfterFunc(trust, func() { e.listed.Store(true) })
-		e.closes = append(e.closes, func() { late.Stop() })
-	}
-	e.discover(cfg.Discovery)
-	e.closes = append(e.closes, func() {
-		e.moves.Lock()
-		defer e.moves.Unlock()
-		e.discover("")
+	e.closers = append(e.closers, background(e.node.Run))
+	if len(cfg.CachedEndpoints) > 0 {
+		e.applyEndpoints(discovery.List{Endpoints: cfg.CachedEndpoints}, true)
+		late := time.AfterFunc(cachedListDelay, func() { e.hasEndpoints.Store(true) })
+		e.closers = append(e.closers, func() { late.Stop() })
+	}
+	e.watchDiscovery(cfg.Discovery)
+	e.closers = append(e.closers, func() {
+		e.watchMutex.Lock()
+		defer e.watchMutex.Unlock()
+		e.watchDiscovery("")
 	})
-	if e.l, err = e.net.Listen(cfg.Listen); err != nil {
+	if e.listener, err = e.network.Listen(cfg.Listen); err != nil {
 		return e, err
 	}
 	e.front = fronthttp.New(fronthttp.Options{Node: e, Intake: protocol.New(cfg.Policy, e.ready), Log: log,
-		Limits:    limits(body),
-		FirstTime: firstTime, HeaderTime: headerTime, BodyTime: headerTime, IdleTime: idleTime, WriteTime: writeTime, Connections: b.clients,
-		Spare: b.idle, Lingers: b.lingers, Yield: yield})
-	e.serves.Go(func() {
-		if err := e.front.Serve(e.l); err != nil {
+		Limits:    messageLimits(maxRequestBody),
+		FirstTime: firstRequestTimeout, HeaderTime: requestTimeout, BodyTime: requestTimeout, IdleTime: idleTimeout, WriteTime: writeTimeout, Connections: b.maxClientConnections,
+		Spare: b.maxIdleClientConnections, Lingers: b.maxLingeringConnections, Yield: minIdleBeforeEviction})
+	e.serving.Go(func() {
+		if err := e.front.Serve(e.listener); err != nil {
 			log.Error("listener ended", "error", err)
 		}
 	})
@@ -121,9 +121,9 @@
 // Submit takes a try, but for one with the id of another that is open.
 func (e *Edge) Submit(t *node.Request, reply func(node.FinalResponse)) (gone func()) {
 	e.mu.Lock()
-	twice := e.open[t.Trace]
+	twice := e.openIDs[t.Trace]
 	if !twice {
-		e.open[t.Trace] = true
+		e.openIDs[t.Trace] = true
 	}
 	e.mu.Unlock()
 	if twice {
@@ -133,20 +133,20 @@
 	return e.node.Submit(t, reply)
 }
 
-func (e *Edge) forgotten(t *node.Request) {
+func (e *Edge) requestDone(t *node.Request) {
 	e.mu.Lock()
-	delete(e.open, t.Trace)
+	delete(e.openIDs, t.Trace)
 	e.mu.Unlock()
 }
 
 // ready tells whether the node can decide, and goes on doing so.
-func (e *Edge) ready() bool { return e.listed.Load() && !e.leaves.Load() }
+func (e *Edge) ready() bool { return e.hasEndpoints.Load() && !e.draining.Load() }
 
-// list takes in a list of discovery's.
-func (e *Edge) list(l discovery.List, remembered bool) {
+// applyEndpoints takes in a list of discovery's.
+func (e *Edge) applyEndpoints(l discovery.List, remembered bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kind, list, left := e.names.Take(l, remembered)
+	kind, list, left := e.endpoints.Apply(l, remembered)
 	if kind != policy.DeltaUpdate || len(list) > 0 {
 		e.node.UpdateEndpoints(kind, list)
 	}
@@ -154,21 +154,21 @@
 		e.pool.Leave(key)
 	}
 	if kind == policy.SnapshotUpdate {
-		e.listed.Store(true)
+		e.hasEndpoints.Store(true)
 	}
 }
 
-// discover watches discovery at an address from now on; "" ends the watch.
-func (e *Edge) discover(address string) {
-	if e.watch != nil {
-		e.watch()
+// watchDiscovery watches discovery at an address from now on; "" ends the watch.
+func (e *Edge) watchDiscovery(address string) {
+	if e.stopWatch != nil {
+		e.stopWatch()
 	}
-	if e.at = address; address == "" {
+	if e.discoveryAddress = address; address == "" {
 		return
 	}
-	e.watch = background(func(ctx context.Context) {
-		discovery.Watch(ctx, discovery.Options{Network: e.net, Address: address, Log: e.log,
-			Deliver: func(l discovery.List) { e.list(l, false) }})
+	e.stopWatch = background(func(ctx context.Context) {
+		discovery.Watch(ctx, discovery.Options{Network: e.network, Address: address, Logger: e.logger,
+			Deliver: func(l discovery.List) { e.applyEndpoints(l, false) }})
 	})
 }
 
@@ -189,14 +189,14 @@
 // Reload takes what a new configuration may change while the node runs: where
 // discovery is.
 func (e *Edge) Reload(cfg *Config) {
-	e.moves.Lock()
-	defer e.moves.Unlock()
-	if e.at == "" {
+	e.watchMutex.Lock()
+	defer e.watchMutex.Unlock()
+	if e.discoveryAddress == "" {
 		return // the node has ended
 	}
-	if cfg.Discovery != e.at {
-		e.log.Info("discovery moves", "from", e.at, "to", cfg.Discovery)
-		e.discover(cfg.Discovery)
+	if cfg.Discovery != e.discoveryAddress {
+		e.logger.Info("discovery moves", "from", e.discoveryAddress, "to", cfg.Discovery)
+		e.watchDiscovery(cfg.Discovery)
 	}
 }
 
@@ -207,14 +207,14 @@
 func (e *Edge) Drain(ctx context.Context) error {
 	begun := time.Now()
 	plan := planShutdown(e.classes)
-	ctx, cancel := context.WithDeadline(ctx, begun.Add(plan.end))
+	ctx, cancel := context.WithDeadline(ctx, begun.Add(plan.cutConnections))
 	defer cancel()
-	e.leaves.Store(true)
+	e.draining.Store(true)
 	e.front.Closing()
-	e.until(ctx, begun.Add(plan.accept))
-	e.l.Close()
+	e.waitUntil(ctx, begun.Add(plan.stopAccepting))
+	e.listener.Close()
 	e.front.Ending()
-	last := time.AfterFunc(time.Until(begun.Add(plan.answer)), func() {
+	last := time.AfterFunc(time.Until(begun.Add(plan.finalResponses)), func() {
 		e.node.Finish()
 		e.front.Late()
 	})
@@ -229,8 +229,8 @@
 	return err
 }
 
-// until waits for a time, or the context's end.
-func (e *Edge) until(ctx context.Context, at time.Time) {
+// waitUntil waits for a time, or the context's end.
+func (e *Edge) waitUntil(ctx context.Context, at time.Time) {
 	select {
 	case <-time.After(time.Until(at)):
 	case <-ctx.Done():
@@ -238,11 +238,11 @@
 }
 
 func (e *Edge) close() {
-	if e.l != nil {
-		e.l.Close()
+	if e.listener != nil {
+		e.listener.Close()
 	}
-	e.serves.Wait()
-	for i := len(e.closes) - 1; i >= 0; i-- {
-		e.closes[i]()
+	e.serving.Wait()
+	for i := len(e.closers) - 1; i >= 0; i-- {
+		e.closers[i]()
 	}
 }
--- a/edgenode/edge_test.go
+++ b/edgenode/edge_test.go
@@ -191,8 +191,8 @@
 				t.Error(err)
 			}
 		}
-		if len(s.edge.open) > 0 {
-			t.Errorf("ids are still open: %v", s.edge.open)
+		if len(s.edge.openIDs) > 0 {
+			t.Errorf("ids are still open: %v", s.edge.openIDs)
 		}
 		for _, l := range s.ls {
 			l.Close()
--- a/edgenode/protocol/intake.go
+++ b/edgenode/protocol/intake.go
@@ -17,31 +17,31 @@
 
 // The protocol's fields.
 const (
-	FieldID       = "X-Correlation-Id"
-	fieldClass    = "X-Service-Class"
-	fieldPlan     = "X-Plan"
-	fieldQuota    = "X-Quota"
-	fieldRepeat   = "X-Repeat"
-	FieldPatience = "X-Time-Left-Ms"
-	fieldKey      = "Idempotency-Key"
-	fieldCookie   = "Cookie"
-	cookie        = "key"
+	HeaderRequestID      = "X-Correlation-Id"
+	headerClass          = "X-Service-Class"
+	headerPlan           = "X-Plan"
+	headerQuota          = "X-Quota"
+	headerRetry          = "X-Repeat"
+	HeaderClientTimeout  = "X-Time-Left-Ms"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerCookie         = "Cookie"
+	customerCookie       = "key"
 
-	FieldTurnedAway = "X-Unprocessed"
-	Ready           = "/up"
+	HeaderRejection = "X-Unprocessed"
+	ReadinessPath   = "/up"
 )
 
-// once are the fields that say what a request is: more than one of a name could be
+// singleHeaders are the fields that say what a request is: more than one of a name could be
 // read differently by two readers.
-var once = [...]string{FieldID, fieldClass, fieldPlan, fieldQuota, fieldRepeat, FieldPatience, fieldKey, fieldCookie}
+var singleHeaders = [...]string{HeaderRequestID, headerClass, headerPlan, headerQuota, headerRetry, HeaderClientTimeout, headerIdempotencyKey, headerCookie}
 
 const (
-	mostID       = 64      // bytes of an id, or of a key
-	mostCustomer = 1 << 33 // above the highest number of a customer
+	maxIDBytes    = 64      // bytes of an id, or of a key
+	customerLimit = 1 << 33 // above the highest number of a customer
 )
 
-// Intake knows the classes and plans of the settings.
-type Intake struct {
+// Mapper knows the classes and plans of the settings.
+type Mapper struct {
 	set     policy.Settings
 	classes map[string]policy.Class
 	plans   map[string]bool
@@ -49,8 +49,8 @@
 }
 
 // New returns an Intake; ready says whether the node can decide.
-func New(set policy.Settings, ready func() bool) *Intake {
-	in := &Intake{set: set, classes: map[string]policy.Class{}, plans: map[string]bool{}, ready: ready}
+func New(set policy.Settings, ready func() bool) *Mapper {
+	in := &Mapper{set: set, classes: map[string]policy.Class{}, plans: map[string]bool{}, ready: ready}
 	for _, c := range set.Classes {
 		in.classes[c.Name] = c
 	}
@@ -62,9 +62,9 @@
 
 // Admit makes a Try of a call whose header holds end-to-end fields, or the answer
 // that it gets at once.
-func (in *Intake) Admit(c node.Call, _ string) (*node.Request, *node.FinalResponse) {
+func (in *Mapper) Admit(c node.Call, _ string) (*node.Request, *node.FinalResponse) {
 	t := &node.Request{}
-	if c.Target == Ready && c.Method == "GET" {
+	if c.Target == ReadinessPath && c.Method == "GET" {
 		if !in.ready() {
 			return t, &node.FinalResponse{Kind: node.Rejected, Reason: node.ReasonDraining, Detail: "not ready"}
 		}
@@ -78,19 +78,19 @@
 }
 
 // read fills a Try, or says what is wrong with the call.
-func (in *Intake) read(t *node.Request, c *node.Call) (wrong string) {
-	var v [len(once)]string
+func (in *Mapper) read(t *node.Request, c *node.Call) (wrong string) {
+	var v [len(singleHeaders)]string
 	kept := c.Header[:0]
 	for _, f := range c.Header {
 		i := 0
-		for i < len(once) && once[i] != f.Name {
+		for i < len(singleHeaders) && singleHeaders[i] != f.Name {
 			i++
 		}
-		if i < len(once) {
+		if i < len(singleHeaders) {
 			if v[i] != "" {
 				return "the field " + f.Name + " comes twice"
 			}
-			if v[i] = f.Value; f.Name != FieldID && f.Name != fieldKey {
+			if v[i] = f.Value; f.Name != HeaderRequestID && f.Name != headerIdempotencyKey {
 				continue // what is said to this node alone
 			}
 		}
@@ -98,16 +98,16 @@
 	}
 	c.Header = kept
 	id, class, plan, quota, repeat, patience, key, cookies := v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7]
-	if wrong := word(FieldID, id); wrong != "" {
+	if wrong := checkToken(HeaderRequestID, id); wrong != "" {
 		return wrong
 	}
 	t.Trace = id
 	cl, ok := in.classes[class]
 	if !ok {
-		return "the field " + fieldClass + " names no class"
+		return "the field " + headerClass + " names no class"
 	}
 	if t.Class = class; !in.plans[plan] {
-		return "the field " + fieldPlan + " names no plan"
+		return "the field " + headerPlan + " names no plan"
 	}
 	t.Plan = plan
 	if cl.Idempotency == policy.Idempotent {
@@ -118,29 +118,29 @@
 		return "requests of class " + class + " are POST"
 	}
 	if cl.Idempotency == policy.IdempotentWithKey {
-		if wrong := word(fieldKey, key); wrong != "" {
+		if wrong := checkToken(headerIdempotencyKey, key); wrong != "" {
 			return wrong
 		}
 	}
 	if t.Customer = customer(cookies); t.Customer == "" {
-		return "the cookie " + cookie + " names no customer"
+		return "the cookie " + customerCookie + " names no customer"
 	}
 	ms, err := strconv.ParseUint(patience, 10, 31)
 	if err != nil || ms == 0 {
-		return "the field " + FieldPatience + " is no number of milliseconds above 0"
+		return "the field " + HeaderClientTimeout + " is no number of milliseconds above 0"
 	}
 	t.ClientTimeout = min(cl.Deadline, time.Duration(ms)*time.Millisecond)
 	if repeat != "" && repeat != "1" {
-		return "the field " + fieldRepeat + " is not 1"
+		return "the field " + headerRetry + " is not 1"
 	}
 	t.ClientRetry = repeat == "1"
 	return in.quota(t, quota)
 }
 
-// word checks a value that names something.
-func word(field, s string) string {
-	if s == "" || len(s) > mostID {
-		return fmt.Sprintf("the field %s has not 1 to %d bytes", field, mostID)
+// checkToken checks a value that names something.
+func checkToken(field, s string) string {
+	if s == "" || len(s) > maxIDBytes {
+		return fmt.Sprintf("the field %s has not 1 to %d bytes", field, maxIDBytes)
 	}
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
@@ -153,12 +153,12 @@
 // customer is the one that the cookies name, by 16 hex digits; "" where none is.
 func customer(cookies string) (name string) {
 	for c := range strings.SplitSeq(cookies, ";") {
-		v, ok := strings.CutPrefix(strings.TrimSpace(c), cookie+"=")
+		v, ok := strings.CutPrefix(strings.TrimSpace(c), customerCookie+"=")
 		if !ok {
 			continue
 		}
 		n, err := strconv.ParseUint(v, 16, 64)
-		if err != nil || len(v) != 16 || n >= mostCustomer || name != "" {
+		if err != nil || len(v) != 16 || n >= customerLimit || name != "" {
 			return ""
 		}
 		name = strings.ToLower(v)
@@ -167,8 +167,8 @@
 }
 
 // quota reads units and set: each key once, all three, in any order.
-func (in *Intake) quota(t *node.Request, s string) (wrong string) {
-	wrong = "the field " + fieldQuota + " has not units, spread and first within range"
+func (in *Mapper) quota(t *node.Request, s string) (wrong string) {
+	wrong = "the field " + headerQuota + " has not units, spread and first within range"
 	have := 0
 	for part := range strings.SplitSeq(s, ",") {
 		k, v, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -207,15 +207,15 @@
 	return ""
 }
 
-// statuses of failures that say more than 502.
-var statuses = map[node.Reason]int{node.ReasonBadRequest: 400, node.ReasonTooLarge: 413, node.ReasonServerTimeout: 504, node.ReasonNoTime: 504}
+// failureStatuses of failures that say more than 502.
+var failureStatuses = map[node.Reason]int{node.ReasonBadRequest: 400, node.ReasonTooLarge: 413, node.ReasonServerTimeout: 504, node.ReasonNoTime: 504}
 
 // Render makes of an answer the response that a client gets. t may be nil.
-func (in *Intake) Render(_ *node.Request, a node.FinalResponse) *node.Response {
+func (in *Mapper) Render(_ *node.Request, a node.FinalResponse) *node.Response {
 	if a.Kind == node.Served && a.Response != nil {
 		return a.Response
 	}
-	res := &node.Response{Status: statuses[a.Reason], Header: make(http1.Header, 0, 2)}
+	res := &node.Response{Status: failureStatuses[a.Reason], Header: make(http1.Header, 0, 2)}
 	res.Header = append(res.Header, http1.Field{Name: "Content-Type", Value: "text/plain"})
 	switch {
 	case a.Kind == node.Rejected && a.Reason != node.ReasonBadRequest && a.Reason != node.ReasonTooLarge:
--- a/edgenode/protocol/intake_test.go
+++ b/edgenode/protocol/intake_test.go
@@ -148,7 +148,7 @@
 	f.Fuzz(func(t *testing.T, method, id, class, plan, cookies, patience, quota, key, repeat string) {
 		c := node.Call{Method: method, Target: "/"}
 		for i, v := range []string{id, class, plan, quota, repeat, patience, key, cookies} {
-			c.Header.Add(once[i], v)
+			c.Header.Add(singleHeaders[i], v)
 		}
 		try, a := New(set, always).Admit(c, "")
 		if a != nil {
--- a/edgenode/run.go
+++ b/edgenode/run.go
@@ -16,7 +16,7 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-const heapShare = 0.6 // of the memory limit; the rest is for stacks, the program and the kernel's buffers
+const heapFraction = 0.6 // of the memory limit; the rest is for stacks, the program and the kernel's buffers
 
 // Run runs an edge node by the file that NODE_CONFIG names, until SIGTERM or
 // SIGINT. SIGHUP has the file read again; one that can't be read changes nothing.
@@ -34,7 +34,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	debug.SetMemoryLimit(int64(heapShare * cfg.Limits.MemoryMB * (1 << 20)))
+	debug.SetMemoryLimit(int64(heapFraction * cfg.Limits.MemoryMB * (1 << 20)))
 	e, err := Start(cfg, network.OS{}, log)
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
--- a/edgenode/shutdown.go
+++ b/edgenode/shutdown.go
@@ -6,28 +6,28 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// shutdown is when what happens after SIGTERM. It is decided here, without I/O.
-type shutdown struct {
-	accept time.Duration // until then new connections are taken
-	answer time.Duration // what is open then gets its final answer
-	end    time.Duration // what is left is cut
+// shutdownPlan is when what happens after SIGTERM. It is decided here, without I/O.
+type shutdownPlan struct {
+	stopAccepting  time.Duration // until then new connections are taken
+	finalResponses time.Duration // what is open then gets its final answer
+	cutConnections time.Duration // what is left is cut
 }
 
 // The platform's words: new connections come for 0.4 s at most, and SIGKILL no sooner
 // than the longest deadline, counted as 3 s where it is longer, and 0.7 s more.
 const (
-	longestCounted = 3 * time.Second
-	killAfter      = 700 * time.Millisecond
-	acceptFor      = 550 * time.Millisecond
-	lastAnswers    = 250 * time.Millisecond // before SIGKILL: answers have a way to go, and clients close after them
-	lastWork       = 80 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	killGrace          = 700 * time.Millisecond
+	acceptTime         = 550 * time.Millisecond
+	finalResponseTime  = 250 * time.Millisecond // before SIGKILL: answers have a way to go, and clients close after them
+	cleanupTime        = 80 * time.Millisecond
 )
 
-func planShutdown(classes []policy.Class) shutdown {
+func planShutdown(classes []policy.Class) shutdownPlan {
 	longest := time.Duration(0)
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
 	}
-	kill := min(longest, longestCounted) + killAfter
-	return shutdown{accept: min(acceptFor, kill-lastAnswers), answer: kill - lastAnswers, end: kill - lastWork}
+	kill := min(longest, maxCountedDeadline) + killGrace
+	return shutdownPlan{stopAccepting: min(acceptTime, kill-finalResponseTime), finalResponses: kill - finalResponseTime, cutConnections: kill - cleanupTime}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -93,17 +93,17 @@
 	g.closes = append(g.closes, clock.Close)
 	g.o.Network = clock.Watched(o.Network)
 	o.Network = g.o.Network
-	opt := node.Options{Settings: cfg.Settings(), Seed: o.Seed, Logger: o.Log, ResponseMargin: cfg.Limits.AnswerMargin,
-		MaxUnanswered: cfg.Limits.Requests, TimeOrigin: base, Clock: clock, Pause: o.Stall, SendToPeer: func(int, []byte) {}}
-	pool := upstream.New(upstream.Options{Network: o.Network, ConnectTime: cfg.Limits.ConnectTime, Idle: cfg.Limits.IdleUpstream,
-		Limits:     g.limits(cfg.Limits.AnswerBody),
+	opt := node.Options{Settings: cfg.Settings(), Seed: o.Seed, Logger: o.Log, ResponseMargin: cfg.Limits.ResponseMargin,
+		MaxUnanswered: cfg.Limits.MaxUnanswered, TimeOrigin: base, Clock: clock, Pause: o.Stall, SendToPeer: func(int, []byte) {}}
+	pool := upstream.New(upstream.Options{Network: o.Network, ConnectTime: cfg.Limits.ConnectTimeout, Idle: cfg.Limits.MaxIdleUpstream,
+		Limits:     g.limits(cfg.Limits.MaxResponseBody),
 		TurnedAway: g.turnedAway(), HTTP2: cfg.Servers.HTTP2, Stood: clock.Stood})
 	g.closes = append(g.closes, pool.Close)
 	if opt.Upstream = pool; g.o.Carry != nil {
 		opt.Upstream = g.o.Carry(pool)
 	}
-	if a := cfg.Authoriser; a != nil {
-		c, err := ask.Dial(o.Network, a.Addresses, ask.Rules{Body: a.Body, Allowed: a.Allowed, Disallowed: a.Forbidden})
+	if a := cfg.Authorizer; a != nil {
+		c, err := ask.Dial(o.Network, a.Addresses, ask.Rules{Body: a.MaxRequestBody, Allowed: a.AllowedHeaders, Disallowed: a.DisallowedHeaders})
 		if err != nil {
 			return g, fmt.Errorf("authoriser: %w", err)
 		}
@@ -133,7 +133,7 @@
 	if len(cfg.Peers.Addresses) > 0 || cfg.Roster != nil {
 		p := cfg.Peers
 		mail, err := peer.Listen(peer.Options{Network: o.Network, Listen: p.Listen, Addresses: p.Addresses, Me: cfg.Number,
-			Keys: peer.NewKeyring(p.Keys, p.KeyFile, o.Log), Incarnation: inc, Freshness: p.Freshness, Rate: p.MailPerSecond, Log: o.Log, Wall: o.Wall,
+			Keys: peer.NewKeyring(p.Keys, p.KeyFile, o.Log), Incarnation: inc, Freshness: p.MaxMessageAge, Rate: p.MessagesPerSecond, Log: o.Log, Wall: o.Wall,
 			Deliver: deliver})
 		if err != nil {
 			return g, err
@@ -236,17 +236,17 @@
 
 func (g *Gateway) limits(body int64) http1.Limits {
 	l := g.cfg.Limits
-	return http1.Limits{Line: l.Line, Fields: l.Fields, Header: l.Header, Body: body}
+	return http1.Limits{Line: l.MaxLineBytes, Fields: l.MaxHeaderFields, Header: l.MaxHeaderBytes, Body: body}
 }
 
 func authzSettings(cfg *config.Config, seed uint64) authz.Settings {
-	names := map[config.Authorisation]authz.Mode{config.Skip: authz.Skip, config.RefuseClass: authz.Refuse,
-		config.AllowClass: authz.Allow}
-	a := cfg.Authoriser
+	names := map[config.AuthorizationMode]authz.Mode{config.SkipAuthorization: authz.Skip, config.FailClosed: authz.Refuse,
+		config.FailOpen: authz.Allow}
+	a := cfg.Authorizer
 	s := authz.Settings{Classes: map[string]authz.Class{}, Plans: map[string]authz.Plan{}, Targets: len(a.Addresses),
-		Timeout: a.Timeout, Most: a.MostOut, Seed: seed}
+		Timeout: a.Timeout, Most: a.MaxInFlight, Seed: seed}
 	for _, c := range cfg.Classes {
-		s.Classes[c.Name] = authz.Class{Mode: names[c.Authorisation], Aim: c.LatencyObjective, Worth: c.Worth, Remember: c.Remember}
+		s.Classes[c.Name] = authz.Class{Mode: names[c.Authorization], Aim: c.LatencyObjective, Worth: c.PriorityWeight, Remember: c.AuthorizationCacheTTL}
 	}
 	for _, p := range cfg.Plans {
 		s.Plans[p.Name] = authz.Plan{Rate: p.Rate, Burst: p.Burst}
@@ -288,17 +288,17 @@
 func (g *Gateway) http2(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp2.Server {
 	lim := g.cfg.Limits
 	const heldBodies = 4 // whole bodies that one connection may have held
-	return fronthttp2.New(fronthttp2.Options{Node: g.node, Intake: in, Log: log, Name: g.name(l) + "h2", HeaderBytes: lim.Header,
-		Fields: lim.Fields, Body: lim.Body, Held: heldBodies * max(lim.Body, 64<<10), Streams: lim.Streams, Abuse: lim.Abuse,
-		HeaderTime: lim.HeaderTime, BodyTime: lim.BodyTime, IdleTime: lim.IdleTime, WriteTime: lim.WriteTime, Connections: lim.Connections})
+	return fronthttp2.New(fronthttp2.Options{Node: g.node, Intake: in, Log: log, Name: g.name(l) + "h2", HeaderBytes: lim.MaxHeaderBytes,
+		Fields: lim.MaxHeaderFields, Body: lim.MaxRequestBody, Held: heldBodies * max(lim.MaxRequestBody, 64<<10), Streams: lim.MaxStreams, Abuse: lim.FrameBudget,
+		HeaderTime: lim.HeaderTimeout, BodyTime: lim.BodyTimeout, IdleTime: lim.IdleTimeout, WriteTime: lim.WriteTimeout, Connections: lim.MaxConnections})
 }
 
 func (g *Gateway) http1(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp.Server {
 	lim := g.cfg.Limits
-	return fronthttp.New(fronthttp.Options{Node: g.node, Intake: in, Log: log, Limits: g.limits(lim.Body),
+	return fronthttp.New(fronthttp.Options{Node: g.node, Intake: in, Log: log, Limits: g.limits(lim.MaxRequestBody),
 		Name:       g.name(l),
-		HeaderTime: lim.HeaderTime, BodyTime: lim.BodyTime, IdleTime: lim.IdleTime, WriteTime: lim.WriteTime,
-		Connections: lim.Connections})
+		HeaderTime: lim.HeaderTimeout, BodyTime: lim.BodyTimeout, IdleTime: lim.IdleTimeout, WriteTime: lim.WriteTimeout,
+		Connections: lim.MaxConnections})
 }
 
 func (g *Gateway) serve(log *slog.Logger, nl net.Listener, serve func(net.Listener) error, drain func(context.Context)) {
@@ -316,7 +316,7 @@
 }
 
 func (g *Gateway) turnedAway() upstream.TurnedAway {
-	return upstream.TurnedAway{Status: g.cfg.Servers.TurnedAwayStatus, Header: g.cfg.Servers.TurnedAwayHeader}
+	return upstream.TurnedAway{Status: g.cfg.Servers.RejectionStatus, Header: g.cfg.Servers.RejectionHeader}
 }
 
 // Drain stops in order: no new connections, what is held ends, the rest is
--- a/gateway/tls.go
+++ b/gateway/tls.go
@@ -49,7 +49,7 @@
 // stampOf tells whether the files have changed.
 func (t *tlsFront) stampOf() (string, error) {
 	s := ""
-	for _, path := range []string{t.l.Cert, t.l.Key} {
+	for _, path := range []string{t.l.CertFile, t.l.KeyFile} {
 		info, err := os.Stat(path)
 		if err != nil {
 			return "", err
@@ -64,9 +64,9 @@
 	if err != nil {
 		return err
 	}
-	cert, err := tls.LoadX509KeyPair(t.l.Cert, t.l.Key)
+	cert, err := tls.LoadX509KeyPair(t.l.CertFile, t.l.KeyFile)
 	if err != nil {
-		return fmt.Errorf("certificate %s with key %s: %w", t.l.Cert, t.l.Key, err)
+		return fmt.Errorf("certificate %s with key %s: %w", t.l.CertFile, t.l.KeyFile, err)
 	}
 	t.cert, t.stamp = &cert, stamp
 	return nil
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -61,8 +61,8 @@
 			Network:    g.o.Network,
 			Addresses:  counter.Addresses,
 			ClientName: fmt.Sprintf("node-%d", g.cfg.Number),
-			Timeout:    counter.Limit,
-			Retention:  counter.Keep,
+			Timeout:    counter.Timeout,
+			Retention:  counter.Retention,
 		}),
 	}
 	g.closes = append(g.closes, r.client.Close)
@@ -84,9 +84,9 @@
 		Self:                  usage.WriterID{Node: cfg.Number, Incarnation: incarnation},
 		Shards:                len(counter.Addresses),
 		Window:                counter.Window,
-		RetainedWindows:       int(counter.Keep / counter.Window),
-		CallsPerSecond:        counter.Calls / float64(gateways),
-		PeerMessagesPerSecond: cfg.Peers.MailPerSecond * usageMessageShare,
+		RetainedWindows:       int(counter.Retention / counter.Window),
+		CallsPerSecond:        counter.CallsPerSecond / float64(gateways),
+		PeerMessagesPerSecond: cfg.Peers.MessagesPerSecond * usageMessageShare,
 		Plans:                 plans,
 	}
 }
@@ -112,8 +112,8 @@
 func (r *usageRecorder) assignPeers(gateways int) {
 	clear(r.peersByCustomer)
 	for _, customer := range r.gateway.cfg.Customers {
-		for i := range min(customer.Nodes, gateways) {
-			peer := (customer.First + i) % gateways
+		for i := range min(customer.GatewaySpread, gateways) {
+			peer := (customer.FirstGateway + i) % gateways
 			r.peersByCustomer[customer.Name] = append(r.peersByCustomer[customer.Name], peer)
 		}
 	}
@@ -122,7 +122,7 @@
 // resize follows a change of the fleet's size.
 func (r *usageRecorder) resize(gateways int) {
 	r.assignPeers(gateways)
-	r.tracker.SetCallsPerSecond(r.gateway.cfg.Counter.Calls / float64(gateways))
+	r.tracker.SetCallsPerSecond(r.gateway.cfg.Counter.CallsPerSecond / float64(gateways))
 }
 
 // RequestSeen implements node.UsageRecorder.
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -137,7 +137,7 @@
 		name   string
 		joined bool
 	}{{in.cfg.Clients.KeyHeader, customer == nil}, {fieldKey, false}, {fieldTrace, false}, {fieldAttempt, true},
-		{in.cfg.Clients.PatienceHeader, true}} {
+		{in.cfg.Clients.ClientTimeoutHeader, true}} {
 		if differs(c.Header, f.name, f.joined) {
 			return t, refusal(node.ReasonBadRequest, "the field %s comes with values that differ", f.name)
 		}
@@ -145,7 +145,7 @@
 	if customer == nil {
 		return t, refusal(node.ReasonUnknownKey, "the field %s names no customer", in.cfg.Clients.KeyHeader)
 	}
-	t.Customer, t.Plan, t.FirstGateway, t.GatewaySpread = customer.Name, customer.Plan, customer.First, customer.Nodes
+	t.Customer, t.Plan, t.FirstGateway, t.GatewaySpread = customer.Name, customer.Plan, customer.FirstGateway, customer.GatewaySpread
 	var class *config.Class
 	if m := in.routes.plain[c.Method]; m != nil {
 		class = m.find(strings.TrimPrefix(path, "/"))
@@ -158,10 +158,10 @@
 		return t, refusal(node.ReasonBadRequest, "requests of class %s need the field %s", class.Name, fieldKey)
 	}
 	t.ClientTimeout = class.Deadline
-	if v := c.Header.Get(in.cfg.Clients.PatienceHeader); v != "" {
+	if v := c.Header.Get(in.cfg.Clients.ClientTimeoutHeader); v != "" {
 		ms, err := strconv.ParseUint(v, 10, 31)
 		if err != nil {
-			return t, refusal(node.ReasonBadRequest, "the field %s is not a number of milliseconds", in.cfg.Clients.PatienceHeader)
+			return t, refusal(node.ReasonBadRequest, "the field %s is not a number of milliseconds", in.cfg.Clients.ClientTimeoutHeader)
 		}
 		t.ClientTimeout = min(t.ClientTimeout, time.Duration(ms)*time.Millisecond)
 	}
