--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,3 @@
-// Package config reads a node's configuration in HCL and checks all of it:
-// every mistake is reported with file, line and what would be right.
 package config
 
 import (
@@ -10,26 +8,27 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Config is a checked configuration.
+// Config is a checked configuration. It is not changed after Parse returns it, so any
+// number of goroutines may read it.
 type Config struct {
-	Number   int    // this node's, from 0
-	Name     string // by which the roster knows it; "" without one
-	Zone     string // the room it stands in
-	StateDir string // where it remembers things across restarts; "": nowhere
+	Number   int    // this gateway's number, from 0 (default) to 65535; a roster replaces it
+	Name     string // this gateway's name in the roster; "" (default) without one
+	Zone     string // the zone this gateway stands in; "" by default
+	StateDir string // directory of what outlives a restart; "" (default): nothing is stored
 
-	LogLevel slog.Level
-	LogJSON  bool
+	LogLevel slog.Level // info by default
+	LogJSON  bool       // log lines are JSON; text by default
 
-	Listeners  []Listener
+	Listeners  []Listener // at least one
 	Clients    Clients
-	Classes    []Class
-	Plans      []policy.Plan
+	Classes    []Class       // at least one
+	Plans      []policy.Plan // at least one
 	Customers  []Customer
 	Peers      Peers
-	Roster     *membership.Roster // as it was at the start; nil: the fleet is what Peers says
+	Roster     *membership.Roster // as the file had it at the start; nil: Peers lists the fleet
 	Servers    Servers
-	Authorizer *Authorizer
-	Counter    *Counter
+	Authorizer *Authorizer // nil: no class is authorized
+	Counter    *Counter    // nil: usage is summed by the gateways alone
 	Limits     Limits
 }
 
@@ -40,149 +39,172 @@
 const (
 	HTTP     ListenerKind = "http"      // HTTP/1.1
 	HTTP2    ListenerKind = "http2"     // HTTP/2 by prior knowledge
-	HTTPS    ListenerKind = "https"     // both behind TLS, as ALPN says
-	ExtAuthz ListenerKind = "ext_authz" // gRPC
+	HTTPS    ListenerKind = "https"     // both behind TLS, by ALPN
+	ExtAuthz ListenerKind = "ext_authz" // Envoy's external authorization over gRPC
 )
 
-// Listener is an address that clients or proxies reach the node at.
+// Listener is an address at which clients or proxies reach the gateway.
 type Listener struct {
 	Kind     ListenerKind
-	Name     string
-	Address  string
-	CertFile string // of HTTPS: files in PEM, read again when they change
-	KeyFile  string
+	Name     string // unique among listeners
+	Address  string // host:port
+	CertFile string // certificate chain in PEM, reloaded when the file changes; HTTPS only
+	KeyFile  string // private key in PEM, reloaded when the file changes; HTTPS only
 }
 
-// Clients says how requests tell who asks and for how long.
+// Clients names the header fields of requests that the gateway reads.
 type Clients struct {
-	KeyHeader           string // names the customer by one of its keys
-	ClientTimeoutHeader string // milliseconds until the client gives up this try
-	MaxRetryAfter       time.Duration
+	KeyHeader           string        // identifies the customer by one of its keys; X-Api-Key by default
+	ClientTimeoutHeader string        // milliseconds until the client gives up; Envoy's field by default
+	MaxRetryAfter       time.Duration // longest Retry-After that is sent; 0 to 1 h, default 1 s
 }
 
 // Class is a class of requests with the routes that lead to it.
 type Class struct {
 	policy.Class
-	Units                 float64
-	PriorityWeight        float64 // against other classes
-	Authorization         AuthorizationMode
-	AuthorizationCacheTTL time.Duration // an authoriser's answer stands in for so long where it gives none; 0: never
-	Routes                []Route
+	Units          float64 // quota units that a request uses; 1 (default) to 1000
+	PriorityWeight float64 // relative to other classes; 0 to 1e6, default 1
+	Authorization  AuthorizationMode
+	// AuthorizationCacheTTL is for how long an earlier result replaces one that the
+	// authorizer does not give; 0 (default, never) to 24 h.
+	AuthorizationCacheTTL time.Duration
+	Routes                []Route // at least one
 }
 
-// AuthorizationMode says whether a class is put to the authoriser, and what
-// happens when that gives no answer in time.
+// AuthorizationMode says whether requests of a class are authorized, and what happens to
+// them when the authorizer gives no result in time.
 type AuthorizationMode string
 
-// The modes.
+// The authorization modes.
 const (
-	SkipAuthorization AuthorizationMode = "skip"   // it is not asked
-	FailClosed        AuthorizationMode = "refuse" // no answer: refused
-	FailOpen          AuthorizationMode = "allow"  // no answer: let pass
+	SkipAuthorization AuthorizationMode = "skip"   // the authorizer is not called
+	FailClosed        AuthorizationMode = "refuse" // without a result the request is rejected
+	FailOpen          AuthorizationMode = "allow"  // without a result the request goes on
 )
 
-// Route names the requests of a class. A path is made of segments; {name}
-// stands for any one segment, {name...} at the end for all that follow.
+// Route matches requests of a class. {name} in the path stands for any one segment,
+// {name...} at its end for all the segments that follow.
 type Route struct{ Method, Path string }
 
-// Customer is who a quota is for.
+// Customer is the owner of a quota.
 type Customer struct {
-	Name          string
-	Plan          string
-	Keys          []string
-	FirstGateway  int // its requests come in through Spread nodes counted round from First
+	Name string
+	Plan string   // name of one of Config.Plans
+	Keys []string // each belongs to one customer
+
+	// The customer's requests arrive at GatewaySpread gateways, counted on from number
+	// FirstGateway, around the end. Defaults: 0 and the whole fleet.
+	FirstGateway  int
 	GatewaySpread int
 }
 
-// Peers says how the nodes of a fleet reach each other.
+// Peers says how the gateways of a fleet reach each other.
 type Peers struct {
-	RosterFile        string // read again when it changes; "": the addresses below are all
-	Listen            string
-	Addresses         map[int]string // by number, this node's left out
-	Keys              [][]byte       // of 32 bytes; the first seals, all open
-	KeyFile           string         // read again when it changes; "": the keys stay
-	MessagesPerSecond float64        // messages a node takes in
-	MaxMessageAge     time.Duration  // a message sent longer ago is dropped
+	RosterFile        string         // reloaded when it changes; "": Addresses is the fleet
+	Listen            string         // host:port for datagrams
+	Addresses         map[int]string // host:port by gateway number, without this gateway's
+	Keys              [][]byte       // of 32 bytes; the first seals messages, each opens them
+	KeyFile           string         // reloaded when it changes; "": Keys is fixed
+	MessagesPerSecond float64        // that a gateway takes in; 1 to 1e6, default 60
+	MaxMessageAge     time.Duration  // older messages are dropped; 100 ms to 1 h, default 10 s
 }
 
-// Server is one line of a static server list.
+// Server is one entry of a static server list.
 type Server struct {
 	Name    string
-	Address string
-	Zone    string
-	Cell    int
-	Weight  float64
+	Address string  // host:port
+	Zone    string  // "" by default
+	Cell    int     // deduplication cell; 0 (default) to 1e9
+	Weight  float64 // capacity relative to other servers; 0.001 to 1e6, default 1
 }
 
-// Servers says where the servers are known from and what may be asked of them.
+// Servers says where the list of servers comes from, and what the servers can do.
 type Servers struct {
-	Static     []Server
-	EDSAddress string // of an xDS management server; "": none
-	EDSCluster string
+	Static     []Server // empty where EDS is the source
+	EDSAddress string   // host:port of an xDS management server; "": Static is the source
+	EDSCluster string   // name of the cluster to watch there
 
-	InitialCapacity    float64
-	WarmupTime         time.Duration
-	ColdOverloadFactor float64
-	ColdOverloadTime   time.Duration
+	InitialCapacity    float64       // share of a warm server's capacity that a cold one has; 0.001 to 1, default 0.2
+	WarmupTime         time.Duration // within which it grows to 1; 0 (default) to 1 h
+	ColdOverloadFactor float64       // multiple of its capacity beyond which a cold server fails; 1 to 1000, default 2
+	ColdOverloadTime   time.Duration // for which it then fails; 1 ms to 1 min, default 1 s
 
-	// A response of this status with this field proves that nothing ran.
-	HTTP2 bool // servers speak HTTP/2, by prior knowledge
+	HTTP2 bool // servers speak HTTP/2 by prior knowledge; HTTP/1.1 by default
 
-	RejectionStatus int
-	RejectionHeader string
+	// A response with this status and this header field proves that the request did not
+	// run. RejectionStatus 0: no response proves it.
+	RejectionStatus int    // 400 to 599
+	RejectionHeader string // in canonical form
 }
 
-// Authorizer is the external authorisation service.
+// Authorizer is the external authorization service.
 type Authorizer struct {
-	Addresses         []string
-	Timeout           time.Duration // most time one Check may take
-	MaxInFlight       int           // most Checks out at once at one address
-	MaxRequestBody    int           // bytes of a request's body that it is sent; 0: none
-	AllowedHeaders    []string      // header fields it is sent; empty: all
-	DisallowedHeaders []string      // and those it is not
+	Addresses         []string      // host:port; at least one
+	Timeout           time.Duration // of one check; 1 ms to 1 min, default 200 ms
+	MaxInFlight       int           // checks in flight at one address; 1 to 1e6, default 1000
+	MaxRequestBody    int           // bytes of a request's body in a check; 0 (default, none) to 1 MiB
+	AllowedHeaders    []string      // header fields in a check, in canonical form; empty: all
+	DisallowedHeaders []string      // fields left out of it
 }
 
-// Counter is the shared counter, of one or several parts, on RESP.
+// Counter is the shared usage counter, of one or more shards that speak RESP.
 type Counter struct {
-	Addresses      []string // of its parts; a customer's name picks one
-	CallsPerSecond float64  // commands a second for the whole fleet
-	Timeout        time.Duration
-	Window         time.Duration // totals are kept for each window of time
-	Retention      time.Duration // for so long
+	Addresses      []string      // host:port of each shard; the customer's name selects one
+	CallsPerSecond float64       // of the whole fleet; 1 to 1e6, default 500
+	Timeout        time.Duration // of one call; 1 ms to 1 min, default 80 ms
+	Window         time.Duration // a total is counted for each; 1 s to 24 h, default 1 min
+	Retention      time.Duration // of a total; 1 s to 30 days, at least two windows, default 1 h
 }
 
-// Limits bounds what the node takes on.
+// Limits bounds what the gateway accepts and for how long it waits. All are safe to raise
+// only as far as memory and file descriptors last.
 type Limits struct {
-	MaxLineBytes, MaxHeaderFields, MaxHeaderBytes int // bytes of a line, fields and bytes of a header
-	MaxRequestBody                                int64
-	MaxResponseBody                               int64         // bytes of a server's response
-	HeaderTimeout                                 time.Duration // from a connection's first byte to the whole header
-	BodyTimeout                                   time.Duration // and to the whole body
-	IdleTimeout                                   time.Duration // a connection without a request is closed after it
-	WriteTimeout                                  time.Duration // for a client to take an answer
-	MaxConnections                                int           // of clients, per listener
-	MaxStreams                                    int           // of HTTP/2, open at once on one connection
-	FrameBudget                                   int           // resets, pings, settings and empty frames at once on one connection, a tenth of it a second
-	MaxUnanswered                                 int           // not answered yet
-	ResponseMargin                                time.Duration // answers leave so long before the client gives up
-	ConnectTimeout                                time.Duration // to connect to a server
-	MaxIdleUpstream                               int           // idle connections kept to each server
-	MaxAttempts                                   int           // for one request
+	MaxLineBytes    int           // of a request line or header line; 256 B to 1 MiB, default 8 KiB
+	MaxHeaderFields int           // of a message; 8 to 10,000, default 100
+	MaxHeaderBytes  int           // of a message; 1 KiB to 16 MiB, default 32 KiB
+	MaxRequestBody  int64         // bytes; 0 to 1 GiB, default 1 MiB
+	MaxResponseBody int64         // bytes of a server's response; 0 to 1 GiB, default 8 MiB
+	HeaderTimeout   time.Duration // from a request's first byte to its whole header; 1 ms to 1 h, default 5 s
+	BodyTimeout     time.Duration // from a request's first byte to its whole body; 1 ms to 1 h, default 10 s
+	IdleTimeout     time.Duration // of a connection without a request; 1 ms to 24 h, default 5 min
+	WriteTimeout    time.Duration // for a client to take in a response; 1 ms to 1 h, default 10 s
+	MaxConnections  int           // from clients, for each listener; 1 to 1e6, default 20,000
+	MaxStreams      int           // in flight on one HTTP/2 connection; 1 to 100,000, default 100
+	// FrameBudget is how many resets, pings, settings and empty frames one HTTP/2
+	// connection may send at once; a tenth of it returns each second. 10 to 1e6, default 200.
+	FrameBudget     int
+	MaxUnanswered   int           // requests without a final response; 1 to 1e6, default 20,000
+	ResponseMargin  time.Duration // responses leave so long before the client gives up; 0 to 1 min, default 10 ms
+	ConnectTimeout  time.Duration // to a server; 1 ms to 1 min, default 250 ms
+	MaxIdleUpstream int           // idle connections to each server; 0 to 100,000, default 64
+	MaxAttempts     int           // for one request; 1 to 100, default 3
 }
 
-// Settings makes the module's settings.
+// Settings returns the settings of the policy that follow from the configuration.
 func (c *Config) Settings() policy.Settings {
 	s := policy.Settings{
-		SelfIndex: c.Number, Gateways: len(c.Peers.Addresses) + 1, Zone: c.Zone, Plans: c.Plans,
-		Resolution: time.Millisecond, MaxAttempts: c.Limits.MaxAttempts, CanCancel: true,
-		CanMessagePeers: len(c.Peers.Addresses) > 0 || c.Roster != nil, PeerMessagesPerSecond: c.Peers.MessagesPerSecond,
-		MaxRetryAfter: c.Clients.MaxRetryAfter, WeightIsCapacity: true,
-		InitialCapacity: c.Servers.InitialCapacity, WarmupTime: c.Servers.WarmupTime,
-		ColdOverloadFactor: c.Servers.ColdOverloadFactor, ColdOverloadTime: c.Servers.ColdOverloadTime,
+		SelfIndex: c.Number,
+		Gateways:  len(c.Peers.Addresses) + 1,
+		Zone:      c.Zone,
+		Plans:     c.Plans,
+
+		Resolution:  time.Millisecond,
+		MaxAttempts: c.Limits.MaxAttempts,
+		CanCancel:   true,
+
+		CanMessagePeers:       len(c.Peers.Addresses) > 0 || c.Roster != nil,
+		PeerMessagesPerSecond: c.Peers.MessagesPerSecond,
+
+		MaxRetryAfter:      c.Clients.MaxRetryAfter,
+		WeightIsCapacity:   true,
+		InitialCapacity:    c.Servers.InitialCapacity,
+		WarmupTime:         c.Servers.WarmupTime,
+		ColdOverloadFactor: c.Servers.ColdOverloadFactor,
+		ColdOverloadTime:   c.Servers.ColdOverloadTime,
 	}
-	for _, cl := range c.Classes {
-		s.Classes = append(s.Classes, cl.Class)
-		s.MaxRequestUnits = max(s.MaxRequestUnits, cl.Units)
+	for _, class := range c.Classes {
+		s.Classes = append(s.Classes, class.Class)
+		s.MaxRequestUnits = max(s.MaxRequestUnits, class.Units)
 	}
 	return s
 }
--- /dev/null
+++ b/config/counter.go
@@ -0,0 +1,27 @@
+package config
+
+import "time"
+
+// minRetainedWindows is how many windows a total outlives: gateways still read the last
+// window while they count the present one.
+const minRetainedWindows = 2
+
+func (l *loader) counter(in *counterBlock) {
+	if in == nil {
+		return
+	}
+	c := &Counter{
+		CallsPerSecond: l.number(in.CallsPerSecond, numberBounds{Default: 500, Min: 1, Max: 1e6}),
+		Timeout:        l.duration(in.Timeout, durationBounds{Default: 80 * time.Millisecond, Min: time.Millisecond, Max: time.Minute}),
+		Window:         l.duration(in.Window, durationBounds{Default: time.Minute, Min: time.Second, Max: day}),
+		Retention:      l.duration(in.Retention, durationBounds{Default: time.Hour, Min: time.Second, Max: 30 * day}),
+		Addresses:      l.addresses(in.Addresses),
+	}
+	if len(c.Addresses) == 0 {
+		l.mistake(in.Addresses.Range(), "No address", "At least one part of the counter is needed.")
+	}
+	if shortest := minRetainedWindows * c.Window; c.Retention < shortest {
+		l.mistake(rangeOf(in.Retention, in.Addresses), "Kept too shortly", "Totals must be kept for at least two windows, %v.", shortest)
+	}
+	l.config.Counter = c
+}
--- a/config/config_test.go
+++ b/config/load_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -17,7 +18,7 @@
 	return string(b)
 }
 
-func TestExample(t *testing.T) {
+func TestExampleIsValid(t *testing.T) {
 	cfg, err := Parse([]byte(example(t)), "example.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +30,7 @@
 }
 
 // Every mistake names its line and says what would be right.
-func TestMistakes(t *testing.T) {
+func TestMistakeSaysWhatWouldBeRight(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`effect        = "safe"`, `effect = "saef"`, `One of these is needed here: "safe", "keyed", "unsafe"`},
 		{`effect        = "safe"`, `efect = "safe"`, `Did you mean "effect"?`},
@@ -90,7 +91,7 @@
 	}
 }
 
-func TestLine(t *testing.T) {
+func TestMistakeNamesItsLine(t *testing.T) {
 	src := example(t)
 	for _, old := range []string{`aim           = "800ms"`, `burst = 5`, `plan = "basic"`} {
 		at := strings.Index(src, old)
@@ -101,11 +102,10 @@
 	}
 }
 
-// All mistakes are told at once.
-func TestAllMistakes(t *testing.T) {
+func TestParseReportsAllMistakes(t *testing.T) {
 	_, err := Parse([]byte("plan \"a\" { rate = 1 }\nnode { number = \"x\" }\nwhat {}\n"), "node.hcl")
-	m, ok := err.(*Mistakes)
-	if !ok || len(m.Diagnostics) < 6 { // burst, number, what, listener, class, servers
+	var m *Mistakes
+	if !errors.As(err, &m) || len(m.Diagnostics) < 6 { // burst, number, what, listener, class, servers
 		t.Errorf("%v", err)
 	}
 }
--- a/config/roster.go
+++ b/config/roster.go
@@ -15,7 +15,8 @@
 	"yardcleat.example/yardcleat/membership"
 )
 
-// LoadRoster reads the roster of a fleet from a file.
+// LoadRoster reads the roster of a fleet from a file. The error is that of os.ReadFile or
+// of ParseRoster.
 func LoadRoster(path string) (*membership.Roster, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -24,59 +25,88 @@
 	return ParseRoster(src, path)
 }
 
-// ParseRoster reads a roster; the name is for messages, which name its lines.
+// rosterFile is a roster's file as HCL decodes it. The tags are the keys that users write.
+type rosterFile struct {
+	Epoch   int                  `hcl:"epoch"`
+	Gone    []string             `hcl:"gone,optional"`
+	Nodes   []rosterNodeBlock    `hcl:"node,block"`
+	Leaving []rosterLeavingBlock `hcl:"leaving,block"`
+}
+
+type rosterNodeBlock struct {
+	Name     string    `hcl:"name,label"`
+	Address  string    `hcl:"address"`
+	DefRange hcl.Range `hcl:",def_range"`
+}
+
+type rosterLeavingBlock struct {
+	Name     string    `hcl:"name,label"`
+	Number   int       `hcl:"number"`
+	Address  string    `hcl:"address"`
+	DefRange hcl.Range `hcl:",def_range"`
+}
+
+// AddressError is the error of ParseRoster for an address that is not host:port.
+type AddressError struct {
+	File    string
+	Line    int // from 1
+	Address string
+}
+
+func (e *AddressError) Error() string {
+	return fmt.Sprintf("%s:%d: %q is not an address such as \"10.0.0.1:7000\"", e.File, e.Line, e.Address)
+}
+
+// ParseRoster reads a roster; the name of its file is for messages, which have its lines.
+// Of several wrong addresses the error joins one *AddressError each.
 func ParseRoster(src []byte, name string) (*membership.Roster, error) {
-	var in struct {
-		Epoch int      `hcl:"epoch"`
-		Gone  []string `hcl:"gone,optional"`
-		Nodes []struct {
-			Name    string    `hcl:"name,label"`
-			Address string    `hcl:"address"`
-			At      hcl.Range `hcl:",def_range"`
-		} `hcl:"node,block"`
-		Leaving []struct {
-			Name    string    `hcl:"name,label"`
-			Number  int       `hcl:"number"`
-			Address string    `hcl:"address"`
-			At      hcl.Range `hcl:",def_range"`
-		} `hcl:"leaving,block"`
-	}
-	f, diags := hclparse.NewParser().ParseHCL(src, name)
-	if !diags.HasErrors() {
-		diags = append(diags, gohcl.DecodeBody(f.Body, nil, &in)...)
-	}
-	if diags.HasErrors() {
-		return nil, errors.Join(diags.Errs()...)
+	in, err := decodeRoster(src, name)
+	if err != nil {
+		return nil, err
 	}
 	if in.Epoch < 0 {
 		return nil, fmt.Errorf("%s: the epoch is below 0", name)
 	}
-	address := func(a string, at hcl.Range) error {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			return fmt.Errorf("%s:%d: %q is not an address such as \"10.0.0.1:7000\"", at.Filename, at.Start.Line, a)
-		}
-		return nil
-	}
-	r := &membership.Roster{Epoch: uint64(in.Epoch), Gone: in.Gone}
+	roster := &membership.Roster{Epoch: uint64(in.Epoch), Gone: in.Gone}
 	var errs []error
 	for _, n := range in.Nodes {
-		errs = append(errs, address(n.Address, n.At))
-		r.Nodes = append(r.Nodes, membership.Node{Name: n.Name, Address: n.Address})
+		errs = append(errs, checkRosterAddress(n.Address, n.DefRange))
+		roster.Nodes = append(roster.Nodes, membership.Node{Name: n.Name, Address: n.Address})
 	}
-	for _, l := range in.Leaving {
-		errs = append(errs, address(l.Address, l.At))
-		r.Leaving = append(r.Leaving, membership.Leaver{Number: l.Number, Node: membership.Node{Name: l.Name, Address: l.Address}})
+	for _, n := range in.Leaving {
+		errs = append(errs, checkRosterAddress(n.Address, n.DefRange))
+		leaver := membership.Leaver{Number: n.Number, Node: membership.Node{Name: n.Name, Address: n.Address}}
+		roster.Leaving = append(roster.Leaving, leaver)
 	}
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	if err := r.Check(); err != nil {
+	if err := roster.Check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return r, nil
+	return roster, nil
+}
+
+func decodeRoster(src []byte, name string) (in rosterFile, err error) {
+	parsed, diags := hclparse.NewParser().ParseHCL(src, name)
+	if !diags.HasErrors() {
+		diags = append(diags, gohcl.DecodeBody(parsed.Body, nil, &in)...)
+	}
+	if diags.HasErrors() {
+		return in, errors.Join(diags.Errs()...)
+	}
+	return in, nil
+}
+
+// checkRosterAddress returns nil or an *AddressError at a place.
+func checkRosterAddress(address string, at hcl.Range) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return &AddressError{File: at.Filename, Line: at.Start.Line, Address: address}
+	}
+	return nil
 }
 
-// WriteRoster makes the file that ParseRoster reads back.
+// WriteRoster returns the text of a file that ParseRoster reads back as the same roster.
 func WriteRoster(r *membership.Roster) []byte {
 	f := hclwrite.NewEmptyFile()
 	body := f.Body()
--- a/config/roster_test.go
+++ b/config/roster_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
@@ -8,7 +9,7 @@
 	"yardcleat.example/yardcleat/membership"
 )
 
-func TestRosterFile(t *testing.T) {
+func TestRosterIsReadBackAsWritten(t *testing.T) {
 	r := &membership.Roster{Epoch: 7, Nodes: []membership.Node{{Name: "a", Address: "10.0.0.1:7000"}, {Name: "b", Address: "10.0.0.2:7000"}},
 		Leaving: []membership.Leaver{{Number: 2, Node: membership.Node{Name: "c", Address: "10.0.0.3:7000"}}}, Gone: []string{"d", "e"}}
 	back, err := ParseRoster(WriteRoster(r), "r.hcl")
@@ -28,3 +29,16 @@
 		}
 	}
 }
+
+func TestParseRosterReturnsEachAddressError(t *testing.T) {
+	text := "epoch = 1\nnode \"a\" {\n  address = \"nowhere\"\n}\nleaving \"b\" {\n  number  = 1\n  address = \"there\"\n}\n"
+	_, err := ParseRoster([]byte(text), "r.hcl")
+	var e *AddressError
+	if !errors.As(err, &e) || e.File != "r.hcl" || e.Line != 2 || e.Address != "nowhere" {
+		t.Errorf("%v", err)
+	}
+	const want = "r.hcl:2: \"nowhere\" is not an address such as \"10.0.0.1:7000\"\nr.hcl:5: \"there\" is not an address such as \"10.0.0.1:7000\""
+	if err == nil || err.Error() != want {
+		t.Errorf("%v, want %s", err, want)
+	}
+}
