--- a/edgenode/config.go
+++ b/edgenode/config.go
@@ -1,5 +1,3 @@
-// Package edgenode runs a node as an edge node of the users' platform: its
-// configuration, its life and its protocol, on the parts that every node has.
 package edgenode
 
 import (
@@ -8,7 +6,6 @@
 	"fmt"
 	"os"
 	"strconv"
-	"strings"
 	"time"
 
 	"yardcleat.example/yardcleat/edgenode/discovery"
@@ -16,36 +13,57 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Config is what the platform tells an edge node at its start (NODE_CONFIG).
+// Config is what the platform tells an edge node at its start. The JSON keys are the
+// platform's. It is not changed after Parse returns it, so any number of goroutines may
+// read it.
 type Config struct {
 	Name      string `json:"name"`
-	Listen    string `json:"listen"`
-	Discovery string `json:"discovery"`
-	Seed      string `json:"seed"` // hex
+	Listen    string `json:"listen"`    // host:port for clients
+	Discovery string `json:"discovery"` // host:port of the discovery agent
+	Seed      string `json:"seed"`      // of random choices; 64 bits in hex
 	Limits    Limits `json:"limits"`
 
-	PeerListen string   `json:"peer_listen"`
-	Peers      []string `json:"peers"` // by number, this node's own among them
-	PeersAll   string   `json:"peers_all"`
-	Counter    string   `json:"counter"`
+	PeerListen string   `json:"peer_listen"` // host:port for datagrams of peers
+	Peers      []string `json:"peers"`       // host:port by number, this node's own among them
+	PeersAll   string   `json:"peers_all"`   // host:port that reaches all peers; "": each is sent to by itself
+	Counter    string   `json:"counter"`     // not used
 
-	Known    json.RawMessage `json:"known"` // the server list, as last held
-	Settings json.RawMessage `json:"settings"`
+	Known    json.RawMessage `json:"known"`    // the endpoint list as last held; may be missing
+	Settings json.RawMessage `json:"settings"` // the simulator's settings, nested
 
-	Policy            policy.Settings      `json:"-"` // of Settings
-	ServerIdleTimeout time.Duration        `json:"-"` // servers close a connection idle for so long
-	DialTimeout       time.Duration        `json:"-"` // to connect to a server
-	CachedEndpoints   []discovery.Endpoint `json:"-"` // of Known
+	Policy            policy.Settings      `json:"-"` // from Settings
+	ServerIdleTimeout time.Duration        `json:"-"` // from Settings; servers close connections idle for so long
+	DialTimeout       time.Duration        `json:"-"` // from Settings; to connect to a server
+	CachedEndpoints   []discovery.Endpoint `json:"-"` // from Known
 }
 
-// Limits is what the node's processes may use together.
+// Limits is what the node's process may use.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // file descriptors
+	Cores    float64 `json:"cores"`     // above 0
+	MemoryMB float64 `json:"memory_mb"` // MiB; at least 16
+	Sockets  int     `json:"sockets"`   // file descriptors; at least 64
 }
 
-// Read reads a configuration file.
+const (
+	minMemoryMB = 16
+	minSockets  = 64
+)
+
+// KeyError is the error of Parse for a key that is missing or has a wrong value. It may be
+// wrapped with the key around it.
+type KeyError struct {
+	Key     string // path of the key, such as limits.sockets
+	Problem string
+}
+
+func (e *KeyError) Error() string { return e.Key + ": " + e.Problem }
+
+func keyErrorf(key, problem string, args ...any) error {
+	return &KeyError{Key: key, Problem: fmt.Sprintf(problem, args...)}
+}
+
+// Read reads a configuration file. The error is that of os.ReadFile, or of Parse with the
+// path in front.
 func Read(path string) (*Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -58,128 +76,102 @@
 	return c, nil
 }
 
-// Parse reads a configuration. The error names the key that can't be meant.
+// Parse reads and checks a configuration. The error is one line that names the key.
 func Parse(b []byte) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(b, c); err != nil {
-		var t *json.UnmarshalTypeError
-		if errors.As(err, &t) {
-			return nil, fmt.Errorf("%s: a %s is no %s", t.Field, t.Value, t.Type)
+		var wrongType *json.UnmarshalTypeError
+		if errors.As(err, &wrongType) {
+			return nil, keyErrorf(wrongType.Field, "a %s is no %s", wrongType.Value, wrongType.Type)
 		}
 		return nil, err
 	}
-	flat := map[string]string{}
-	var settings any
 	if len(c.Settings) == 0 {
-		return nil, errors.New("settings: missing")
+		return nil, keyErrorf("settings", "missing")
 	}
-	if err := json.Unmarshal(c.Settings, &settings); err != nil {
+	if err := c.readSettings(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := flatten(flat, "", settings); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+	if err := c.readKnown(); err != nil {
+		return nil, fmt.Errorf("known: %w", err)
 	}
-	var err error
-	if c.Policy, err = wire.Settings(flat); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+	if err := c.check(); err != nil {
+		return nil, err
 	}
-	for _, d := range []struct {
-		key string
-		to  *time.Duration
-	}{{"caps.conn_idle_ms", &c.ServerIdleTimeout}, {"caps.dial_timeout_ms", &c.DialTimeout}} {
-		ms, err := strconv.ParseFloat(flat[d.key], 64)
-		if err != nil || !(ms > 0 && ms < 1e9) {
-			return nil, fmt.Errorf("settings: %s: %q is no time in ms above 0", d.key, flat[d.key])
-		}
-		*d.to = time.Duration(ms * float64(time.Millisecond))
+	return c, nil
+}
+
+// readSettings fills what follows from Settings.
+func (c *Config) readSettings() error {
+	settings, err := flattenSettings(c.Settings)
+	if err != nil {
+		return err
 	}
-	if len(c.Known) > 0 && string(c.Known) != "null" {
-		l, err := discovery.Parse(c.Known)
-		if err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
-		c.CachedEndpoints = l.Endpoints
+	if c.Policy, err = wire.Settings(settings); err != nil {
+		return err
+	}
+	if c.ServerIdleTimeout, err = milliseconds(settings, "caps.conn_idle_ms"); err != nil {
+		return err
 	}
-	return c, c.check()
+	c.DialTimeout, err = milliseconds(settings, "caps.dial_timeout_ms")
+	return err
+}
+
+// maxMilliseconds is a time that no setting means (11 days).
+const maxMilliseconds = 1e9
+
+func milliseconds(settings map[string]string, key string) (time.Duration, error) {
+	ms, err := strconv.ParseFloat(settings[key], 64)
+	inRange := ms > 0 && ms < maxMilliseconds // false for NaN
+	if err != nil || !inRange {
+		return 0, keyErrorf(key, "%q is no time in ms above 0", settings[key])
+	}
+	return time.Duration(ms * float64(time.Millisecond)), nil
+}
+
+// readKnown fills what follows from Known.
+func (c *Config) readKnown() error {
+	if len(c.Known) == 0 || string(c.Known) == "null" {
+		return nil
+	}
+	list, err := discovery.Parse(c.Known)
+	if err != nil {
+		return err
+	}
+	c.CachedEndpoints = list.Endpoints
+	return nil
 }
 
 func (c *Config) check() error {
 	if _, err := c.seed(); err != nil {
-		return fmt.Errorf("seed: %q is no hex number of 64 bits", c.Seed)
+		return keyErrorf("seed", "%q is no hex number of 64 bits", c.Seed)
 	}
 	switch {
 	case c.Listen == "":
-		return errors.New("listen: missing")
+		return keyErrorf("listen", "missing")
 	case c.Discovery == "":
-		return errors.New("discovery: missing")
-	case c.Limits.Sockets < 64:
-		return fmt.Errorf("limits.sockets: %d is below 64", c.Limits.Sockets)
-	case !(c.Limits.MemoryMB >= 16):
-		return fmt.Errorf("limits.memory_mb: %v is below 16", c.Limits.MemoryMB)
-	case !(c.Limits.Cores > 0):
-		return fmt.Errorf("limits.cores: %v is not above 0", c.Limits.Cores)
-	case c.Policy.CanMessagePeers && len(c.Peers) != c.Policy.Gateways:
-		return fmt.Errorf("peers: %d addresses for %d edge nodes", len(c.Peers), c.Policy.Gateways)
-	case c.Policy.CanMessagePeers && c.PeerListen == "":
-		return errors.New("peer_listen: missing")
+		return keyErrorf("discovery", "missing")
+	case c.Limits.Sockets < minSockets:
+		return keyErrorf("limits.sockets", "%d is below %d", c.Limits.Sockets, minSockets)
+	case c.Limits.MemoryMB < minMemoryMB:
+		return keyErrorf("limits.memory_mb", "%v is below %d", c.Limits.MemoryMB, minMemoryMB)
+	case c.Limits.Cores <= 0:
+		return keyErrorf("limits.cores", "%v is not above 0", c.Limits.Cores)
+	}
+	if c.Policy.CanMessagePeers {
+		return c.checkPeers()
 	}
 	return nil
 }
 
-func (c *Config) seed() (uint64, error) { return strconv.ParseUint(c.Seed, 16, 64) }
-
-// flatten writes nested settings as the paths that the simulator's wire has: a
-// list of objects as NAME.count and NAME.0 and on, one of plain values joined by
-// commas.
-func flatten(m map[string]string, path string, v any) error {
-	under := func(key string) string {
-		if path == "" {
-			return key
-		}
-		return path + "." + key
-	}
-	switch v := v.(type) {
-	case map[string]any:
-		for k, e := range v {
-			if err := flatten(m, under(k), e); err != nil {
-				return err
-			}
-		}
-	case []any:
-		var plain []string
-		for i, e := range v {
-			if _, object := e.(map[string]any); object {
-				if err := flatten(m, under(strconv.Itoa(i)), e); err != nil {
-					return err
-				}
-				continue
-			}
-			s, ok := text(e)
-			if !ok {
-				return fmt.Errorf("%s: a list of lists", path)
-			}
-			plain = append(plain, s)
-		}
-		if m[under("count")] = strconv.Itoa(len(v)); len(plain) > 0 || len(v) == 0 {
-			m[path] = strings.Join(plain, ",")
-		}
-	default:
-		s, _ := text(v)
-		m[path] = s
+func (c *Config) checkPeers() error {
+	if len(c.Peers) != c.Policy.Gateways {
+		return keyErrorf("peers", "%d addresses for %d edge nodes", len(c.Peers), c.Policy.Gateways)
+	}
+	if c.PeerListen == "" {
+		return keyErrorf("peer_listen", "missing")
 	}
 	return nil
 }
 
-func text(v any) (string, bool) {
-	switch v := v.(type) {
-	case nil:
-		return "", true
-	case string:
-		return v, true
-	case bool:
-		return strconv.FormatBool(v), true
-	case float64:
-		return strconv.FormatFloat(v, 'g', -1, 64), true
-	}
-	return "", false
-}
+func (c *Config) seed() (uint64, error) { return strconv.ParseUint(c.Seed, 16, 64) }
--- a/edgenode/crossing_test.go
+++ b/edgenode/crossing_test.go
@@ -77,7 +77,7 @@
 	if s.cfg, err = Parse([]byte(src)); err != nil {
 		t.Fatal(err)
 	}
-	if s.edge, err = Start(s.cfg, d, slog.New(slog.DiscardHandler)); err != nil {
+	if s.edge, err = Start(context.Background(), s.cfg, d, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	s.address = address
@@ -115,12 +115,6 @@
 	return nc
 }
 
-func (s *stage) openIDs() int {
-	s.edge.mu.Lock()
-	defer s.edge.mu.Unlock()
-	return len(s.edge.openIDs)
-}
-
 // A client leaves while its attempt is in a dial that comes up later: no byte of the
 // request reaches a server.
 func TestClientLeavesDuringADial(t *testing.T) {
@@ -143,7 +137,7 @@
 			nc.Close()
 			// The module hears of it, and the attempt that was out is over with it. Without,
 			// it is out until the dial comes up, or its time is over.
-			s.until("the end of what the leaver asked for", func() bool { return s.openIDs() == 0 })
+			s.until("the end of what the leaver asked for", func() bool { return s.edge.open.count() == 0 })
 			close(release)
 			nc = s.connect()
 			nc.Write([]byte(s.request("lookup", "stayer")))
--- a/edgenode/discovery/golden_test.go
+++ b/edgenode/discovery/golden_test.go
@@ -24,7 +24,7 @@
 
 // Servers have the same ID at all nodes, of whatever build.
 func TestServerIDIsGolden(t *testing.T) {
-	_, list, _ := NewEndpointTable().Apply(List{Endpoints: []Endpoint{host("s-1", "a:1", "ready", 0)}}, false)
+	list := NewEndpointTable().Apply(List{Endpoints: []Endpoint{endpoint("s-1", "a:1", "ready", 0)}}, false).Servers
 	if got, want := list[0].ID, policy.ServerID(0x189bada4); got != want {
 		t.Errorf("ID %#x, want %#x", uint32(got), uint32(want))
 	}
--- a/edgenode/discovery/list_test.go
+++ b/edgenode/discovery/list_test.go
@@ -7,40 +7,43 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-func host(name, address, status string, since int64) Endpoint {
+func endpoint(name, address, status string, since int64) Endpoint {
 	return Endpoint{Name: name, Address: address, Zone: "a", Group: 1, Status: status, Weight: 1, SinceMS: since}
 }
 
 // What has gone is forgotten, and connections belong to a name, a start and an
 // address together.
-func TestNames(t *testing.T) {
+func TestApplyForgetsEndpointsAndClosesTheirConnections(t *testing.T) {
 	n := NewEndpointTable()
-	_, first, left := n.Apply(List{Snapshot: true, Endpoints: []Endpoint{host("s-1", "a:1", "ready", 0), host("s-2", "b:1", "ready", 5)}}, false)
+	snapshot := n.Apply(List{Snapshot: true, Endpoints: []Endpoint{endpoint("s-1", "a:1", "ready", 0), endpoint("s-2", "b:1", "ready", 5)}}, false)
+	first, left := snapshot.Servers, snapshot.ClosedConnections
 	if len(first) != 2 || len(left) != 0 || first[0].ID == first[1].ID || !first[0].StartTime.IsZero() || first[1].StartTime.UnixMilli() != 5 {
 		t.Fatalf("%+v, left %v", first, left)
 	}
-	kind, list, left := n.Apply(List{Endpoints: []Endpoint{host("s-1", "a:1", "draining", 0), host("s-9", "z:1", "gone", 0)}}, false)
+	delta := n.Apply(List{Endpoints: []Endpoint{endpoint("s-1", "a:1", "draining", 0), endpoint("s-9", "z:1", "gone", 0)}}, false)
+	kind, list, left := delta.Kind, delta.Servers, delta.ClosedConnections
 	if kind != policy.DeltaUpdate || len(list) != 1 || list[0].State != policy.Draining || list[0].ID != first[0].ID || len(left) != 0 {
 		t.Errorf("%v %+v, left %v", kind, list, left)
 	}
 	// A new server at the address of one that has gone; a restart of another.
-	_, list, left = n.Apply(List{Endpoints: []Endpoint{host("s-1", "a:1", "gone", 0), host("s-3", "a:1", "ready", 9), host("s-2", "b:1", "ready", 7)}}, false)
+	delta = n.Apply(List{Endpoints: []Endpoint{endpoint("s-1", "a:1", "gone", 0), endpoint("s-3", "a:1", "ready", 9), endpoint("s-2", "b:1", "ready", 7)}}, false)
+	list, left = delta.Servers, delta.ClosedConnections
 	if fmt.Sprint(left) != "[s-1/0/a:1 s-2/5/b:1]" || list[1].ConnectionKey == first[0].ConnectionKey || list[2].ConnectionKey == first[1].ConnectionKey || list[2].ID != first[1].ID {
 		t.Errorf("%+v, left %v", list, left)
 	}
-	_, _, left = n.Apply(List{Snapshot: true}, false)
+	left = n.Apply(List{Snapshot: true}, false).ClosedConnections
 	if len(left) != 2 || len(n.ids)+len(n.connectionKeys)+len(n.used) != 0 {
 		t.Errorf("left %v, still known %v", left, n.ids)
 	}
 }
 
-func TestNamesDoNotGrow(t *testing.T) {
+func TestEndpointTableDoesNotGrow(t *testing.T) {
 	n, seen := NewEndpointTable(), map[policy.ServerID]bool{}
 	for i := range 10000 {
 		name := fmt.Sprint("s-", i)
-		_, list, _ := n.Apply(List{Endpoints: []Endpoint{host(name, "a:1", "ready", int64(i+1))}}, false)
+		list := n.Apply(List{Endpoints: []Endpoint{endpoint(name, "a:1", "ready", int64(i+1))}}, false).Servers
 		if seen[list[0].ID] = true; i > 9 {
-			n.Apply(List{Endpoints: []Endpoint{host(fmt.Sprint("s-", i-10), "a:1", "gone", int64(i-9))}}, false)
+			n.Apply(List{Endpoints: []Endpoint{endpoint(fmt.Sprint("s-", i-10), "a:1", "gone", int64(i-9))}}, false)
 		}
 	}
 	if len(n.ids) > 11 || len(n.connectionKeys) > 11 || len(n.used) > 11 || len(seen) < 9990 {
@@ -48,7 +51,7 @@
 	}
 }
 
-func TestBadLists(t *testing.T) {
+func TestParseRejectsBadLists(t *testing.T) {
 	for _, in := range []string{``, `[]`, `{}`, `{"index":1}`, `{"endpoints":[]}`, `{"index":"x","endpoints":[]}`,
 		`{"index":1,"endpoints":[{"name":"","address":"a","status":"ready"}]}`,
 		`{"index":1,"endpoints":[{"name":"a","address":"","status":"ready"}]}`,
@@ -69,9 +72,9 @@
 			return
 		}
 		n := NewEndpointTable()
-		_, list, _ := n.Apply(l, false)
+		list := n.Apply(l, false).Servers
 		if len(list) > len(l.Endpoints) {
-			t.Fatal("more servers than hosts")
+			t.Fatal("more servers than endpoints")
 		}
 	})
 }
--- a/edgenode/edge_test.go
+++ b/edgenode/edge_test.go
@@ -178,7 +178,7 @@
 		if s.cfg, err = Parse([]byte(configJSON)); err != nil {
 			t.Fatal(err)
 		}
-		s.edge, err = Start(s.cfg, s.mem.Host("node"), slog.New(slog.DiscardHandler))
+		s.edge, err = Start(context.Background(), s.cfg, s.mem.Host("node"), slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -191,8 +191,8 @@
 				t.Error(err)
 			}
 		}
-		if len(s.edge.openIDs) > 0 {
-			t.Errorf("ids are still open: %v", s.edge.openIDs)
+		if s.edge.open.count() > 0 {
+			t.Errorf("ids are still open: %v", s.edge.open.ids)
 		}
 		for _, l := range s.ls {
 			l.Close()
@@ -451,7 +451,7 @@
 			mu.Unlock()
 		}
 		set(strings.Replace(strings.Replace(twoHosts, `"status":"ready"`, `"status":"draining"`, 1), `"index":7`, `"index":8`, 1))
-		s.edge.Reload(&Config{Discovery: "10.0.3.2:80"})
+		s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.2:80"})
 		time.Sleep(time.Second)
 		before := s.boxes[0].got()
 		for range 10 {
@@ -490,7 +490,7 @@
 			}
 			return `{"index":8,"snapshot":false,"endpoints":[{"name":"s-1","address":"10.0.1.1:80","zone":"a","group":1,"status":"gone","weight":1,"since_ms":0}]}`
 		})
-		s.edge.Reload(&Config{Discovery: "10.0.3.2:80"})
+		s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.2:80"})
 		time.Sleep(time.Second)
 		s.edge.node.BreakPolicy()
 		for range 10 {
@@ -518,7 +518,7 @@
 			}
 			return strings.Replace(strings.Replace(twoHosts, `"status":"ready"`, `"status":"draining"`, 1), `"index":7`, `"index":8`, 1)
 		})
-		s.edge.Reload(&Config{Discovery: "10.0.3.2:80"})
+		s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.2:80"})
 		time.Sleep(4 * time.Second)
 		for range 10 {
 			s.ask(s.request("lookup", ""))
@@ -537,7 +537,7 @@
 			onStage(t, func(s *stage) {
 				var calls atomic.Int64
 				s.discover("10.0.3.9:80", func(string) string { calls.Add(1); return says })
-				s.edge.Reload(&Config{Discovery: "10.0.3.9:80"})
+				s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.9:80"})
 				time.Sleep(10 * time.Second)
 				if status, _, _ := s.ask(s.request("lookup", "")); status != 200 {
 					t.Errorf("with the old list: %d", status)
@@ -545,7 +545,7 @@
 				if n := calls.Load(); n < 2 || n > 60 {
 					t.Errorf("asked %d times in 10 s", n)
 				}
-				s.edge.Reload(&Config{Discovery: "10.0.3.1:80"})
+				s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.1:80"})
 				time.Sleep(time.Second)
 				if status, _, _ := s.ask(s.request("lookup", "")); status != 200 {
 					t.Errorf("back at the old address: %d", status)
@@ -661,7 +661,7 @@
 			}
 			return twoHosts
 		})
-		s.edge.Reload(&Config{Discovery: "10.0.3.2:80"})
+		s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.2:80"})
 		var clients sync.WaitGroup
 		for i := range 500 {
 			class, id := "lookup", fmt.Sprint("rough-", i)
--- /dev/null
+++ b/edgenode/endpoints.go
@@ -0,0 +1,84 @@
+package edgenode
+
+import (
+	"context"
+	"time"
+
+	"yardcleat.example/yardcleat/edgenode/discovery"
+	"yardcleat.example/yardcleat/policy"
+)
+
+// useCachedEndpoints starts with the endpoint list of an earlier run. It makes the node
+// ready only after cachedListDelay: until then discovery may know better.
+func (e *Edge) useCachedEndpoints(cached []discovery.Endpoint) {
+	if len(cached) == 0 {
+		return
+	}
+	e.applyEndpoints(discovery.List{Endpoints: cached}, true)
+	timer := time.AfterFunc(cachedListDelay, func() { e.hasEndpoints.Store(true) })
+	e.onClose(func() { timer.Stop() })
+}
+
+// applyWatchedList takes in a list of the watch.
+func (e *Edge) applyWatchedList(l discovery.List) { e.applyEndpoints(l, false) }
+
+// applyEndpoints takes in an endpoint list, or changes of one.
+func (e *Edge) applyEndpoints(l discovery.List, cached bool) {
+	e.endpointsMutex.Lock()
+	defer e.endpointsMutex.Unlock()
+	update := e.endpoints.Apply(l, cached)
+	if update.Kind != policy.DeltaUpdate || len(update.Servers) > 0 {
+		e.node.UpdateEndpoints(update.Kind, update.Servers)
+	}
+	for _, key := range update.ClosedConnections {
+		e.pool.Leave(key)
+	}
+	if update.Kind == policy.SnapshotUpdate {
+		e.hasEndpoints.Store(true)
+	}
+}
+
+// startWatch watches discovery until the node is closed.
+func (e *Edge) startWatch(ctx context.Context, address string) {
+	e.watchDiscovery(ctx, address)
+	e.onClose(func() { e.watchDiscovery(ctx, "") })
+}
+
+// watchDiscovery watches discovery at an address from now on, in place of the address
+// before; "" ends the watch. It returns when the watch before has ended.
+func (e *Edge) watchDiscovery(ctx context.Context, address string) {
+	e.watchMutex.Lock()
+	defer e.watchMutex.Unlock()
+	e.watchDiscoveryLocked(ctx, address)
+}
+
+func (e *Edge) watchDiscoveryLocked(ctx context.Context, address string) {
+	if e.stopWatch != nil {
+		e.stopWatch()
+		e.stopWatch = nil
+	}
+	e.discoveryAddress = address
+	if address == "" {
+		return
+	}
+	options := discovery.Options{
+		Network: e.network,
+		Address: address,
+		Logger:  e.logger,
+		Deliver: e.applyWatchedList,
+	}
+	e.stopWatch = background(ctx, func(ctx context.Context) { discovery.Watch(ctx, options) })
+}
+
+// Reload applies what a new configuration may change while the node runs: the address of
+// discovery. After the node has ended it does nothing. It waits for the old watch to end.
+func (e *Edge) Reload(ctx context.Context, cfg *Config) {
+	e.watchMutex.Lock()
+	defer e.watchMutex.Unlock()
+	ended := e.discoveryAddress == ""
+	if ended || cfg.Discovery == e.discoveryAddress {
+		return
+	}
+	e.logger.Info("discovery address changed", "from", e.discoveryAddress, "to", cfg.Discovery)
+	e.watchDiscoveryLocked(ctx, cfg.Discovery)
+}
--- /dev/null
+++ b/edgenode/open_requests.go
@@ -0,0 +1,38 @@
+package edgenode
+
+import (
+	"sync"
+
+	"yardcleat.example/yardcleat/node"
+)
+
+// openRequests is the set of IDs of requests that the node still does something for. Its
+// methods may be called from any goroutine.
+type openRequests struct {
+	mu  sync.Mutex
+	ids map[string]bool
+}
+
+// add adds an ID and returns whether it was not in the set.
+func (o *openRequests) add(id string) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.ids[id] {
+		return false
+	}
+	o.ids[id] = true
+	return true
+}
+
+// remove takes the ID of a request that is done with out of the set.
+func (o *openRequests) remove(r *node.Request) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	delete(o.ids, r.Trace)
+}
+
+func (o *openRequests) count() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return len(o.ids)
+}
--- a/edgenode/protocol/intake_test.go
+++ b/edgenode/protocol/mapper_test.go
@@ -30,17 +30,17 @@
 	return c
 }
 
-func TestAdmit(t *testing.T) {
+func TestAdmitReadsTheProtocol(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
-		try, a := New(set, always).Admit(good(keyed), "")
+		r, a := New(set, always).Admit(good(keyed), "")
 		if a != nil {
 			t.Fatalf("answered at once: %+v", a)
 		}
-		if try.Trace != "9b1f03aa5c7e2d41" || try.Customer != "00000000b4d65521" || try.Plan != "basic" || try.Units != 2 || try.GatewaySpread != 3 ||
-			try.FirstGateway != 1 || try.ClientTimeout != 480*time.Millisecond || try.ClientRetry {
-			t.Errorf("%+v", try)
+		if r.Trace != "9b1f03aa5c7e2d41" || r.Customer != "00000000b4d65521" || r.Plan != "basic" || r.Units != 2 || r.GatewaySpread != 3 ||
+			r.FirstGateway != 1 || r.ClientTimeout != 480*time.Millisecond || r.ClientRetry {
+			t.Errorf("%+v", r)
 		}
-		h := try.Call.Header
+		h := r.Call.Header
 		if h.Get("X-Correlation-Id") == "" || h.Get("Accept") == "" || keyed != h.Has("Idempotency-Key") {
 			t.Errorf("a field is not passed on: %v", h)
 		}
@@ -53,13 +53,13 @@
 	c := good(false)
 	c.Header.Set("X-Repeat", "1")
 	c.Header.Set("X-Time-Left-Ms", "99999999")
-	if try, a := New(set, always).Admit(c, ""); a != nil || !try.ClientRetry || try.ClientTimeout != 3*time.Second {
-		t.Errorf("%+v, %+v", try, a)
+	if r, a := New(set, always).Admit(c, ""); a != nil || !r.ClientRetry || r.ClientTimeout != 3*time.Second {
+		t.Errorf("%+v, %+v", r, a)
 	}
 }
 
 // What is not the protocol is a failure with 4xx, whoever it claims to be from.
-func TestBadRequests(t *testing.T) {
+func TestAdmitRejectsWhatIsNotTheProtocol(t *testing.T) {
 	for _, c := range []struct {
 		name, field string
 		keyed       bool
@@ -86,12 +86,12 @@
 				call.Header.Add(c.field, v)
 			}
 			in := New(set, always)
-			try, a := in.Admit(call, "")
+			r, a := in.Admit(call, "")
 			if a == nil {
-				t.Errorf("%s %q was taken: %+v", c.name, v, try)
+				t.Errorf("%s %q was taken: %+v", c.name, v, r)
 				continue
 			}
-			if res := in.Render(try, *a); res.Status < 400 || res.Status > 499 || res.Status == 429 {
+			if res := in.Render(r, *a); res.Status < 400 || res.Status > 499 || res.Status == 429 {
 				t.Errorf("%s %q: status %d", c.name, v, res.Status)
 			}
 		}
@@ -109,19 +109,19 @@
 	}
 }
 
-func TestReady(t *testing.T) {
+func TestReadiness(t *testing.T) {
 	ready := false
 	in := New(set, func() bool { return ready })
 	for _, want := range []int{503, 200} {
-		try, a := in.Admit(node.Call{Method: "GET", Target: "/up"}, "")
-		if a == nil || in.Render(try, *a).Status != want {
+		r, a := in.Admit(node.Call{Method: "GET", Target: "/up"}, "")
+		if a == nil || in.Render(r, *a).Status != want {
 			t.Errorf("%+v, not %d", a, want)
 		}
 		ready = true
 	}
 }
 
-func TestRender(t *testing.T) {
+func TestRenderStatusAndRetryAfter(t *testing.T) {
 	in := New(set, always)
 	for _, c := range []struct {
 		a      node.FinalResponse
@@ -142,7 +142,7 @@
 	}
 }
 
-func FuzzRequest(f *testing.F) {
+func FuzzAdmit(f *testing.F) {
 	f.Add("GET", "id", "lookup", "basic", "key=00000000b4d65521", "480", "units=2,spread=3,first=1", "", "")
 	f.Add("POST", "id", "loan-change", "basic", "a=b; key=00000000b4d65521", "1", "first=0,spread=1,units=0.5", "k", "1")
 	f.Fuzz(func(t *testing.T, method, id, class, plan, cookies, patience, quota, key, repeat string) {
@@ -150,13 +150,13 @@
 		for i, v := range []string{id, class, plan, quota, repeat, patience, key, cookies} {
 			c.Header.Add(singleHeaders[i], v)
 		}
-		try, a := New(set, always).Admit(c, "")
+		r, a := New(set, always).Admit(c, "")
 		if a != nil {
 			return
 		}
-		if try.Units <= 0 || try.Units > 4 || try.GatewaySpread < 1 || try.GatewaySpread > 3 || try.FirstGateway < 0 || try.FirstGateway > 2 ||
-			try.ClientTimeout <= 0 || try.ClientTimeout > 3*time.Second || try.Trace == "" || len(try.Customer) != 16 {
-			t.Fatalf("%+v", try)
+		if r.Units <= 0 || r.Units > 4 || r.GatewaySpread < 1 || r.GatewaySpread > 3 || r.FirstGateway < 0 || r.FirstGateway > 2 ||
+			r.ClientTimeout <= 0 || r.ClientTimeout > 3*time.Second || r.Trace == "" || len(r.Customer) != 16 {
+			t.Fatalf("%+v", r)
 		}
 	})
 }
--- a/edgenode/run.go
+++ b/edgenode/run.go
@@ -16,56 +16,92 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-const heapFraction = 0.6 // of the memory limit; the rest is for stacks, the program and the kernel's buffers
+// configVariable is the environment variable that names the configuration file.
+const configVariable = "NODE_CONFIG"
 
-// Run runs an edge node by the file that NODE_CONFIG names, until SIGTERM or
-// SIGINT. SIGHUP has the file read again; one that can't be read changes nothing.
+// heapFraction is the part of the memory limit that the heap aims at. The rest is for
+// stacks, the program and the kernel's buffers.
+const heapFraction = 0.6
+
+// maxPendingSignals is how many signals wait while one is handled; more are dropped.
+const maxPendingSignals = 8
+
+// Run runs an edge node by the file that NODE_CONFIG names, until SIGTERM, SIGINT or the
+// end of ctx begins its shutdown, and returns when that is complete. SIGHUP reloads the
+// file. Warnings go to stderr. The error says that the node could not start, or what Drain
+// returned.
 func Run(ctx context.Context, stderr io.Writer) error {
-	log := slog.New(slog.NewTextHandler(stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
-	signals := make(chan os.Signal, 8)
+	logger := slog.New(slog.NewTextHandler(stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
+	signals := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	path := os.Getenv("NODE_CONFIG")
+	path := os.Getenv(configVariable)
 	if path == "" {
-		return errors.New("NODE_CONFIG: not set; it names the configuration")
+		return errors.New(configVariable + ": not set; it names the configuration")
 	}
 	cfg, err := Read(path)
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	debug.SetMemoryLimit(int64(heapFraction * cfg.Limits.MemoryMB * (1 << 20)))
-	e, err := Start(cfg, network.OS{}, log)
+	limitRuntime(cfg.Limits)
+	edge, err := Start(ctx, cfg, network.OS{}, logger)
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	done := ctx.Done()
-	var drained chan error
-	drain := func() {
-		if drained == nil { // a second SIGTERM hurries nothing
-			drained = make(chan error, 1)
-			go func() { drained <- e.Drain(context.WithoutCancel(ctx)) }()
-		}
-	}
+	p := &process{edge: edge, configPath: path, logger: logger}
+	return p.handleSignals(ctx, signals)
+}
+
+// limitRuntime keeps the Go runtime within what the process may use.
+func limitRuntime(l Limits) {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
+	debug.SetMemoryLimit(int64(heapFraction * l.MemoryMB * bytesPerMB))
+}
+
+// process is an edge node that signals control. Only the goroutine of handleSignals uses it.
+type process struct {
+	edge       *Edge
+	configPath string
+	logger     *slog.Logger
+	drained    chan error // nil until the shutdown begins; then gets its result
+}
+
+// handleSignals returns when the shutdown is complete, with its result.
+func (p *process) handleSignals(ctx context.Context, signals <-chan os.Signal) error {
+	ended := ctx.Done()
 	for {
 		select {
 		case s := <-signals:
-			if s != syscall.SIGHUP {
-				drain()
-				continue
-			}
-			// Also while it drains: what it still sends goes by the list.
-			again, err := Read(path)
-			if err != nil {
-				log.Error("the configuration stays as it was", "error", err)
-				continue
+			if s == syscall.SIGHUP {
+				p.reload(ctx)
+			} else {
+				p.beginDrain(ctx)
 			}
-			e.Reload(again)
-		case <-done:
-			done = nil
-			drain()
-		case err := <-drained:
+		case <-ended:
+			ended = nil
+			p.beginDrain(ctx)
+		case err := <-p.drained:
 			return err
 		}
 	}
 }
+
+// beginDrain begins the shutdown. A second signal does not hurry it.
+func (p *process) beginDrain(ctx context.Context) {
+	if p.drained != nil {
+		return
+	}
+	p.drained = make(chan error, 1)
+	go func() { p.drained <- p.edge.Drain(context.WithoutCancel(ctx)) }()
+}
+
+// reload reads the configuration again; one that can't be read changes nothing. It works
+// during the shutdown too, whose last attempts go by the endpoint list.
+func (p *process) reload(ctx context.Context) {
+	cfg, err := Read(p.configPath)
+	if err != nil {
+		p.logger.Error("configuration reload failed; keeping the current one", "error", err)
+		return
+	}
+	p.edge.Reload(ctx, cfg)
+}
--- a/edgenode/run_test.go
+++ b/edgenode/run_test.go
@@ -208,7 +208,7 @@
 	if asked[0].Load() == was {
 		t.Error("SIGHUP behind SIGTERM was not heard")
 	}
-	if !strings.Contains(log.String(), "the configuration stays as it was") {
+	if !strings.Contains(log.String(), "configuration reload failed; keeping the current one") {
 		t.Errorf("nothing said of the configuration that can't be read: %s", log.String())
 	}
 }
--- a/edgenode/shutdown.go
+++ b/edgenode/shutdown.go
@@ -6,28 +6,41 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// shutdownPlan is when what happens after SIGTERM. It is decided here, without I/O.
+// shutdownPlan is when the steps of a shutdown happen, each counted from SIGTERM.
 type shutdownPlan struct {
-	stopAccepting  time.Duration // until then new connections are taken
-	finalResponses time.Duration // what is open then gets its final answer
-	cutConnections time.Duration // what is left is cut
+	stopAccepting  time.Duration // until then new connections are accepted
+	finalResponses time.Duration // every request still open gets its final response
+	cutConnections time.Duration // what is still open is cut
 }
 
-// The platform's words: new connections come for 0.4 s at most, and SIGKILL no sooner
-// than the longest deadline, counted as 3 s where it is longer, and 0.7 s more.
+// The platform sends SIGKILL no sooner than killGrace after the longest deadline, of which
+// it counts maxCountedDeadline at most.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killGrace          = 700 * time.Millisecond
-	acceptTime         = 550 * time.Millisecond
-	finalResponseTime  = 250 * time.Millisecond // before SIGKILL: answers have a way to go, and clients close after them
-	cleanupTime        = 80 * time.Millisecond
 )
 
+const (
+	// acceptTime is how long new connections are accepted: clients may open them for 0.4 s,
+	// and the rest allows for their way here.
+	acceptTime = 550 * time.Millisecond
+	// finalResponseTime is how long before SIGKILL final responses are sent, so that they
+	// arrive and clients close their connections.
+	finalResponseTime = 250 * time.Millisecond
+	// cleanupTime is how long before SIGKILL all is cut, so that the process ends by itself.
+	cleanupTime = 80 * time.Millisecond
+)
+
+// planShutdown returns the times of a shutdown for the classes of requests that may be open.
 func planShutdown(classes []policy.Class) shutdownPlan {
-	longest := time.Duration(0)
-	for _, c := range classes {
-		longest = max(longest, c.Deadline)
+	longestDeadline := time.Duration(0)
+	for _, class := range classes {
+		longestDeadline = max(longestDeadline, class.Deadline)
+	}
+	kill := min(longestDeadline, maxCountedDeadline) + killGrace
+	return shutdownPlan{
+		stopAccepting:  min(acceptTime, kill-finalResponseTime),
+		finalResponses: kill - finalResponseTime,
+		cutConnections: kill - cleanupTime,
 	}
-	kill := min(longest, maxCountedDeadline) + killGrace
-	return shutdownPlan{stopAccepting: min(acceptTime, kill-finalResponseTime), finalResponses: kill - finalResponseTime, cutConnections: kill - cleanupTime}
 }
--- a/internal/archtest/no_io_test.go
+++ b/internal/archtest/no_io_test.go
@@ -15,7 +15,7 @@
 
 // decides lists what decides, from the root of the module.
 var decides = []string{"policy/*.go", "authz/*.go", "audit/*.go", "intake/*.go", "internal/timers/*.go", "usage/*.go", "lab/*.go", "lab/hunt/*.go", "peer/guard.go",
-	"pause/*.go", "membership/*.go", "upstream/ends.go", "upstream/trust.go", "front/http1/room.go", "edgenode/protocol/*.go", "edgenode/discovery/list.go", "edgenode/shutdown.go", "edgenode/bounds.go", "edgenode/discovery/times.go", "front/extauthz/ends.go"}
+	"pause/*.go", "membership/*.go", "upstream/ends.go", "upstream/trust.go", "front/http1/room.go", "edgenode/protocol/*.go", "edgenode/discovery/list.go", "edgenode/discovery/endpoint_table.go", "edgenode/shutdown.go", "edgenode/resource_limits.go", "edgenode/discovery/timeouts.go", "front/extauthz/ends.go"}
 
 var banned = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "syscall": true, "io/fs": true,
 	"sync": true, "sync/atomic": true, "context": true, "log/slog": true, "math/rand": true}
