--- a/edgenode/config_test.go
+++ b/edgenode/config_test.go
@@ -94,7 +94,7 @@
 }
 
 // The text of each mistake, word for word.
-func TestMistakes(t *testing.T) {
+func TestMistakeTexts(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"listen":"10.0.0.1:80",`, ``, `listen: missing`},
 		{`"discovery":"10.0.3.1:80",`, ``, `discovery: missing`},
@@ -146,7 +146,7 @@
 }
 
 // What can't be meant is an error that names the key.
-func TestBadConfigurations(t *testing.T) {
+func TestMistakeNamesTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, says string }{
 		{`"listen":"10.0.0.1:80",`, ``, "listen"},
 		{`"discovery":"10.0.3.1:80",`, ``, "discovery"},
--- a/edgenode/crossing_test.go
+++ b/edgenode/crossing_test.go
@@ -29,43 +29,43 @@
 	}
 }
 
-// dialer is the machine's network with a hook for dials.
-type dialer struct {
+// dialHook is the machine's network with a hook for dials.
+type dialHook struct {
 	network.OS
 	dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-func (d dialer) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (d dialHook) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	if d.dial == nil {
 		return d.OS.Dial(ctx, addr)
 	}
 	return d.dial(ctx, addr)
 }
 
-// onLoopback runs an edge node on real connections, with two servers and discovery.
-func onLoopback(t *testing.T, settings *strings.Replacer, d dialer, box func(n int, id string) (string, bool), f func(s *stage)) {
+// runOnLoopback runs an edge node on real connections, with two servers and discovery.
+func runOnLoopback(t *testing.T, settings *strings.Replacer, d dialHook, box func(n int, id string) (string, bool), f func(s *testbed)) {
 	t.Helper()
-	s := &stage{t: t}
+	s := &testbed{t: t}
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.ls = append(s.ls, l)
+		s.listeners = append(s.listeners, l)
 		return l
 	}
 	list := `{"index":7,"snapshot":true,"endpoints":[`
-	for i := range s.boxes {
-		s.boxes[i] = newBox(box)
-		s.boxes[i].reset = true
+	for i := range s.servers {
+		s.servers[i] = newFakeServer(box)
+		s.servers[i].resetsConnections = true
 		l := listen()
-		go s.boxes[i].serve(l)
+		go s.servers[i].serve(l)
 		list += strings.Repeat(",", i) + fmt.Sprintf(`{"name":"s-%d","address":"%s","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0}`, i, l.Addr())
 	}
 	list += "]}"
-	s.list.Store(&list)
+	s.endpointList.Store(&list)
 	agent := listen()
-	go s.answerLists(agent, func(string) string { return *s.list.Load() })
+	go s.answerPolls(agent, func(string) string { return *s.endpointList.Load() })
 	free := listen()
 	address := free.Addr().String()
 	free.Close()
@@ -81,18 +81,18 @@
 		t.Fatal(err)
 	}
 	s.address = address
-	s.until("ready", func() bool { return s.edge.ready() })
+	s.waitFor("ready", func() bool { return s.edge.ready() })
 	f(s)
-	if !s.ended {
+	if !s.drained {
 		s.edge.Drain(context.Background())
 	}
-	for _, l := range s.ls {
+	for _, l := range s.listeners {
 		l.Close()
 	}
 }
 
-// until waits for what is to come in any case.
-func (s *stage) until(what string, f func() bool) {
+// waitFor waits for what is to come in any case.
+func (s *testbed) waitFor(what string, f func() bool) {
 	s.t.Helper()
 	for range 2000 {
 		if f() {
@@ -103,8 +103,8 @@
 	s.t.Fatalf("%s did not happen", what)
 }
 
-// connect dials the node on loopback.
-func (s *stage) connect() net.Conn {
+// dialLoopback dials the node on loopback.
+func (s *testbed) dialLoopback() net.Conn {
 	s.t.Helper()
 	nc, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -120,7 +120,7 @@
 func TestClientLeavesDuringADial(t *testing.T) {
 	dialing, release := make(chan struct{}, 10), make(chan struct{})
 	var agent atomic.Value // discovery's address, once servers' dials are to be held
-	d := dialer{dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	d := dialHook{dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		if a := agent.Load(); a != nil && a != addr {
 			dialing <- struct{}{}
 			<-release
@@ -128,23 +128,23 @@
 		}
 		return network.OS{}.Dial(ctx, addr)
 	}}
-	onLoopback(t, strings.NewReplacer(`"dial_timeout_ms":250`, `"dial_timeout_ms":60000`, `"hard_limit_ms":3000`, `"hard_limit_ms":60000`), d,
-		func(_ int, id string) (string, bool) { return ok("for " + id), false }, func(s *stage) {
+	runOnLoopback(t, strings.NewReplacer(`"dial_timeout_ms":250`, `"dial_timeout_ms":60000`, `"hard_limit_ms":3000`, `"hard_limit_ms":60000`), d,
+		func(_ int, id string) (string, bool) { return okResponse("for " + id), false }, func(s *testbed) {
 			agent.Store(s.cfg.Discovery)
-			nc := s.connect()
-			nc.Write([]byte(strings.Replace(s.request("lookup", "leaver"), "1500", "60000", 1)))
+			nc := s.dialLoopback()
+			nc.Write([]byte(strings.Replace(s.requestText("lookup", "leaver"), "1500", "60000", 1)))
 			<-dialing
 			nc.Close()
 			// The module hears of it, and the attempt that was out is over with it. Without,
 			// it is out until the dial comes up, or its time is over.
-			s.until("the end of what the leaver asked for", func() bool { return s.edge.open.count() == 0 })
+			s.waitFor("the end of what the leaver asked for", func() bool { return s.edge.open.count() == 0 })
 			close(release)
-			nc = s.connect()
-			nc.Write([]byte(s.request("lookup", "stayer")))
-			if status, _ := answer(nc); status != 200 {
+			nc = s.dialLoopback()
+			nc.Write([]byte(s.requestText("lookup", "stayer")))
+			if status, _ := readResponse(nc); status != 200 {
 				t.Errorf("another's request: status %d", status)
 			}
-			if got := strings.Join(s.seen(), "|"); strings.Contains(got, "leaver") {
+			if got := strings.Join(s.requestsSeen(), "|"); strings.Contains(got, "leaver") {
 				t.Errorf("servers got %s", got)
 			}
 		})
@@ -157,30 +157,30 @@
 	t.Parallel()
 	hang := make(chan struct{})
 	defer close(hang)
-	onLoopback(t, strings.NewReplacer(`"hard_limit_ms":3000`, `"hard_limit_ms":9000`, `"hard_limit_ms":2000`, `"hard_limit_ms":9000`), dialer{},
+	runOnLoopback(t, strings.NewReplacer(`"hard_limit_ms":3000`, `"hard_limit_ms":9000`, `"hard_limit_ms":2000`, `"hard_limit_ms":9000`), dialHook{},
 		func(_ int, id string) (string, bool) {
 			if id == "hangs" {
 				<-hang
 			}
-			return ok("for " + id), false
-		}, func(s *stage) {
-			rests, hangs := s.connect(), s.connect()
-			rests.Write([]byte(s.request("lookup", "rests")))
-			if status, _ := answer(rests); status != 200 {
+			return okResponse("for " + id), false
+		}, func(s *testbed) {
+			rests, hangs := s.dialLoopback(), s.dialLoopback()
+			rests.Write([]byte(s.requestText("lookup", "rests")))
+			if status, _ := readResponse(rests); status != 200 {
 				t.Fatalf("status %d", status)
 			}
-			hangs.Write([]byte(strings.Replace(s.request("loan-change", "hangs"), "1500", "8000", 1)))
-			s.until("its attempt", func() bool { return strings.Contains(strings.Join(s.seen(), "|"), "hangs") })
+			hangs.Write([]byte(strings.Replace(s.requestText("loan-change", "hangs"), "1500", "8000", 1)))
+			s.waitFor("its attempt", func() bool { return strings.Contains(strings.Join(s.requestsSeen(), "|"), "hangs") })
 			begun, drained := time.Now(), make(chan error, 1)
-			s.ended = true
+			s.drained = true
 			go func() { drained <- s.edge.Drain(context.Background()) }()
 			if n, err := rests.Read(make([]byte, 1)); n != 0 || err.Error() != "EOF" {
 				t.Errorf("the resting connection ended with %v", err)
 			}
-			rests.Write([]byte(s.request("lookup", "crossing")))
-			fresh := s.connect()
-			fresh.Write([]byte(s.request("lookup", "fresh")))
-			if status, _ := answer(fresh); status != 200 {
+			rests.Write([]byte(s.requestText("lookup", "crossing")))
+			fresh := s.dialLoopback()
+			fresh.Write([]byte(s.requestText("lookup", "fresh")))
+			if status, _ := readResponse(fresh); status != 200 {
 				t.Errorf("a new connection: status %d", status)
 			}
 			r := http1.NewReader(hangs, http1.Limits{Line: 4096, Fields: 50, Header: 8192, Body: 1 << 20})
@@ -203,7 +203,7 @@
 			if took := time.Since(begun); took > 3700*time.Millisecond {
 				t.Errorf("it took %v; SIGKILL comes after 3.7 s", took)
 			}
-			if got := strings.Join(s.seen(), "|"); strings.Contains(got, "crossing") {
+			if got := strings.Join(s.requestsSeen(), "|"); strings.Contains(got, "crossing") {
 				t.Errorf("what came after the shutdown was sent on: %s", got)
 			}
 		})
@@ -212,9 +212,9 @@
 // The last attempt's time and the client's are over in the same step of the wheel: the
 // module has the last word, and what is safe is refused so that a repeat is harmless.
 func TestAttemptAndDeadlineEndTogether(t *testing.T) {
-	onStage(t, func(s *stage) {
-		for _, b := range s.boxes {
-			b.answer = func(int, string) (string, bool) {
+	simulate(t, func(s *testbed) {
+		for _, b := range s.servers {
+			b.respond = func(int, string) (string, bool) {
 				time.Sleep(time.Minute)
 				return "", true
 			}
@@ -223,7 +223,7 @@
 			class  string
 			status int
 		}{{"lookup", 503}, {"loan-change", 504}} {
-			status, _, took := s.ask(s.request(c.class, ""))
+			status, _, took := s.exchange(s.requestText(c.class, ""))
 			if status != c.status || took < time.Second || took > 1500*time.Millisecond {
 				t.Errorf("%s: %d after %v", c.class, status, took)
 			}
@@ -240,7 +240,7 @@
 	}
 	dials := make(chan dial, 10)
 	var agent atomic.Value
-	d := dialer{dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	d := dialHook{dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		if a := agent.Load(); a != nil && a != addr {
 			d := dial{addr, make(chan struct{})}
 			dials <- d
@@ -249,13 +249,13 @@
 		}
 		return network.OS{}.Dial(ctx, addr)
 	}}
-	onLoopback(t, strings.NewReplacer(`"dial_timeout_ms":250`, `"dial_timeout_ms":60000`, `"hard_limit_ms":2000`, `"hard_limit_ms":60000`), d,
-		func(_ int, id string) (string, bool) { return ok("for " + id), false }, func(s *stage) {
+	runOnLoopback(t, strings.NewReplacer(`"dial_timeout_ms":250`, `"dial_timeout_ms":60000`, `"hard_limit_ms":2000`, `"hard_limit_ms":60000`), d,
+		func(_ int, id string) (string, bool) { return okResponse("for " + id), false }, func(s *testbed) {
 			agent.Store(s.cfg.Discovery)
-			nc := s.connect()
-			nc.Write([]byte(strings.Replace(s.request("loan-change", "moved"), "1500", "20000", 1)))
+			nc := s.dialLoopback()
+			nc.Write([]byte(strings.Replace(s.requestText("loan-change", "moved"), "1500", "20000", 1)))
 			first := <-dials
-			before := *s.list.Load()
+			before := *s.endpointList.Load()
 			parts := strings.SplitAfter(before, "}")
 			for i, p := range parts {
 				if strings.Contains(p, first.addr) {
@@ -263,7 +263,7 @@
 				}
 			}
 			list := strings.Join(parts, "")
-			s.list.Store(&list)
+			s.endpointList.Store(&list)
 			var second dial
 			select {
 			case second = <-dials:
@@ -274,10 +274,10 @@
 			}
 			close(first.release)
 			close(second.release)
-			if status, body := answer(nc); status != 200 || body != "for moved" || second.addr == first.addr {
+			if status, body := readResponse(nc); status != 200 || body != "for moved" || second.addr == first.addr {
 				t.Errorf("%d %s, at %s after %s", status, body, second.addr, first.addr)
 			}
-			if got := s.seen(); len(got) != 1 {
+			if got := s.requestsSeen(); len(got) != 1 {
 				t.Errorf("servers got %q", got)
 			}
 		})
@@ -303,7 +303,7 @@
 		{"chunks and a reset", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true, true, false},
 		{"an error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, true, false},
 		{"1xx and a reset", "HTTP/1.1 102 On\r\n\r\n", true, true, false},
-		{"1xx and an answer", "HTTP/1.1 102 On\r\n\r\n" + ok("for one"), false, true, true},
+		{"1xx and an answer", "HTTP/1.1 102 On\r\n\r\n" + okResponse("for one"), false, true, true},
 	} {
 		for _, semantics := range []string{"repeatable", "by_key", "once"} {
 			t.Run(end.name+", "+semantics, func(t *testing.T) {
@@ -313,21 +313,21 @@
 				if semantics == "repeatable" {
 					class = "lookup"
 				}
-				onLoopback(t, strings.NewReplacer(`"semantics":"by_key"`, `"semantics":"`+semantics+`"`), dialer{},
+				runOnLoopback(t, strings.NewReplacer(`"semantics":"by_key"`, `"semantics":"`+semantics+`"`), dialHook{},
 					func(_ int, id string) (string, bool) {
 						if n.Add(1) == 1 {
 							return end.out, end.end
 						}
-						return ok("for " + id), false
-					}, func(s *stage) {
-						nc := s.connect()
-						text := s.request(class, "one")
+						return okResponse("for " + id), false
+					}, func(s *testbed) {
+						nc := s.dialLoopback()
+						text := s.requestText(class, "one")
 						if semantics == "once" {
 							text = strings.Replace(text, "Idempotency-Key: key-one\r\n", "", 1)
 						}
 						nc.Write([]byte(text))
-						status, body := answer(nc)
-						attempts := len(s.seen())
+						status, body := readResponse(nc)
+						attempts := len(s.requestsSeen())
 						switch {
 						case end.ran && semantics == "once" && !end.served:
 							if attempts != 1 || status == 200 || status == 429 || status == 503 {
@@ -346,12 +346,12 @@
 
 // An answer without a length ends with its connection: a clean close is its end.
 func TestAnswerWithoutALength(t *testing.T) {
-	onStage(t, func(s *stage) {
-		for _, b := range s.boxes {
-			b.answer = func(_ int, id string) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\nfor " + id, true }
+	simulate(t, func(s *testbed) {
+		for _, b := range s.servers {
+			b.respond = func(_ int, id string) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\nfor " + id, true }
 		}
-		if status, body, _ := s.ask(s.request("loan-change", "one")); status != 200 || body != "for one" || len(s.seen()) != 1 {
-			t.Errorf("%d %q after %d attempts", status, body, len(s.seen()))
+		if status, body, _ := s.exchange(s.requestText("loan-change", "one")); status != 200 || body != "for one" || len(s.requestsSeen()) != 1 {
+			t.Errorf("%d %q after %d attempts", status, body, len(s.requestsSeen()))
 		}
 	})
 }
--- a/edgenode/discovery/watch_test.go
+++ b/edgenode/discovery/watch_test.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	whole   = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"},{"name":"s-2","address":"b:1","status":"ready"}]}`
-	drained = `{"index":%d,"snapshot":false,"endpoints":[{"name":"s-2","address":"b:1","status":"draining"}]}`
-	rest    = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"}]}`
+	snapshotOfTwo = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"},{"name":"s-2","address":"b:1","status":"ready"}]}`
+	secondDrains  = `{"index":%d,"snapshot":false,"endpoints":[{"name":"s-2","address":"b:1","status":"draining"}]}`
+	snapshotOfOne = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"}]}`
 )
 
-// agent is a real listener that plays each call by hand.
-type agent struct {
-	t *testing.T
-	l net.Listener
+// fakeDiscovery is a real listener that plays each call by hand.
+type fakeDiscovery struct {
+	t        *testing.T
+	listener net.Listener
 }
 
-func newAgent(t *testing.T) *agent {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return &agent{t, l}
+	return &fakeDiscovery{t, l}
 }
 
-// calls gives the calls of each connection in turn to f until that is false: then the
+// answerCalls gives the calls of each connection in turn to f until that is false: then the
 // connection ends.
-func (a *agent) calls(f func(nc *net.TCPConn, after int64) bool) {
+func (a *fakeDiscovery) answerCalls(f func(nc *net.TCPConn, after int64) bool) {
 	for {
-		nc, err := a.l.Accept()
+		nc, err := a.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -66,12 +66,12 @@
 	}
 }
 
-func lengthed(body string) string {
+func response(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// watched runs a watch and gives what it delivers.
-func watched(t *testing.T, n network.Network, address string) chan List {
+// startWatch runs a watch and gives what it delivers.
+func startWatch(t *testing.T, n network.Network, address string) chan List {
 	got := make(chan List, 100)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -83,8 +83,8 @@
 	return got
 }
 
-// gone tells whether what was delivered takes a server out of use.
-func gone(l List) bool {
+// lacksSecond tells whether what was delivered takes a server out of use.
+func lacksSecond(l List) bool {
 	for _, h := range l.Endpoints {
 		if h.Name == "s-2" {
 			return h.Status != "ready"
@@ -95,40 +95,40 @@
 
 // News that comes while a watch fails is told in time, over orders of failures: each is
 // played once the whole list is held, and the news is there from its first call on.
-func TestNewsWhileTheWatchFails(t *testing.T) {
+func TestChangesArriveWhileCallsFail(t *testing.T) {
 	silent := func(*net.TCPConn) bool { select {} }
 	reset := func(nc *net.TCPConn) bool { nc.SetLinger(0); return false }
 	end := func(*net.TCPConn) bool { return false }
-	half := func(nc *net.TCPConn) bool { nc.Write([]byte(lengthed(drained)[:30])); return false }
-	stuck := func(nc *net.TCPConn) bool { nc.Write([]byte(lengthed(drained)[:30])); select {} }
+	half := func(nc *net.TCPConn) bool { nc.Write([]byte(response(secondDrains)[:30])); return false }
+	stuck := func(nc *net.TCPConn) bool { nc.Write([]byte(response(secondDrains)[:30])); select {} }
 	failed := func(nc *net.TCPConn) bool {
 		nc.Write([]byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"))
 		return true
 	}
-	noise := func(nc *net.TCPConn) bool { nc.Write([]byte(lengthed(`{"index":"x"}`))); return true }
+	noise := func(nc *net.TCPConn) bool { nc.Write([]byte(response(`{"index":"x"}`))); return true }
 	for name, c := range map[string]struct {
 		fails []func(*net.TCPConn) bool
 		news  string
 	}{
-		"silent twice":             {[]func(*net.TCPConn) bool{silent, silent}, drained},
-		"silent, then the rest":    {[]func(*net.TCPConn) bool{silent}, rest},
-		"reset twice":              {[]func(*net.TCPConn) bool{reset, reset}, drained},
-		"ended instead of telling": {[]func(*net.TCPConn) bool{end, end, end}, rest},
-		"half an answer":           {[]func(*net.TCPConn) bool{half, half}, drained},
-		"stuck, reset, silent":     {[]func(*net.TCPConn) bool{stuck, reset, silent}, drained},
-		"refused calls":            {[]func(*net.TCPConn) bool{failed, failed, failed, noise}, rest},
+		"silent twice":             {[]func(*net.TCPConn) bool{silent, silent}, secondDrains},
+		"silent, then the rest":    {[]func(*net.TCPConn) bool{silent}, snapshotOfOne},
+		"reset twice":              {[]func(*net.TCPConn) bool{reset, reset}, secondDrains},
+		"ended instead of telling": {[]func(*net.TCPConn) bool{end, end, end}, snapshotOfOne},
+		"half an answer":           {[]func(*net.TCPConn) bool{half, half}, secondDrains},
+		"stuck, reset, silent":     {[]func(*net.TCPConn) bool{stuck, reset, silent}, secondDrains},
+		"refused calls":            {[]func(*net.TCPConn) bool{failed, failed, failed, noise}, snapshotOfOne},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a := newAgent(t)
+			a := newFakeDiscovery(t)
 			calls := make(chan func(*net.TCPConn) bool, 10)
 			for _, f := range c.fails {
 				calls <- f
 			}
 			since := make(chan time.Time, 1)
-			go a.calls(func(nc *net.TCPConn, after int64) bool {
+			go a.answerCalls(func(nc *net.TCPConn, after int64) bool {
 				if after < 0 {
-					nc.Write([]byte(lengthed(fmt.Sprintf(whole, 41))))
+					nc.Write([]byte(response(fmt.Sprintf(snapshotOfTwo, 41))))
 					return true
 				}
 				select {
@@ -139,17 +139,17 @@
 				case f := <-calls:
 					return f(nc)
 				default:
-					nc.Write([]byte(lengthed(fmt.Sprintf(c.news, 43))))
+					nc.Write([]byte(response(fmt.Sprintf(c.news, 43))))
 					return true
 				}
 			})
-			got := watched(t, network.OS{}, a.l.Addr().String())
-			if l := <-got; !l.Snapshot || gone(l) {
+			got := startWatch(t, network.OS{}, a.listener.Addr().String())
+			if l := <-got; !l.Snapshot || lacksSecond(l) {
 				t.Fatalf("first %+v", l)
 			}
 			select {
 			case l := <-got:
-				if !gone(l) {
+				if !lacksSecond(l) {
 					t.Errorf("then %+v", l)
 				}
 				if took := time.Since(<-since); took > 5*time.Second {
@@ -186,16 +186,16 @@
 
 // An answer comes in two pieces, cut at each of its bytes, with a length or in chunks,
 // indented or not: the second leaves once the first was read.
-func TestAnswersInPieces(t *testing.T) {
-	indented := strings.NewReplacer("[", "[\n  ", "},", "},\r\n\t", ":", " : ").Replace(strings.Replace(rest, "a:1", "a1", 1))
+func TestResponsesInPieces(t *testing.T) {
+	indented := strings.NewReplacer("[", "[\n  ", "},", "},\r\n\t", ":", " : ").Replace(strings.Replace(snapshotOfOne, "a:1", "a1", 1))
 	chunked := func(b string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x;x=y\r\n%s\r\n0\r\n\r\n",
 			len(b)/2, b[:len(b)/2], len(b)-len(b)/2, b[len(b)/2:])
 	}
-	for _, text := range []string{lengthed(fmt.Sprintf(rest, 7)), chunked(fmt.Sprintf(rest, 7)), chunked(fmt.Sprintf(indented, 7))} {
-		a := newAgent(t)
+	for _, text := range []string{response(fmt.Sprintf(snapshotOfOne, 7)), chunked(fmt.Sprintf(snapshotOfOne, 7)), chunked(fmt.Sprintf(indented, 7))} {
+		a := newFakeDiscovery(t)
 		at, read := 0, make(chan int)
-		go a.calls(func(nc *net.TCPConn, _ int64) bool {
+		go a.answerCalls(func(nc *net.TCPConn, _ int64) bool {
 			if at++; at >= len(text) {
 				select {}
 			}
@@ -213,7 +213,7 @@
 		got, done := make(chan List, 1), make(chan struct{})
 		go func() {
 			defer close(done)
-			Watch(ctx, Options{Network: readNet{read: read}, Address: a.l.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
+			Watch(ctx, Options{Network: readNet{read: read}, Address: a.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
 		}()
 		for i := 1; i < len(text); i++ {
 			select {
@@ -236,18 +236,18 @@
 }
 
 // The watch moves while a call is out: what the old agent answers after that is not heard.
-func TestMoveCrossesAnAnswer(t *testing.T) {
-	a := newAgent(t)
+func TestNothingIsDeliveredAfterTheWatchEnded(t *testing.T) {
+	a := newFakeDiscovery(t)
 	out, moved := make(chan struct{}), make(chan struct{})
 	answered := make(chan struct{})
-	go a.calls(func(nc *net.TCPConn, after int64) bool {
+	go a.answerCalls(func(nc *net.TCPConn, after int64) bool {
 		if after < 0 {
-			nc.Write([]byte(lengthed(fmt.Sprintf(whole, 41))))
+			nc.Write([]byte(response(fmt.Sprintf(snapshotOfTwo, 41))))
 			return true
 		}
 		close(out)
 		<-moved
-		nc.Write([]byte(lengthed(fmt.Sprintf(rest, 43))))
+		nc.Write([]byte(response(fmt.Sprintf(snapshotOfOne, 43))))
 		close(answered)
 		return false
 	})
@@ -256,14 +256,14 @@
 	var got []List
 	go func() {
 		defer close(done)
-		Watch(ctx, Options{Network: network.OS{}, Address: a.l.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got = append(got, l) }})
+		Watch(ctx, Options{Network: network.OS{}, Address: a.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got = append(got, l) }})
 	}()
 	<-out
 	cancel()
 	<-done
 	close(moved)
 	<-answered
-	if len(got) != 1 || gone(got[0]) {
+	if len(got) != 1 || lacksSecond(got[0]) {
 		t.Errorf("heard %+v", got)
 	}
 }
--- a/edgenode/edge_test.go
+++ b/edgenode/edge_test.go
@@ -19,38 +19,40 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-// box is a scripted app server: it answers every request by a function, which may
+// fakeServer is a scripted app server: it answers every request by a function, which may
 // say that the connection ends.
-type box struct {
-	mu     sync.Mutex
-	seen   []string // id, key, patience, method, target, body of each request
-	conns  int
-	answer func(n int, id string) (out string, end bool)
-	note   func(s audit.Seen, out string) // what came of a request; nil: nobody is told
-	reset  bool                           // ends are resets
+type fakeServer struct {
+	mu                sync.Mutex
+	seen              []string // id, key, patience, method, target, body of each request
+	connections       int
+	respond           func(n int, id string) (out string, end bool)
+	observe           func(s audit.Seen, out string) // what came of a request; nil: nobody is told
+	resetsConnections bool                           // ends are resets
 }
 
-func newBox(answer func(n int, id string) (string, bool)) *box { return &box{answer: answer} }
+func newFakeServer(answer func(n int, id string) (string, bool)) *fakeServer {
+	return &fakeServer{respond: answer}
+}
 
-func ok(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// got is the number of requests seen.
-func (b *box) got() int {
+// requestCount is the number of requests seen.
+func (b *fakeServer) requestCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.seen)
 }
 
-func (b *box) serve(l net.Listener) {
+func (b *fakeServer) serve(l net.Listener) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			return
 		}
 		b.mu.Lock()
-		b.conns++
+		b.connections++
 		b.mu.Unlock()
 		go func() {
 			defer nc.Close()
@@ -76,7 +78,7 @@
 					next <- time.Now()
 				}()
 				time.Sleep(20 * time.Millisecond)
-				out, end := b.answer(n, id)
+				out, end := b.respond(n, id)
 				seen := audit.Seen{Trace: id, Class: "lookup", Key: req.Header.Get("Idempotency-Key"), At: at, End: time.Now()}
 				left := false
 				select {
@@ -85,11 +87,11 @@
 				default:
 				}
 				_, err = nc.Write([]byte(out))
-				if b.note != nil {
-					b.note(seen, out)
+				if b.observe != nil {
+					b.observe(seen, out)
 				}
 				if err != nil || end {
-					if tc, ok := nc.(*net.TCPConn); ok && b.reset {
+					if tc, ok := nc.(*net.TCPConn); ok && b.resetsConnections {
 						tc.SetLinger(0)
 					}
 					return
@@ -102,36 +104,36 @@
 	}
 }
 
-// stage is an edge node in virtual time with two servers and discovery.
-type stage struct {
-	t     *testing.T
-	mem   *network.Memory
-	edge  *Edge
-	boxes [2]*box
-	ls    []net.Listener
-	cfg   *Config
-	ids   int  // given
-	ended bool // the test drained the node
+// testbed is an edge node in virtual time with two servers and discovery.
+type testbed struct {
+	t         *testing.T
+	network   *network.Memory
+	edge      *Edge
+	servers   [2]*fakeServer
+	listeners []net.Listener
+	cfg       *Config
+	lastID    int  // given
+	drained   bool // the test drained the node
 
-	address string // of the node, on loopback
-	list    atomic.Pointer[string]
+	address      string // of the node, on loopback
+	endpointList atomic.Pointer[string]
 }
 
-func (s *stage) listen(host, addr string) net.Listener {
-	l, err := s.mem.Host(host).Listen(addr)
+func (s *testbed) listen(host, addr string) net.Listener {
+	l, err := s.network.Host(host).Listen(addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.ls = append(s.ls, l)
+	s.listeners = append(s.listeners, l)
 	return l
 }
 
-// discover answers every call with what list gives; "" is silence.
-func (s *stage) discover(addr string, list func(target string) string) {
-	go s.answerLists(s.listen("discovery", addr), list)
+// serveDiscovery answers every call with what list gives; "" is silence.
+func (s *testbed) serveDiscovery(addr string, list func(target string) string) {
+	go s.answerPolls(s.listen("discovery", addr), list)
 }
 
-func (s *stage) answerLists(l net.Listener, list func(target string) string) {
+func (s *testbed) answerPolls(l net.Listener, list func(target string) string) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
@@ -151,34 +153,34 @@
 					return
 				}
 				if strings.Contains(req.Target, "after=") {
-					time.Sleep(watchWaits)
+					time.Sleep(pollDelay)
 				}
-				nc.Write([]byte(ok(out)))
+				nc.Write([]byte(okResponse(out)))
 			}
 		}()
 	}
 }
 
-const watchWaits = 300 * time.Millisecond // discovery's answers to watches come so late
+const pollDelay = 300 * time.Millisecond // discovery's answers to watches come so late
 
-const twoHosts = `{"index":7,"snapshot":true,"endpoints":[
+const twoEndpoints = `{"index":7,"snapshot":true,"endpoints":[
  {"name":"s-1","address":"10.0.1.1:80","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0},
  {"name":"s-2","address":"10.0.1.2:80","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0}]}`
 
-func onStage(t *testing.T, f func(s *stage)) {
+func simulate(t *testing.T, f func(s *testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &stage{t: t, mem: network.NewMemory(time.Millisecond, 1)}
-		for i := range s.boxes {
-			s.boxes[i] = &box{answer: func(_ int, id string) (string, bool) { return ok("for " + id), false }}
-			go s.boxes[i].serve(s.listen(fmt.Sprint("s", i), fmt.Sprintf("10.0.1.%d:80", i+1)))
+		s := &testbed{t: t, network: network.NewMemory(time.Millisecond, 1)}
+		for i := range s.servers {
+			s.servers[i] = &fakeServer{respond: func(_ int, id string) (string, bool) { return okResponse("for " + id), false }}
+			go s.servers[i].serve(s.listen(fmt.Sprint("s", i), fmt.Sprintf("10.0.1.%d:80", i+1)))
 		}
-		s.discover("10.0.3.1:80", func(string) string { return twoHosts })
+		s.serveDiscovery("10.0.3.1:80", func(string) string { return twoEndpoints })
 		var err error
 		if s.cfg, err = Parse([]byte(configJSON)); err != nil {
 			t.Fatal(err)
 		}
-		s.edge, err = Start(context.Background(), s.cfg, s.mem.Host("node"), slog.New(slog.DiscardHandler))
+		s.edge, err = Start(context.Background(), s.cfg, s.network.Host("node"), slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,7 +188,7 @@
 		f(s)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		if !s.ended {
+		if !s.drained {
 			if err := s.edge.Drain(ctx); err != nil {
 				t.Error(err)
 			}
@@ -194,26 +196,26 @@
 		if s.edge.open.count() > 0 {
 			t.Errorf("ids are still open: %v", s.edge.open.ids)
 		}
-		for _, l := range s.ls {
+		for _, l := range s.listeners {
 			l.Close()
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-func (s *stage) dial() net.Conn {
+func (s *testbed) dial() net.Conn {
 	s.t.Helper()
-	nc, err := s.mem.Host("client").Dial(context.Background(), "10.0.0.1:80")
+	nc, err := s.network.Host("client").Dial(context.Background(), "10.0.0.1:80")
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	return nc
 }
 
-// request is a good request of a class as bytes; id "" draws a new one.
-func (s *stage) request(class, id string) string {
-	if s.ids++; id == "" {
-		id = fmt.Sprintf("%016x", s.ids)
+// requestText is a good request of a class as bytes; id "" draws a new one.
+func (s *testbed) requestText(class, id string) string {
+	if s.lastID++; id == "" {
+		id = fmt.Sprintf("%016x", s.lastID)
 	}
 	method, extra, body := "GET", "", ""
 	if class == "loan-change" {
@@ -223,19 +225,19 @@
 		"\r\nX-Plan: basic\r\nCookie: key=00000000b4d65521\r\nX-Time-Left-Ms: 1500\r\nX-Quota: units=1,spread=2,first=0\r\n" + extra + "\r\n" + body
 }
 
-// ask sends bytes on a connection of its own and reads one answer; status 0 is a
+// exchange sends bytes on a connection of its own and reads one answer; status 0 is a
 // close without one.
-func (s *stage) ask(bytes string) (status int, body string, took time.Duration) {
+func (s *testbed) exchange(bytes string) (status int, body string, took time.Duration) {
 	s.t.Helper()
 	nc := s.dial()
 	defer nc.Close()
 	go nc.Write([]byte(bytes))
 	start := time.Now()
-	status, body = answer(nc)
+	status, body = readResponse(nc)
 	return status, body, time.Since(start)
 }
 
-func answer(nc net.Conn) (status int, body string) {
+func readResponse(nc net.Conn) (status int, body string) {
 	r := http1.NewReader(nc, http1.Limits{Line: 4096, Fields: 50, Header: 8192, Body: 1 << 20})
 	head, err := r.Response("GET")
 	if err != nil {
@@ -248,8 +250,8 @@
 	return head.Status, string(b)
 }
 
-func (s *stage) seen() (all []string) {
-	for _, b := range s.boxes {
+func (s *testbed) requestsSeen() (all []string) {
+	for _, b := range s.servers {
 		b.mu.Lock()
 		all = append(all, b.seen...)
 		b.mu.Unlock()
@@ -257,18 +259,18 @@
 	return all
 }
 
-func TestCalm(t *testing.T) {
-	onStage(t, func(s *stage) {
-		if status, _, _ := s.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); status != 200 {
+func TestServesEachClass(t *testing.T) {
+	simulate(t, func(s *testbed) {
+		if status, _, _ := s.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); status != 200 {
 			t.Errorf("/up: %d", status)
 		}
 		for _, class := range []string{"lookup", "loan-change"} {
-			status, body, took := s.ask(s.request(class, "id-"+class))
+			status, body, took := s.exchange(s.requestText(class, "id-"+class))
 			if status != 200 || body != "for id-"+class || took > 100*time.Millisecond {
 				t.Errorf("%s: %d %q in %v", class, status, body, took)
 			}
 		}
-		if got := strings.Join(s.seen(), "|"); !strings.Contains(got, "id-lookup  GET /api?q=1 ") ||
+		if got := strings.Join(s.requestsSeen(), "|"); !strings.Contains(got, "id-lookup  GET /api?q=1 ") ||
 			!strings.Contains(got, "id-loan-change key-id-loan-change POST /api?q=1 body") {
 			t.Errorf("servers saw %q", got)
 		}
@@ -277,7 +279,7 @@
 
 // What a server says with X-Unprocessed never ran: the other one gets it. What an
 // answer spoils is a failed attempt, whose connection is not used again.
-func TestServersAnswers(t *testing.T) {
+func TestServerResponses(t *testing.T) {
 	const turned = "HTTP/1.1 %d Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
 		name, out string
@@ -299,29 +301,29 @@
 		{"lengths that differ", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc", "lookup", false, 200, 2, true},
 		{"an answer that stops short", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort", "loan-change", false, 200, 2, true},
 		{"a head that stops short", "HTTP/1.1 200 OK\r\nContent-Le", "lookup", false, 200, 2, true},
-		{"a long answer", ok(strings.Repeat("x", 400<<10)), "loan-change", false, 200, 1, true},
+		{"a long answer", okResponse(strings.Repeat("x", 400<<10)), "loan-change", false, 200, 1, true},
 		{"an end", "", "lookup", true, 200, 2, true},
-		{"1xx in front", "HTTP/1.1 102 On\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + ok("good"), "lookup", false, 200, 1, false},
-		{"noise behind", ok("good") + "noise", "lookup", false, 200, 1, false},
-		{"a second copy", ok("good") + ok("good"), "lookup", false, 200, 1, false},
+		{"1xx in front", "HTTP/1.1 102 On\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + okResponse("good"), "lookup", false, 200, 1, false},
+		{"noise behind", okResponse("good") + "noise", "lookup", false, 200, 1, false},
+		{"a second copy", okResponse("good") + okResponse("good"), "lookup", false, 200, 1, false},
 		{"a report that can't be read", "HTTP/1.1 200 OK\r\nX-Backend-Load: {{\r\nContent-Length: 4\r\n\r\ngood", "lookup", false, 200, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			onStage(t, func(s *stage) {
+			simulate(t, func(s *testbed) {
 				var mu sync.Mutex
 				first := true
-				for _, b := range s.boxes {
-					b.answer = func(_ int, id string) (string, bool) {
+				for _, b := range s.servers {
+					b.respond = func(_ int, id string) (string, bool) {
 						mu.Lock()
 						defer mu.Unlock()
 						if first {
 							first = false
 							return c.out, c.end
 						}
-						return ok("for " + id), false
+						return okResponse("for " + id), false
 					}
 				}
-				status, body, took := s.ask(s.request(c.class, "one"))
+				status, body, took := s.exchange(s.requestText(c.class, "one"))
 				if took > 500*time.Millisecond {
 					t.Errorf("it took %v", took)
 				}
@@ -332,13 +334,13 @@
 				if c.name == "a long answer" {
 					want = strings.Repeat("x", 400<<10)
 				}
-				if status != c.status || body != want || len(s.seen()) != c.attempts {
-					t.Errorf("%d %.100q after %d attempts", status, body, len(s.seen()))
+				if status != c.status || body != want || len(s.requestsSeen()) != c.attempts {
+					t.Errorf("%d %.100q after %d attempts", status, body, len(s.requestsSeen()))
 				}
 				// Whatever comes next gets its own answer.
 				for i := range 8 {
 					id := fmt.Sprint("next-", i)
-					if status, body, _ := s.ask(s.request("lookup", id)); status != 200 || body != "for "+id {
+					if status, body, _ := s.exchange(s.requestText("lookup", id)); status != 200 || body != "for "+id {
 						t.Errorf("%s: %d %q", id, status, body)
 					}
 				}
@@ -350,8 +352,8 @@
 // Clients that can't be understood get an error or a close soon, and nothing of
 // them reaches a server.
 func TestBadClients(t *testing.T) {
-	onStage(t, func(s *stage) {
-		good := s.request("loan-change", "bad")
+	simulate(t, func(s *testbed) {
+		good := s.requestText("loan-change", "bad")
 		for name, in := range map[string]string{
 			"noise":              "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
 			"a line without end": "GET /" + strings.Repeat("a", 1<<17),
@@ -367,15 +369,15 @@
 			"no class":           strings.Replace(good, "loan-change", "other", 1),
 			"a set too wide":     strings.Replace(good, "spread=2", "spread=9", 1),
 		} {
-			status, _, took := s.ask(in)
+			status, _, took := s.exchange(in)
 			if status == 200 || took > 3*time.Second {
 				t.Errorf("%s: status %d after %v", name, status, took)
 			}
 		}
-		if got := s.seen(); len(got) > 0 {
+		if got := s.requestsSeen(); len(got) > 0 {
 			t.Errorf("servers saw %q", got)
 		}
-		if status, body, _ := s.ask(s.request("lookup", "after")); status != 200 || body != "for after" {
+		if status, body, _ := s.exchange(s.requestText("lookup", "after")); status != 200 || body != "for after" {
 			t.Errorf("a good request after them: %d %q", status, body)
 		}
 	})
@@ -383,38 +385,38 @@
 
 // The id of another request that is open is an error; once that is answered the id
 // is free again.
-func TestOpenID(t *testing.T) {
-	onStage(t, func(s *stage) {
+func TestRequestIDIsOpenOnce(t *testing.T) {
+	simulate(t, func(s *testbed) {
 		done := make(chan int)
-		same := s.request("lookup", "same")
+		same := s.requestText("lookup", "same")
 		go func() {
-			status, _, _ := s.ask(same)
+			status, _, _ := s.exchange(same)
 			done <- status
 		}()
 		time.Sleep(10 * time.Millisecond)
-		if status, _, _ := s.ask(same); status != 400 {
+		if status, _, _ := s.exchange(same); status != 400 {
 			t.Errorf("the second: %d", status)
 		}
 		if status := <-done; status != 200 {
 			t.Errorf("the first: %d", status)
 		}
 		time.Sleep(10 * time.Millisecond)
-		if status, _, _ := s.ask(s.request("lookup", "same")); status != 200 || len(s.seen()) != 2 {
-			t.Errorf("a later one: %d, servers saw %d", status, len(s.seen()))
+		if status, _, _ := s.exchange(s.requestText("lookup", "same")); status != 200 || len(s.requestsSeen()) != 2 {
+			t.Errorf("a later one: %d, servers saw %d", status, len(s.requestsSeen()))
 		}
 	})
 }
 
 // Connections by the hundreds that say nothing leave room for those that ask.
-func TestSilentCrowd(t *testing.T) {
-	onStage(t, func(s *stage) {
+func TestSilentConnectionsLeaveRoom(t *testing.T) {
+	simulate(t, func(s *testbed) {
 		var silent []net.Conn
 		for range 400 {
 			silent = append(silent, s.dial())
 		}
 		time.Sleep(300 * time.Millisecond)
 		for i := range 20 {
-			if status, _, _ := s.ask(s.request("lookup", "")); status != 200 {
+			if status, _, _ := s.exchange(s.requestText("lookup", "")); status != 200 {
 				t.Fatalf("request %d among silent connections: %d", i, status)
 			}
 		}
@@ -433,14 +435,14 @@
 
 // A server that takes the address of one that has gone gets connections of its own,
 // and a draining one nothing new.
-func TestListChanges(t *testing.T) {
-	onStage(t, func(s *stage) {
+func TestReusedAddressGetsNewConnections(t *testing.T) {
+	simulate(t, func(s *testbed) {
 		for range 4 {
-			s.ask(s.request("lookup", ""))
+			s.exchange(s.requestText("lookup", ""))
 		}
 		var mu sync.Mutex
-		list := twoHosts
-		s.discover("10.0.3.2:80", func(string) string {
+		list := twoEndpoints
+		s.serveDiscovery("10.0.3.2:80", func(string) string {
 			mu.Lock()
 			defer mu.Unlock()
 			return list
@@ -450,43 +452,43 @@
 			list = l
 			mu.Unlock()
 		}
-		set(strings.Replace(strings.Replace(twoHosts, `"status":"ready"`, `"status":"draining"`, 1), `"index":7`, `"index":8`, 1))
+		set(strings.Replace(strings.Replace(twoEndpoints, `"status":"ready"`, `"status":"draining"`, 1), `"index":7`, `"index":8`, 1))
 		s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.2:80"})
 		time.Sleep(time.Second)
-		before := s.boxes[0].got()
+		before := s.servers[0].requestCount()
 		for range 10 {
-			if status, _, _ := s.ask(s.request("lookup", "")); status != 200 {
+			if status, _, _ := s.exchange(s.requestText("lookup", "")); status != 200 {
 				t.Errorf("status %d", status)
 			}
 		}
-		if got := s.boxes[0].got(); got != before {
+		if got := s.servers[0].requestCount(); got != before {
 			t.Errorf("the draining server got %d requests", got-before)
 		}
-		s.boxes[1].mu.Lock()
-		conns := s.boxes[1].conns
-		s.boxes[1].mu.Unlock()
-		set(strings.Replace(strings.ReplaceAll(twoHosts, "s-2", "s-3"), `"index":7`, `"index":9`, 1))
+		s.servers[1].mu.Lock()
+		conns := s.servers[1].connections
+		s.servers[1].mu.Unlock()
+		set(strings.Replace(strings.ReplaceAll(twoEndpoints, "s-2", "s-3"), `"index":7`, `"index":9`, 1))
 		time.Sleep(time.Second)
 		for range 10 {
-			if status, _, _ := s.ask(s.request("lookup", "")); status != 200 {
+			if status, _, _ := s.exchange(s.requestText("lookup", "")); status != 200 {
 				t.Errorf("status %d", status)
 			}
 		}
-		s.boxes[1].mu.Lock()
-		if s.boxes[1].conns == conns {
+		s.servers[1].mu.Lock()
+		if s.servers[1].connections == conns {
 			t.Error("the new server at an old address was sent to on its predecessor's connections")
 		}
-		s.boxes[1].mu.Unlock()
+		s.servers[1].mu.Unlock()
 	})
 }
 
 // A module made anew after a panic knows the list as it stands, not as it was last
 // told whole: what has gone since gets nothing.
-func TestChangesOutliveAPanic(t *testing.T) {
-	onStage(t, func(s *stage) {
-		s.discover("10.0.3.2:80", func(target string) string {
+func TestEndpointChangesOutliveAPanic(t *testing.T) {
+	simulate(t, func(s *testbed) {
+		s.serveDiscovery("10.0.3.2:80", func(target string) string {
 			if !strings.Contains(target, "after=") {
-				return twoHosts
+				return twoEndpoints
 			}
 			return `{"index":8,"snapshot":false,"endpoints":[{"name":"s-1","address":"10.0.1.1:80","zone":"a","group":1,"status":"gone","weight":1,"since_ms":0}]}`
 		})
@@ -494,11 +496,11 @@
 		time.Sleep(time.Second)
 		s.edge.node.BreakPolicy()
 		for range 10 {
-			if status, _, _ := s.ask(s.request("lookup", "")); status != 200 {
+			if status, _, _ := s.exchange(s.requestText("lookup", "")); status != 200 {
 				t.Errorf("status %d", status)
 			}
 		}
-		if n := s.boxes[0].got(); n > 0 {
+		if n := s.servers[0].requestCount(); n > 0 {
 			t.Errorf("the server that has gone got %d requests", n)
 		}
 	})
@@ -506,24 +508,24 @@
 
 // A watch that falls silent with news at hand is given up soon enough: a drain is
 // known within 4 s, also where two calls in a row are silent.
-func TestSilentWatch(t *testing.T) {
-	onStage(t, func(s *stage) {
+func TestDrainIsKnownDespiteSilentPolls(t *testing.T) {
+	simulate(t, func(s *testbed) {
 		var calls atomic.Int64
-		s.discover("10.0.3.2:80", func(string) string {
+		s.serveDiscovery("10.0.3.2:80", func(string) string {
 			switch calls.Add(1) {
 			case 1:
-				return twoHosts
+				return twoEndpoints
 			case 2, 3:
 				return ""
 			}
-			return strings.Replace(strings.Replace(twoHosts, `"status":"ready"`, `"status":"draining"`, 1), `"index":7`, `"index":8`, 1)
+			return strings.Replace(strings.Replace(twoEndpoints, `"status":"ready"`, `"status":"draining"`, 1), `"index":7`, `"index":8`, 1)
 		})
 		s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.2:80"})
 		time.Sleep(4 * time.Second)
 		for range 10 {
-			s.ask(s.request("lookup", ""))
+			s.exchange(s.requestText("lookup", ""))
 		}
-		if n := s.boxes[0].got(); n > 0 || calls.Load() < 4 {
+		if n := s.servers[0].requestCount(); n > 0 || calls.Load() < 4 {
 			t.Errorf("the draining server got %d requests; discovery was asked %d times", n, calls.Load())
 		}
 	})
@@ -531,15 +533,15 @@
 
 // Discovery that says what can't be read, or nothing, changes nothing; a new address
 // is asked at once.
-func TestDiscoveryFails(t *testing.T) {
+func TestDiscoveryFailureKeepsTheList(t *testing.T) {
 	for name, says := range map[string]string{"noise": "{]", "changes without a list": `{"index":1,"endpoints":[]}`, "silence": ""} {
 		t.Run(name, func(t *testing.T) {
-			onStage(t, func(s *stage) {
+			simulate(t, func(s *testbed) {
 				var calls atomic.Int64
-				s.discover("10.0.3.9:80", func(string) string { calls.Add(1); return says })
+				s.serveDiscovery("10.0.3.9:80", func(string) string { calls.Add(1); return says })
 				s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.9:80"})
 				time.Sleep(10 * time.Second)
-				if status, _, _ := s.ask(s.request("lookup", "")); status != 200 {
+				if status, _, _ := s.exchange(s.requestText("lookup", "")); status != 200 {
 					t.Errorf("with the old list: %d", status)
 				}
 				if n := calls.Load(); n < 2 || n > 60 {
@@ -547,7 +549,7 @@
 				}
 				s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.1:80"})
 				time.Sleep(time.Second)
-				if status, _, _ := s.ask(s.request("lookup", "")); status != 200 {
+				if status, _, _ := s.exchange(s.requestText("lookup", "")); status != 200 {
 					t.Errorf("back at the old address: %d", status)
 				}
 			})
@@ -557,32 +559,32 @@
 
 // On its way out a node still takes what comes in for the time that clients need to
 // hear, one request for each connection, and answers all.
-func TestDrain(t *testing.T) {
-	onStage(t, func(s *stage) {
+func TestDrainServesNewConnections(t *testing.T) {
+	simulate(t, func(s *testbed) {
 		kept := s.dial()
-		kept.Write([]byte(s.request("lookup", "")))
-		answer(kept)
+		kept.Write([]byte(s.requestText("lookup", "")))
+		readResponse(kept)
 		open := s.dial()
-		open.Write([]byte(s.request("lookup", "open")))
+		open.Write([]byte(s.requestText("lookup", "open")))
 		time.Sleep(5 * time.Millisecond)
 		done := make(chan error)
-		s.ended = true
+		s.drained = true
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
 			done <- s.edge.Drain(ctx)
 		}()
-		if status, body := answer(open); status != 200 || body != "for open" {
+		if status, body := readResponse(open); status != 200 || body != "for open" {
 			t.Errorf("an open request: %d %q", status, body)
 		}
 		if _, err := kept.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("an idle connection: %v", err)
 		}
 		time.Sleep(300 * time.Millisecond)
-		if status, _, _ := s.ask("GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); status != 503 {
+		if status, _, _ := s.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); status != 503 {
 			t.Errorf("/up: %d", status)
 		}
-		if status, _, _ := s.ask(s.request("lookup", "late")); status != 200 {
+		if status, _, _ := s.exchange(s.requestText("lookup", "late")); status != 200 {
 			t.Errorf("a request on a new connection: %d", status)
 		}
 		if err := <-done; err != nil {
@@ -594,8 +596,8 @@
 }
 
 // A rough day: servers that fail in many ways, one of them drained and back. The five rules are checked from what servers and clients saw.
-func TestRoughDay(t *testing.T) {
-	onStage(t, func(s *stage) {
+func TestInvariantsHoldUnderFaults(t *testing.T) {
+	simulate(t, func(s *testbed) {
 		var mu sync.Mutex
 		rng := rand.New(rand.NewPCG(3, 3))
 		rec := &audit.Record{Grace: 250 * time.Millisecond, Slop: 10 * time.Millisecond,
@@ -603,8 +605,8 @@
 		statuses := map[int]int{}
 		ran := map[string]time.Time{} // by key: the rack drops repeats
 		const good = "HTTP/1.1 200"
-		for i, b := range s.boxes {
-			b.note = func(seen audit.Seen, out string) {
+		for i, b := range s.servers {
+			b.observe = func(seen audit.Seen, out string) {
 				mu.Lock()
 				defer mu.Unlock()
 				if seen.Server, seen.Rack = fmt.Sprint("s-", i+1), "1"; seen.Class == "loan-change" {
@@ -618,7 +620,7 @@
 				}
 				rec.Seen = append(rec.Seen, seen)
 			}
-			b.answer = func(_ int, id string) (string, bool) {
+			b.respond = func(_ int, id string) (string, bool) {
 				mu.Lock()
 				kind, slow := rng.IntN(60), rng.Float64()
 				mu.Unlock()
@@ -636,18 +638,18 @@
 				case 6:
 					time.Sleep(time.Duration(slow * float64(4*time.Second)))
 				case 7:
-					return ok("for "+id) + ok("for another"), false
+					return okResponse("for "+id) + okResponse("for another"), false
 				}
-				return ok("for " + id), false
+				return okResponse("for " + id), false
 			}
 		}
 		start := time.Now()
 		down := func() bool { at := time.Since(start); return at > 4*time.Second && at < 7*time.Second }
 		told := map[bool]bool{}
-		s.discover("10.0.3.2:80", func(target string) string {
+		s.serveDiscovery("10.0.3.2:80", func(target string) string {
 			at := time.Now()
 			if strings.Contains(target, "after=") {
-				at = at.Add(watchWaits)
+				at = at.Add(pollDelay)
 			}
 			d := down()
 			mu.Lock()
@@ -657,9 +659,9 @@
 				rec.Told = append(rec.Told, audit.Told{Server: "s-1", At: at, Down: d})
 			}
 			if d {
-				return strings.Replace(twoHosts, `"status":"ready"`, `"status":"draining"`, 1)
+				return strings.Replace(twoEndpoints, `"status":"ready"`, `"status":"draining"`, 1)
 			}
-			return twoHosts
+			return twoEndpoints
 		})
 		s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.2:80"})
 		var clients sync.WaitGroup
@@ -668,7 +670,7 @@
 			if i%3 == 0 {
 				class = "loan-change"
 			}
-			request := strings.Replace(s.request(class, id), "b4d65521", fmt.Sprintf("b4d6%04x", i%40), 1)
+			request := strings.Replace(s.requestText(class, id), "b4d65521", fmt.Sprintf("b4d6%04x", i%40), 1)
 			clients.Go(func() {
 				tried := audit.Tried{Trace: id, Front: "http", Customer: "c", Plan: "basic", Class: class, Units: 1, Sent: time.Now()}
 				tried.GiveUp = tried.Sent.Add(1500 * time.Millisecond)
@@ -676,7 +678,7 @@
 				defer nc.Close()
 				nc.Write([]byte(request))
 				nc.SetReadDeadline(tried.GiveUp)
-				status, body := answer(nc)
+				status, body := readResponse(nc)
 				tried.Status = status
 				mu.Lock()
 				statuses[status]++
--- a/edgenode/run_test.go
+++ b/edgenode/run_test.go
@@ -16,11 +16,11 @@
 	"time"
 )
 
-// child marks a process that is to be the edge node.
-const child = "YARDCLEAT_TEST_EDGE"
+// childVariable marks a process that is to be the edge node.
+const childVariable = "YARDCLEAT_TEST_EDGE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(child) != "" {
+	if os.Getenv(childVariable) != "" {
 		if err := Run(context.Background(), os.Stderr); err != nil {
 			fmt.Fprintln(os.Stderr, "edge:", err)
 			os.Exit(1)
@@ -30,20 +30,20 @@
 	os.Exit(m.Run())
 }
 
-func command(config string) *exec.Cmd {
+func edgeCommand(config string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), child+"=1", "NODE_CONFIG="+config)
+	cmd.Env = append(os.Environ(), childVariable+"=1", "NODE_CONFIG="+config)
 	return cmd
 }
 
 // A configuration that can't be meant ends the program with one line and status 1.
-func TestBadConfigurationEnds(t *testing.T) {
+func TestBadConfigurationEndsTheProgram(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(strings.Replace(configJSON, `"conn_idle_ms":10000,`, "", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range []string{path, path + ".none", ""} {
-		out, err := command(p).CombinedOutput()
+		out, err := edgeCommand(p).CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 {
 			t.Errorf("%q: %v, %q", p, err, out)
@@ -63,18 +63,18 @@
 		t.Cleanup(func() { l.Close() })
 		return l
 	}
-	s := &stage{t: t}
+	s := &testbed{t: t}
 	list := `{"index":7,"snapshot":true,"endpoints":[`
 	hold := make(chan struct{}) // the last request's answer
-	for i := range s.boxes {
-		s.boxes[i] = &box{answer: func(_ int, id string) (string, bool) {
+	for i := range s.servers {
+		s.servers[i] = &fakeServer{respond: func(_ int, id string) (string, bool) {
 			if id == "the-last-one" {
 				<-hold
 			}
-			return ok("for " + id), false
+			return okResponse("for " + id), false
 		}}
 		l := listen()
-		go s.boxes[i].serve(l)
+		go s.servers[i].serve(l)
 		list += strings.Repeat(",", i) + fmt.Sprintf(`{"name":"s-%d","address":"%s","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0}`, i, l.Addr())
 	}
 	list += "]}"
@@ -83,7 +83,7 @@
 	for i := range discoveries {
 		l := listen()
 		discoveries[i] = l.Addr().String()
-		go s.answerLists(l, func(string) string { asked[i].Add(1); return list })
+		go s.answerPolls(l, func(string) string { asked[i].Add(1); return list })
 	}
 	free := listen()
 	address := free.Addr().String()
@@ -96,7 +96,7 @@
 		}
 	}
 	write(discoveries[0])
-	cmd := command(path)
+	cmd := edgeCommand(path)
 	var log strings.Builder
 	cmd.Stderr = &log
 	if err := cmd.Start(); err != nil {
@@ -116,7 +116,7 @@
 		if _, err := nc.Write([]byte(request)); err != nil {
 			return -1
 		}
-		status, _ := answer(nc)
+		status, _ := readResponse(nc)
 		return status
 	}
 	until := func(what string, f func() bool) {
@@ -144,7 +144,7 @@
 				default:
 				}
 				// Patience is long: what is asked here is whether one comes, not how soon.
-				r := strings.Replace((&stage{ids: 1000*k + i}).request("lookup", ""), "1500", "3000", 1)
+				r := strings.Replace((&testbed{lastID: 1000*k + i}).requestText("lookup", ""), "1500", "3000", 1)
 				if status := ask(r); status == 200 {
 					served.Add(1)
 				} else if status <= 0 || status < 500 && status != 429 {
@@ -176,8 +176,8 @@
 	}
 
 	open := make(chan int, 1)
-	go func() { open <- ask(strings.Replace(s.request("loan-change", "the-last-one"), "1500", "2000", 1)) }()
-	until("the last request's attempt", func() bool { return strings.Contains(strings.Join(s.seen(), " "), "the-last-one") })
+	go func() { open <- ask(strings.Replace(s.requestText("loan-change", "the-last-one"), "1500", "2000", 1)) }()
+	until("the last request's attempt", func() bool { return strings.Contains(strings.Join(s.requestsSeen(), " "), "the-last-one") })
 	// SIGTERM twice, and SIGHUP between: the node drains once, and is told of the move.
 	write(discoveries[0])
 	was := asked[0].Load()
