--- /dev/null
+++ b/edgenode/shutdown_test.go
@@ -0,0 +1,22 @@
+package edgenode
+
+import (
+	"testing"
+	"time"
+
+	"yardcleat.example/yardcleat/policy"
+)
+
+// The times of a shutdown follow from the longest deadline, and keep their order.
+func TestPlanShutdown(t *testing.T) {
+	for _, c := range []struct{ longest, kill time.Duration }{
+		{300 * time.Millisecond, time.Second}, {2 * time.Second, 2700 * time.Millisecond},
+		{3 * time.Second, 3700 * time.Millisecond}, {9 * time.Second, 3700 * time.Millisecond}, {0, 700 * time.Millisecond},
+	} {
+		p := planShutdown([]policy.Class{{Deadline: c.longest / 2}, {Deadline: c.longest}})
+		if !(400*time.Millisecond < p.stopAccepting && p.stopAccepting <= p.finalResponses && p.finalResponses < p.cutConnections && p.cutConnections < c.kill) ||
+			p.finalResponses < c.kill-400*time.Millisecond {
+			t.Errorf("longest %v, SIGKILL at %v: %+v", c.longest, c.kill, p)
+		}
+	}
+}
