--- a/internal/network/accept.go
+++ b/internal/network/accept.go
@@ -18,7 +18,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			log.Warn("accept", "error", err)
+			log.Warn("accept failed", "error", err)
 			time.Sleep(moment)
 		default:
 			go serve(nc)
