--- a/edgenode/attempts_test.go
+++ b/edgenode/attempts_test.go
@@ -29,17 +29,20 @@
 	})
 }
 
+// attemptEnd is a way for an attempt to end.
+type attemptEnd struct {
+	name, out string
+	end       bool // the connection is reset after out
+	ran       bool // the request may have run
+	served    bool // out has the response for the client
+}
+
 // How an attempt ends, against what its class's effect lets be sent again: one row each,
 // the effect as the settings have it. Two of the rows prove that nothing ran; of the
 // others an unsafe request is never sent again, and its client is told nothing harmless.
 func TestEndsByEffect(t *testing.T) {
 	const turned = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-	for _, end := range []struct {
-		name, out string
-		end       bool
-		ran       bool // it may have
-		served    bool
-	}{
+	for _, end := range []attemptEnd{
 		{"turned away", turned, false, false, false},
 		{"turned away on a closing connection", strings.Replace(turned, "Content", "Connection: close\r\nContent", 1), true, false, false},
 		{"a reset without a byte", "", true, true, false},
@@ -54,42 +57,59 @@
 		for _, semantics := range []string{"repeatable", "by_key", "once"} {
 			t.Run(end.name+", "+semantics, func(t *testing.T) {
 				t.Parallel()
-				var n atomic.Int64
-				class := "loan-change"
-				if semantics == "repeatable" {
-					class = "lookup"
-				}
-				runOnLoopback(t, strings.NewReplacer(`"semantics":"by_key"`, `"semantics":"`+semantics+`"`), dialHook{},
-					func(_ int, id string) (string, bool) {
-						if n.Add(1) == 1 {
-							return end.out, end.end
-						}
-						return okResponse("for " + id), false
-					}, func(s *testbed) {
-						nc := s.dialLoopback()
-						text := s.requestText(class, "one")
-						if semantics == "once" {
-							text = strings.Replace(text, "Idempotency-Key: key-one\r\n", "", 1)
-						}
-						nc.Write([]byte(text))
-						status, body := readResponse(nc)
-						attempts := len(s.requestsSeen())
-						switch {
-						case end.ran && semantics == "once" && !end.served:
-							if attempts != 1 || status == 200 || status == 429 || status == 503 {
-								t.Errorf("status %d after %d attempts", status, attempts)
-							}
-						case status != 200 || body != "for one":
-							t.Errorf("%d %q after %d attempts", status, body, attempts)
-						case end.served && attempts != 1 || !end.served && attempts != 2:
-							t.Errorf("%d attempts", attempts)
-						}
-					})
+				end.check(t, semantics)
 			})
 		}
 	}
 }
 
+// check has the first attempt of a request end so, and checks what its client gets.
+func (c attemptEnd) check(t *testing.T, semantics string) {
+	t.Helper()
+	var attempts atomic.Int64
+	respond := func(n int, id string) (string, bool) {
+		if attempts.Add(1) == 1 {
+			return c.out, c.end
+		}
+		return answerByID(n, id)
+	}
+	class := "loan-change"
+	if semantics == "repeatable" {
+		class = "lookup"
+	}
+	settings := strings.NewReplacer(`"semantics":"by_key"`, `"semantics":"`+semantics+`"`)
+	runOnLoopback(t, settings, dialHook{}, respond, func(s *testbed) {
+		nc := s.dialLoopback()
+		text := s.requestText(class, "one")
+		if semantics == "once" {
+			text = strings.Replace(text, "Idempotency-Key: key-one\r\n", "", 1)
+		}
+		mustWrite(t, nc, text)
+		status, body := readResponse(nc)
+		c.checkResponse(t, semantics, status, body, len(s.requestsSeen()))
+	})
+}
+
+func (c attemptEnd) checkResponse(t *testing.T, semantics string, status int, body string, attempts int) {
+	t.Helper()
+	mayNotRepeat := c.ran && semantics == "once" && !c.served
+	if mayNotRepeat {
+		if attempts != 1 || status == 200 || status == 429 || status == 503 {
+			t.Errorf("status %d after %d attempts", status, attempts)
+		}
+		return
+	}
+	wantAttempts := 2
+	if c.served {
+		wantAttempts = 1
+	}
+	if status != 200 || body != "for one" {
+		t.Errorf("%d %q after %d attempts", status, body, attempts)
+	} else if attempts != wantAttempts {
+		t.Errorf("%d attempts", attempts)
+	}
+}
+
 // An answer without a length ends with its connection: a clean close is its end.
 func TestAnswerWithoutALength(t *testing.T) {
 	simulate(t, func(s *testbed) {
--- a/edgenode/dial_test.go
+++ b/edgenode/dial_test.go
@@ -20,23 +20,23 @@
 		if a := agent.Load(); a != nil && a != addr {
 			dialing <- struct{}{}
 			<-release
-			ctx = context.Background()
+			ctx = context.WithoutCancel(ctx)
 		}
 		return network.OS{}.Dial(ctx, addr)
 	}}
 	runOnLoopback(t, strings.NewReplacer(`"dial_timeout_ms":250`, `"dial_timeout_ms":60000`, `"hard_limit_ms":3000`, `"hard_limit_ms":60000`), d,
-		func(_ int, id string) (string, bool) { return okResponse("for " + id), false }, func(s *testbed) {
+		answerByID, func(s *testbed) {
 			agent.Store(s.cfg.Discovery)
 			nc := s.dialLoopback()
-			nc.Write([]byte(strings.Replace(s.requestText("lookup", "leaver"), "1500", "60000", 1)))
+			mustWrite(t, nc, strings.Replace(s.requestText("lookup", "leaver"), "1500", "60000", 1))
 			<-dialing
-			nc.Close()
+			mustClose(t, nc)
 			// The module hears of it, and the attempt that was out is over with it. Without,
 			// it is out until the dial comes up, or its time is over.
 			s.waitFor("the end of what the leaver asked for", func() bool { return s.edge.open.count() == 0 })
 			close(release)
 			nc = s.dialLoopback()
-			nc.Write([]byte(s.requestText("lookup", "stayer")))
+			mustWrite(t, nc, s.requestText("lookup", "stayer"))
 			if status, _ := readResponse(nc); status != 200 {
 				t.Errorf("another's request: status %d", status)
 			}
@@ -60,15 +60,15 @@
 			d := dial{addr, make(chan struct{})}
 			dials <- d
 			<-d.release
-			ctx = context.Background()
+			ctx = context.WithoutCancel(ctx)
 		}
 		return network.OS{}.Dial(ctx, addr)
 	}}
 	runOnLoopback(t, strings.NewReplacer(`"dial_timeout_ms":250`, `"dial_timeout_ms":60000`, `"hard_limit_ms":2000`, `"hard_limit_ms":60000`), d,
-		func(_ int, id string) (string, bool) { return okResponse("for " + id), false }, func(s *testbed) {
+		answerByID, func(s *testbed) {
 			agent.Store(s.cfg.Discovery)
 			nc := s.dialLoopback()
-			nc.Write([]byte(strings.Replace(s.requestText("loan-change", "moved"), "1500", "20000", 1)))
+			mustWrite(t, nc, strings.Replace(s.requestText("loan-change", "moved"), "1500", "20000", 1))
 			first := <-dials
 			before := *s.endpointList.Load()
 			parts := strings.SplitAfter(before, "}")
--- a/edgenode/discovery/watch_test.go
+++ b/edgenode/discovery/watch_test.go
@@ -20,7 +20,7 @@
 	snapshotOfOne = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"}]}`
 )
 
-// fakeDiscovery is a real listener that plays each call by hand.
+// fakeDiscovery is a listener on loopback whose calls a test answers by hand.
 type fakeDiscovery struct {
 	t        *testing.T
 	listener net.Listener
@@ -32,33 +32,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() {
+		if err := l.Close(); err != nil {
+			t.Errorf("close: %v", err)
+		}
+	})
 	return &fakeDiscovery{t, l}
 }
 
 // answerCalls gives the calls of each connection in turn to f until that is false: then the
-// connection ends.
-func (a *fakeDiscovery) answerCalls(f func(nc *net.TCPConn, after int64) bool) {
+// connection ends. after is the index that the call has, -1 without one.
+func (d *fakeDiscovery) answerCalls(f func(nc *net.TCPConn, after int64) bool) {
 	for {
-		nc, err := a.listener.Accept()
+		nc, err := d.listener.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
-			defer nc.Close()
+			defer closeQuietly(nc)
 			r := http1.NewReader(nc, http1.Limits{Line: 4096, Fields: 50, Header: 8192})
 			for {
 				req, err := r.Request()
-				if err != nil {
-					return
-				}
-				_, query, _ := strings.Cut(req.Target, "after=")
-				n, _, _ := strings.Cut(query, "&")
-				after, err := strconv.ParseInt(n, 10, 64)
-				if err != nil {
-					after = -1
-				}
-				if !f(nc.(*net.TCPConn), after) {
+				if err != nil || !f(nc.(*net.TCPConn), indexOf(req.Target)) {
 					return
 				}
 			}
@@ -66,12 +61,27 @@
 	}
 }
 
+// indexOf is the index in the target of a call, or -1.
+func indexOf(target string) int64 {
+	_, query, _ := strings.Cut(target, "after=")
+	text, _, _ := strings.Cut(query, "&")
+	index, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		return -1
+	}
+	return index
+}
+
+// send writes to a watch, which may have given the connection up by then.
+func send(nc net.Conn, text string) { _, _ = nc.Write([]byte(text)) }
+
 func response(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // startWatch runs a watch and gives what it delivers.
 func startWatch(t *testing.T, n network.Network, address string) chan List {
+	t.Helper()
 	got := make(chan List, 100)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -93,57 +103,61 @@
 	return l.Snapshot
 }
 
-// News that comes while a watch fails is told in time, over orders of failures: each is
-// played once the whole list is held, and the news is there from its first call on.
-func TestChangesArriveWhileCallsFail(t *testing.T) {
-	silent := func(*net.TCPConn) bool { select {} }
-	reset := func(nc *net.TCPConn) bool { nc.SetLinger(0); return false }
-	end := func(*net.TCPConn) bool { return false }
-	half := func(nc *net.TCPConn) bool { nc.Write([]byte(response(secondDrains)[:30])); return false }
-	stuck := func(nc *net.TCPConn) bool { nc.Write([]byte(response(secondDrains)[:30])); select {} }
-	failed := func(nc *net.TCPConn) bool {
-		nc.Write([]byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"))
-		return true
+// failure is a way for a call to fail; it tells whether the connection goes on.
+type failure func(nc *net.TCPConn) bool
+
+// silence holds a call until the test program ends.
+func silence(*net.TCPConn) bool { select {} }
+
+func reset(nc *net.TCPConn) bool {
+	if err := nc.SetLinger(0); err != nil {
+		panic(err) // the watch would see an end, not a reset
 	}
-	noise := func(nc *net.TCPConn) bool { nc.Write([]byte(response(`{"index":"x"}`))); return true }
+	return false
+}
+
+func end(*net.TCPConn) bool { return false }
+
+func halfAResponse(nc *net.TCPConn) bool {
+	send(nc, response(secondDrains)[:30])
+	return false
+}
+
+func stuckResponse(nc *net.TCPConn) bool {
+	halfAResponse(nc)
+	select {}
+}
+
+func badStatus(nc *net.TCPConn) bool {
+	send(nc, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+	return true
+}
+
+func badList(nc *net.TCPConn) bool {
+	send(nc, response(`{"index":"x"}`))
+	return true
+}
+
+// A change that comes while calls fail is delivered in time, over orders of failures: each
+// is played once the snapshot is held, and the change is there from its first call on.
+func TestChangesArriveWhileCallsFail(t *testing.T) {
 	for name, c := range map[string]struct {
-		fails []func(*net.TCPConn) bool
-		news  string
+		failures []failure
+		change   string
 	}{
-		"silent twice":             {[]func(*net.TCPConn) bool{silent, silent}, secondDrains},
-		"silent, then the rest":    {[]func(*net.TCPConn) bool{silent}, snapshotOfOne},
-		"reset twice":              {[]func(*net.TCPConn) bool{reset, reset}, secondDrains},
-		"ended instead of telling": {[]func(*net.TCPConn) bool{end, end, end}, snapshotOfOne},
-		"half an answer":           {[]func(*net.TCPConn) bool{half, half}, secondDrains},
-		"stuck, reset, silent":     {[]func(*net.TCPConn) bool{stuck, reset, silent}, secondDrains},
-		"refused calls":            {[]func(*net.TCPConn) bool{failed, failed, failed, noise}, snapshotOfOne},
+		"silent twice":             {[]failure{silence, silence}, secondDrains},
+		"silent, then the rest":    {[]failure{silence}, snapshotOfOne},
+		"reset twice":              {[]failure{reset, reset}, secondDrains},
+		"ended instead of telling": {[]failure{end, end, end}, snapshotOfOne},
+		"half an answer":           {[]failure{halfAResponse, halfAResponse}, secondDrains},
+		"stuck, reset, silent":     {[]failure{stuckResponse, reset, silence}, secondDrains},
+		"refused calls":            {[]failure{badStatus, badStatus, badStatus, badList}, snapshotOfOne},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a := newFakeDiscovery(t)
-			calls := make(chan func(*net.TCPConn) bool, 10)
-			for _, f := range c.fails {
-				calls <- f
-			}
-			since := make(chan time.Time, 1)
-			go a.answerCalls(func(nc *net.TCPConn, after int64) bool {
-				if after < 0 {
-					nc.Write([]byte(response(fmt.Sprintf(snapshotOfTwo, 41))))
-					return true
-				}
-				select {
-				case since <- time.Now():
-				default:
-				}
-				select {
-				case f := <-calls:
-					return f(nc)
-				default:
-					nc.Write([]byte(response(fmt.Sprintf(c.news, 43))))
-					return true
-				}
-			})
-			got := startWatch(t, network.OS{}, a.listener.Addr().String())
+			d := newFakeDiscovery(t)
+			firstFailure := d.failThenAnswer(c.failures, c.change)
+			got := startWatch(t, network.OS{}, d.listener.Addr().String())
 			if l := <-got; !l.Snapshot || lacksSecond(l) {
 				t.Fatalf("first %+v", l)
 			}
@@ -152,7 +166,7 @@
 				if !lacksSecond(l) {
 					t.Errorf("then %+v", l)
 				}
-				if took := time.Since(<-since); took > 5*time.Second {
+				if took := time.Since(<-firstFailure); took > 5*time.Second {
 					t.Errorf("told after %v; 6 s are allowed", took)
 				}
 			case <-time.After(10 * time.Second):
@@ -162,6 +176,34 @@
 	}
 }
 
+// failThenAnswer answers calls without an index by a snapshot, and of the others the first
+// ones by failures, the rest by a change. The channel has the time of the first failure.
+func (d *fakeDiscovery) failThenAnswer(failures []failure, change string) (firstFailure chan time.Time) {
+	pending := make(chan failure, len(failures))
+	for _, f := range failures {
+		pending <- f
+	}
+	firstFailure = make(chan time.Time, 1)
+	go d.answerCalls(func(nc *net.TCPConn, after int64) bool {
+		if after < 0 {
+			send(nc, response(fmt.Sprintf(snapshotOfTwo, 41)))
+			return true
+		}
+		select {
+		case firstFailure <- time.Now():
+		default:
+		}
+		select {
+		case fail := <-pending:
+			return fail(nc)
+		default:
+			send(nc, response(fmt.Sprintf(change, 43)))
+			return true
+		}
+	})
+	return firstFailure
+}
+
 // readConn tells of each read.
 type readConn struct {
 	net.Conn
@@ -199,11 +241,11 @@
 			if at++; at >= len(text) {
 				select {}
 			}
-			nc.Write([]byte(text[:at]))
+			send(nc, text[:at])
 			for n := 0; n < at; {
 				n += <-read
 			}
-			nc.Write([]byte(text[at:]))
+			send(nc, text[at:])
 			for n := at; n < len(text); {
 				n += <-read
 			}
@@ -242,12 +284,12 @@
 	answered := make(chan struct{})
 	go a.answerCalls(func(nc *net.TCPConn, after int64) bool {
 		if after < 0 {
-			nc.Write([]byte(response(fmt.Sprintf(snapshotOfTwo, 41))))
+			send(nc, response(fmt.Sprintf(snapshotOfTwo, 41)))
 			return true
 		}
 		close(out)
 		<-moved
-		nc.Write([]byte(response(fmt.Sprintf(snapshotOfOne, 43))))
+		send(nc, response(fmt.Sprintf(snapshotOfOne, 43)))
 		close(answered)
 		return false
 	})
--- a/edgenode/drain_test.go
+++ b/edgenode/drain_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"strings"
 	"testing"
@@ -15,10 +16,10 @@
 func TestDrainServesNewConnections(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		kept := s.dial()
-		kept.Write([]byte(s.requestText("lookup", "")))
+		mustWrite(t, kept, s.requestText("lookup", ""))
 		readResponse(kept)
 		open := s.dial()
-		open.Write([]byte(s.requestText("lookup", "open")))
+		mustWrite(t, open, s.requestText("lookup", "open"))
 		time.Sleep(5 * time.Millisecond)
 		done := make(chan error)
 		s.drained = true
@@ -30,7 +31,7 @@
 		if status, body := readResponse(open); status != 200 || body != "for open" {
 			t.Errorf("an open request: %d %q", status, body)
 		}
-		if _, err := kept.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := kept.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("an idle connection: %v", err)
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -43,8 +44,8 @@
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		kept.Close()
-		open.Close()
+		mustClose(t, kept)
+		mustClose(t, open)
 	})
 }
 
@@ -63,11 +64,11 @@
 			return okResponse("for " + id), false
 		}, func(s *testbed) {
 			rests, hangs := s.dialLoopback(), s.dialLoopback()
-			rests.Write([]byte(s.requestText("lookup", "rests")))
+			mustWrite(t, rests, s.requestText("lookup", "rests"))
 			if status, _ := readResponse(rests); status != 200 {
 				t.Fatalf("status %d", status)
 			}
-			hangs.Write([]byte(strings.Replace(s.requestText("loan-change", "hangs"), "1500", "8000", 1)))
+			mustWrite(t, hangs, strings.Replace(s.requestText("loan-change", "hangs"), "1500", "8000", 1))
 			s.waitFor("its attempt", func() bool { return strings.Contains(strings.Join(s.requestsSeen(), "|"), "hangs") })
 			begun, drained := time.Now(), make(chan error, 1)
 			s.drained = true
@@ -75,13 +76,13 @@
 			if n, err := rests.Read(make([]byte, 1)); n != 0 || err.Error() != "EOF" {
 				t.Errorf("the resting connection ended with %v", err)
 			}
-			rests.Write([]byte(s.requestText("lookup", "crossing")))
+			mustWrite(t, rests, s.requestText("lookup", "crossing"))
 			fresh := s.dialLoopback()
-			fresh.Write([]byte(s.requestText("lookup", "fresh")))
+			mustWrite(t, fresh, s.requestText("lookup", "fresh"))
 			if status, _ := readResponse(fresh); status != 200 {
 				t.Errorf("a new connection: status %d", status)
 			}
-			r := http1.NewReader(hangs, http1.Limits{Line: 4096, Fields: 50, Header: 8192, Body: 1 << 20})
+			r := http1.NewReader(hangs, testLimits)
 			head, err := r.Response("POST")
 			if err != nil || head.Status != 502 || head.KeepAlive() {
 				t.Fatalf("what hangs: %+v, %v", head, err)
@@ -92,9 +93,9 @@
 			if err := r.Await(); err == nil || err.Error() != "EOF" {
 				t.Errorf("its connection ended with %v", err)
 			}
-			hangs.Close()
-			rests.Close()
-			fresh.Close()
+			mustClose(t, hangs)
+			mustClose(t, rests)
+			mustClose(t, fresh)
 			if err := <-drained; err != nil {
 				t.Error(err)
 			}
--- a/edgenode/endpoints_test.go
+++ b/edgenode/endpoints_test.go
@@ -40,9 +40,7 @@
 		if got := s.servers[0].requestCount(); got != before {
 			t.Errorf("the draining server got %d requests", got-before)
 		}
-		s.servers[1].mu.Lock()
-		conns := s.servers[1].connections
-		s.servers[1].mu.Unlock()
+		connections := s.servers[1].connectionCount()
 		set(strings.Replace(strings.ReplaceAll(twoEndpoints, "s-2", "s-3"), `"index":7`, `"index":9`, 1))
 		time.Sleep(time.Second)
 		for range 10 {
@@ -50,11 +48,9 @@
 				t.Errorf("status %d", status)
 			}
 		}
-		s.servers[1].mu.Lock()
-		if s.servers[1].connections == conns {
+		if s.servers[1].connectionCount() == connections {
 			t.Error("the new server at an old address was sent to on its predecessor's connections")
 		}
-		s.servers[1].mu.Unlock()
 	})
 }
 
--- a/edgenode/invariants_test.go
+++ b/edgenode/invariants_test.go
@@ -12,74 +12,159 @@
 	"yardcleat.example/yardcleat/audit"
 )
 
-// A rough day: servers that fail in many ways, one of them drained and back. The five rules are checked from what servers and clients saw.
+const (
+	rackWindow    = 2 * time.Second         // within which a rack drops repeats of a key
+	clientTimeout = 1500 * time.Millisecond // as requestText states it
+)
+
+// faultRun plays servers that fail in many ways, one of them drained and back, and records
+// what servers and clients see.
+type faultRun struct {
+	bed   *testbed
+	start time.Time
+
+	mu           sync.Mutex // guards the rest
+	rng          *rand.Rand
+	record       *audit.Record
+	statuses     map[int]int
+	ran          map[string]time.Time // by key: the rack drops repeats
+	lastAnnounce *bool                // whether s-1 was said to be down
+}
+
+func newFaultRun(s *testbed) *faultRun {
+	return &faultRun{
+		bed:   s,
+		start: time.Now(),
+		rng:   rand.New(rand.NewPCG(3, 3)),
+		record: &audit.Record{Grace: 250 * time.Millisecond, Slop: 10 * time.Millisecond,
+			Classes: map[string]audit.Class{"lookup": {Effect: "safe"}, "loan-change": {Effect: "keyed", Window: rackWindow}}},
+		statuses: map[int]int{},
+		ran:      map[string]time.Time{},
+	}
+}
+
+// observe records what came of a request at a server.
+func (f *faultRun) observe(server string, seen audit.Seen, out string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	seen.Server, seen.Rack = server, "1"
+	if seen.Class == "loan-change" {
+		at, before := f.ran[seen.Key]
+		seen.Dropped = before && seen.At.Sub(at) < rackWindow
+	}
+	seen.Away = strings.Contains(out, "X-Unprocessed")
+	seen.Ran = !seen.Away && !seen.Dropped
+	seen.Answered = strings.HasPrefix(out, "HTTP/1.1 200")
+	if seen.Ran && seen.Key != "" {
+		f.ran[seen.Key] = seen.At
+	}
+	f.record.Seen = append(f.record.Seen, seen)
+}
+
+// respond fails 8 requests in 60, in different ways.
+func (f *faultRun) respond(_ int, id string) (out string, end bool) {
+	f.mu.Lock()
+	kind, slow := f.rng.IntN(60), f.rng.Float64()
+	f.mu.Unlock()
+	switch kind {
+	case 0:
+		return "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false
+	case 1:
+		return "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false
+	case 2, 3:
+		return "", true
+	case 4:
+		return "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nshort", true
+	case 5:
+		return "\x00noise\r\n\r\n", false
+	case 6:
+		time.Sleep(time.Duration(slow * float64(4*time.Second)))
+	case 7:
+		return okResponse("for "+id) + okResponse("for another"), false
+	}
+	return okResponse("for " + id), false
+}
+
+// endpoints is discovery's list: s-1 drains for three seconds.
+func (f *faultRun) endpoints(target string) string {
+	at := time.Now()
+	if strings.Contains(target, "after=") {
+		at = at.Add(pollDelay)
+	}
+	elapsed := time.Since(f.start)
+	down := elapsed > 4*time.Second && elapsed < 7*time.Second
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.lastAnnounce == nil || *f.lastAnnounce != down {
+		f.lastAnnounce = &down
+		f.record.Told = append(f.record.Told, audit.Told{Server: "s-1", At: at, Down: down})
+	}
+	if down {
+		return strings.Replace(twoEndpoints, `"status":"ready"`, `"status":"draining"`, 1)
+	}
+	return twoEndpoints
+}
+
+// request sends the request of a client and records what the client gets.
+func (f *faultRun) request(t *testing.T, class, id, text string) {
+	t.Helper()
+	tried := audit.Tried{Trace: id, Front: "http", Customer: "c", Plan: "basic", Class: class, Units: 1, Sent: time.Now()}
+	tried.GiveUp = tried.Sent.Add(clientTimeout)
+	nc := f.bed.dial()
+	defer mustClose(t, nc)
+	mustWrite(t, nc, text)
+	mustSetDeadline(t, nc, tried.GiveUp)
+	status, body := readResponse(nc)
+	tried.Status = status
+	switch {
+	case status == 200:
+		tried.Answer, tried.Foreign = "served", body != "for "+id
+	case status == 429 || status == 503:
+		tried.Answer = "refused"
+	case status != 0:
+		tried.Answer = "failed"
+	}
+	if tried.Answer != "" {
+		tried.Answered = time.Now()
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.statuses[status]++
+	f.record.Tried = append(f.record.Tried, tried)
+}
+
+// check checks that the run was the one that was meant, and that every rule held.
+func (f *faultRun) check(t *testing.T) {
+	t.Helper()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	served := 0
+	for _, tried := range f.record.Tried {
+		if tried.Answer == "served" {
+			served++
+		}
+	}
+	if served < 200 || len(f.record.Seen) < 250 || len(f.record.Told) != 3 {
+		t.Errorf("%d served, %d attempts, %d words of discovery: not the day that was meant; %v", served, len(f.record.Seen), len(f.record.Told), f.statuses)
+	}
+	for _, rule := range audit.Check(f.record) {
+		t.Logf("rule %d, %s: %d cases", rule.Rule, rule.Name, rule.Checked)
+		for _, broken := range rule.Broken {
+			t.Errorf("rule %d broken: %s", rule.Rule, broken)
+		}
+	}
+}
+
+// The five rules hold while servers fail in many ways, as servers and clients saw it.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	simulate(t, func(s *testbed) {
-		var mu sync.Mutex
-		rng := rand.New(rand.NewPCG(3, 3))
-		rec := &audit.Record{Grace: 250 * time.Millisecond, Slop: 10 * time.Millisecond,
-			Classes: map[string]audit.Class{"lookup": {Effect: "safe"}, "loan-change": {Effect: "keyed", Window: 2 * time.Second}}}
-		statuses := map[int]int{}
-		ran := map[string]time.Time{} // by key: the rack drops repeats
-		const good = "HTTP/1.1 200"
-		for i, b := range s.servers {
-			b.observe = func(seen audit.Seen, out string) {
-				mu.Lock()
-				defer mu.Unlock()
-				if seen.Server, seen.Rack = fmt.Sprint("s-", i+1), "1"; seen.Class == "loan-change" {
-					at, before := ran[seen.Key]
-					seen.Dropped = before && seen.At.Sub(at) < 2*time.Second
-				}
-				seen.Away = strings.Contains(out, "X-Unprocessed")
-				seen.Ran, seen.Answered = !seen.Away && !seen.Dropped, strings.HasPrefix(out, good)
-				if seen.Ran && seen.Key != "" {
-					ran[seen.Key] = seen.At
-				}
-				rec.Seen = append(rec.Seen, seen)
-			}
-			b.respond = func(_ int, id string) (string, bool) {
-				mu.Lock()
-				kind, slow := rng.IntN(60), rng.Float64()
-				mu.Unlock()
-				switch kind {
-				case 0:
-					return "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false
-				case 1:
-					return "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false
-				case 2, 3:
-					return "", true
-				case 4:
-					return "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nshort", true
-				case 5:
-					return "\x00noise\r\n\r\n", false
-				case 6:
-					time.Sleep(time.Duration(slow * float64(4*time.Second)))
-				case 7:
-					return okResponse("for "+id) + okResponse("for another"), false
-				}
-				return okResponse("for " + id), false
-			}
+		run := newFaultRun(s)
+		for i, server := range s.servers {
+			name := fmt.Sprint("s-", i+1)
+			server.observe = func(seen audit.Seen, out string) { run.observe(name, seen, out) }
+			server.respond = run.respond
 		}
-		start := time.Now()
-		down := func() bool { at := time.Since(start); return at > 4*time.Second && at < 7*time.Second }
-		told := map[bool]bool{}
-		s.serveDiscovery("10.0.3.2:80", func(target string) string {
-			at := time.Now()
-			if strings.Contains(target, "after=") {
-				at = at.Add(pollDelay)
-			}
-			d := down()
-			mu.Lock()
-			defer mu.Unlock()
-			if !told[d] {
-				told[d], told[!d] = true, false
-				rec.Told = append(rec.Told, audit.Told{Server: "s-1", At: at, Down: d})
-			}
-			if d {
-				return strings.Replace(twoEndpoints, `"status":"ready"`, `"status":"draining"`, 1)
-			}
-			return twoEndpoints
-		})
+		s.serveDiscovery("10.0.3.2:80", run.endpoints)
 		s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.2:80"})
 		var clients sync.WaitGroup
 		for i := range 500 {
@@ -87,54 +172,12 @@
 			if i%3 == 0 {
 				class = "loan-change"
 			}
-			request := strings.Replace(s.requestText(class, id), "b4d65521", fmt.Sprintf("b4d6%04x", i%40), 1)
-			clients.Go(func() {
-				tried := audit.Tried{Trace: id, Front: "http", Customer: "c", Plan: "basic", Class: class, Units: 1, Sent: time.Now()}
-				tried.GiveUp = tried.Sent.Add(1500 * time.Millisecond)
-				nc := s.dial()
-				defer nc.Close()
-				nc.Write([]byte(request))
-				nc.SetReadDeadline(tried.GiveUp)
-				status, body := readResponse(nc)
-				tried.Status = status
-				mu.Lock()
-				statuses[status]++
-				mu.Unlock()
-				switch {
-				case status == 200:
-					tried.Answer, tried.Foreign = "served", body != "for "+id
-				case status == 429 || status == 503:
-					tried.Answer = "refused"
-				case status != 0:
-					tried.Answer = "failed"
-				}
-				if tried.Answer != "" {
-					tried.Answered = time.Now()
-				}
-				mu.Lock()
-				defer mu.Unlock()
-				rec.Tried = append(rec.Tried, tried)
-			})
+			text := strings.Replace(s.requestText(class, id), "b4d65521", fmt.Sprintf("b4d6%04x", i%40), 1)
+			clients.Go(func() { run.request(t, class, id, text) })
 			time.Sleep(20 * time.Millisecond)
 		}
 		clients.Wait()
 		time.Sleep(5 * time.Second)
-		mu.Lock()
-		defer mu.Unlock()
-		served := 0
-		for _, t := range rec.Tried {
-			if t.Answer == "served" {
-				served++
-			}
-		}
-		if served < 200 || len(rec.Seen) < 250 || len(rec.Told) != 3 {
-			t.Errorf("%d served, %d attempts, %d words of discovery: not the day that was meant; %v", served, len(rec.Seen), len(rec.Told), statuses)
-		}
-		for _, f := range audit.Check(rec) {
-			t.Logf("rule %d, %s: %d cases", f.Rule, f.Name, f.Checked)
-			for _, b := range f.Broken {
-				t.Errorf("rule %d broken: %s", f.Rule, b)
-			}
-		}
+		run.check(t)
 	})
 }
--- a/edgenode/requests_test.go
+++ b/edgenode/requests_test.go
@@ -1,10 +1,11 @@
 package edgenode
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"strings"
-	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 )
@@ -27,18 +28,21 @@
 	})
 }
 
+// serverResponse is what a server sends for the first request, and what comes of that.
+type serverResponse struct {
+	name, out string
+	class     string
+	end       bool // of the connection
+	status    int  // of the client's response
+	attempts  int
+	served    bool // the client gets the response made for it
+}
+
 // What a server says with X-Unprocessed never ran: the other one gets it. What an
 // answer spoils is a failed attempt, whose connection is not used again.
 func TestServerResponses(t *testing.T) {
 	const turned = "HTTP/1.1 %d Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-	for _, c := range []struct {
-		name, out string
-		class     string
-		end       bool
-		status    int // of the client's answer
-		attempts  int
-		served    bool // what the client gets is the answer made for it
-	}{
+	for _, c := range []serverResponse{
 		{"turned away", fmt.Sprintf(turned, 503), "loan-change", false, 200, 2, true},
 		{"turned away late", fmt.Sprintf(turned, 504), "loan-change", false, 200, 2, true},
 		{"an error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "lookup", false, 200, 2, true},
@@ -59,46 +63,46 @@
 		{"a report that can't be read", "HTTP/1.1 200 OK\r\nX-Backend-Load: {{\r\nContent-Length: 4\r\n\r\ngood", "lookup", false, 200, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			simulate(t, func(s *testbed) {
-				var mu sync.Mutex
-				first := true
-				for _, b := range s.servers {
-					b.respond = func(_ int, id string) (string, bool) {
-						mu.Lock()
-						defer mu.Unlock()
-						if first {
-							first = false
-							return c.out, c.end
-						}
-						return okResponse("for " + id), false
-					}
-				}
-				status, body, took := s.exchange(s.requestText(c.class, "one"))
-				if took > 500*time.Millisecond {
-					t.Errorf("it took %v", took)
-				}
-				want := "good"
-				if c.served {
-					want = "for one"
-				}
-				if c.name == "a long answer" {
-					want = strings.Repeat("x", 400<<10)
-				}
-				if status != c.status || body != want || len(s.requestsSeen()) != c.attempts {
-					t.Errorf("%d %.100q after %d attempts", status, body, len(s.requestsSeen()))
-				}
-				// Whatever comes next gets its own answer.
-				for i := range 8 {
-					id := fmt.Sprint("next-", i)
-					if status, body, _ := s.exchange(s.requestText("lookup", id)); status != 200 || body != "for "+id {
-						t.Errorf("%s: %d %q", id, status, body)
-					}
-				}
-			})
+			simulate(t, func(s *testbed) { c.check(t, s) })
 		})
 	}
 }
 
+// check has the first request of a class answered so, whichever server gets it.
+func (c serverResponse) check(t *testing.T, s *testbed) {
+	t.Helper()
+	var requests atomic.Int64
+	for _, server := range s.servers {
+		server.respond = func(n int, id string) (string, bool) {
+			if requests.Add(1) == 1 {
+				return c.out, c.end
+			}
+			return answerByID(n, id)
+		}
+	}
+	status, body, took := s.exchange(s.requestText(c.class, "one"))
+	if took > 500*time.Millisecond {
+		t.Errorf("it took %v", took)
+	}
+	want := "good"
+	if c.served {
+		want = "for one"
+	}
+	if c.name == "a long answer" {
+		want = strings.Repeat("x", 400<<10)
+	}
+	if status != c.status || body != want || len(s.requestsSeen()) != c.attempts {
+		t.Errorf("%d %.100q after %d attempts", status, body, len(s.requestsSeen()))
+	}
+	// Whatever comes next gets its own answer.
+	for i := range 8 {
+		id := fmt.Sprint("next-", i)
+		if status, body, _ := s.exchange(s.requestText("lookup", id)); status != 200 || body != "for "+id {
+			t.Errorf("%s: %d %q", id, status, body)
+		}
+	}
+}
+
 // Clients that can't be understood get an error or a close soon, and nothing of
 // them reaches a server.
 func TestBadClients(t *testing.T) {
@@ -172,13 +176,14 @@
 		}
 		start := time.Now()
 		for _, nc := range silent {
-			nc.SetReadDeadline(start.Add(3 * time.Second))
+			mustSetDeadline(t, nc, start.Add(3*time.Second))
+			var timeout net.Error
 			if _, err := nc.Read(make([]byte, 1)); err == nil {
 				t.Error("a silent connection was told something")
-			} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
+			} else if errors.As(err, &timeout) && timeout.Timeout() {
 				t.Fatal("a silent connection was left open")
 			}
-			nc.Close()
+			mustClose(t, nc)
 		}
 	})
 }
--- a/edgenode/run_test.go
+++ b/edgenode/run_test.go
@@ -51,144 +51,195 @@
 	}
 }
 
-// A real process under load: new configurations by SIGHUP, one that can't be read
-// among them, cost no request; after SIGTERM all that it took is answered and it ends
-// well.
-func TestSignals(t *testing.T) {
-	listen := func() net.Listener {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { l.Close() })
-		return l
-	}
-	s := &testbed{t: t}
-	list := `{"index":7,"snapshot":true,"endpoints":[`
-	hold := make(chan struct{}) // the last request's answer
-	for i := range s.servers {
-		s.servers[i] = &fakeServer{respond: func(_ int, id string) (string, bool) {
-			if id == "the-last-one" {
-				<-hold
-			}
-			return okResponse("for " + id), false
-		}}
-		l := listen()
-		go s.servers[i].serve(l)
-		list += strings.Repeat(",", i) + fmt.Sprintf(`{"name":"s-%d","address":"%s","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0}`, i, l.Addr())
-	}
-	list += "]}"
-	var asked [2]atomic.Int64
-	var discoveries [2]string
-	for i := range discoveries {
-		l := listen()
-		discoveries[i] = l.Addr().String()
-		go s.answerPolls(l, func(string) string { asked[i].Add(1); return list })
-	}
-	free := listen()
-	address := free.Addr().String()
-	free.Close()
-	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(discovery string) {
-		src := strings.NewReplacer("10.0.0.1:80", address, "10.0.3.1:80", discovery, `"peers":true`, `"peers":false`).Replace(configJSON)
-		if err := os.WriteFile(path, []byte(src), 0o600); err != nil {
-			t.Fatal(err)
-		}
+// edgeProcess is an edge node in a process of its own, with two servers and two agents of
+// discovery on loopback.
+type edgeProcess struct {
+	*testbed
+	configPath  string
+	discoveries [2]string       // their addresses
+	polls       [2]atomic.Int64 // that each has got
+	cmd         *exec.Cmd
+	log         *strings.Builder // read it only once exited is
+	exited      chan error
+}
+
+// startProcess starts the node with the first discovery, and waits until it is ready.
+func startProcess(t *testing.T, respond func(n int, id string) (string, bool)) *edgeProcess {
+	t.Helper()
+	p := &edgeProcess{
+		testbed:    &testbed{t: t, address: freeAddress(t)},
+		configPath: filepath.Join(t.TempDir(), "config.json"),
+		log:        &strings.Builder{},
+		exited:     make(chan error, 1),
+	}
+	list := p.startServers(respond)
+	for i := range p.discoveries {
+		l := listenOnLoopback(t)
+		p.listeners = append(p.listeners, l)
+		p.discoveries[i] = l.Addr().String()
+		go answerPolls(l, func(string) string {
+			p.polls[i].Add(1)
+			return list
+		})
 	}
-	write(discoveries[0])
-	cmd := edgeCommand(path)
-	var log strings.Builder
-	cmd.Stderr = &log
-	if err := cmd.Start(); err != nil {
+	t.Cleanup(p.closeListeners)
+	p.writeConfig(p.discoveries[0])
+	p.cmd = edgeCommand(p.configPath)
+	p.cmd.Stderr = p.log
+	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	exited := make(chan error, 1)
-	go func() { exited <- cmd.Wait() }()
-	defer cmd.Process.Kill()
+	go func() { p.exited <- p.cmd.Wait() }()
+	t.Cleanup(func() { _ = p.cmd.Process.Kill() }) // fails where the process has exited, as it should
+	p.waitFor("ready", func() bool { return p.exchangeOnLoopback("GET /up HTTP/1.1\r\nHost: h\r\n\r\n") == 200 })
+	return p
+}
 
-	ask := func(request string) int {
-		nc, err := net.Dial("tcp", address)
-		if err != nil {
-			return -1
-		}
-		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(20 * time.Second))
-		if _, err := nc.Write([]byte(request)); err != nil {
-			return -1
-		}
-		status, _ := readResponse(nc)
-		return status
-	}
-	until := func(what string, f func() bool) {
-		t.Helper()
-		for range 1000 {
-			if f() {
-				return
-			}
-			time.Sleep(20 * time.Millisecond)
+func (p *edgeProcess) writeConfig(discovery string) {
+	p.t.Helper()
+	p.writeConfigText(loopbackConfig(p.address, discovery))
+}
+
+func (p *edgeProcess) writeConfigText(text string) {
+	p.t.Helper()
+	if err := os.WriteFile(p.configPath, []byte(text), 0o600); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+func (p *edgeProcess) signal(signals ...syscall.Signal) {
+	p.t.Helper()
+	for _, s := range signals {
+		if err := p.cmd.Process.Signal(s); err != nil {
+			p.t.Fatal(err)
 		}
-		t.Fatalf("%s did not happen; the log: %s", what, log.String())
-	}
-	up := "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
-	until("ready", func() bool { return ask(up) == 200 })
-
-	var wrong, served atomic.Int64
-	stop := make(chan struct{})
-	var clients sync.WaitGroup
-	for k := range 3 {
-		clients.Go(func() {
-			for i := 0; ; i++ {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				// Patience is long: what is asked here is whether one comes, not how soon.
-				r := strings.Replace((&testbed{lastID: 1000*k + i}).requestText("lookup", ""), "1500", "3000", 1)
-				if status := ask(r); status == 200 {
-					served.Add(1)
-				} else if status <= 0 || status < 500 && status != 429 {
-					wrong.Add(1) // a busy machine may be late, and say so
-				}
+	}
+}
+
+// exchangeOnLoopback sends a request on a connection of its own and returns the status of
+// its response; 0 or below: there was none.
+func (p *edgeProcess) exchangeOnLoopback(request string) (status int) {
+	nc, err := net.Dial("tcp", p.address)
+	if err != nil {
+		return -1
+	}
+	defer closeFake(nc)
+	if err := nc.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		return -1
+	}
+	if _, err := nc.Write([]byte(request)); err != nil {
+		return -1
+	}
+	status, _ = readResponse(nc)
+	return status
+}
+
+// load is clients that send one request after the other until they are stopped.
+type load struct {
+	served, wrong atomic.Int64
+	stop          chan struct{}
+	clients       sync.WaitGroup
+}
+
+func (p *edgeProcess) startLoad() *load {
+	l := &load{stop: make(chan struct{})}
+	for client := range 3 {
+		l.clients.Go(func() {
+			for i := 0; !l.stopped(); i++ {
+				l.count(p.exchangeOnLoopback(loadRequest(1000*client + i)))
 				time.Sleep(5 * time.Millisecond)
 			}
 		})
 	}
-	hup := func() {
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
+	return l
+}
+
+// loadRequest is a request whose client waits for long: what is asked here is whether a
+// response comes, not how soon.
+func loadRequest(id int) string {
+	return strings.Replace((&testbed{lastID: id}).requestText("lookup", ""), "1500", "3000", 1)
+}
+
+func (l *load) stopped() bool {
+	select {
+	case <-l.stop:
+		return true
+	default:
+		return false
+	}
+}
+
+// count counts a response. A busy machine may be late, and say so.
+func (l *load) count(status int) {
+	if status == 200 {
+		l.served.Add(1)
+	} else if status <= 0 || status < 500 && status != 429 {
+		l.wrong.Add(1)
+	}
+}
+
+// A real process under load: new configurations by SIGHUP, one that can't be read
+// among them, cost no request; after SIGTERM all that it took is answered and it ends
+// well.
+func TestSignals(t *testing.T) {
+	hold := make(chan struct{}) // the last request's response
+	p := startProcess(t, func(n int, id string) (string, bool) {
+		if id == "the-last-one" {
+			<-hold
+		}
+		return answerByID(n, id)
+	})
+	p.checkReloads(t)
+	polls := p.checkDrain(t, hold)
+	select {
+	case err := <-p.exited:
+		if err != nil {
+			t.Errorf("ended with %v; the log: %s", err, p.log)
 		}
+	case <-time.After(30 * time.Second):
+		t.Fatal("did not end")
 	}
-	write(discoveries[1])
-	hup()
-	until("the move of discovery", func() bool { return asked[1].Load() > 1 })
-	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
-		t.Fatal(err)
+	if p.polls[0].Load() == polls {
+		t.Error("SIGHUP behind SIGTERM was not heard")
 	}
-	hup()
-	before := asked[1].Load()
-	until("going on with the old configuration", func() bool { return asked[1].Load() > before+1 })
-	until("enough requests", func() bool { return served.Load() > 30 })
-	close(stop)
-	clients.Wait()
-	if wrong.Load() > 0 {
-		t.Errorf("%d requests got no answer or a wrong one", wrong.Load())
+	if !strings.Contains(p.log.String(), "configuration reload failed; keeping the current one") {
+		t.Errorf("nothing said of the configuration that can't be read: %s", p.log)
 	}
+}
 
-	open := make(chan int, 1)
-	go func() { open <- ask(strings.Replace(s.requestText("loan-change", "the-last-one"), "1500", "2000", 1)) }()
-	until("the last request's attempt", func() bool { return strings.Contains(strings.Join(s.requestsSeen(), " "), "the-last-one") })
-	// SIGTERM twice, and SIGHUP between: the node drains once, and is told of the move.
-	write(discoveries[0])
-	was := asked[0].Load()
-	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
-		if err := cmd.Process.Signal(sig); err != nil {
-			t.Fatal(err)
-		}
+// checkReloads sends SIGHUP under load, for another discovery and for a broken file.
+func (p *edgeProcess) checkReloads(t *testing.T) {
+	t.Helper()
+	l := p.startLoad()
+	p.writeConfig(p.discoveries[1])
+	p.signal(syscall.SIGHUP)
+	p.waitFor("the move of discovery", func() bool { return p.polls[1].Load() > 1 })
+	p.writeConfigText("{")
+	p.signal(syscall.SIGHUP)
+	before := p.polls[1].Load()
+	p.waitFor("going on with the old configuration", func() bool { return p.polls[1].Load() > before+1 })
+	p.waitFor("enough requests", func() bool { return l.served.Load() > 30 })
+	close(l.stop)
+	l.clients.Wait()
+	if wrong := l.wrong.Load(); wrong > 0 {
+		t.Errorf("%d requests got no answer or a wrong one", wrong)
 	}
+}
+
+// checkDrain sends SIGTERM twice, and SIGHUP between, while a request is open: the node
+// drains once, and hears of the first discovery. It returns how often that had been polled.
+func (p *edgeProcess) checkDrain(t *testing.T, hold chan struct{}) (polls int64) {
+	t.Helper()
+	open := make(chan int, 1)
+	text := strings.Replace(p.requestText("loan-change", "the-last-one"), "1500", "2000", 1)
+	go func() { open <- p.exchangeOnLoopback(text) }()
+	p.waitFor("the last request's attempt", func() bool { return strings.Contains(strings.Join(p.requestsSeen(), " "), "the-last-one") })
+	p.writeConfig(p.discoveries[0])
+	polls = p.polls[0].Load()
+	p.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
 	// What is open holds the node meanwhile.
 	for range 150 {
-		if asked[0].Load() > was {
+		if p.polls[0].Load() > polls {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -197,18 +248,5 @@
 	if status := <-open; status < 200 {
 		t.Errorf("what was open at SIGTERM: status %d", status)
 	}
-	select {
-	case err := <-exited:
-		if err != nil {
-			t.Errorf("ended with %v; the log: %s", err, log.String())
-		}
-	case <-time.After(30 * time.Second):
-		t.Fatal("did not end")
-	}
-	if asked[0].Load() == was {
-		t.Error("SIGHUP behind SIGTERM was not heard")
-	}
-	if !strings.Contains(log.String(), "configuration reload failed; keeping the current one") {
-		t.Errorf("nothing said of the configuration that can't be read: %s", log.String())
-	}
+	return polls
 }
--- a/edgenode/shutdown_test.go
+++ b/edgenode/shutdown_test.go
@@ -14,8 +14,10 @@
 		{3 * time.Second, 3700 * time.Millisecond}, {9 * time.Second, 3700 * time.Millisecond}, {0, 700 * time.Millisecond},
 	} {
 		p := planShutdown([]policy.Class{{Deadline: c.longest / 2}, {Deadline: c.longest}})
-		if !(400*time.Millisecond < p.stopAccepting && p.stopAccepting <= p.finalResponses && p.finalResponses < p.cutConnections && p.cutConnections < c.kill) ||
-			p.finalResponses < c.kill-400*time.Millisecond {
+		acceptsLongEnough := 400*time.Millisecond < p.stopAccepting
+		inOrder := p.stopAccepting <= p.finalResponses && p.finalResponses < p.cutConnections && p.cutConnections < c.kill
+		answersLate := p.finalResponses >= c.kill-400*time.Millisecond
+		if !acceptsLongEnough || !inOrder || !answersLate {
 			t.Errorf("longest %v, SIGKILL at %v: %+v", c.longest, c.kill, p)
 		}
 	}
--- a/edgenode/testbed_test.go
+++ b/edgenode/testbed_test.go
@@ -7,103 +7,17 @@
 	"log/slog"
 	"net"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"yardcleat.example/yardcleat/audit"
 	"yardcleat.example/yardcleat/internal/http1"
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-// fakeServer is a scripted app server: it answers every request by a function, which may
-// say that the connection ends.
-type fakeServer struct {
-	mu                sync.Mutex
-	seen              []string // id, key, patience, method, target, body of each request
-	connections       int
-	respond           func(n int, id string) (out string, end bool)
-	observe           func(s audit.Seen, out string) // what came of a request; nil: nobody is told
-	resetsConnections bool                           // ends are resets
-}
-
-func newFakeServer(answer func(n int, id string) (string, bool)) *fakeServer {
-	return &fakeServer{respond: answer}
-}
-
-func okResponse(body string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-}
-
-// requestCount is the number of requests seen.
-func (b *fakeServer) requestCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.seen)
-}
-
-func (b *fakeServer) serve(l net.Listener) {
-	for {
-		nc, err := l.Accept()
-		if err != nil {
-			return
-		}
-		b.mu.Lock()
-		b.connections++
-		b.mu.Unlock()
-		go func() {
-			defer nc.Close()
-			r := http1.NewReader(nc, http1.Limits{Line: 4096, Fields: 50, Header: 8192, Body: 1 << 20})
-			for {
-				req, err := r.Request()
-				if err != nil {
-					return
-				}
-				body, err := r.Body(req.Framing, req.Length)
-				if err != nil {
-					return
-				}
-				id := req.Header.Get("X-Correlation-Id")
-				b.mu.Lock()
-				b.seen = append(b.seen, strings.Join([]string{id, req.Header.Get("Idempotency-Key"), req.Method, req.Target, string(body)}, " "))
-				n := len(b.seen)
-				b.mu.Unlock()
-				// The node speaks next where it closes, or where it was answered.
-				at, next := time.Now(), make(chan time.Time, 1)
-				go func() {
-					r.Await()
-					next <- time.Now()
-				}()
-				time.Sleep(20 * time.Millisecond)
-				out, end := b.respond(n, id)
-				seen := audit.Seen{Trace: id, Class: "lookup", Key: req.Header.Get("Idempotency-Key"), At: at, End: time.Now()}
-				left := false
-				select {
-				case seen.End = <-next:
-					left = true
-				default:
-				}
-				_, err = nc.Write([]byte(out))
-				if b.observe != nil {
-					b.observe(seen, out)
-				}
-				if err != nil || end {
-					if tc, ok := nc.(*net.TCPConn); ok && b.resetsConnections {
-						tc.SetLinger(0)
-					}
-					return
-				}
-				if !left {
-					<-next
-				}
-			}
-		}()
-	}
-}
-
-// testbed is an edge node in virtual time with two servers and discovery.
+// testbed is an edge node with two fake servers and fake discovery, in virtual time or on
+// loopback.
 type testbed struct {
 	t         *testing.T
 	network   *network.Memory
@@ -129,49 +43,61 @@
 
 // serveDiscovery answers every call with what list gives; "" is silence.
 func (s *testbed) serveDiscovery(addr string, list func(target string) string) {
-	go s.answerPolls(s.listen("discovery", addr), list)
+	go answerPolls(s.listen("discovery", addr), list)
 }
 
-func (s *testbed) answerPolls(l net.Listener, list func(target string) string) {
+// answerPolls answers discovery's calls until the listener is closed.
+func answerPolls(l net.Listener, list func(target string) string) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
-			defer nc.Close()
-			r := http1.NewReader(nc, http1.Limits{Line: 4096, Fields: 50, Header: 8192})
-			for {
-				req, err := r.Request()
-				if err != nil {
-					return
-				}
-				out := list(req.Target)
-				if out == "" {
-					io.Copy(io.Discard, nc)
-					return
-				}
-				if strings.Contains(req.Target, "after=") {
-					time.Sleep(pollDelay)
-				}
-				nc.Write([]byte(okResponse(out)))
+			defer closeFake(nc)
+			r := http1.NewReader(nc, testLimits)
+			for answerPoll(nc, r, list) {
 			}
 		}()
 	}
 }
 
-const pollDelay = 300 * time.Millisecond // discovery's answers to watches come so late
+// answerPoll answers one call and tells whether the connection goes on.
+func answerPoll(nc net.Conn, r *http1.Reader, list func(target string) string) bool {
+	req, err := r.Request()
+	if err != nil {
+		return false
+	}
+	out := list(req.Target)
+	if out == "" {
+		_, _ = io.Copy(io.Discard, nc) // until the node gives up
+		return false
+	}
+	if strings.Contains(req.Target, "after=") {
+		time.Sleep(pollDelay)
+	}
+	_, err = nc.Write([]byte(okResponse(out)))
+	return err == nil
+}
+
+// pollDelay is how long fake discovery holds a call that waits for changes.
+const pollDelay = 300 * time.Millisecond
 
 const twoEndpoints = `{"index":7,"snapshot":true,"endpoints":[
  {"name":"s-1","address":"10.0.1.1:80","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0},
  {"name":"s-2","address":"10.0.1.2:80","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0}]}`
 
+// answerByID is a response that tells which request it is for.
+func answerByID(_ int, id string) (out string, end bool) { return okResponse("for " + id), false }
+
+// simulate runs f with a testbed in virtual time. Afterwards the node must drain, with no
+// request left open.
 func simulate(t *testing.T, f func(s *testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &testbed{t: t, network: network.NewMemory(time.Millisecond, 1)}
 		for i := range s.servers {
-			s.servers[i] = &fakeServer{respond: func(_ int, id string) (string, bool) { return okResponse("for " + id), false }}
+			s.servers[i] = &fakeServer{respond: answerByID}
 			go s.servers[i].serve(s.listen(fmt.Sprint("s", i), fmt.Sprintf("10.0.1.%d:80", i+1)))
 		}
 		s.serveDiscovery("10.0.3.1:80", func(string) string { return twoEndpoints })
@@ -195,9 +121,7 @@
 		if s.edge.open.count() > 0 {
 			t.Errorf("ids are still open: %v", s.edge.open.ids)
 		}
-		for _, l := range s.listeners {
-			l.Close()
-		}
+		s.closeListeners()
 		time.Sleep(time.Minute)
 	})
 }
@@ -229,15 +153,17 @@
 func (s *testbed) exchange(bytes string) (status int, body string, took time.Duration) {
 	s.t.Helper()
 	nc := s.dial()
-	defer nc.Close()
-	go nc.Write([]byte(bytes))
+	defer mustClose(s.t, nc)
+	// Of a request that it rejects the node may leave bytes unread: the write then fails.
+	go func() { _, _ = nc.Write([]byte(bytes)) }()
 	start := time.Now()
 	status, body = readResponse(nc)
 	return status, body, time.Since(start)
 }
 
+// readResponse reads one response; status 0 is the end of the connection without one.
 func readResponse(nc net.Conn) (status int, body string) {
-	r := http1.NewReader(nc, http1.Limits{Line: 4096, Fields: 50, Header: 8192, Body: 1 << 20})
+	r := http1.NewReader(nc, testLimits)
 	head, err := r.Response("GET")
 	if err != nil {
 		return 0, ""
@@ -249,11 +175,12 @@
 	return head.Status, string(b)
 }
 
+// requestsSeen has the requests of both servers.
 func (s *testbed) requestsSeen() (all []string) {
-	for _, b := range s.servers {
-		b.mu.Lock()
-		all = append(all, b.seen...)
-		b.mu.Unlock()
+	for _, server := range s.servers {
+		server.mu.Lock()
+		all = append(all, server.seen...)
+		server.mu.Unlock()
 	}
 	return all
 }
@@ -271,34 +198,17 @@
 	return d.dial(ctx, addr)
 }
 
-// runOnLoopback runs an edge node on real connections, with two servers and discovery.
-func runOnLoopback(t *testing.T, settings *strings.Replacer, d dialHook, box func(n int, id string) (string, bool), f func(s *testbed)) {
+// runOnLoopback runs f with a testbed on real connections. Its servers end connections by a
+// reset.
+func runOnLoopback(t *testing.T, settings *strings.Replacer, d dialHook, respond func(n int, id string) (string, bool), f func(s *testbed)) {
 	t.Helper()
-	s := &testbed{t: t}
-	listen := func() net.Listener {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.listeners = append(s.listeners, l)
-		return l
-	}
-	list := `{"index":7,"snapshot":true,"endpoints":[`
-	for i := range s.servers {
-		s.servers[i] = newFakeServer(box)
-		s.servers[i].resetsConnections = true
-		l := listen()
-		go s.servers[i].serve(l)
-		list += strings.Repeat(",", i) + fmt.Sprintf(`{"name":"s-%d","address":"%s","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0}`, i, l.Addr())
-	}
-	list += "]}"
+	s := &testbed{t: t, address: freeAddress(t)}
+	list := s.startServers(respond)
 	s.endpointList.Store(&list)
-	agent := listen()
-	go s.answerPolls(agent, func(string) string { return *s.endpointList.Load() })
-	free := listen()
-	address := free.Addr().String()
-	free.Close()
-	src := strings.NewReplacer("10.0.0.1:80", address, "10.0.3.1:80", agent.Addr().String(), `"peers":true`, `"peers":false`).Replace(configJSON)
+	discovery := listenOnLoopback(t)
+	s.listeners = append(s.listeners, discovery)
+	go answerPolls(discovery, func(string) string { return *s.endpointList.Load() })
+	src := loopbackConfig(s.address, discovery.Addr().String())
 	if settings != nil {
 		src = settings.Replace(src)
 	}
@@ -309,14 +219,57 @@
 	if s.edge, err = Start(context.Background(), s.cfg, d, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	s.address = address
 	s.waitFor("ready", func() bool { return s.edge.ready() })
 	f(s)
 	if !s.drained {
-		s.edge.Drain(context.Background())
+		if err := s.edge.Drain(context.Background()); err != nil {
+			t.Errorf("drain: %v", err)
+		}
+	}
+	s.closeListeners()
+}
+
+// startServers starts the fake servers on loopback and returns their endpoint list.
+func (s *testbed) startServers(respond func(n int, id string) (string, bool)) string {
+	s.t.Helper()
+	list := `{"index":7,"snapshot":true,"endpoints":[`
+	for i := range s.servers {
+		s.servers[i] = newFakeServer(respond)
+		s.servers[i].resetsConnections = true
+		l := listenOnLoopback(s.t)
+		s.listeners = append(s.listeners, l)
+		go s.servers[i].serve(l)
+		list += strings.Repeat(",", i) + fmt.Sprintf(`{"name":"s-%d","address":"%s","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0}`, i, l.Addr())
+	}
+	return list + "]}"
+}
+
+// loopbackConfig is a configuration without peers.
+func loopbackConfig(address, discovery string) string {
+	return strings.NewReplacer("10.0.0.1:80", address, "10.0.3.1:80", discovery, `"peers":true`, `"peers":false`).Replace(configJSON)
+}
+
+func listenOnLoopback(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
+	return l
+}
+
+// freeAddress is an address on loopback at which nothing listens.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	l := listenOnLoopback(t)
+	defer mustClose(t, l)
+	return l.Addr().String()
+}
+
+func (s *testbed) closeListeners() {
+	s.t.Helper()
 	for _, l := range s.listeners {
-		l.Close()
+		mustClose(s.t, l)
 	}
 }
 
@@ -339,7 +292,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(20 * time.Second))
+	s.t.Cleanup(func() { closeFake(nc) })
+	mustSetDeadline(s.t, nc, time.Now().Add(20*time.Second))
 	return nc
 }
