--- a/edgenode/config_test.go
+++ b/edgenode/config_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
@@ -93,6 +94,14 @@
 	}
 }
 
+func TestMistakeIsAKeyError(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(configJSON, `"dial_timeout_ms":250`, `"dial_timeout_ms":0`, 1)))
+	var e *KeyError
+	if !errors.As(err, &e) || e.Key != "caps.dial_timeout_ms" || e.Problem != `"0" is no time in ms above 0` {
+		t.Errorf("%v", err)
+	}
+}
+
 // The text of each mistake, word for word.
 func TestMistakeTexts(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
--- a/edgenode/discovery/list_test.go
+++ b/edgenode/discovery/list_test.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 
@@ -64,6 +65,17 @@
 	}
 }
 
+func TestParseReturnsTypedErrors(t *testing.T) {
+	if _, err := Parse([]byte(`{"index":1}`)); !errors.Is(err, ErrIncompleteList) {
+		t.Errorf("a list without endpoints: %v", err)
+	}
+	_, err := Parse([]byte(`{"index":1,"endpoints":[{"name":"a","status":"gone"},{"name":"b","status":"ready"}]}`))
+	var e *EndpointError
+	if !errors.As(err, &e) || *e != (EndpointError{Position: 1, Key: "address", Problem: "empty"}) || err.Error() != "endpoints[1].address: empty" {
+		t.Errorf("an endpoint without an address: %v", err)
+	}
+}
+
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"index":41,"snapshot":true,"endpoints":[{"name":"s","address":"a:1","zone":"a","group":3,"status":"ready","weight":1.0,"since_ms":0}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/edgenode/protocol/mapper_test.go
+++ b/edgenode/protocol/mapper_test.go
@@ -1,6 +1,7 @@
 package protocol
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -109,6 +110,25 @@
 	}
 }
 
+func TestBadRequestSaysWhatIsWrong(t *testing.T) {
+	m := New(set, always)
+	badPlan := func() node.Call {
+		call := good(false)
+		call.Header.Set("X-Plan", "gold")
+		return call
+	}
+	call := badPlan()
+	err := m.readRequest(&node.Request{}, &call)
+	var e RequestError
+	if !errors.As(err, &e) || e != "the field X-Plan names no plan" {
+		t.Errorf("%v", err)
+	}
+	_, final := m.Admit(badPlan(), "")
+	if final == nil || final.Kind != node.Failed || final.Reason != node.ReasonBadRequest || final.Detail != "the field X-Plan names no plan" {
+		t.Errorf("%+v", final)
+	}
+}
+
 func TestReadiness(t *testing.T) {
 	ready := false
 	in := New(set, func() bool { return ready })
