--- a/day/callers.go
+++ b/day/callers.go
@@ -143,7 +143,7 @@
 
 // try makes one try and records what came of it.
 func (c *callers) try(t *audit.Tried, class *Class, key string, patience time.Duration, attempt int) {
-	call := node.Call{Method: class.Method, Target: class.Path + t.Trace, Host: "catalogue.example"}
+	call := node.HTTPRequest{Method: class.Method, Target: class.Path + t.Trace, Host: "catalogue.example"}
 	call.Header.Add("X-Api-Key", "key-of-"+t.Customer)
 	call.Header.Add("X-Request-Id", t.Trace)
 	call.Header.Add("X-Envoy-Expected-Rq-Timeout-Ms", strconv.FormatInt(patience.Milliseconds(), 10))
@@ -161,7 +161,7 @@
 	t.Sent = time.Now()
 	t.GiveUp = t.Sent.Add(patience)
 	ended := make(chan node.Result, 1)
-	sending := pool.Start(node.Attempt{Address: address, Request: &node.Request{Call: call}}, func(r node.Result) { ended <- r })
+	sending := pool.Start(node.Attempt{Address: address, Request: &node.Request{HTTP: call}}, func(r node.Result) { ended <- r })
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
 	select {
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -122,7 +122,7 @@
 			edit("clients {", "clients {\n patience_header = \"x-none\""), source(t, Default)},
 		{2, "keyed requests are taken for safe", edit(`effect = "keyed"`, `effect = "safe"`), source(t, Default)},
 		{3, "drains are not heard of", func(b *Bubble) {
-			b.Deafen = func(list []node.Server) []node.Server {
+			b.Deafen = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
 					list[i].State = policy.Running
 				}
@@ -130,7 +130,7 @@
 			}
 		}, source(t, Default)},
 		{4, "cold servers are taken for warm", func(b *Bubble) {
-			b.Deafen = func(list []node.Server) []node.Server {
+			b.Deafen = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
 					list[i].StartTime = time.Time{}
 				}
--- a/day/env.go
+++ b/day/env.go
@@ -130,7 +130,7 @@
 	// Defects, to see the audit find them: Edit changes a node's configuration,
 	// Deafen what it hears of the server list, Carry how its attempts are made.
 	Edit   func([]byte) []byte
-	Deafen func([]node.Server) []node.Server
+	Deafen func([]node.Endpoint) []node.Endpoint
 	Carry  func(node.Upstream) node.Upstream
 	Stall  pause.Settings // zero: the default
 }
--- a/day/virtual/defects.go
+++ b/day/virtual/defects.go
@@ -33,9 +33,9 @@
 		b.Edit = func(cfg []byte) []byte { return windows.ReplaceAll(cfg, []byte(`window = "20s"`)) }
 	},
 	// Rule 3.
-	"drains-not-heard": deafen(func(s *node.Server) { s.State = policy.Running }),
+	"drains-not-heard": deafen(func(s *node.Endpoint) { s.State = policy.Running }),
 	// Rule 4.
-	"cold-taken-for-warm": deafen(func(s *node.Server) { s.StartTime = time.Time{} }),
+	"cold-taken-for-warm": deafen(func(s *node.Endpoint) { s.StartTime = time.Time{} }),
 	// Rule 5.
 	// (A quota keeps a customer well below its ceiling as long as it holds.)
 	"ceiling-too-high": edit(quotas, "rate = 100\n  burst = 100\n  open = 0\n  hard_rate = 21\n  hard_burst = 36"),
@@ -87,9 +87,9 @@
 	}
 }
 
-func deafen(change func(*node.Server)) func(*day.Bubble) {
+func deafen(change func(*node.Endpoint)) func(*day.Bubble) {
 	return func(b *day.Bubble) {
-		b.Deafen = func(list []node.Server) []node.Server {
+		b.Deafen = func(list []node.Endpoint) []node.Endpoint {
 			for i := range list {
 				change(&list[i])
 			}
--- a/edgenode/discovery/endpoint_table.go
+++ b/edgenode/discovery/endpoint_table.go
@@ -31,7 +31,7 @@
 // Update is what a list means to a node.
 type Update struct {
 	Kind    policy.EndpointUpdateKind
-	Servers []node.Server
+	Servers []node.Endpoint
 	// ClosedConnections are the keys of connections to servers, or to starts of servers,
 	// that are no longer listed.
 	ClosedConnections []string
@@ -82,8 +82,8 @@
 
 // server is an endpoint as a node knows it. Connections belong to a name, a start and an
 // address together: a new server may take an old one's address.
-func (t *EndpointTable) server(endpoint Endpoint) node.Server {
-	server := node.Server{
+func (t *EndpointTable) server(endpoint Endpoint) node.Endpoint {
+	server := node.Endpoint{
 		Address: endpoint.Address,
 		Server: policy.Server{
 			ID:     t.id(endpoint.Name),
--- a/edgenode/drain.go
+++ b/edgenode/drain.go
@@ -70,6 +70,6 @@
 		return
 	}
 	if err := e.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		e.logger.Warn("closing the listener failed", "error", err)
+		e.logger.Warn("closing a listener failed", "error", err)
 	}
 }
--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -184,7 +184,7 @@
 	})
 	e.serving.Go(func() {
 		if err := e.front.Serve(e.listener); err != nil {
-			e.logger.Error("listener ended", "error", err)
+			e.logger.Error("listener failed", "error", err)
 		}
 	})
 	return nil
--- a/edgenode/protocol/headers.go
+++ b/edgenode/protocol/headers.go
@@ -67,7 +67,7 @@
 
 // extractFields returns the values of a call's fields and takes those out of its header that
 // are not forwarded. The error is a RequestError.
-func extractFields(c *node.Call) (values fieldValues, err error) {
+func extractFields(c *node.HTTPRequest) (values fieldValues, err error) {
 	forwarded := c.Header[:0]
 	for _, header := range c.Header {
 		f, ok := fieldOf(header.Name)
--- a/edgenode/protocol/mapper.go
+++ b/edgenode/protocol/mapper.go
@@ -37,7 +37,7 @@
 // Admit returns the request of a call whose header holds end-to-end fields. Where the final
 // response is not nil the call has it at once: it asked for readiness, or is not the
 // protocol.
-func (m *Mapper) Admit(c node.Call, _ string) (*node.Request, *node.FinalResponse) {
+func (m *Mapper) Admit(c node.HTTPRequest, _ string) (*node.Request, *node.FinalResponse) {
 	r := &node.Request{}
 	if c.Target == ReadinessPath && c.Method == "GET" {
 		return r, m.readiness()
@@ -45,7 +45,7 @@
 	if err := m.readRequest(r, &c); err != nil {
 		return r, &node.FinalResponse{Kind: node.Failed, Reason: node.ReasonBadRequest, Detail: err.Error()}
 	}
-	r.Call = c
+	r.HTTP = c
 	return r, nil
 }
 
--- a/edgenode/protocol/mapper_test.go
+++ b/edgenode/protocol/mapper_test.go
@@ -19,8 +19,8 @@
 func always() bool { return true }
 
 // good is a request as clients send it, keyed or safe.
-func good(keyed bool) node.Call {
-	c := node.Call{Method: "GET", Target: "/api?x=1", Header: http1.Header{{Name: "X-Correlation-Id", Value: "9b1f03aa5c7e2d41"},
+func good(keyed bool) node.HTTPRequest {
+	c := node.HTTPRequest{Method: "GET", Target: "/api?x=1", Header: http1.Header{{Name: "X-Correlation-Id", Value: "9b1f03aa5c7e2d41"},
 		{Name: "X-Service-Class", Value: "lookup"}, {Name: "X-Plan", Value: "basic"}, {Name: "Cookie", Value: "key=00000000b4d65521"},
 		{Name: "X-Time-Left-Ms", Value: "480"}, {Name: "X-Quota", Value: "units=2,spread=3,first=1"}, {Name: "Accept", Value: "*/*"}}}
 	if keyed {
@@ -41,7 +41,7 @@
 			r.FirstGateway != 1 || r.ClientTimeout != 480*time.Millisecond || r.ClientRetry {
 			t.Errorf("%+v", r)
 		}
-		h := r.Call.Header
+		h := r.HTTP.Header
 		if h.Get("X-Correlation-Id") == "" || h.Get("Accept") == "" || keyed != h.Has("Idempotency-Key") {
 			t.Errorf("a field is not passed on: %v", h)
 		}
@@ -97,10 +97,10 @@
 			}
 		}
 	}
-	for name, change := range map[string]func(*node.Call){
-		"a body with GET": func(c *node.Call) { c.Body = []byte("x") },
-		"another method":  func(c *node.Call) { c.Method = "PUT" },
-		"a field twice":   func(c *node.Call) { c.Header.Add("X-Plan", "basic") },
+	for name, change := range map[string]func(*node.HTTPRequest){
+		"a body with GET": func(c *node.HTTPRequest) { c.Body = []byte("x") },
+		"another method":  func(c *node.HTTPRequest) { c.Method = "PUT" },
+		"a field twice":   func(c *node.HTTPRequest) { c.Header.Add("X-Plan", "basic") },
 	} {
 		call := good(false)
 		change(&call)
@@ -112,7 +112,7 @@
 
 func TestBadRequestSaysWhatIsWrong(t *testing.T) {
 	m := New(set, always)
-	badPlan := func() node.Call {
+	badPlan := func() node.HTTPRequest {
 		call := good(false)
 		call.Header.Set("X-Plan", "gold")
 		return call
@@ -133,7 +133,7 @@
 	ready := false
 	in := New(set, func() bool { return ready })
 	for _, want := range []int{503, 200} {
-		r, a := in.Admit(node.Call{Method: "GET", Target: "/up"}, "")
+		r, a := in.Admit(node.HTTPRequest{Method: "GET", Target: "/up"}, "")
 		if a == nil || in.Render(r, *a).Status != want {
 			t.Errorf("%+v, not %d", a, want)
 		}
@@ -166,7 +166,7 @@
 	f.Add("GET", "id", "lookup", "basic", "key=00000000b4d65521", "480", "units=2,spread=3,first=1", "", "")
 	f.Add("POST", "id", "loan-change", "basic", "a=b; key=00000000b4d65521", "1", "first=0,spread=1,units=0.5", "k", "1")
 	f.Fuzz(func(t *testing.T, method, id, class, plan, cookies, patience, quota, key, repeat string) {
-		c := node.Call{Method: method, Target: "/"}
+		c := node.HTTPRequest{Method: method, Target: "/"}
 		for i, v := range []string{id, class, plan, quota, repeat, patience, key, cookies} {
 			c.Header.Add(singleHeaders[i], v)
 		}
--- a/edgenode/protocol/request.go
+++ b/edgenode/protocol/request.go
@@ -23,7 +23,7 @@
 )
 
 // readRequest fills a request from a call. The error is a RequestError.
-func (m *Mapper) readRequest(r *node.Request, c *node.Call) error {
+func (m *Mapper) readRequest(r *node.Request, c *node.HTTPRequest) error {
 	values, err := extractFields(c)
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 }
 
 // checkMethod checks what the idempotency of a class asks of a request.
-func checkMethod(class policy.Class, c *node.Call, idempotencyKey string) error {
+func checkMethod(class policy.Class, c *node.HTTPRequest, idempotencyKey string) error {
 	if class.Idempotency == policy.Idempotent {
 		if c.Method != "GET" || len(c.Body) > 0 {
 			return RequestError("requests of class " + class.Name + " are GET without a body")
--- a/fleet/cache.go
+++ b/fleet/cache.go
@@ -24,7 +24,7 @@
 	Started *time.Time         `json:"started,omitempty"` // nil: not known
 }
 
-func newCachedServer(s node.Server) cachedServer {
+func newCachedServer(s node.Endpoint) cachedServer {
 	cached := cachedServer{Address: s.Address, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, State: s.State}
 	if !s.StartTime.IsZero() {
 		cached.Started = &s.StartTime
@@ -32,8 +32,8 @@
 	return cached
 }
 
-func (c cachedServer) server() node.Server {
-	s := node.Server{
+func (c cachedServer) server() node.Endpoint {
+	s := node.Endpoint{
 		Address: c.Address,
 		Server:  policy.Server{ID: ID(c.Address), Zone: c.Zone, Cell: c.Cell, Weight: c.Weight, State: c.State},
 	}
@@ -45,7 +45,7 @@
 
 // SaveCache replaces the file at path by a list, in one step. The list is on the disk once
 // SaveCache has returned nil.
-func SaveCache(path string, list []node.Server) error {
+func SaveCache(path string, list []node.Endpoint) error {
 	cached := make([]cachedServer, 0, len(list))
 	for _, s := range list {
 		cached = append(cached, newCachedServer(s))
@@ -55,7 +55,7 @@
 
 // LoadCache returns the list in a file, or nil without an error where there is no file. Errors wrap
 // those of package snapshotfile; a list with an address or an ID twice is an error, too.
-func LoadCache(path string) ([]node.Server, error) {
+func LoadCache(path string) ([]node.Endpoint, error) {
 	_, cached, err := cacheFormat.Read(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, cacheError(path, err)
 	}
-	var list []node.Server
+	var list []node.Endpoint
 	for _, c := range cached {
 		list = append(list, c.server())
 	}
--- a/fleet/cache_test.go
+++ b/fleet/cache_test.go
@@ -13,7 +13,7 @@
 // A cache file that is truncated, or changed in any bit that counts, is not used.
 func TestDamagedCacheIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "servers")
-	if err := SaveCache(path, []node.Server{{Address: "10.0.1.9:80", Server: policy.Server{ID: 1, Weight: 1}}}); err != nil {
+	if err := SaveCache(path, []node.Endpoint{{Address: "10.0.1.9:80", Server: policy.Server{ID: 1, Weight: 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(path)
--- a/fleet/eds.go
+++ b/fleet/eds.go
@@ -37,7 +37,7 @@
 	NodeID  string
 	File    string // where the last good list is remembered; "": nowhere
 	Log     *slog.Logger
-	Deliver func(kind policy.EndpointUpdateKind, list []node.Server)
+	Deliver func(kind policy.EndpointUpdateKind, list []node.Endpoint)
 }
 
 // Watch delivers the remembered list, then every list that the management
@@ -113,7 +113,7 @@
 
 // read makes a list of a response. An EDS response need not hold all resources:
 // without this cluster it changes nothing.
-func read(resp *discoveryv3.DiscoveryResponse, cluster string) (list []node.Server, found bool, err error) {
+func read(resp *discoveryv3.DiscoveryResponse, cluster string) (list []node.Endpoint, found bool, err error) {
 	if resp.GetTypeUrl() != TypeURL {
 		return nil, false, fmt.Errorf("resources of type %q", resp.GetTypeUrl())
 	}
@@ -139,13 +139,13 @@
 	return list, found, distinct(list)
 }
 
-func endpoint(e *endpointv3.LbEndpoint, zone string) (node.Server, error) {
+func endpoint(e *endpointv3.LbEndpoint, zone string) (node.Endpoint, error) {
 	a := e.GetEndpoint().GetAddress().GetSocketAddress()
 	if a.GetAddress() == "" || a.GetPortValue() == 0 || a.GetPortValue() > 65535 {
-		return node.Server{}, fmt.Errorf("endpoint without an address and a port: %v", e.GetEndpoint())
+		return node.Endpoint{}, fmt.Errorf("endpoint without an address and a port: %v", e.GetEndpoint())
 	}
 	address := net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue())))
-	s := node.Server{Address: address, Server: policy.Server{ID: ID(address), Zone: zone, Weight: 1}}
+	s := node.Endpoint{Address: address, Server: policy.Server{ID: ID(address), Zone: zone, Weight: 1}}
 	if w := e.GetLoadBalancingWeight(); w != nil {
 		if w.GetValue() == 0 {
 			return s, fmt.Errorf("endpoint %s: weight 0", address)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -22,10 +22,10 @@
 }
 
 // Static makes the list that stands in a configuration.
-func Static(in []config.Server) ([]node.Server, error) {
-	var list []node.Server
+func Static(in []config.Server) ([]node.Endpoint, error) {
+	var list []node.Endpoint
 	for _, s := range in {
-		list = append(list, node.Server{Address: s.Address, Server: policy.Server{ID: ID(s.Address), Zone: s.Zone,
+		list = append(list, node.Endpoint{Address: s.Address, Server: policy.Server{ID: ID(s.Address), Zone: s.Zone,
 			Cell: s.Cell, Weight: s.Weight}})
 	}
 	return list, distinct(list)
@@ -33,8 +33,8 @@
 
 // distinct sorts a list by address, and refuses two servers of one address or,
 // once in some 10,000 lists of 600, of one ID.
-func distinct(list []node.Server) error {
-	slices.SortFunc(list, func(a, b node.Server) int { return cmp.Compare(a.Address, b.Address) })
+func distinct(list []node.Endpoint) error {
+	slices.SortFunc(list, func(a, b node.Endpoint) int { return cmp.Compare(a.Address, b.Address) })
 	byID := map[policy.ServerID]string{}
 	for _, s := range list {
 		if old, twice := byID[s.ID]; twice {
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []node.Server{
+	want := []node.Endpoint{
 		{Address: "127.0.0.1:9001", StartTime: time.Date(2026, 12, 2, 7, 0, 0, 0, time.UTC),
 			Server: policy.Server{ID: ID("127.0.0.1:9001"), Zone: "a", Cell: 2, Weight: 1.5, State: policy.Running}},
 		{Address: "127.0.0.1:9002",
--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -157,8 +157,8 @@
 	return s.allowed(t, a.Permit), nil
 }
 
-func callOf(h *authv3.AttributeContext_HttpRequest) node.Call {
-	c := node.Call{Method: h.GetMethod(), Target: h.GetPath(), Host: h.GetHost(), Body: []byte(h.GetBody())}
+func callOf(h *authv3.AttributeContext_HttpRequest) node.HTTPRequest {
+	c := node.HTTPRequest{Method: h.GetMethod(), Target: h.GetPath(), Host: h.GetHost(), Body: []byte(h.GetBody())}
 	if len(c.Body) == 0 {
 		c.Body = h.GetRawBody()
 	}
--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -299,8 +299,8 @@
 					slices.SortFunc(h, func(a, b http1.Field) int { return strings.Compare(a.Name, b.Name) })
 					return h
 				}
-				if hTry != nil && !reflect.DeepEqual(sorted(f.node.try.Call.Header), sorted(hTry.Call.Header)) {
-					t.Errorf("forwarded by HTTP/1.1 %v\nby HTTP/2 %v", hTry.Call.Header, f.node.try.Call.Header)
+				if hTry != nil && !reflect.DeepEqual(sorted(f.node.try.HTTP.Header), sorted(hTry.HTTP.Header)) {
+					t.Errorf("forwarded by HTTP/1.1 %v\nby HTTP/2 %v", hTry.HTTP.Header, f.node.try.HTTP.Header)
 				}
 				f.node.try = nil
 				g := f.byCheck(c.ask)
@@ -312,7 +312,7 @@
 				}
 				if hTry != nil {
 					a, b := *hTry, *f.node.try
-					a.Call, b.Call, a.Proxied, b.Proxied = node.Call{}, node.Call{}, false, false
+					a.HTTP, b.HTTP, a.Proxied, b.Proxied = node.HTTPRequest{}, node.HTTPRequest{}, false, false
 					if a.Class != b.Class || a.Customer != b.Customer || a.Plan != b.Plan || a.Trace != b.Trace || a.ClientTimeout != b.ClientTimeout || a.ClientRetry != b.ClientRetry {
 						t.Errorf("tries differ:\n%+v\n%+v", a, b)
 					}
--- a/front/http1/close_test.go
+++ b/front/http1/close_test.go
@@ -58,8 +58,8 @@
 
 type plainIntake struct{}
 
-func (plainIntake) Admit(c node.Call, _ string) (*node.Request, *node.FinalResponse) {
-	return &node.Request{Trace: c.Target, Call: c}, nil
+func (plainIntake) Admit(c node.HTTPRequest, _ string) (*node.Request, *node.FinalResponse) {
+	return &node.Request{Trace: c.Target, HTTP: c}, nil
 }
 
 func (plainIntake) Render(_ *node.Request, a node.FinalResponse) *node.Response {
--- a/front/http1/server.go
+++ b/front/http1/server.go
@@ -28,7 +28,7 @@
 // Intake turns calls into Tries and Answers into responses; an *intake.Intake is
 // one. Admit may give the answer at once.
 type Intake interface {
-	Admit(c node.Call, trace string) (*node.Request, *node.FinalResponse)
+	Admit(c node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse)
 	Render(t *node.Request, a node.FinalResponse) *node.Response
 }
 
@@ -306,7 +306,7 @@
 	if err != nil {
 		return c.refuse(req, err)
 	}
-	call := node.Call{Method: req.Method, Target: req.Target, Host: req.Host, Header: req.Header.EndToEnd()}
+	call := node.HTTPRequest{Method: req.Method, Target: req.Target, Host: req.Host, Header: req.Header.EndToEnd()}
 	call.Header.Del("Host") // it is call.Host
 	if expect := call.Header.Get("Expect"); expect != "" {
 		if expect != "100-continue" {
@@ -328,7 +328,7 @@
 }
 
 // answer puts a whole request to the node and writes the answer.
-func (c *conn) answer(req *http1.Request, call node.Call) bool {
+func (c *conn) answer(req *http1.Request, call node.HTTPRequest) bool {
 	t, early := c.s.o.Intake.Admit(call, c.s.o.Name+"-"+strconv.FormatUint(c.s.traces.Add(1), 36))
 	var a node.FinalResponse
 	if early != nil {
--- a/front/http2/server.go
+++ b/front/http2/server.go
@@ -151,7 +151,7 @@
 type stream struct {
 	id     uint32
 	began  time.Time // when its header arrived
-	call   node.Call
+	call   node.HTTPRequest
 	size   int64 // of the body as announced; -1: not
 	body   []byte
 	whole  bool
--- a/gateway/endpoint_cache_test.go
+++ b/gateway/endpoint_cache_test.go
@@ -18,9 +18,9 @@
 func TestRestartWithAStaleEndpointCache(t *testing.T) {
 	dir := t.TempDir()
 	extra := `node { state_dir = "` + dir + `" }`
-	var list []node.Server
+	var list []node.Endpoint
 	for _, a := range []string{"10.0.1.1:80", "10.0.1.2:80", "10.0.1.7:80", "10.0.1.8:80", "10.0.1.9:80"} {
-		list = append(list, node.Server{Address: a, Server: policy.Server{ID: fleet.ID(a), Weight: 1}})
+		list = append(list, node.Endpoint{Address: a, Server: policy.Server{ID: fleet.ID(a), Weight: 1}})
 	}
 	if err := fleet.SaveCache(filepath.Join(dir, "servers"), list); err != nil {
 		t.Fatal(err)
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func (g *Gateway) updateEndpoints(kind policy.EndpointUpdateKind, list []node.Server) {
+func (g *Gateway) updateEndpoints(kind policy.EndpointUpdateKind, list []node.Endpoint) {
 	if g.options.TransformEndpoints != nil {
 		list = g.options.TransformEndpoints(list)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -28,7 +28,7 @@
 	Seed uint64
 	// TransformEndpoints changes each endpoint list before it is used; for tests. It is called
 	// from the goroutine that receives lists. Nil: lists are used as they come.
-	TransformEndpoints func([]node.Server) []node.Server
+	TransformEndpoints func([]node.Endpoint) []node.Endpoint
 	// WrapUpstream returns what is used in place of the connections to servers; for tests. Nil:
 	// they are used themselves.
 	WrapUpstream func(node.Upstream) node.Upstream
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -51,7 +51,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() { n.Run(ctx); close(ended) }()
-		n.UpdateEndpoints(policy.SnapshotUpdate, []node.Server{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
+		n.UpdateEndpoints(policy.SnapshotUpdate, []node.Endpoint{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
 		answers := make(chan node.FinalResponse, 10)
 		try := func() *node.Request {
 			return &node.Request{Class: "c", Customer: "x", Plan: "p", Units: 1, GatewaySpread: 1, ClientTimeout: time.Second}
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -121,7 +121,7 @@
 
 // Admit makes a Try of a call whose header holds end-to-end fields, or the
 // answer that it gets at once. trace names it where the client does not.
-func (in *Intake) Admit(c node.Call, trace string) (*node.Request, *node.FinalResponse) {
+func (in *Intake) Admit(c node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse) {
 	t := &node.Request{Trace: trace}
 	if id := c.Header.Get(fieldTrace); id != "" {
 		t.Trace = clip(id, 128)
@@ -173,7 +173,7 @@
 		t.ClientRetry = n > 1
 	}
 	c.Header = in.forwarded(c.Header)
-	t.Call = c
+	t.HTTP = c
 	return t, nil
 }
 
--- a/node/authorization.go
+++ b/node/authorization.go
@@ -21,7 +21,7 @@
 		Class:     request.Class,
 		Customer:  request.Customer,
 		Plan:      request.Plan,
-		Resource:  request.Call.Method + " " + request.Call.Target,
+		Resource:  request.HTTP.Method + " " + request.HTTP.Target,
 		Remaining: r.deadline - n.now,
 	})
 	n.executeAuthorization(actions)
@@ -54,7 +54,7 @@
 	r.authorization.number = action.Attempt
 	r.authorization.startedAt = n.now
 	r.work.timeout = n.timerWheel.Add(n.now+action.Timeout, func() {
-		n.finishCheck(r, action.Attempt, AuthorizationResult{Verdict: authz.TimedOut, Detail: "authorization check timed out"})
+		n.finishCheck(r, action.Attempt, AuthorizationResult{Outcome: authz.TimedOut, Detail: "authorization check timed out"})
 	})
 	r.work.cancel = n.options.Authorizer.Check(action.Address, r.request, action.Timeout, func(result AuthorizationResult) {
 		n.enqueue(checkFinished{request: r, check: action.Attempt, result: result})
@@ -72,7 +72,7 @@
 	elapsed := n.now - r.authorization.startedAt
 	latency := n.activeTimeSince(r.authorization.startedAt)
 	n.executeAuthorization(n.options.Authz.FinishCheck(n.wallTime(), uint64(r.id), check, authz.CheckResult{
-		Outcome:       result.Verdict,
+		Outcome:       result.Outcome,
 		Latency:       latency,
 		ProcessPaused: latency < elapsed,
 		CacheTTL:      result.CacheTTL,
@@ -107,7 +107,7 @@
 	r.awaitDecision()
 	reason := authorizationFailure(action.Decision)
 	if reason == ReasonNone {
-		result.apply(&r.request.Call)
+		result.apply(&r.request.HTTP)
 		r.authorization.granted = result
 		n.askPolicy(r)
 		return
--- a/node/authorizer.go
+++ b/node/authorizer.go
@@ -13,7 +13,7 @@
 // AuthorizationResult is the result of an authorization check. An allowed request is
 // changed as the result says before it is forwarded.
 type AuthorizationResult struct {
-	Verdict  authz.Outcome
+	Outcome  authz.Outcome
 	Denial   *Response     // with a verdict of Denied: the response for the client
 	CacheTTL time.Duration // how long the result may be used again; 0: the service did not say
 	Detail   string        // for the log
@@ -37,7 +37,7 @@
 }
 
 // apply changes a request as the authorization service asks for.
-func (c *AuthorizationResult) apply(call *Call) {
+func (c *AuthorizationResult) apply(call *HTTPRequest) {
 	for _, name := range c.RemoveHeaders {
 		call.Header.Del(name)
 	}
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -6,9 +6,9 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Server is one line of the endpoint list: what the policy knows of a server, and how
+// Endpoint is one line of the endpoint list: what the policy knows of a server, and how
 // to reach it.
-type Server struct {
+type Endpoint struct {
 	// Server is for the policy. HasStartTime and StartedAt are set by the node, from
 	// StartTime.
 	policy.Server
@@ -25,7 +25,7 @@
 // UpdateEndpoints gives the node the endpoint list or changes to it, as kind says. It
 // may be called from any goroutine and never blocks; the node owns the list from then
 // on.
-func (n *Node) UpdateEndpoints(kind policy.EndpointUpdateKind, list []Server) {
+func (n *Node) UpdateEndpoints(kind policy.EndpointUpdateKind, list []Endpoint) {
 	n.enqueue(endpointsUpdated{kind: kind, endpoints: list})
 }
 
--- a/node/events.go
+++ b/node/events.go
@@ -28,7 +28,7 @@
 // endpointsUpdated brings the endpoint list or changes to it.
 type endpointsUpdated struct {
 	kind      policy.EndpointUpdateKind
-	endpoints []Server
+	endpoints []Endpoint
 }
 
 // attemptFinished is the result of an attempt that the Upstream made.
--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 
 	requests  map[policy.RequestID]*pendingRequest // without those that are answered and done
 	lastID    policy.RequestID                     // of the request begun last
-	endpoints map[policy.ServerID]Server           // the endpoint list, without removed servers
+	endpoints map[policy.ServerID]Endpoint         // the endpoint list, without removed servers
 
 	policy          *policy.Gateway
 	seed            uint64              // of the policy; counts up with each restart of it
@@ -67,7 +67,7 @@
 		loopState: loopState{
 			barrier:   pause.NewBarrier(options.Pause),
 			requests:  map[policy.RequestID]*pendingRequest{},
-			endpoints: map[policy.ServerID]Server{},
+			endpoints: map[policy.ServerID]Endpoint{},
 			policy:    gateway,
 			seed:      options.Seed,
 		},
--- a/node/request.go
+++ b/node/request.go
@@ -6,8 +6,8 @@
 	"yardcleat.example/yardcleat/internal/http1"
 )
 
-// Call is the content of a client's request, as it is forwarded.
-type Call struct {
+// HTTPRequest is the content of a client's request, as it is forwarded.
+type HTTPRequest struct {
 	Method string
 	Target string // path and query, as they came in
 	Host   string
@@ -37,7 +37,7 @@
 	// ForwardPermit in place of a server's response.
 	Proxied bool
 
-	Call          Call
+	HTTP          HTTPRequest
 	ClientAddress string // host:port of the client; "": not known
 	LocalAddress  string // host:port that the client connected to; "": not known
 }
--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -147,7 +147,7 @@
 
 // forward makes the one attempt and reports it.
 func (s *Server) forward(w http.ResponseWriter, r *http.Request, body []byte, ok *authv3.OkHttpResponse) {
-	call := node.Call{Method: r.Method, Target: r.RequestURI, Host: r.Host, Body: body}
+	call := node.HTTPRequest{Method: r.Method, Target: r.RequestURI, Host: r.Host, Body: body}
 	for name, values := range r.Header {
 		for _, v := range values {
 			call.Header.Add(name, v)
@@ -166,7 +166,7 @@
 	start := time.Now()
 	ended := make(chan node.Result, 1)
 	sending := s.pool.Start(node.Attempt{Address: set[extauthz.FieldServer], Timeout: time.Duration(limit) * time.Millisecond,
-		Request: &node.Request{Call: call}}, func(res node.Result) { ended <- res })
+		Request: &node.Request{HTTP: call}}, func(res node.Result) { ended <- res })
 	timer := time.NewTimer(time.Duration(limit) * time.Millisecond)
 	defer timer.Stop()
 	var res node.Result
--- a/upstream/crossing_test.go
+++ b/upstream/crossing_test.go
@@ -17,7 +17,7 @@
 var testLimits = http1.Limits{Line: 1000, Fields: 10, Header: 1000, Body: 1000}
 
 func call(target string) *node.Request {
-	return &node.Request{Trace: target, Call: node.Call{Method: "GET", Target: target, Host: "h"}}
+	return &node.Request{Trace: target, HTTP: node.HTTPRequest{Method: "GET", Target: target, Host: "h"}}
 }
 
 // server is a real listener whose connections a test plays by hand.
--- a/upstream/extauthz/client_test.go
+++ b/upstream/extauthz/client_test.go
@@ -72,7 +72,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestClient(t, 10*time.Millisecond)
 		results, _ := startCheck(c, time.Second)
-		if r := <-results; r.Verdict != authz.Allowed {
+		if r := <-results; r.Outcome != authz.Allowed {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -83,7 +83,7 @@
 		c := newTestClient(t, time.Second)
 		startedAt := time.Now()
 		results, _ := startCheck(c, 100*time.Millisecond)
-		if r := <-results; r.Verdict != authz.TimedOut {
+		if r := <-results; r.Outcome != authz.TimedOut {
 			t.Errorf("%+v", r)
 		}
 		if took := time.Since(startedAt); took > 110*time.Millisecond {
@@ -113,7 +113,7 @@
 		if err := c.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if r := <-results; r.Verdict != authz.Unreachable {
+		if r := <-results; r.Outcome != authz.Unreachable {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/upstream/extauthz/request.go
+++ b/upstream/extauthz/request.go
@@ -42,20 +42,20 @@
 }
 
 func (rules *RequestRules) httpRequest(r *node.Request) *authv3.AttributeContext_HttpRequest {
-	headers := rules.headers(r.Call.Header)
-	body := r.Call.Body[:min(len(r.Call.Body), rules.MaxBodyBytes)]
-	if rules.MaxBodyBytes > 0 && len(r.Call.Body) > 0 {
-		headers[partialBodyHeader] = strconv.FormatBool(len(body) < len(r.Call.Body))
+	headers := rules.headers(r.HTTP.Header)
+	body := r.HTTP.Body[:min(len(r.HTTP.Body), rules.MaxBodyBytes)]
+	if rules.MaxBodyBytes > 0 && len(r.HTTP.Body) > 0 {
+		headers[partialBodyHeader] = strconv.FormatBool(len(body) < len(r.HTTP.Body))
 	}
 	message := &authv3.AttributeContext_HttpRequest{
 		Id:       validText(r.Trace),
-		Method:   r.Call.Method,
-		Path:     r.Call.Target,
-		Host:     r.Call.Host,
+		Method:   r.HTTP.Method,
+		Path:     r.HTTP.Target,
+		Host:     r.HTTP.Host,
 		Scheme:   "http",
 		Protocol: "HTTP/1.1",
 		Headers:  headers,
-		Size:     int64(len(r.Call.Body)),
+		Size:     int64(len(r.HTTP.Body)),
 	}
 	if utf8.Valid(body) {
 		message.Body = string(body)
--- a/upstream/extauthz/request_test.go
+++ b/upstream/extauthz/request_test.go
@@ -18,7 +18,7 @@
 		Plan:          "basic",
 		ClientAddress: "10.0.0.1:4000",
 		LocalAddress:  "10.0.0.2:80",
-		Call: node.Call{
+		HTTP: node.HTTPRequest{
 			Method: "POST",
 			Target: "/records/1?a=b",
 			Host:   "h",
@@ -96,7 +96,7 @@
 		{limit: 1, body: "é", wantRaw: "\xc3", wantPart: "true"},
 	} {
 		r := testRequest()
-		r.Call.Body = []byte(c.body)
+		r.HTTP.Body = []byte(c.body)
 		rules := RequestRules{MaxBodyBytes: c.limit}
 		got := rules.checkRequest(r).GetAttributes().GetRequest().GetHttp()
 		if got.GetBody() != c.wantText || string(got.GetRawBody()) != c.wantRaw || got.GetHeaders()[partialBodyHeader] != c.wantPart {
--- a/upstream/extauthz/result.go
+++ b/upstream/extauthz/result.go
@@ -45,13 +45,13 @@
 	if status.Code(err) == codes.DeadlineExceeded {
 		outcome = authz.TimedOut
 	}
-	return node.AuthorizationResult{Verdict: outcome, Detail: "authorization check failed: " + err.Error()}
+	return node.AuthorizationResult{Outcome: outcome, Detail: "authorization check failed: " + err.Error()}
 }
 
 func permission(response *authv3.CheckResponse) node.AuthorizationResult {
 	ok := response.GetOkResponse()
 	result := node.AuthorizationResult{
-		Verdict:     authz.Allowed,
+		Outcome:     authz.Allowed,
 		CacheTTL:    cacheTTL(response),
 		RemoveQuery: ok.GetQueryParametersToRemove(),
 	}
@@ -81,7 +81,7 @@
 	for _, option := range denied.GetHeaders() {
 		putHeader(option, &answer.Header, &answer.Header)
 	}
-	return node.AuthorizationResult{Verdict: authz.Denied, Denial: answer, CacheTTL: cacheTTL(response)}
+	return node.AuthorizationResult{Outcome: authz.Denied, Denial: answer, CacheTTL: cacheTTL(response)}
 }
 
 // cacheTTL returns the time that the service states, or 0.
--- a/upstream/extauthz/result_test.go
+++ b/upstream/extauthz/result_test.go
@@ -57,7 +57,7 @@
 		}},
 	}, nil)
 	want := node.AuthorizationResult{
-		Verdict:         authz.Allowed,
+		Outcome:         authz.Allowed,
 		CacheTTL:        1500 * time.Millisecond,
 		SetHeaders:      http1.Header{{Name: "X-Role", Value: "clerk"}, {Name: "X-Raw", Value: "raw"}},
 		AppendHeaders:   http1.Header{{Name: "X-Group", Value: "a"}},
@@ -82,7 +82,7 @@
 			}},
 		}, nil)
 		denial := &node.Response{Status: c.want, Header: http1.Header{{Name: "X-Why", Value: "role"}}, Body: []byte("no")}
-		if want := (node.AuthorizationResult{Verdict: authz.Denied, Denial: denial}); !reflect.DeepEqual(got, want) {
+		if want := (node.AuthorizationResult{Outcome: authz.Denied, Denial: denial}); !reflect.DeepEqual(got, want) {
 			t.Errorf("status %d: %+v, want %+v", c.status, got, want)
 		}
 	}
@@ -99,7 +99,7 @@
 		{status.FromContextError(context.DeadlineExceeded).Err(), authz.TimedOut},
 	} {
 		got := authorizationResult(nil, c.err)
-		if want := (node.AuthorizationResult{Verdict: c.want, Detail: "authorization check failed: " + c.err.Error()}); !reflect.DeepEqual(got, want) {
+		if want := (node.AuthorizationResult{Outcome: c.want, Detail: "authorization check failed: " + c.err.Error()}); !reflect.DeepEqual(got, want) {
 			t.Errorf("%v: %+v, want %+v", c.err, got, want)
 		}
 	}
--- a/upstream/http2.go
+++ b/upstream/http2.go
@@ -79,7 +79,7 @@
 	t.reset = func() { c.reset(s, http2.ErrCodeCancel) }
 	t.mu.Unlock()
 	if !over {
-		err = c.request(s, &t.Request.Call)
+		err = c.request(s, &t.Request.HTTP)
 	}
 	switch {
 	case over || errors.Is(err, errLate):
@@ -174,7 +174,7 @@
 }
 
 // request sends a request; numbers of streams rise in the order they are sent.
-func (c *h2conn) request(s *h2stream, call *node.Call) error {
+func (c *h2conn) request(s *h2stream, call *node.HTTPRequest) error {
 	late := false
 	err := c.write(func() error {
 		if late = s.t.late() || !s.t.begin(); late {
@@ -482,7 +482,7 @@
 // done hands over a whole response.
 func (c *h2conn) done(s *h2stream) {
 	if n, err := strconv.ParseInt(s.head.Header.Get("Content-Length"), 10, 64); err == nil && n != int64(len(s.body)) &&
-		s.t.Request.Call.Method != "HEAD" && s.head.Status != 204 && s.head.Status != 304 {
+		s.t.Request.HTTP.Method != "HEAD" && s.head.Status != 204 && s.head.Status != 304 {
 		c.fail(s, badResponse, fmt.Errorf("body of %d bytes, %d announced", len(s.body), n))
 		return
 	}
--- a/upstream/stood_test.go
+++ b/upstream/stood_test.go
@@ -43,7 +43,7 @@
 			stood = true
 			ended := make(chan node.Result, 1)
 			p.Start(node.Attempt{Address: "10.0.0.2:80", Timeout: time.Second, DecidedAt: time.Now(),
-				Request: &node.Request{Call: node.Call{Method: "POST", Target: "/secret", Host: "h"}}}, func(r node.Result) { ended <- r })
+				Request: &node.Request{HTTP: node.HTTPRequest{Method: "POST", Target: "/secret", Host: "h"}}}, func(r node.Result) { ended <- r })
 			if r := <-ended; r.Code != policy.TooLate || !r.Code.NeverRan() {
 				t.Errorf("ended with %v: %s", r.Code, r.Detail)
 			}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -218,7 +218,7 @@
 // request appends the attempt's bytes. The time that it states is what is left as it is
 // written: a dial may have taken some of it.
 func (t *attempt) request(b []byte) []byte {
-	call := &t.Request.Call
+	call := &t.Request.HTTP
 	header := call.Header
 	if t.p.o.Patience != "" {
 		left := max(0, t.Timeout-time.Since(t.start))
@@ -523,7 +523,7 @@
 // response reads the response to an attempt. It tells whether the connection
 // may be used further.
 func (c *conn) response(t *attempt) bool {
-	head, err := c.r.Response(t.Request.Call.Method)
+	head, err := c.r.Response(t.Request.HTTP.Method)
 	if err != nil {
 		code, detail := ended(badResponse, err)
 		t.end(node.Result{Code: code, Detail: detail}, false)
