--- a/node/authorization.go
+++ b/node/authorization.go
@@ -90,7 +90,7 @@
 	n.executeAuthorization(n.options.Authz.CancelRequest(n.wallTime(), uint64(r.id)))
 }
 
-// concludeAuthorization ends the authorization of a request by the decider's verdict,
+// concludeAuthorization ends the authorization of a request by the decider's decision,
 // which rests on the last check or, where that gave no result, on a cached result or
 // the default of the class.
 func (n *Node) concludeAuthorization(action authz.Resolve) {
--- a/node/authorizer.go
+++ b/node/authorizer.go
@@ -14,7 +14,7 @@
 // changed as the result says before it is forwarded.
 type AuthorizationResult struct {
 	Outcome  authz.Outcome
-	Denial   *Response     // with a verdict of Denied: the response for the client
+	Denial   *Response     // with the outcome Denied: the response for the client
 	CacheTTL time.Duration // how long the result may be used again; 0: the service did not say
 	Detail   string        // for the log
 
--- a/upstream/ends.go
+++ b/upstream/ends.go
@@ -22,7 +22,7 @@
 )
 
 // ends is the one table of what an attempt's end proves. Only ConnectFailed
-// (and a status that the servers' contract reserves, as policy.Full) proves that
+// (and a status that the servers' contract reserves, as policy.Rejected) proves that
 // nothing ran; silence, a reset or a half-close after a byte has left, and a
 // lost keep-alive race prove nothing. A cancel and a time-out are the node's
 // own: Cancelled and TimedOut.
