--- a/fleet/cache.go
+++ b/fleet/cache.go
@@ -11,7 +11,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// cacheFormat is that of the file that holds the last good list.
+// cacheFormat is the format of the file that holds the last good list.
 var cacheFormat = snapshotfile.Format[struct{}, []cachedServer]{Version: 1, Payload: "servers"}
 
 // cachedServer is a server in the file. Its ID is left out, since it follows from the address.
@@ -67,7 +67,7 @@
 	for _, c := range cached {
 		list = append(list, c.server())
 	}
-	return list, distinct(list)
+	return list, sortUnique(list)
 }
 
 // cacheError adds the path to an error that does not name it.
--- a/fleet/eds.go
+++ b/fleet/eds.go
@@ -25,121 +25,180 @@
 // TypeURL names the resources of EDS.
 const TypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
-// Metadata of an endpoint under this filter name: cell (a number) and
-// started_ms (its process's start, milliseconds of Unix time).
+// Metadata is the filter name of the metadata that an endpoint may have: cell (a number) and
+// started_ms (the start of its process, milliseconds of Unix time).
 const Metadata = "yardcleat"
 
-// Options is what Watch needs.
+// reconnectDelay is the time between the end of a stream and the next attempt to open one.
+const reconnectDelay = 500 * time.Millisecond
+
+// Options is what Watch needs. All fields but CachePath are required.
 type Options struct {
+	// Network is what the management server is dialed on.
 	Network network.Network
-	Address string // of the management server
+	// Address of the management server, as host:port.
+	Address string
+	// Cluster is the name of the cluster whose endpoints are watched.
 	Cluster string
-	NodeID  string
-	File    string // where the last good list is remembered; "": nowhere
-	Log     *slog.Logger
+	// NodeID names this node to the management server.
+	NodeID string
+	// CachePath is the file that holds the last good list. "": the list is not cached.
+	CachePath string
+	// Log takes events of discovery.
+	Log *slog.Logger
+	// Deliver receives each list, sorted by address, from the goroutine that runs Watch. The
+	// list belongs to the receiver, which must not block for long: no further list is read
+	// meanwhile.
 	Deliver func(kind policy.EndpointUpdateKind, list []node.Endpoint)
 }
 
-// Watch delivers the remembered list, then every list that the management
-// server sends, until the context ends. A list that is not good is answered by
-// a NACK and changes nothing; a lost stream is opened again.
+// Watch delivers the cached list, then every list that the management server sends, until the
+// context ends. A list that is not valid is answered by a NACK and changes nothing. A stream
+// that ends is opened again after reconnectDelay. An error says that no client of the server
+// can be made or closed.
 func Watch(ctx context.Context, o Options) error {
-	if o.File != "" {
-		list, err := LoadCache(o.File)
-		if err != nil {
-			o.Log.Warn("the remembered server list is left aside", "error", err)
-		} else if list != nil {
-			o.Log.Info("server list remembered", "servers", len(list))
-			o.Deliver(policy.CachedUpdate, list)
-		}
-	}
-	cc, err := grpc.NewClient("passthrough:///"+o.Address, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return o.Network.Dial(ctx, addr) }),
-		grpc.WithDisableServiceConfig())
+	o.deliverCached()
+	conn, err := o.dial()
 	if err != nil {
 		return err
 	}
-	defer cc.Close()
-	const again = 500 * time.Millisecond
+	o.followStreams(ctx, edsv3.NewEndpointDiscoveryServiceClient(conn))
+	return conn.Close()
+}
+
+// deliverCached delivers the list that an earlier process has cached, where there is one.
+func (o *Options) deliverCached() {
+	if o.CachePath == "" {
+		return
+	}
+	list, err := LoadCache(o.CachePath)
+	if err != nil {
+		o.Log.Warn("cached endpoint list unusable; starting without it", "error", err)
+		return
+	}
+	if list == nil {
+		return
+	}
+	o.Log.Info("cached endpoint list loaded", "endpoints", len(list))
+	o.Deliver(policy.CachedUpdate, list)
+}
+
+// dial makes a client of the management server. It does not wait for a connection.
+func (o *Options) dial() (*grpc.ClientConn, error) {
+	dialer := func(ctx context.Context, address string) (net.Conn, error) { return o.Network.Dial(ctx, address) }
+	return grpc.NewClient("passthrough:///"+o.Address,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithContextDialer(dialer),
+		grpc.WithDisableServiceConfig())
+}
+
+// followStreams follows one stream after the other until the context ends.
+func (o *Options) followStreams(ctx context.Context, client edsv3.EndpointDiscoveryServiceClient) {
 	for {
-		err := stream(ctx, edsv3.NewEndpointDiscoveryServiceClient(cc), &o)
+		err := o.followStream(ctx, client)
 		if ctx.Err() != nil {
-			return nil
+			return
 		}
-		o.Log.Warn("discovery stream ended; the last list is kept", "error", err)
+		o.Log.Warn("discovery stream ended; keeping the current endpoint list and reconnecting", "error", err)
 		select {
-		case <-time.After(again):
+		case <-time.After(reconnectDelay):
 		case <-ctx.Done():
-			return nil
+			return
 		}
 	}
 }
 
-// stream follows one stream of the state-of-the-world protocol.
-func stream(ctx context.Context, eds edsv3.EndpointDiscoveryServiceClient, o *Options) error {
-	s, err := eds.StreamEndpoints(ctx)
+// followStream follows one stream of the state-of-the-world protocol until it ends. A request
+// acknowledges the response before it: with its version, or with an error for a NACK, which
+// repeats the last good version.
+func (o *Options) followStream(ctx context.Context, client edsv3.EndpointDiscoveryServiceClient) error {
+	stream, err := client.StreamEndpoints(ctx)
 	if err != nil {
 		return err
 	}
-	req := &discoveryv3.DiscoveryRequest{TypeUrl: TypeURL, ResourceNames: []string{o.Cluster},
-		Node: &corev3.Node{Id: o.NodeID, Cluster: "yardcleat"}}
+	request := &discoveryv3.DiscoveryRequest{
+		TypeUrl:       TypeURL,
+		ResourceNames: []string{o.Cluster},
+		Node:          &corev3.Node{Id: o.NodeID, Cluster: "yardcleat"},
+	}
 	for {
-		if err := s.Send(req); err != nil {
+		if err := stream.Send(request); err != nil {
 			return err
 		}
-		resp, err := s.Recv()
+		response, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		req.ResponseNonce, req.ErrorDetail = resp.GetNonce(), nil
-		list, found, err := read(resp, o.Cluster)
-		switch {
-		case err != nil:
-			o.Log.Error("server list refused; the last one is kept", "version", resp.GetVersionInfo(), "error", err)
-			req.ErrorDetail = &rpc.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
+		request.ResponseNonce = response.GetNonce()
+		request.ErrorDetail = nil
+		if err := o.handleResponse(response); err != nil {
+			request.ErrorDetail = &rpc.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
 			continue
-		case found:
-			o.Deliver(policy.SnapshotUpdate, list)
-			o.Log.Info("server list", "version", resp.GetVersionInfo(), "servers", len(list))
-			if o.File != "" {
-				if err := SaveCache(o.File, list); err != nil {
-					o.Log.Warn("the server list can't be remembered", "error", err)
-				}
-			}
 		}
-		req.VersionInfo = resp.GetVersionInfo()
+		request.VersionInfo = response.GetVersionInfo()
 	}
 }
 
-// read makes a list of a response. An EDS response need not hold all resources:
-// without this cluster it changes nothing.
-func read(resp *discoveryv3.DiscoveryResponse, cluster string) (list []node.Endpoint, found bool, err error) {
-	if resp.GetTypeUrl() != TypeURL {
-		return nil, false, fmt.Errorf("resources of type %q", resp.GetTypeUrl())
+// handleResponse delivers the list of a response and caches it. The error says why the
+// response is rejected. A list that can't be cached is used all the same.
+func (o *Options) handleResponse(response *discoveryv3.DiscoveryResponse) error {
+	list, found, err := parseResponse(response, o.Cluster)
+	if err != nil {
+		o.Log.Error("endpoint list rejected; keeping the current one", "version", response.GetVersionInfo(), "error", err)
+		return err
 	}
-	for _, any := range resp.GetResources() {
-		var cla endpointv3.ClusterLoadAssignment
-		if err := any.UnmarshalTo(&cla); err != nil {
+	if !found {
+		return nil
+	}
+	o.Deliver(policy.SnapshotUpdate, list)
+	o.Log.Info("endpoint list updated", "version", response.GetVersionInfo(), "endpoints", len(list))
+	if o.CachePath == "" {
+		return nil
+	}
+	if err := SaveCache(o.CachePath, list); err != nil {
+		o.Log.Warn("caching the endpoint list failed", "error", err)
+	}
+	return nil
+}
+
+// parseResponse makes a list of a response. An EDS response need not hold all resources:
+// without this cluster it changes nothing, and found is false.
+func parseResponse(response *discoveryv3.DiscoveryResponse, cluster string) (list []node.Endpoint, found bool, err error) {
+	if response.GetTypeUrl() != TypeURL {
+		return nil, false, fmt.Errorf("resources of type %q", response.GetTypeUrl())
+	}
+	for _, resource := range response.GetResources() {
+		var assignment endpointv3.ClusterLoadAssignment
+		if err := resource.UnmarshalTo(&assignment); err != nil {
 			return nil, false, err
 		}
-		if cla.GetClusterName() != cluster {
+		if assignment.GetClusterName() != cluster {
 			continue
 		}
 		found = true
-		for _, group := range cla.GetEndpoints() {
-			for _, e := range group.GetLbEndpoints() {
-				s, err := endpoint(e, group.GetLocality().GetZone())
-				if err != nil {
-					return nil, false, err
-				}
-				list = append(list, s)
+		if list, err = appendEndpoints(list, &assignment); err != nil {
+			return nil, false, err
+		}
+	}
+	return list, found, sortUnique(list)
+}
+
+// appendEndpoints appends all endpoints of a cluster to a list.
+func appendEndpoints(list []node.Endpoint, assignment *endpointv3.ClusterLoadAssignment) ([]node.Endpoint, error) {
+	for _, group := range assignment.GetEndpoints() {
+		for _, e := range group.GetLbEndpoints() {
+			parsed, err := parseEndpoint(e, group.GetLocality().GetZone())
+			if err != nil {
+				return nil, err
 			}
+			list = append(list, parsed)
 		}
 	}
-	return list, found, distinct(list)
+	return list, nil
 }
 
-func endpoint(e *endpointv3.LbEndpoint, zone string) (node.Endpoint, error) {
+// parseEndpoint reads one endpoint. Without a weight it has 1; metadata it does not know is skipped.
+func parseEndpoint(e *endpointv3.LbEndpoint, zone string) (node.Endpoint, error) {
 	a := e.GetEndpoint().GetAddress().GetSocketAddress()
 	if a.GetAddress() == "" || a.GetPortValue() == 0 || a.GetPortValue() > 65535 {
 		return node.Endpoint{}, fmt.Errorf("endpoint without an address and a port: %v", e.GetEndpoint())
@@ -154,7 +213,7 @@
 	}
 	switch e.GetHealthStatus() {
 	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DEGRADED:
-	default: // draining, or said not to be well: nothing new goes there
+	default: // draining or unhealthy: no new attempts are sent to it
 		s.State = policy.Draining
 	}
 	fields := e.GetMetadata().GetFilterMetadata()[Metadata].GetFields()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet keeps a node's list of servers: from the configuration, or from
-// an xDS management server over EDS, with the last good list remembered on disk.
+// Package fleet provides the list of endpoints that a node sends requests to: from the
+// configuration, or from an xDS management server over EDS, with the last good list cached on
+// disk.
 package fleet
 
 import (
@@ -13,35 +14,36 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// ID is a server's name in the module and in messages between nodes. It follows
-// from the address alone, so all nodes give the same.
+// ID returns the ID of the server at an address, in the policy and in messages between nodes.
+// It depends on the address alone, so that all nodes compute the same one.
 func ID(address string) policy.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(address))
 	return policy.ServerID(h.Sum32())
 }
 
-// Static makes the list that stands in a configuration.
+// Static returns the endpoints of a configuration, sorted by address. An address or an ID that
+// occurs twice is an error.
 func Static(in []config.Server) ([]node.Endpoint, error) {
 	var list []node.Endpoint
 	for _, s := range in {
 		list = append(list, node.Endpoint{Address: s.Address, Server: policy.Server{ID: ID(s.Address), Zone: s.Zone,
 			Cell: s.Cell, Weight: s.Weight}})
 	}
-	return list, distinct(list)
+	return list, sortUnique(list)
 }
 
-// distinct sorts a list by address, and refuses two servers of one address or,
-// once in some 10,000 lists of 600, of one ID.
-func distinct(list []node.Endpoint) error {
+// sortUnique sorts a list by address. Two servers with the same address are an error, and so are
+// two with the same ID: IDs are hashes, which collide in one of some 10,000 lists of 600 servers.
+func sortUnique(list []node.Endpoint) error {
 	slices.SortFunc(list, func(a, b node.Endpoint) int { return cmp.Compare(a.Address, b.Address) })
 	byID := map[policy.ServerID]string{}
 	for _, s := range list {
-		if old, twice := byID[s.ID]; twice {
-			if old == s.Address {
-				return fmt.Errorf("fleet: address %s twice in the list", old)
+		if other, used := byID[s.ID]; used {
+			if other == s.Address {
+				return fmt.Errorf("fleet: address %s twice in the list", other)
 			}
-			return fmt.Errorf("fleet: addresses %s and %s have one ID, %d; change one", old, s.Address, s.ID)
+			return fmt.Errorf("fleet: addresses %s and %s have one ID, %d; change one", other, s.Address, s.ID)
 		}
 		byID[s.ID] = s.Address
 	}
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -12,9 +12,9 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// The server list that an earlier build remembered comes back whole, and is written
-// with the same bytes again.
-func TestRememberedListOfAnEarlierBuild(t *testing.T) {
+// The endpoint list that an earlier build cached is loaded completely, and is written with the same
+// bytes again.
+func TestCachedListOfAnEarlierBuild(t *testing.T) {
 	golden := filepath.Join("testdata", "servers")
 	got, err := LoadCache(golden)
 	if err != nil {
@@ -27,7 +27,7 @@
 			Server: policy.Server{ID: ID("127.0.0.1:9002"), Zone: "b", Cell: 1, Weight: 1, State: policy.Draining}},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("recalled %+v, want %+v", got, want)
+		t.Errorf("loaded %+v, want %+v", got, want)
 	}
 	again := filepath.Join(t.TempDir(), "servers")
 	if err := SaveCache(again, want); err != nil {
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -35,7 +35,7 @@
 		Deliver: g.updateEndpoints,
 	}
 	if g.cfg.StateDir != "" {
-		options.File = filepath.Join(g.cfg.StateDir, endpointCacheFile)
+		options.CachePath = filepath.Join(g.cfg.StateDir, endpointCacheFile)
 	}
 	g.goUntilClosed(func(ctx context.Context) {
 		if err := fleet.Watch(ctx, options); err != nil {
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -150,12 +150,12 @@
 		}
 		g.Kill()
 		time.Sleep(time.Minute) // timers of what was closed run out
-		for _, want := range []string{`msg="customer snapshots restored" customers=2`, `msg="server list remembered" servers=2`} {
+		for _, want := range []string{`msg="customer snapshots restored" customers=2`, `msg="cached endpoint list loaded" endpoints=2`} {
 			if !strings.Contains(log.String(), want) {
 				t.Errorf("the log lacks %s", want)
 			}
 		}
-		for _, unused := range []string{"left aside", "moved aside", "can't be used", "membership snapshot unreadable", "roster rejected",
+		for _, unused := range []string{"cached endpoint list unusable", "moved aside", "can't be used", "membership snapshot unreadable", "roster rejected",
 			"roster file invalid"} {
 			if strings.Contains(log.String(), unused) {
 				t.Errorf("something was not used: %s", unused)
