--- a/internal/archtest/no_io_test.go
+++ b/internal/archtest/no_io_test.go
@@ -1,5 +1,5 @@
-// Package archtest holds what decides to having no I/O: it checks the source of the
-// packages and files that say so.
+// Package archtest checks rules of the architecture in the source: packages and files that make
+// decisions do no I/O, start no goroutines and read no clock.
 package archtest
 
 import (
@@ -13,39 +13,42 @@
 	"testing"
 )
 
-// decides lists what decides, from the root of the module.
-var decides = []string{"policy/*.go", "authz/*.go", "audit/*.go", "intake/*.go", "internal/timers/*.go", "usage/*.go", "lab/*.go", "lab/hunt/*.go", "peer/guard.go",
+// filesWithoutIO are patterns of the files that make decisions, from the root of the module.
+var filesWithoutIO = []string{"policy/*.go", "authz/*.go", "audit/*.go", "intake/*.go", "internal/timers/*.go", "usage/*.go", "lab/*.go", "lab/hunt/*.go", "peer/guard.go",
 	"pause/*.go", "membership/*.go", "upstream/ends.go", "upstream/trust.go", "front/http1/room.go", "edgenode/protocol/*.go", "edgenode/discovery/list.go", "edgenode/discovery/endpoint_table.go", "edgenode/shutdown.go", "edgenode/resource_limits.go", "edgenode/discovery/timeouts.go", "front/extauthz/ends.go"}
 
-var banned = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "syscall": true, "io/fs": true,
+// bannedImports are packages that do I/O, share memory between goroutines or are not deterministic.
+var bannedImports = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "syscall": true, "io/fs": true,
 	"sync": true, "sync/atomic": true, "context": true, "log/slog": true, "math/rand": true}
 
-// clock is what reads or waits for the time.
-var clock = map[string]bool{"Now": true, "Since": true, "Until": true, "Sleep": true, "After": true, "AfterFunc": true,
+// clockFunctions are those of package time that read the clock or wait for it.
+var clockFunctions = map[string]bool{"Now": true, "Since": true, "Until": true, "Sleep": true, "After": true, "AfterFunc": true,
 	"NewTimer": true, "NewTicker": true, "Tick": true}
 
 func TestNoIO(t *testing.T) {
-	for _, pattern := range decides {
+	for _, pattern := range filesWithoutIO {
 		files, err := filepath.Glob(filepath.Join("..", "..", pattern))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: no files, %v", pattern, err)
 		}
 		for _, name := range files {
 			if !strings.HasSuffix(name, "_test.go") {
-				check(t, name)
+				checkFile(t, name)
 			}
 		}
 	}
 }
 
-func check(t *testing.T, name string) {
+// checkFile parses a file and reports each violation with its position.
+func checkFile(t *testing.T, name string) {
+	t.Helper()
 	set := token.NewFileSet()
 	f, err := parser.ParseFile(set, name, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, imp := range f.Imports {
-		if path, _ := strconv.Unquote(imp.Path.Value); banned[path] {
+		if path, _ := strconv.Unquote(imp.Path.Value); bannedImports[path] {
 			t.Errorf("%s imports %s", set.Position(imp.Pos()), path)
 		}
 	}
@@ -54,7 +57,7 @@
 		case *ast.GoStmt:
 			t.Errorf("%s starts a goroutine", set.Position(n.Pos()))
 		case *ast.SelectorExpr:
-			if x, ok := n.X.(*ast.Ident); ok && x.Name == "time" && x.Obj == nil && clock[n.Sel.Name] {
+			if x, ok := n.X.(*ast.Ident); ok && x.Name == "time" && x.Obj == nil && clockFunctions[n.Sel.Name] {
 				t.Errorf("%s uses time.%s", set.Position(n.Pos()), n.Sel.Name)
 			}
 		}
@@ -62,7 +65,7 @@
 	})
 }
 
-// The bench's side stays free of the program's libraries.
+// The adapter depends on no library outside the module.
 func TestAdapterIsLean(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
 		"yardcleat.example/yardcleat/cmd/adapter").Output()
