--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -116,7 +116,7 @@
 	runInTestBedWith(t, src+extra, f)
 }
 
-// runInTestBedWith is inWorld with a whole configuration.
+// runInTestBedWith is runInTestBed with a complete configuration.
 func runInTestBedWith(t *testing.T, src string, f func(w *testBed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -247,11 +247,15 @@
 	took   time.Duration
 }
 
+// do sends a request with the headers in fields, names and values in turn, and returns the response.
+// Status -1 stands for a request without a response. It may be called from any goroutine, and
+// therefore reports what the test itself does wrong with Error, not with Fatal.
 func (w *testBed) do(method, path, key string, fields ...string) response {
 	w.t.Helper()
 	req, err := http.NewRequest(method, "http://10.0.0.1:80"+path, nil)
 	if err != nil {
-		w.t.Fatal(err)
+		w.t.Error(err)
+		return response{status: -1, body: err.Error()}
 	}
 	req.Header.Set("X-Api-Key", key)
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -264,7 +268,8 @@
 	}
 	b, err := io.ReadAll(res.Body)
 	if err := errors.Join(err, res.Body.Close()); err != nil {
-		w.t.Fatal(err)
+		w.t.Error(err)
+		return response{status: -1, body: err.Error(), took: time.Since(start)}
 	}
 	return response{res.StatusCode, res.Header, string(b), time.Since(start)}
 }
