--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -153,6 +153,7 @@
 			}
 			return
 		}
+		//nolint:contextcheck // calls to the counter end at their own timeout, or when the client is closed
 		r.gateway.node.Do(func() { r.perform(r.tracker.Tick(r.gateway.options.WallClock())) })
 		if r.storage != nil && time.Since(savedAt) >= usageSaveInterval {
 			savedAt = time.Now()
--- a/gateway/usage_test.go
+++ b/gateway/usage_test.go
@@ -27,7 +27,7 @@
 }
 `
 
-// withFakeCounter runs a test in a world with a counter. stateDir is the node's state
+// withFakeCounter runs a test in a test bed with a counter. stateDir is the node's state
 // directory, or "" for none.
 func withFakeCounter(t *testing.T, stateDir string, test func(w *testBed, c *counter.Server)) {
 	t.Helper()
@@ -37,7 +37,7 @@
 	}
 	runInTestBed(t, extra, func(w *testBed) {
 		c := counter.New()
-		go c.Serve(w.listen("10.0.5.1:80"))
+		w.serve(c.Serve, "10.0.5.1:80")
 		test(w, c)
 		w.node.Kill()
 		c.Kill()
@@ -84,28 +84,28 @@
 func TestCounterHoldsWhatWasForwardedAfterFaults(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		before, after func(c *counter.Server) // what happens to the counter before and after requests
+		before, after counterFault // what happens to the counter before and after requests
 	}{
-		{"none", nil, nil},
-		{"no response", counterFault("silent"), counterFault("ok")},
-		{"refused connections", counterFault("refuse"), counterFault("ok")},
-		{"slow responses", func(c *counter.Server) { c.Do("slow", "100ms") }, counterFault("ok")},
-		{"lost responses", counterFault("lose"), counterFault("ok")},
-		{"emptied", nil, counterFault("empty")},
-		{"old copy", counterFault("save"), counterFault("restore")},
+		{"none", counterFault{}, counterFault{}},
+		{"no response", counterFault{name: "silent"}, counterFault{name: "ok"}},
+		{"refused connections", counterFault{name: "refuse"}, counterFault{name: "ok"}},
+		{"slow responses", counterFault{name: "slow", argument: "100ms"}, counterFault{name: "ok"}},
+		{"lost responses", counterFault{name: "lose"}, counterFault{name: "ok"}},
+		{"emptied", counterFault{}, counterFault{name: "empty"}},
+		{"old copy", counterFault{name: "save"}, counterFault{name: "restore"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withFakeCounter(t, "", func(w *testBed, server *counter.Server) {
 				forwarded := w.countServed(5, "k-school")
 				time.Sleep(time.Second)
-				applyFault(server, c.before)
+				applyFault(t, server, c.before)
 				start := time.Now()
 				forwarded += w.countServed(8, "k-school")
 				if took := time.Since(start); took > 8*100*time.Millisecond {
 					t.Errorf("requests waited for the counter: %v", took)
 				}
 				time.Sleep(3 * time.Second)
-				applyFault(server, c.after)
+				applyFault(t, server, c.after)
 				time.Sleep(15 * time.Second)
 				if got, want := storedUnits(server, "school"), int64(1000*forwarded); got != want {
 					t.Errorf("the counter holds %d, %d forwarded", got, want)
@@ -115,15 +115,17 @@
 	}
 }
 
-// counterFault makes the counter do something that needs no argument.
-func counterFault(name string) func(c *counter.Server) {
-	return func(c *counter.Server) { c.Do(name, "") }
-}
+// counterFault is a fault of the fake counter, or its end. The zero value is none.
+type counterFault struct{ name, argument string }
 
-// applyFault applies a fault to the counter; nil: none.
-func applyFault(c *counter.Server, fault func(c *counter.Server)) {
-	if fault != nil {
-		fault(c)
+// applyFault applies a fault to the counter.
+func applyFault(t *testing.T, c *counter.Server, fault counterFault) {
+	t.Helper()
+	if fault == (counterFault{}) {
+		return
+	}
+	if err := c.Do(fault.name, fault.argument); err != nil {
+		t.Fatal(err)
 	}
 }
 
@@ -134,11 +136,11 @@
 	withFakeCounter(t, dir, func(w *testBed, c *counter.Server) {
 		forwarded := w.countServed(5, "k-school")
 		time.Sleep(2 * time.Second)
-		c.Do("silent", "")
+		applyFault(t, c, counterFault{name: "silent"})
 		forwarded += w.countServed(6, "k-school")
 		time.Sleep(2 * time.Second) // saved, not in the counter
 		w.restart()
-		c.Do("ok", "")
+		applyFault(t, c, counterFault{name: "ok"})
 		forwarded += w.countServed(3, "k-school")
 		time.Sleep(15 * time.Second)
 		if got, want := storedUnits(c, "school"), int64(1000*forwarded); got != want {
@@ -164,7 +166,7 @@
 	t.Helper()
 	withFakeCounter(t, "", func(w *testBed, c *counter.Server) {
 		if !counterUp {
-			c.Do("refuse", "")
+			applyFault(t, c, counterFault{name: "refuse"})
 		}
 		time.Sleep(21 * time.Second) // the time to fill the bucket: the first process knows it
 		if first := w.countServed(25, "k-slow"); first < 15 || first > 23 {
