--- a/gateway/http2_upstream_test.go
+++ b/gateway/http2_upstream_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// http2ServersConfig is the world's configuration with servers that speak HTTP/2.
+// http2ServersConfig is the test bed's configuration with servers that speak HTTP/2.
 func http2ServersConfig() string {
 	return strings.Replace(worldConfig, "servers {", "servers {\n  protocol = \"http2\"", 1)
 }
@@ -55,7 +55,7 @@
 func TestHTTP2StreamErrorDecidesOnRetry(t *testing.T) {
 	for name, c := range map[string]struct {
 		end   func(fr *http2.Framer, nc net.Conn, id uint32) error
-		again bool
+		retry bool
 	}{
 		"REFUSED_STREAM": {resetStream(http2.ErrCodeRefusedStream), true},
 		"GOAWAY below":   {func(fr *http2.Framer, _ net.Conn, _ uint32) error { return fr.WriteGoAway(0, http2.ErrCodeNo, nil) }, true},
@@ -78,33 +78,15 @@
 		t.Run(name, func(t *testing.T) {
 			runInTestBedWith(t, http2ServersConfig(), func(w *testBed) {
 				requests := 0
-				serve := func(nc net.Conn) {
-					if _, err := io.ReadFull(nc, make([]byte, len(http2.ClientPreface))); err != nil {
-						return // a connection that was not used
+				w.serveScriptedHTTP2(func(fr *http2.Framer, nc net.Conn, id uint32) error {
+					if requests++; requests == 1 {
+						return c.end(fr, nc, id)
 					}
-					fr := http2.NewFramer(nc, nc)
-					fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-					w.logError(fr.WriteSettings())
-					for {
-						f, err := fr.ReadFrame()
-						if err != nil {
-							return
-						}
-						if h, is := f.(*http2.MetaHeadersFrame); is {
-							if requests++; requests == 1 {
-								w.logError(c.end(fr, nc, h.StreamID))
-								continue
-							}
-							var b bytes.Buffer
-							w.logError(hpack.NewEncoder(&b).WriteField(hpack.HeaderField{Name: ":status", Value: "200"}))
-							w.logError(fr.WriteHeaders(http2.HeadersFrameParam{StreamID: h.StreamID, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true}))
-						}
-					}
-				}
-				w.serveScriptedConnections(serve)
+					return respondOKOverHTTP2(fr, id)
+				})
 				g := w.do("POST", "/notes/1", "k-school")
 				want, sent := 502, 1
-				if c.again {
+				if c.retry {
 					want, sent = 200, 2
 				}
 				if g.status != want || requests != sent {
@@ -120,6 +102,37 @@
 	return func(fr *http2.Framer, _ net.Conn, id uint32) error { return fr.WriteRSTStream(id, code) }
 }
 
+// respondOKOverHTTP2 writes a response without a body.
+func respondOKOverHTTP2(fr *http2.Framer, id uint32) error {
+	var block bytes.Buffer
+	if err := hpack.NewEncoder(&block).WriteField(hpack.HeaderField{Name: ":status", Value: "200"}); err != nil {
+		return err
+	}
+	return fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: block.Bytes(), EndHeaders: true, EndStream: true})
+}
+
+// serveScriptedHTTP2 puts scripted HTTP/2 connections in the place of both servers. handle is called
+// for each request, when its headers have come.
+func (w *testBed) serveScriptedHTTP2(handle func(fr *http2.Framer, nc net.Conn, id uint32) error) {
+	w.serveScriptedConnections(func(nc net.Conn) {
+		if _, err := io.ReadFull(nc, make([]byte, len(http2.ClientPreface))); err != nil {
+			return // a connection that was not used
+		}
+		fr := http2.NewFramer(nc, nc)
+		fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+		w.logError(fr.WriteSettings())
+		for {
+			f, err := fr.ReadFrame()
+			if err != nil {
+				return
+			}
+			if headers, ok := f.(*http2.MetaHeadersFrame); ok {
+				w.logError(handle(fr, nc, headers.StreamID))
+			}
+		}
+	})
+}
+
 // serveScriptedConnections puts scripted connections in the place of both servers.
 func (w *testBed) serveScriptedConnections(serve func(net.Conn)) {
 	synctest.Wait()
