--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -28,8 +28,7 @@
 	{Key: 7, Plan: "extended", FirstGateway: 0, GatewaySpread: 1, Tokens: 0},
 }
 
-// The customers' stores that an earlier build remembered come back, and are written
-// with the same bytes again.
+// The customer snapshots of an earlier build are loaded, and are written with the same bytes again.
 func TestCustomerSnapshotsOfAnEarlierBuild(t *testing.T) {
 	got, err := loadCustomerSnapshots("testdata", 3, storedAt.Add(5*time.Second))
 	if want := (policy.RestoreSnapshot{Age: 5 * time.Second, Customers: storedCustomers}); err != nil || !reflect.DeepEqual(got, want) {
@@ -42,9 +41,8 @@
 	sameFile(t, filepath.Join(dir, "stores"), filepath.Join("testdata", "stores"))
 }
 
-// The roster's epoch that an earlier build remembered comes back, and is written
-// with the same bytes again.
-func TestRosterEpochOfAnEarlierBuild(t *testing.T) {
+// The membership snapshot of an earlier build is loaded, and is written with the same bytes again.
+func TestMembershipSnapshotOfAnEarlierBuild(t *testing.T) {
 	want := membership.Snapshot{Epoch: 41, ChangeComplete: true}
 	if got, err := loadMembershipSnapshot("testdata"); err != nil || got != want {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
@@ -104,81 +102,115 @@
 node "n3" { address = "10.0.4.3:70" }
 `
 
-// A node that starts on the files of an earlier build takes all of them from
+// A gateway that starts with the files of an earlier build loads all of them from
 // state_dir, under their names, and leaves no others.
 func TestGatewayLoadsStateOfAnEarlierBuild(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dir := filepath.Join(t.TempDir(), "state")
-		if err := os.Mkdir(dir, 0o700); err != nil {
-			t.Fatal(err)
-		}
-		for _, from := range []string{"testdata/stores", "testdata/roster-epoch", "../fleet/testdata/servers", "../storage/testdata/tally"} {
-			b, err := os.ReadFile(from)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(filepath.Join(dir, filepath.Base(from)), b, 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if err := os.WriteFile(filepath.Join(dir, "..", "roster.hcl"), []byte(stateRoster), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		before, after, _ := strings.Cut(worldConfig, "  server \"a\"")
-		_, after, _ = strings.Cut(after, "  turned_away")
-		src := before + "  eds {\n    address = \"10.0.3.1:80\"\n    cluster = \"c\"\n  }\n  turned_away" + after + strings.ReplaceAll(stateConfig, "DIR", dir)
-		cfg, err := config.Parse([]byte(src), "test.hcl")
-		if err != nil {
-			t.Fatal(err)
-		}
+		dir := copyStateOfAnEarlierBuild(t)
 		begun := time.Now()
 		wall := func() time.Time { return storedAt.Add(time.Since(begun)) }
 		var log bytes.Buffer
-		g, err := Start(cfg, Options{Network: network.NewMemory(time.Millisecond, 1).Host("node"), Seed: 1, WallClock: wall,
-			Log: slog.New(slog.NewTextHandler(&log, nil))})
+		g, err := Start(parseStateConfig(t, dir), Options{
+			Network:   network.NewMemory(time.Millisecond, 1).Host("node"),
+			Seed:      1,
+			WallClock: wall,
+			Log:       slog.New(slog.NewTextHandler(&log, nil)),
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
-		over := make(chan bool, 1)
-		g.membership.submit(func() []membership.Action {
-			over <- g.membership.machine.ChangeComplete()
-			return nil
-		})
-		if !<-over {
-			t.Error("the roster's change that was over is not")
+		if !membershipChangeComplete(g) {
+			t.Error("the roster's change that was complete is not")
 		}
 		g.Kill()
 		time.Sleep(time.Minute) // timers of what was closed run out
-		for _, want := range []string{`msg="customer snapshots restored" customers=2`, `msg="cached endpoint list loaded" endpoints=2`} {
-			if !strings.Contains(log.String(), want) {
-				t.Errorf("the log lacks %s", want)
-			}
+		expectAllStateLoaded(t, log.String())
+		if names := fileNames(t, dir); !slices.Equal(names, stateFiles) {
+			t.Errorf("files %q, want %q", names, stateFiles)
 		}
-		for _, unused := range []string{"cached endpoint list unusable", "moved aside", "can't be used", "membership snapshot unreadable", "roster rejected",
-			"roster file invalid"} {
-			if strings.Contains(log.String(), unused) {
-				t.Errorf("something was not used: %s", unused)
-			}
+		if t.Failed() {
+			t.Log(log.String())
 		}
-		entries, err := os.ReadDir(dir)
+	})
+}
+
+// copyStateOfAnEarlierBuild returns a new state directory with the files of an earlier build, beside
+// a roster file.
+func copyStateOfAnEarlierBuild(t *testing.T) (dir string) {
+	t.Helper()
+	dir = filepath.Join(t.TempDir(), "state")
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	for _, from := range []string{"testdata/stores", "testdata/roster-epoch", "../fleet/testdata/servers", "../storage/testdata/tally"} {
+		b, err := os.ReadFile(from)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var names []string
-		for _, e := range entries {
-			names = append(names, e.Name())
+		if err := os.WriteFile(filepath.Join(dir, filepath.Base(from)), b, 0o600); err != nil {
+			t.Fatal(err)
 		}
-		if !slices.Equal(names, stateFiles) {
-			t.Errorf("files %q, want %q", names, stateFiles)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "..", "roster.hcl"), []byte(stateRoster), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// parseStateConfig returns the configuration of a gateway that keeps all kinds of files in dir.
+func parseStateConfig(t *testing.T, dir string) *config.Config {
+	t.Helper()
+	before, after, _ := strings.Cut(worldConfig, "  server \"a\"")
+	_, after, _ = strings.Cut(after, "  turned_away")
+	discovery := "  eds {\n    address = \"10.0.3.1:80\"\n    cluster = \"c\"\n  }\n"
+	src := before + discovery + "  turned_away" + after + strings.ReplaceAll(stateConfig, "DIR", dir)
+	cfg, err := config.Parse([]byte(src), "test.hcl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+// membershipChangeComplete asks the membership loop whether the last change of the fleet is complete.
+func membershipChangeComplete(g *Gateway) bool {
+	complete := make(chan bool, 1)
+	g.membership.submit(func() []membership.Action {
+		complete <- g.membership.machine.ChangeComplete()
+		return nil
+	})
+	return <-complete
+}
+
+// expectAllStateLoaded checks that the log says that files were loaded, and of none that it was not.
+func expectAllStateLoaded(t *testing.T, log string) {
+	t.Helper()
+	for _, want := range []string{`msg="customer snapshots restored" customers=2`, `msg="cached endpoint list loaded" endpoints=2`} {
+		if !strings.Contains(log, want) {
+			t.Errorf("the log lacks %s", want)
 		}
-		if t.Failed() {
-			t.Log(log.String())
+	}
+	for _, unused := range []string{"cached endpoint list unusable", "moved aside", "can't be used", "membership snapshot unreadable",
+		"roster rejected", "roster file invalid"} {
+		if strings.Contains(log, unused) {
+			t.Errorf("something was not used: %s", unused)
 		}
-	})
+	}
+}
+
+func fileNames(t *testing.T, dir string) (names []string) {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range entries {
+		names = append(names, e.Name())
+	}
+	return names
 }
 
-// What a node says of itself has exactly these bytes, in both directions.
+// An announcement of a node has exactly these bytes, in both directions.
 func TestAnnouncementHasGoldenBytes(t *testing.T) {
 	for _, c := range []struct {
 		bytes string
