--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -171,13 +171,17 @@
 	l := w.listen(address)
 	go func() {
 		err := serve(l)
-		closed := errors.Is(err, http.ErrServerClosed) || errors.Is(err, grpc.ErrServerStopped)
-		if err != nil && !closed {
+		if err != nil && !isServerStopped(err) {
 			w.t.Errorf("fake at %s: %v", address, err)
 		}
 	}()
 }
 
+// isServerStopped tells whether an error of Serve says that the server was stopped.
+func isServerStopped(err error) bool {
+	return errors.Is(err, http.ErrServerClosed) || errors.Is(err, grpc.ErrServerStopped)
+}
+
 // breakAuthorizer sets a fault of an authorization service.
 func (w *testBed) breakAuthorizer(a *authoriser.Server, fault, arg string) {
 	w.t.Helper()
