--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -126,7 +126,8 @@
 	_ = g.Drain(ctx) // the error can only say that the context was canceled, as it was meant to be
 }
 
-// changePhase has the membership take a step in the life of this gateway.
+// changePhase submits a step to the next phase of this gateway to the membership loop, where there is
+// one. It does not block.
 func (g *Gateway) changePhase(step func(*membership.StateMachine) []membership.Action) {
 	if g.membership != nil && !g.killed.Load() {
 		g.membership.submit(func() []membership.Action { return step(g.membership.machine) })
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -170,7 +170,7 @@
 }
 
 // resizeFleet sets the fleet's size in the policy and the usage recorder, and waits until the
-// node's event loop has done so: peers are told only afterwards. It reports false when the
+// node's event loop has done so: peers are notified only afterwards. It reports false when the
 // event loop does not answer, which is when the node ends.
 func (l *membershipLoop) resizeFleet(a membership.FleetResized) bool {
 	g := l.gateway
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -159,11 +159,12 @@
 	return settings
 }
 
-// nextIncarnation tells the messages of this process apart from those of earlier ones.
+// nextIncarnation returns the number that tells messages of this process apart from those of earlier
+// ones. Without a usable file the clock gives it, which must not have been set back then.
 func (g *Gateway) nextIncarnation(startedAt time.Time) uint64 {
 	incarnation, err := peer.Incarnation(g.cfg.StateDir, startedAt)
 	if err != nil {
-		g.options.Log.Warn("incarnation could not be stored; the clock alone gives it", "error", err)
+		g.options.Log.Warn("incarnation file unusable; relying on the clock", "error", err)
 	}
 	return incarnation
 }
