--- a/gateway/authorization_test.go
+++ b/gateway/authorization_test.go
@@ -30,7 +30,7 @@
 // withTwoAuthorizers runs a test with an authorization service that has two addresses.
 func withTwoAuthorizers(t *testing.T, f func(w *testBed, second *authoriser.Server)) {
 	t.Helper()
-	runInTestBedWith(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
+	runInTestBedWith(t, strings.Replace(testBedConfig, `authoriser { address = "10.0.2.1:80" }`,
 		`authoriser { addresses = ["10.0.2.1:80", "10.0.2.2:80"] }`, 1), func(w *testBed) {
 		second := authoriser.New("denied")
 		w.serve(second.Serve, "10.0.2.2:80")
@@ -74,7 +74,7 @@
 // What the service is sent of a request, and what it may change: headers, query parameters and
 // headers of the response.
 func TestAuthorizerReceivesAndChangesFields(t *testing.T) {
-	src := strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`, `authoriser {
+	src := strings.Replace(testBedConfig, `authoriser { address = "10.0.2.1:80" }`, `authoriser {
   address = "10.0.2.9:80"
   body = 4
   disallowed_headers = ["cookie"]
@@ -295,7 +295,7 @@
 // the other one.
 func TestUnavailableChecksAreRetried(t *testing.T) {
 	for _, both := range []bool{false, true} {
-		runInTestBedWith(t, strings.Replace(worldConfig, `authoriser { address = "10.0.2.1:80" }`,
+		runInTestBedWith(t, strings.Replace(testBedConfig, `authoriser { address = "10.0.2.1:80" }`,
 			`authoriser { addresses = ["10.0.2.8:80", "10.0.2.9:80"] }`, 1), func(w *testBed) {
 			for i := range 2 {
 				rng := rand.New(rand.NewPCG(uint64(i), 1))
@@ -329,7 +329,7 @@
 
 // An earlier result, a denial too, replaces a missing one for as long as the class says.
 func TestCachedAuthorizationReplacesAMissingOne(t *testing.T) {
-	src := strings.Replace(worldConfig, `authorisation = "refuse"`, "authorisation = \"refuse\"\n  remember = \"10s\"", 1)
+	src := strings.Replace(testBedConfig, `authorisation = "refuse"`, "authorisation = \"refuse\"\n  remember = \"10s\"", 1)
 	runInTestBedWith(t, src, func(w *testBed) {
 		ask := func(key string) response {
 			return w.do("POST", "/loans/1", key, "Idempotency-Key", fmt.Sprint(time.Now().UnixNano()))
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -161,7 +161,7 @@
 // parseStateConfig returns the configuration of a gateway that keeps all kinds of files in dir.
 func parseStateConfig(t *testing.T, dir string) *config.Config {
 	t.Helper()
-	before, after, _ := strings.Cut(worldConfig, "  server \"a\"")
+	before, after, _ := strings.Cut(testBedConfig, "  server \"a\"")
 	_, after, _ = strings.Cut(after, "  turned_away")
 	discovery := "  eds {\n    address = \"10.0.3.1:80\"\n    cluster = \"c\"\n  }\n"
 	src := before + discovery + "  turned_away" + after + strings.ReplaceAll(stateConfig, "DIR", dir)
--- a/gateway/http2_upstream_test.go
+++ b/gateway/http2_upstream_test.go
@@ -17,7 +17,7 @@
 
 // http2ServersConfig is the test bed's configuration with servers that speak HTTP/2.
 func http2ServersConfig() string {
-	return strings.Replace(worldConfig, "servers {", "servers {\n  protocol = \"http2\"", 1)
+	return strings.Replace(testBedConfig, "servers {", "servers {\n  protocol = \"http2\"", 1)
 }
 
 func TestServersOverHTTP2(t *testing.T) {
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -42,7 +42,7 @@
 	seen []audit.Seen
 }
 
-const worldConfig = `
+const testBedConfig = `
 listener "http" "desks" { address = "10.0.0.1:80" }
 listener "ext_authz" "proxies" { address = "10.0.0.1:81" }
 class "lookup" {
@@ -108,7 +108,7 @@
 // have ended when it returns: synctest fails it otherwise.
 func runInTestBed(t *testing.T, extra string, f func(w *testBed)) {
 	t.Helper()
-	src := worldConfig
+	src := testBedConfig
 	if strings.Contains(extra, "state_dir") && !strings.Contains(extra, "counter {") { // the list comes by discovery
 		src = src[:strings.Index(src, "  server \"a\"")] + "  eds {\n    address = \"10.0.3.1:80\"\n    cluster = \"c\"\n  }\n" +
 			src[strings.Index(src, "  turned_away"):]
