--- a/gateway/tls_test.go
+++ b/gateway/tls_test.go
@@ -84,10 +84,10 @@
 	if res.StatusCode != http.StatusOK {
 		w.t.Errorf("status %d", res.StatusCode)
 	}
-	if res.TLS != nil {
-		serial = res.TLS.PeerCertificates[0].SerialNumber.Int64()
+	if res.TLS == nil {
+		w.t.Fatal("the response came without TLS")
 	}
-	return res.Proto, serial
+	return res.Proto, res.TLS.PeerCertificates[0].SerialNumber.Int64()
 }
 
 // Go's own client over HTTP/2 and TLS; the certificate is replaced in service, and open connections
