--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -42,7 +42,7 @@
 	seen []audit.Seen
 }
 
-const worldConfig = `
+const testBedConfig = `
 listener "http" "desks" { address = "10.0.0.1:80" }
 listener "ext_authz" "proxies" { address = "10.0.0.1:81" }
 class "lookup" {
@@ -108,7 +108,7 @@
 // have ended when it returns: synctest fails it otherwise.
 func runInTestBed(t *testing.T, extra string, f func(w *testBed)) {
 	t.Helper()
-	src := worldConfig
+	src := testBedConfig
 	if strings.Contains(extra, "state_dir") && !strings.Contains(extra, "counter {") { // the list comes by discovery
 		src = src[:strings.Index(src, "  server \"a\"")] + "  eds {\n    address = \"10.0.3.1:80\"\n    cluster = \"c\"\n  }\n" +
 			src[strings.Index(src, "  turned_away"):]
@@ -116,7 +116,7 @@
 	runInTestBedWith(t, src+extra, f)
 }
 
-// runInTestBedWith is inWorld with a whole configuration.
+// runInTestBedWith is runInTestBed with a complete configuration.
 func runInTestBedWith(t *testing.T, src string, f func(w *testBed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -171,13 +171,17 @@
 	l := w.listen(address)
 	go func() {
 		err := serve(l)
-		closed := errors.Is(err, http.ErrServerClosed) || errors.Is(err, grpc.ErrServerStopped)
-		if err != nil && !closed {
+		if err != nil && !isServerStopped(err) {
 			w.t.Errorf("fake at %s: %v", address, err)
 		}
 	}()
 }
 
+// isServerStopped tells whether an error of Serve says that the server was stopped.
+func isServerStopped(err error) bool {
+	return errors.Is(err, http.ErrServerClosed) || errors.Is(err, grpc.ErrServerStopped)
+}
+
 // breakAuthorizer sets a fault of an authorization service.
 func (w *testBed) breakAuthorizer(a *authoriser.Server, fault, arg string) {
 	w.t.Helper()
@@ -247,11 +251,15 @@
 	took   time.Duration
 }
 
+// do sends a request with the headers in fields, names and values in turn, and returns the response.
+// Status -1 stands for a request without a response. It may be called from any goroutine, and
+// therefore reports what the test itself does wrong with Error, not with Fatal.
 func (w *testBed) do(method, path, key string, fields ...string) response {
 	w.t.Helper()
 	req, err := http.NewRequest(method, "http://10.0.0.1:80"+path, nil)
 	if err != nil {
-		w.t.Fatal(err)
+		w.t.Error(err)
+		return response{status: -1, body: err.Error()}
 	}
 	req.Header.Set("X-Api-Key", key)
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -264,7 +272,8 @@
 	}
 	b, err := io.ReadAll(res.Body)
 	if err := errors.Join(err, res.Body.Close()); err != nil {
-		w.t.Fatal(err)
+		w.t.Error(err)
+		return response{status: -1, body: err.Error(), took: time.Since(start)}
 	}
 	return response{res.StatusCode, res.Header, string(b), time.Since(start)}
 }
