--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -99,7 +99,7 @@
 	switch {
 	case answered:
 		g.finish(r)
-	case tooLate || !g.mayRetry(r, ev.Code):
+	case tooLate || !g.takeRetry(r, ev.Code):
 		g.reject(r, ReasonAttemptsExhausted)
 	case !g.hasRoom(r.customer) || !g.startAttempt(r):
 		g.enqueue(r)
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -66,7 +66,7 @@
 
 // resizeFleet makes room for a number of gateways, and forgets those beyond it.
 func (g *Gateway) resizeFleet(gateways int) {
-	peers := make([]*peer, max(gateways, g.settings.SelfIndex+1))
+	peers := make([]*peerState, max(gateways, g.settings.SelfIndex+1))
 	copy(peers, g.peers)
 	g.peers = peers
 	for _, p := range g.peers {
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -39,8 +39,8 @@
 	requests  map[RequestID]*request // local requests that are not finished or have an attempt in flight
 
 	size         fleetSize
-	previousSize fleetSize // until all gateways have heard of the last change; no gateways: none under way
-	peers        []*peer   // by number; nil: not needed in leader mode so far
+	previousSize fleetSize    // until all gateways have heard of the last change; no gateways: none under way
+	peers        []*peerState // by number; nil: not needed in leader mode so far
 
 	endpoints   endpointList
 	latency     latencyModel
@@ -71,7 +71,7 @@
 		plans:       map[string]*customerPlan{},
 		customers:   newCustomerTable(),
 		requests:    map[RequestID]*request{},
-		peers:       make([]*peer, s.Gateways),
+		peers:       make([]*peerState, s.Gateways),
 		endpoints:   newEndpointList(),
 		retryBudget: maxRetryBudget,
 		shedder:     loadShedder{admitProbability: 1},
--- a/policy/lease_client.go
+++ b/policy/lease_client.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// isolationChance is the chance that this gateway is cut off from the leaders rather than the leaders
+// partitionChance is the chance that this gateway is cut off from the leaders rather than the leaders
 // being flooded: near 1 when none answers, near 0 when half do.
-func (l *leaseClient) isolationChance() float64 { return math.Pow(1-l.responseRate, unansweredPower) }
+func (l *leaseClient) partitionChance() float64 { return math.Pow(1-l.responseRate, unansweredPower) }
 
 func (l *leaseClient) recordUnanswered() { l.responseRate -= learningWeight * l.responseRate }
 
@@ -83,10 +83,10 @@
 		g.admit(r)
 		return
 	}
-	isolationChance := g.leases.isolationChance()
+	partitionChance := g.leases.partitionChance()
 	tooLate := r.lease.requests > leaderAttempts || g.now+g.timerMargin() >= r.deadline
-	if tooLate || r.lease.requests > 0 && g.rng.Float64() < isolationChance {
-		g.admitWithoutLease(r, isolationChance)
+	if tooLate || r.lease.requests > 0 && g.rng.Float64() < partitionChance {
+		g.admitWithoutLease(r, partitionChance)
 		return
 	}
 	leader := c.leaders[0]
@@ -145,22 +145,22 @@
 // admitWithoutLease decides on a request that no leader answers, by the last fill heard. When many
 // messages are lost the leaders are flooded, and few requests may be admitted unheard. When all are lost
 // this gateway is isolated, and lost leaders must not stop customers far below their quotas.
-func (g *Gateway) admitWithoutLease(r *request, isolationChance float64) {
+func (g *Gateway) admitWithoutLease(r *request, partitionChance float64) {
 	if r.lease.queuedAtLeader {
 		g.reject(r, ReasonInFlightLimit)
 		return
 	}
-	if !g.mayAdmitWithoutLease(r, isolationChance) || !g.startAttempt(r) {
+	if !g.mayAdmitWithoutLease(r, partitionChance) || !g.startAttempt(r) {
 		g.reject(r, ReasonNoQuotaLeader)
 	}
 }
 
-func (g *Gateway) mayAdmitWithoutLease(r *request, isolationChance float64) bool {
+func (g *Gateway) mayAdmitWithoutLease(r *request, partitionChance float64) bool {
 	if g.now >= r.deadline {
 		return false
 	}
 	c := r.customer
-	chance := math.Pow(g.leases.responseRate, unansweredPower) + isolationChance
+	chance := math.Pow(g.leases.responseRate, unansweredPower) + partitionChance
 	if c.externalLevelAt > 0 && g.now-c.externalLevelAt < externalLevelTTL {
 		chance = 1
 	}
@@ -223,7 +223,7 @@
 	c := r.customer
 	g.refill(c)
 	g.leases.recordResponse()
-	g.shedder.observe(float64(m.Overload) / overloadPercent)
+	g.shedder.observe(float64(m.Overload) / overloadScale)
 	c.admittedShare = decodeShare(m.AdmittedShare)
 	c.admittedShareAt = g.now
 	c.tokens = decodeShare(m.Fill) * c.plan.Burst
--- a/policy/lease_grant.go
+++ b/policy/lease_grant.go
@@ -70,7 +70,7 @@
 		Tag:           r.lease.key.tag,
 		Decision:      decision,
 		Fill:          r.customer.fillByte(),
-		Overload:      saturatingByte(overloadPercent * g.shedder.overload),
+		Overload:      saturatingByte(overloadScale * g.shedder.overload),
 		AdmittedShare: encodeShare(r.customer.shareThatFits()),
 	}
 	g.do(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -14,8 +14,8 @@
 	priorityPerUnreportedTick = 0.01
 )
 
-// peer is what one other gateway last reported.
-type peer struct {
+// peerState is what one other gateway last reported.
+type peerState struct {
 	index            int
 	hasReport        bool
 	incarnation      uint32
@@ -28,7 +28,7 @@
 
 // peerView is what one other gateway last reported of one customer.
 type peerView struct {
-	peer          *peer
+	peer          *peerState
 	hasReport     bool
 	incarnation   uint32
 	reportedAt    time.Duration
@@ -45,9 +45,9 @@
 }
 
 // peerAt returns what is known of a gateway, and begins to know it.
-func (g *Gateway) peerAt(index int) *peer {
+func (g *Gateway) peerAt(index int) *peerState {
 	if g.peers[index] == nil {
-		g.peers[index] = &peer{index: index}
+		g.peers[index] = &peerState{index: index}
 	}
 	return g.peers[index]
 }
@@ -77,7 +77,7 @@
 }
 
 // viewOf finds the view of a peer, or nil.
-func viewOf(views []*peerView, p *peer) *peerView {
+func viewOf(views []*peerView, p *peerState) *peerView {
 	for _, view := range views {
 		if view.peer == p {
 			return view
@@ -148,7 +148,7 @@
 
 // newLoadReport makes the report for one peer: the servers at which this gateway has attempts in flight,
 // then the customers that come in through both gateways, by priority, as many as fit.
-func (g *Gateway) newLoadReport(p *peer, ranked *ranking) loadReport {
+func (g *Gateway) newLoadReport(p *peerState, ranked *ranking) loadReport {
 	m := loadReport{
 		incarnation: g.incarnation,
 		sequence:    g.reporter.sequence,
@@ -163,7 +163,7 @@
 		if viewOf(c.peerViews, p) == nil {
 			continue
 		}
-		if !m.hasRoom() {
+		if !m.fitsCustomer() {
 			m.complete = false
 			return m
 		}
@@ -204,7 +204,7 @@
 }
 
 // handleLoadReport takes a peer's report, unless a later one is here already, which covers all it says.
-func (g *Gateway) handleLoadReport(p *peer, m loadReport) {
+func (g *Gateway) handleLoadReport(p *peerState, m loadReport) {
 	if p == nil {
 		return
 	}
@@ -237,7 +237,7 @@
 
 // mergePeerLoad takes what a peer reports of a customer. Running totals make up for lost reports; the
 // total of a peer that has restarted begins at 0.
-func (g *Gateway) mergePeerLoad(c *customer, p *peer, reported reportedCustomer) {
+func (g *Gateway) mergePeerLoad(c *customer, p *peerState, reported reportedCustomer) {
 	view := viewOf(c.peerViews, p)
 	if view == nil {
 		return
--- a/policy/load_report_message.go
+++ b/policy/load_report_message.go
@@ -73,8 +73,8 @@
 
 func decodeDemand(b byte) float64 { return math.Exp2(float64(b)/demandScale) - 1 }
 
-// hasRoom reports whether one more customer fits in.
-func (m loadReport) hasRoom() bool {
+// fitsCustomer reports whether one more customer fits in.
+func (m loadReport) fitsCustomer() bool {
 	size := reportHeaderBytes + reportedServerBytes*len(m.servers)
 	size += reportedCustomerBytes * (len(m.customers) + 1)
 	return size <= maxMessageBytes
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -229,8 +229,8 @@
 	// unknownFill stands for a fill that the sender does not know.
 	unknownFill = 255
 
-	// overloadPercent stands for an overload of 1.
-	overloadPercent = 100
+	// overloadScale stands for an overload of 1.
+	overloadScale = 100
 )
 
 func encodeShare(share float64) byte { return saturatingByte(wholeShare * share) }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -91,7 +91,7 @@
 }
 
 // isStale reports whether a peer's last report is too old to be used.
-func (g *Gateway) isStale(p *peer) bool {
+func (g *Gateway) isStale(p *peerState) bool {
 	return !p.hasReport || g.now-p.reportedAt > staleReportTicks*g.tick.interval
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -18,9 +18,9 @@
 
 func (b *retryBudget) spend() { *b-- }
 
-// mayRetry reports whether a request may have another attempt, and charges it to the retry budget.
+// takeRetry reports whether a request may have another attempt, and charges it to the retry budget.
 // Attempts that never reached a server's queue are free.
-func (g *Gateway) mayRetry(r *request, code ResultCode) bool {
+func (g *Gateway) takeRetry(r *request, code ResultCode) bool {
 	expected := time.Duration(r.class.idleLatency / 2 * float64(time.Second))
 	if g.attemptsExhausted(r) || !r.mayRunAgain(g.now) || g.now+expected > r.deadline {
 		return false
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -13,9 +13,9 @@
 	// predictionJitter is the spread of predicted latencies, so that no server is left untried.
 	predictionJitter = 0.2
 
-	// crossZoneServiceTimes is what a cross-zone charge of 1 counts for in the comparison, in idle
+	// crossZoneIdleLatencies is what a cross-zone charge of 1 counts for in the comparison, in idle
 	// latencies.
-	crossZoneServiceTimes = 25.0
+	crossZoneIdleLatencies = 25.0
 
 	// otherZoneWeight is the weight of a server of another zone in a weighted draw.
 	otherZoneWeight = 0.7
@@ -105,7 +105,7 @@
 		compared++
 		cost := g.predictedLatency(s, class) * (1 - predictionJitter/2 + predictionJitter*g.rng.Float64())
 		if s.Zone != g.settings.Zone {
-			cost += class.idleLatency * g.settings.CrossZoneCost * crossZoneServiceTimes
+			cost += class.idleLatency * g.settings.CrossZoneCost * crossZoneIdleLatencies
 		}
 		if cost < lowest {
 			best, lowest = s, cost
