--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// attemptTimeoutNumerator over attemptTimeoutDenominator is the least timeout of an attempt, as a share
-// of the latency objective, where attempts cannot be cancelled.
+// attemptTimeoutNumerator over attemptTimeoutDenominator is the shortest time limit of an attempt, as a
+// share of the latency objective, where attempts cannot be cancelled.
 const (
 	attemptTimeoutNumerator   = 3
 	attemptTimeoutDenominator = 5
@@ -37,11 +37,13 @@
 	return true
 }
 
-// attemptTimeout leaves time for a retry where a stalled attempt cannot be cancelled. 0: until the
-// deadline.
+// attemptTimeout returns the time limit of an attempt; 0 means until the request's deadline. It is set only
+// where a stalled attempt cannot be cancelled but may be retried: the request is idempotent, and its response
+// is no stream, which a time limit could end in the middle. (mayCancel needs no such exception for streams,
+// since an attempt whose response has started never counts as stalled.)
 func (g *Gateway) attemptTimeout(r *request) time.Duration {
-	mayRepeat := r.class.Idempotency == Idempotent && !r.class.Streaming
-	if g.settings.CanCancel || !mayRepeat {
+	mayTimeOut := r.class.Idempotency == Idempotent && !r.class.Streaming
+	if g.settings.CanCancel || !mayTimeOut {
 		return 0
 	}
 	objective := r.class.LatencyObjective
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,28 +7,46 @@
 	// retries to this share of the requests, so that they do not feed an overload.
 	retryBudgetEarned = 0.15
 
-	// maxRetryBudget bounds the retry budget, in retries.
+	// maxRetryBudget bounds the retry budget from above, in retries.
 	maxRetryBudget = 12.0
 )
 
-// retryBudget is the number of retries that may be made now.
+// retryBudget is the number of retries that may be made now; below 0 it is a debt.
 type retryBudget float64
 
 func (b *retryBudget) earn() { *b = min(maxRetryBudget, *b+retryBudgetEarned) }
 
-func (b *retryBudget) spend() { *b-- }
+// trySpend charges one retry and reports whether the budget covered it. The charge stays when it did not:
+// the budget may fall below 0, and first attempts must then earn the debt before there is another retry.
+func (b *retryBudget) trySpend() bool {
+	*b--
+	return !b.inDebt()
+}
+
+func (b *retryBudget) inDebt() bool { return *b < 0 }
 
-// takeRetry reports whether a request may have another attempt, and charges it to the retry budget.
-// Attempts that never reached a server's queue are free.
+// takeRetry reports whether a request gets another attempt after one that ended with code, and charges the
+// retry budget for it. A retry that is refused for want of budget is charged too. A retry after an attempt
+// that never reached a server's queue is free, but is refused as well while the budget is in debt.
 func (g *Gateway) takeRetry(r *request, code ResultCode) bool {
-	expected := time.Duration(r.class.idleLatency / 2 * float64(time.Second))
-	if g.attemptsExhausted(r) || !r.mayRunAgain(g.now) || g.now+expected > r.deadline {
+	if !g.mayRetry(r) {
 		return false
 	}
-	if !code.NeverRan() || code == Rejected {
-		g.retryBudget.spend()
+	if retryIsFree(code) {
+		return !g.retryBudget.inDebt()
 	}
-	return g.retryBudget >= 0
+	return g.retryBudget.trySpend()
+}
+
+// retryIsFree reports whether a retry after the result costs no budget: the attempt proves to have added no
+// load to a server. A rejection does cost, or retries would feed the overload that it reports.
+func retryIsFree(code ResultCode) bool { return code.NeverRan() && code != Rejected }
+
+// mayRetry reports whether the number of attempts, the idempotency and the time that is left permit
+// another attempt.
+func (g *Gateway) mayRetry(r *request) bool {
+	expected := time.Duration(r.class.idleLatency / 2 * float64(time.Second))
+	return !g.attemptsExhausted(r) && r.mayRunAgain(g.now) && g.now+expected <= r.deadline
 }
 
 func (g *Gateway) attemptsExhausted(r *request) bool {
