--- a/policy/lease_client.go
+++ b/policy/lease_client.go
@@ -226,7 +226,7 @@
 	g.shedder.observe(float64(m.Overload) / overloadScale)
 	c.admittedShare = decodeShare(m.AdmittedShare)
 	c.admittedShareAt = g.now
-	c.tokens = decodeShare(m.Fill) * c.plan.Burst
+	c.tokens = decodeFill(m.Fill, c.plan.Burst)
 	c.lastExchangeTick = g.tick.count + 1
 }
 
--- a/policy/lease_grant.go
+++ b/policy/lease_grant.go
@@ -30,7 +30,7 @@
 	}
 	// A gateway that stands in for a leader it does not hear goes by what the leader reported to others.
 	if m.Fill != unknownFill && (isNew || len(c.leaders) > 0) {
-		c.tokens = min(c.tokens, decodeShare(m.Fill)*c.plan.Burst)
+		c.tokens = min(c.tokens, decodeFill(m.Fill, c.plan.Burst))
 	}
 	if g.repeatLeaseResponse(c, leaseKey{from, m.Tag}) {
 		return
@@ -84,7 +84,8 @@
 	return min(1, c.plan.Rate*demandWindow.Seconds()/max(c.demand, 1))
 }
 
-// fillByte is the fill of the bucket as messages carry it.
+// fillByte is the fill of the bucket as lease messages carry it. For a Burst below 1 the byte is a share of
+// one unit, but the receiver decodes it as a share of Burst and so takes the bucket for emptier than it is.
 func (c *customer) fillByte() byte { return encodeFill(c.tokens, max(1, c.plan.Burst)) }
 
 // handleLeaseReturn ends a lease, and gives back the units of one that was never used.
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -259,7 +259,7 @@
 	view.admittedUnits = reported.admittedUnits
 	if !c.tokensKnown && reported.fill != unknownFill {
 		c.tokensKnown = true
-		c.tokens = min(c.tokens, decodeShare(reported.fill)*c.plan.Burst)
+		c.tokens = min(c.tokens, decodeFill(reported.fill, c.plan.Burst))
 	}
 }
 
--- a/policy/load_report_message.go
+++ b/policy/load_report_message.go
@@ -15,7 +15,7 @@
 	customers   []reportedCustomer
 }
 
-// reportedServer is the sender's attempts in flight at a server.
+// reportedServer is the number of the sender's attempts in flight at a server.
 type reportedServer struct {
 	hash     uint16 // of serverHashBits
 	inFlight byte   // up to maxReportedInFlight
@@ -24,11 +24,11 @@
 // reportedCustomer is the part of a report on one customer.
 type reportedCustomer struct {
 	hash          uint32 // of 24 bits
-	inFlight      byte   // mean over the tick, as encodeInFlight
+	inFlight      byte   // mean over the tick, encoded by encodeInFlight
 	queued        byte   // up to maxReportedQueued
 	admittedUnits uint16 // running total, wraps around
-	demand        byte   // as encodeDemand
-	fill          byte   // fill of the bucket, or unknownFill
+	demand        byte   // encoded by encodeDemand
+	fill          byte   // encoded by encodeFill, or unknownFill
 }
 
 const (
@@ -38,21 +38,21 @@
 	reportedServerBytes   = 2
 	reportedCustomerBytes = 8
 
-	// maxReportedServers leaves room for customers in a report.
+	// maxReportedServers leaves space for customers in a report.
 	maxReportedServers = 36
 
-	// serverHashBits and the bits of maxReportedInFlight make up 16 bits.
+	// serverHashBits and the 5 bits of maxReportedInFlight make up 16 bits.
 	serverHashBits      = 11
 	maxReportedInFlight = 31
 
 	// maxReportedQueued shares a byte with the attempts in flight.
 	maxReportedQueued = 15
 
-	// maxReportedDemand leaves the highest bit free.
+	// maxReportedDemand is the largest encoded demand. The highest bit is reserved.
 	maxReportedDemand = 0x7f
 
-	// inFlightScale times the square root of the attempts in flight is reported, up to 15: small numbers
-	// exactly, large ones roughly.
+	// inFlightScale times the square root of the attempts in flight is reported, up to maxEncodedInFlight
+	// (about 14 attempts): a quantization that is finer for small numbers than for large ones.
 	inFlightScale      = 4
 	maxEncodedInFlight = 15
 
@@ -73,7 +73,7 @@
 
 func decodeDemand(b byte) float64 { return math.Exp2(float64(b)/demandScale) - 1 }
 
-// fitsCustomer reports whether one more customer fits in.
+// fitsCustomer reports whether the message can hold one more customer.
 func (m loadReport) fitsCustomer() bool {
 	size := reportHeaderBytes + reportedServerBytes*len(m.servers)
 	size += reportedCustomerBytes * (len(m.customers) + 1)
@@ -101,7 +101,7 @@
 	return b
 }
 
-// decodeLoadReport reads a report. It is not ok for anything but a whole, well-formed one.
+// decodeLoadReport reads a report. It is not ok for one that is truncated or malformed.
 func decodeLoadReport(b []byte) (m loadReport, ok bool) {
 	if len(b) < reportHeaderBytes || len(b) > maxMessageBytes || b[0] != loadReportVersion {
 		return m, false
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -120,9 +120,10 @@
 	return (g.now-sentAt).Seconds()/expected >= stallFactor
 }
 
+// mayCancel reports whether a stalled attempt is cancelled: only where another one may follow it.
 func (g *Gateway) mayCancel(r *request) bool {
-	mayRepeat := r.class.Idempotency == Idempotent && !g.attemptsExhausted(r)
-	return g.settings.CanCancel && mayRepeat && g.retryBudget >= 1
+	mayFollow := r.class.Idempotency == Idempotent && !g.attemptsExhausted(r)
+	return g.settings.CanCancel && mayFollow && g.retryBudget >= 1
 }
 
 // recordFailure takes a failure into the health for all classes.
@@ -132,7 +133,9 @@
 	}
 }
 
-// ejectedClasses has a bit for each of the first eight classes for which the server is reported as ejected.
+// ejectedClasses has a bit for each class for which the server is reported as ejected. The byte holds the
+// first eight classes of the settings only. The number of classes is not bounded, and a server is never
+// ejected for a class beyond the eighth.
 func (s *server) ejectedClasses() (classes byte) {
 	for i := range s.health {
 		if s.health[i].ejected {
@@ -142,7 +145,7 @@
 	return classes
 }
 
-// lastEjectedUntil is when the last report that ejected the server lapses.
+// lastEjectedUntil is when the last report that ejected the server expires; 0 when it is not ejected.
 func (s *server) lastEjectedUntil() (until time.Duration) {
 	for i := range s.health {
 		if s.health[i].ejected {
@@ -152,8 +155,8 @@
 	return until
 }
 
-// classesToEject has a bit for each of the first eight classes for which the server should be ejected.
-// The second monitor does not end an ejection.
+// classesToEject has a bit for each class, of the first eight, for which the server should be ejected (see
+// ejectedClasses). The second monitor does not end an ejection.
 func (s *server) classesToEject(isFirstMonitor bool) (classes byte) {
 	for i := range s.health {
 		h := &s.health[i]
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -49,18 +49,18 @@
 	kindOutlierReport: 4 + 1 + 1,
 }
 
-// leaseRequest asks a customer's leader to charge and permit a request.
+// leaseRequest requests a lease for one request from a customer's leader.
 type leaseRequest struct {
 	Customer      uint64 // customerKey
 	FirstGateway  uint16
 	GatewaySpread uint16
-	Plan          byte // position in the settings
-	Class         byte // position in the settings
-	Units         uint16
+	Plan          byte   // position in the settings
+	Class         byte   // position in the settings
+	Units         uint16 // fractions of a unit are dropped
 	RemainingMS   uint16 // milliseconds until the client gives up
 	Tag           uint32 // names the lease between the two gateways
-	Chance        byte   // share with which a lease was requested at all
-	Fill          byte   // fill of the bucket as last heard, or unknownFill
+	Chance        byte   // probability with which a lease was requested at all, encoded by encodeShare
+	Fill          byte   // fill of the bucket as the leader last reported it, or unknownFill
 	ClientRetry   bool
 }
 
@@ -68,9 +68,9 @@
 type leaseResponse struct {
 	Tag           uint32
 	Decision      byte // leaseGranted, leaseQueued, or leaseRejected plus a Reason shifted by reasonShift
-	Fill          byte // fill of the bucket
-	Overload      byte // overload of the leader in hundredths
-	AdmittedShare byte // share of the requested units that fits
+	Fill          byte // fill of the bucket, encoded by encodeFill
+	Overload      byte // overload of the leader, times overloadScale
+	AdmittedShare byte // share of the demand that fits the rate quota, encoded by encodeShare
 }
 
 // Decisions of lease responses.
@@ -100,8 +100,8 @@
 // outlierReport notifies all gateways of what the monitor of a server has found.
 type outlierReport struct {
 	Server         uint32
-	EjectedClasses byte // a bit for each of the first eight classes
-	LatencyRatio   byte // as encodeLatencyRatio
+	EjectedClasses byte // a bit for each of the first eight classes of the settings
+	LatencyRatio   byte // encoded by encodeLatencyRatio
 }
 
 func (m leaseRequest) encode() []byte {
@@ -147,7 +147,7 @@
 	return append(b, shortMessageVersion, byte(kind))
 }
 
-// decode reads a message. It returns nil for anything but a whole, well-formed one.
+// decode reads a message. It returns nil for one that is truncated or malformed.
 func decode(b []byte) peerMessage {
 	if len(b) < shortMessageHeaderBytes || b[0] != shortMessageVersion {
 		if m, ok := decodeLoadReport(b); ok {
@@ -223,13 +223,13 @@
 
 // Scales of one-byte figures.
 const (
-	// wholeShare stands for a share of 1.
+	// wholeShare is the byte that stands for a share of 1.
 	wholeShare = 250
 
-	// unknownFill stands for a fill that the sender does not know.
+	// unknownFill is the byte of a fill that the sender does not know.
 	unknownFill = 255
 
-	// overloadScale stands for an overload of 1.
+	// overloadScale is the byte that stands for an overload of 1.
 	overloadScale = 100
 )
 
@@ -237,12 +237,15 @@
 
 func decodeShare(b byte) float64 { return float64(b) / wholeShare }
 
-// encodeFill is the share of a bucket's capacity that its tokens are.
+// encodeFill encodes the tokens of a bucket as a share of its capacity, both in units.
 func encodeFill(tokens, capacity float64) byte {
 	return saturatingByte(wholeShare * max(0, tokens) / capacity)
 }
 
-// saturatingByte rounds to the next whole number up to 255. The value must not be below 0.
+// decodeFill returns the tokens, in units, of a bucket of a capacity. The byte must not be unknownFill.
+func decodeFill(b byte, capacity float64) float64 { return decodeShare(b) * capacity }
+
+// saturatingByte rounds to the nearest whole number, up to 255. The value must not be below 0.
 func saturatingByte(value float64) byte { return byte(min(math.Round(value), math.MaxUint8)) }
 
 func boolByte(v bool) byte {
@@ -252,7 +255,7 @@
 	return 0
 }
 
-// milliseconds is a time in whole milliseconds, as far as 16 bits hold it.
+// milliseconds is a time in whole milliseconds, at most what 16 bits hold (about 65 s).
 func milliseconds(d time.Duration) uint16 {
 	return uint16(min(max(0, d.Milliseconds()), math.MaxUint16))
 }
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -13,8 +13,8 @@
 	// predictionJitter is the spread of predicted latencies, so that no server is left untried.
 	predictionJitter = 0.2
 
-	// crossZoneIdleLatencies is what a cross-zone charge of 1 counts for in the comparison, in idle
-	// latencies.
+	// crossZoneIdleLatencies is the latency, in idle latencies of the class, that a CrossZoneCost of 1 adds
+	// to the prediction for a server of another zone.
 	crossZoneIdleLatencies = 25.0
 
 	// otherZoneWeight is the weight of a server of another zone in a weighted draw.
@@ -27,8 +27,8 @@
 	// minSaturationInFlight is the number of attempts in flight below which a server is never saturated.
 	minSaturationInFlight = 2.0
 
-	// maxEjectedShare is the share of ejected servers above which all are used: so many do not fail each
-	// for itself.
+	// maxEjectedShare is the share of ejected servers above which all are used: so many failures have a
+	// shared cause, which ejections do not cure.
 	maxEjectedShare = 0.7
 
 	// planRejectionBackoff is how long a server gets no requests of a plan that it has rejected.
@@ -37,7 +37,7 @@
 
 // serverSelector is the state of server selection.
 type serverSelector struct {
-	lastShortageAt time.Duration // when a request last found no server with room; 0: never
+	lastShortageAt time.Duration // when a request last found no server with capacity; 0: never
 	warmSendRate   float64       // own attempts at warm servers, decayed over ColdOverloadTime
 
 	// Scratch space of candidates.
@@ -45,7 +45,7 @@
 	ejected []*server
 }
 
-// selectServer chooses the server of the next attempt. It returns nil when none has room.
+// selectServer chooses the server of the next attempt. It returns nil when none has capacity left.
 func (g *Gateway) selectServer(r *request) *server {
 	healthy, ejected, probe := g.candidates(r)
 	if probe != nil {
@@ -60,8 +60,9 @@
 	return g.bestOfRandom(healthy, r.class)
 }
 
-// candidates lists the servers that may get the attempt, or names one that is due for a probe with it.
-// The lists are valid until the next call.
+// candidates lists the servers that may get the attempt, or names one that is due for a probe with it. The
+// server of the request's last attempt is never among them, even if there is no other. The lists are valid
+// until the next call.
 func (g *Gateway) candidates(r *request) (healthy, ejected []*server, probe *server) {
 	healthy, ejected = g.selector.healthy[:0], g.selector.ejected[:0]
 	for _, s := range g.endpoints.list {
@@ -91,7 +92,8 @@
 	return r.mayRunAgainAt(s, g.now) && g.hasColdBudget(s)
 }
 
-// bestOfRandom compares a few random servers by predicted latency and zone charge.
+// bestOfRandom compares candidateCount random servers by predicted latency and cross-zone cost. It reorders
+// servers, and returns nil when all are saturated.
 func (g *Gateway) bestOfRandom(servers []*server, class *requestClass) *server {
 	var best *server
 	lowest := math.Inf(1)
@@ -115,7 +117,7 @@
 }
 
 // isSaturated reports whether the wait at a server would pass a share of the shortest objective. More
-// requests are queued here, where they can still go elsewhere or be rejected.
+// requests are queued at the gateway, from where they can still go to another server or be rejected.
 func (g *Gateway) isSaturated(s *server) bool {
 	load := s.load() / g.relativeCapacity(s)
 	if load < minSaturationInFlight {
@@ -126,8 +128,8 @@
 }
 
 // drawByCapacity draws a server by its share of the fleet's capacity. In leader mode gateways do not see
-// the load at servers: were each to take the best of a few, all would crowd onto the same ones. A cold
-// server gets no more than its part of an even share; what is left over is queued.
+// the load at servers: if each took the best of a few, all would choose the same ones. A cold server gets
+// no more than its warm fraction of an even share; requests for which no server is drawn are queued.
 func (g *Gateway) drawByCapacity(servers []*server) *server {
 	total := 0.0
 	for _, s := range servers {
@@ -155,8 +157,8 @@
 	return weight * min(1, g.warmFraction(s))
 }
 
-// drawWeighted draws a server by drawWeight. Where the weights sum to less than least, the rest stands
-// for no server.
+// drawWeighted draws a server by drawWeight. Where the weights sum to less than least, it returns nil with
+// the probability of the difference over least.
 func (g *Gateway) drawWeighted(servers []*server, least float64) *server {
 	sum := 0.0
 	for _, s := range servers {
