--- a/policy/admission.go
+++ b/policy/admission.go
@@ -30,7 +30,7 @@
 		g.reject(r, ReasonLoadShed)
 		return
 	}
-	if len(c.leaders) == 0 {
+	if c.keepsBuckets() {
 		g.admit(r)
 		return
 	}
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -11,46 +11,57 @@
 	reportHash    uint32 // names the customer in load reports
 	plan          *customerPlan
 	lastRequestAt time.Duration
-	active        bool // listed in customerTable.active
+	active        bool // is in customerTable.active
 	ringIndex     int  // position in customerTable.ring
 	queued        []*request
 	inFlight      inFlightCounter
 
-	// The gateways through which the customer comes in: gatewaySpread of them, counted round from
-	// firstGateway.
+	// The gateways that receive the customer's requests: gatewaySpread of them from firstGateway on, where
+	// gateway 0 follows the last one.
 	firstGateway    int
-	requestedSpread int // as announced, whatever the number of gateways
+	requestedSpread int // Request.GatewaySpread, which may exceed the number of gateways
 	gatewaySpread   int // at least 1 and at most the number of gateways
 
 	// The token buckets; quota.go has the rules.
 	refilledAt      time.Duration // time of the figures below
 	tokens          float64       // estimate of the rate quota's bucket, in units
-	tokensKnown     bool          // the estimate rests on more than a fresh start
+	tokensKnown     bool          // tokens is more than the guess of a gateway that has just started
 	externalLevelAt time.Duration // last UsageLevel that was taken while isolated; 0: none
 	ceilingTokens   float64       // own share of the ceiling's bucket, in units
 	ceilingDivisor  float64       // own share of the ceiling is one over this
 	demand          float64       // units requested here, decayed over demandWindow
 
 	// Leases; lease_client.go and lease_grant.go have the rules.
-	leaders         []int              // the leader and the standby leader; nil: the bucket is kept here
+	leaders         leaderPair         // from which leases are requested; see keepsBuckets
 	grantsLeases    bool               // other gateways request leases here
 	leases          map[leaseKey]lease // granted and not returned
-	admittedShare   float64            // share of the requested units that fits, as the leader last reported
+	admittedShare   float64            // share of the demand that fits the quota, as the leader last reported
 	admittedShareAt time.Duration
 
 	// Load reports; load_report.go has the rules.
-	peerViews        []*peerView // the other gateways that keep the customer's counts
+	peerViews        []*peerView // one for each other gateway that keeps the customer's buckets
 	admittedUnits    uint16      // running total of units, wraps around
 	reportedUnits    uint16      // admittedUnits as last reported
-	pendingReports   int         // reports that must still carry the last change
+	pendingReports   int         // number of reports that must still carry the last change
 	lastExchangeTick uint32      // tick of the last report or lease response; 0: none
-	reportPriority   float64     // for the ranking at hand
+	reportPriority   float64     // in the current ranking
 }
 
+// leaderPair names the gateways from which leases for a customer are requested. The zero value names none.
+type leaderPair struct {
+	assigned bool
+	leader   int // number of the gateway
+	standby  int // number of the gateway that is asked when the leader does not respond
+}
+
+// keepsBuckets reports whether this gateway decides on the customer's requests itself: it is one of the
+// gateways that keep the buckets, or the customer has no quota that a leader would keep.
+func (c *customer) keepsBuckets() bool { return !c.leaders.assigned }
+
 // customerPlan is a plan with its position in the settings.
 type customerPlan struct {
 	Plan
-	index byte
+	index byte // the low 8 bits of the position
 }
 
 // customerKey is the FNV-1a hash of a customer's name. All gateways must compute the same.
@@ -69,9 +80,9 @@
 // customerTable holds the known customers.
 type customerTable struct {
 	byKey  map[uint64]*customer
-	byHash map[uint32]*customer // nil where two customers share a hash: reports name neither
-	ring   []*customer          // all, in order of arrival
-	active []*customer          // those that something happened to lately: ticks pass over all others
+	byHash map[uint32]*customer // by reportHash; see add for hashes that collide
+	ring   []*customer          // all, in the order in which they became known
+	active []*customer          // those with recent events; ticks skip all others
 	queued []*customer          // those with queued requests
 }
 
@@ -79,6 +90,9 @@
 	return customerTable{byKey: map[uint64]*customer{}, byHash: map[uint32]*customer{}}
 }
 
+// add adds a customer. When two customers share a report hash, its entry in byHash becomes nil and stays so
+// until the process restarts, even after both are forgotten: this gateway then takes in no reports on any
+// customer with that hash.
 func (t *customerTable) add(c *customer) {
 	t.byKey[c.key] = c
 	if _, taken := t.byHash[c.reportHash]; taken {
@@ -90,7 +104,7 @@
 	t.ring = append(t.ring, c)
 }
 
-// forgetIdle drops the customers that are not in use and made no request since a time.
+// forgetIdle removes the customers that are not in use and have made no request since a time.
 func (t *customerTable) forgetIdle(since time.Duration) {
 	t.ring = slices.DeleteFunc(t.ring, func(c *customer) bool {
 		inUse := c.inFlight.count > 0 || len(c.queued) > 0 || c.active
@@ -111,7 +125,8 @@
 	}
 }
 
-// unlink removes a customer from the reports' hashes and from its peers.
+// unlink removes a customer from byHash and its views from their peers. The nil entry of a hash collision
+// stays.
 func (t *customerTable) unlink(c *customer) {
 	if t.byHash[c.reportHash] == c {
 		delete(t.byHash, c.reportHash)
@@ -129,8 +144,8 @@
 	}
 }
 
-// updateActive ends the tick of the active customers, and drops those with nothing in flight, queued or
-// to be reported.
+// updateActive ends the tick of the active customers, and removes those with nothing in flight, queued or
+// to be reported from the list.
 func (t *customerTable) updateActive(now, elapsed time.Duration) {
 	kept := t.active[:0]
 	for _, c := range t.active {
--- a/policy/lease_client.go
+++ b/policy/lease_client.go
@@ -6,37 +6,38 @@
 )
 
 // In leader mode a gateway that does not keep a customer's buckets requests a lease from the customer's
-// leader for each request. lease_grant.go is the leader's side.
+// leader for each request. lease_grant.go has the leader's side.
 
 const (
-	// leaderAttempts is the number of lease requests to the leader before the standby leader gets one.
+	// leaderAttempts is the number of lease requests to the leader before one goes to the standby leader.
 	leaderAttempts = 2
 
 	// minResponseWait is the least time for which a lease response is awaited.
 	minResponseWait = 30 * time.Millisecond
 
-	// responseWaitFactor is that time in mean response times.
+	// responseWaitFactor is the time for which a lease response is awaited, in mean response times.
 	responseWaitFactor = 2.5
 
-	// unansweredPower shapes the chance of a request that no leader answers: it is admitted with the
-	// response rate to this power, and after the first lease request also with one minus the response
-	// rate to it.
+	// unansweredPower is the exponent in the chance p^4 + (1-p)^4 with which a request that no leader answers
+	// is admitted, p being the response rate. The chance is near 1 when nearly all lease requests are
+	// answered (a message was lost) or nearly none (a network partition), and least, 1/8, when half are: then
+	// the leaders are overloaded, and gateways that admit requests without them would exceed the quota.
 	unansweredPower = 4.0
 
-	// minResponseRate is the share of answered lease requests below which this gateway is isolated.
+	// minResponseRate is the response rate below which the leaders count as unresponsive.
 	minResponseRate = 0.5
 
-	// admittedShareTTL is the time in which a leader's word of what share fits is forgotten.
+	// admittedShareTTL is the time over which an admitted share that a leader reported gives way to 1.
 	admittedShareTTL = 20 * time.Second
 )
 
-// leaseClient is the state of the lease requests of this gateway.
+// leaseClient is the state of the lease requests of this gateway, over all leaders.
 type leaseClient struct {
 	pending          map[uint32]*request // by tag
-	waiting          []*request          // in order of request; answered ones leave at the next timer
+	waiting          []*request          // in order of request; answered ones are removed at the next timer
 	lastTag          uint32
-	responseRate     float64 // average share of requests that are answered
-	meanResponseTime time.Duration
+	responseRate     float64       // weighted average share of lease requests that are answered
+	meanResponseTime time.Duration // weighted average
 }
 
 func newLeaseClient(firstTag uint32) leaseClient {
@@ -48,8 +49,11 @@
 	}
 }
 
-// partitionChance is the chance that this gateway is cut off from the leaders rather than the leaders
-// being flooded: near 1 when none answers, near 0 when half do.
+// leadersUnresponsive reports whether fewer than minResponseRate of the lease requests are answered.
+func (l *leaseClient) leadersUnresponsive() bool { return l.responseRate < minResponseRate }
+
+// partitionChance is the chance with which this gateway acts as if it were partitioned from the leaders,
+// rather than the leaders being overloaded: 1 when no lease request is answered, 1/16 when half are.
 func (l *leaseClient) partitionChance() float64 { return math.Pow(1-l.responseRate, unansweredPower) }
 
 func (l *leaseClient) recordUnanswered() { l.responseRate -= learningWeight * l.responseRate }
@@ -65,8 +69,8 @@
 	return max(minResponseWait, time.Duration(responseWaitFactor*float64(l.meanResponseTime)))
 }
 
-// leaseChance is the chance with which a lease is requested at all. Of a customer far above its quota
-// only the share that fits is requested: its leader could not receive more.
+// leaseChance is the probability with which a lease is requested at all. For a customer far above its quota
+// only the admitted share is requested, since its leader could not receive all requests.
 func (g *Gateway) leaseChance(c *customer) float64 {
 	if c.plan.Rate <= 0 || c.lastExchangeTick == 0 {
 		return 1
@@ -75,11 +79,12 @@
 }
 
 // requestLease requests a lease from the customer's leader, again when there is no response in time, and
-// then from the standby leader. Without any response admitWithoutLease decides.
+// then from the standby leader. When neither responds, or the deadline is near, or after the first lease
+// request with partitionChance, admitWithoutLease decides.
 func (g *Gateway) requestLease(r *request) {
 	c := r.customer
 	delete(g.leases.pending, r.lease.key.tag)
-	if len(c.leaders) == 0 { // the buckets have moved here
+	if c.keepsBuckets() { // since the fleet was resized
 		g.admit(r)
 		return
 	}
@@ -89,9 +94,9 @@
 		g.admitWithoutLease(r, partitionChance)
 		return
 	}
-	leader := c.leaders[0]
+	leader := c.leaders.leader
 	if r.lease.requests == leaderAttempts {
-		leader = c.leaders[1]
+		leader = c.leaders.standby
 	}
 	if leader == g.settings.SelfIndex {
 		g.admit(r)
@@ -104,7 +109,7 @@
 func (g *Gateway) sendLeaseRequest(r *request, leader int) {
 	l := &r.lease
 	sameAgain := l.requests == 1 && l.key.gateway == leader
-	if !sameAgain { // with another tag a leader would grant twice
+	if !sameAgain { // a repeat keeps its tag: with another one the leader would grant and charge twice
 		g.leases.lastTag++
 		l.key.tag = g.leases.lastTag
 	}
@@ -142,19 +147,18 @@
 	return m
 }
 
-// admitWithoutLease decides on a request that no leader answers, by the last fill heard. When many
-// messages are lost the leaders are flooded, and few requests may be admitted unheard. When all are lost
-// this gateway is isolated, and lost leaders must not stop customers far below their quotas.
+// admitWithoutLease decides on a request that no leader answers, by this gateway's own estimate of the
+// bucket. Every request that is not admitted ends with ReasonNoQuotaLeader, whatever the cause: the deadline
+// has passed, the draw failed (see unansweredPower), there is a hard ceiling, the request is beyond the
+// estimated quota, or no server has capacity left.
 func (g *Gateway) admitWithoutLease(r *request, partitionChance float64) {
-	if r.lease.queuedAtLeader {
-		g.reject(r, ReasonInFlightLimit)
-		return
-	}
 	if !g.mayAdmitWithoutLease(r, partitionChance) || !g.startAttempt(r) {
 		g.reject(r, ReasonNoQuotaLeader)
 	}
 }
 
+// mayAdmitWithoutLease draws whether a request is admitted without a lease, and checks the quotas. With a
+// recent external usage level the draw always succeeds.
 func (g *Gateway) mayAdmitWithoutLease(r *request, partitionChance float64) bool {
 	if g.now >= r.deadline {
 		return false
@@ -167,10 +171,12 @@
 	if g.rng.Float64() > chance {
 		return false
 	}
-	return c.plan.HardRate <= 0 && g.withinQuota(r) // a ceiling is the leader's alone
+	return c.plan.HardRate <= 0 && g.withinQuota(r) // only leaders may spend from a ceiling
 }
 
-// handleLeaseTimer requests again, elsewhere, the leases that had no response in time.
+// handleLeaseTimer repeats the lease requests that had no response in time. A request that the leader queued
+// ends with ReasonInFlightLimit when the wait is over: the cap was full for too long, or the leader was lost
+// meanwhile, which this gateway cannot tell apart.
 func (g *Gateway) handleLeaseTimer() {
 	waiting := g.leases.waiting
 	g.leases.waiting = nil
@@ -188,6 +194,8 @@
 	}
 }
 
+// handleLeaseResponse carries out a leader's decision on a lease request. It ignores a response from another
+// gateway than the one asked, or to a lease request that is not pending.
 func (g *Gateway) handleLeaseResponse(from int, m leaseResponse) {
 	r := g.leases.pending[m.Tag]
 	if r == nil || r.lease.key.gateway != from || r.done {
@@ -215,7 +223,8 @@
 	}
 }
 
-// learnFromLeader takes over what a lease response reports beyond its decision.
+// learnFromLeader updates the averages and the customer's estimates by what a lease response reports beside
+// its decision.
 func (g *Gateway) learnFromLeader(r *request, m leaseResponse) {
 	if !r.lease.queuedAtLeader {
 		g.leases.recordResponseTime(g.now - r.lease.requestedAt)
@@ -230,8 +239,8 @@
 	c.lastExchangeTick = g.tick.count + 1
 }
 
-// returnLease notifies the leader that a granted lease is over. A used one matters only where attempts in
-// flight are capped; the others expire.
+// returnLease notifies the leader that a granted lease has ended. A lease that was used is returned only
+// where attempts in flight are capped; otherwise it expires at the leader.
 func (g *Gateway) returnLease(r *request) {
 	unused := !r.charged
 	isCapped := r.customer.plan.MaxInFlight > 0
--- a/policy/lease_grant.go
+++ b/policy/lease_grant.go
@@ -7,16 +7,17 @@
 
 // A leader treats a lease request like a request of its own: it grants, queues or rejects it.
 
-// leaseObjectives is the life of a lease that is not returned, in latency objectives.
+// leaseObjectives is the time after which a lease that is not returned expires, in latency objectives of the
+// request's class.
 const leaseObjectives = 1.0
 
-// lease is one that this gateway has granted.
+// lease is a lease that this gateway has granted.
 type lease struct {
 	expiresAt time.Duration
 	request   *request
 }
 
-// handleLeaseRequest takes another gateway's request into the customer's buckets as if it had arrived here.
+// handleLeaseRequest decides on another gateway's request as if a client had sent it to this gateway.
 func (g *Gateway) handleLeaseRequest(from int, m leaseRequest) {
 	isKnown := int(m.Plan) < len(g.settings.Plans) && int(m.Class) < len(g.settings.Classes)
 	if !isKnown || m.GatewaySpread == 0 {
@@ -28,8 +29,9 @@
 		plan := g.plans[g.settings.Plans[m.Plan].Name]
 		c = g.addCustomer(m.Customer, plan, int(m.FirstGateway), int(m.GatewaySpread))
 	}
-	// A gateway that stands in for a leader it does not hear goes by what the leader reported to others.
-	if m.Fill != unknownFill && (isNew || len(c.leaders) > 0) {
+	// A standby leader that receives no reports of the leader uses the fill that the leader reported to the
+	// requester.
+	if m.Fill != unknownFill && (isNew || !c.keepsBuckets()) {
 		c.tokens = min(c.tokens, decodeFill(m.Fill, c.plan.Burst))
 	}
 	if g.repeatLeaseResponse(c, leaseKey{from, m.Tag}) {
@@ -57,8 +59,8 @@
 func (g *Gateway) grantLease(r *request) {
 	c := r.customer
 	c.charge(r)
-	life := time.Duration(leaseObjectives * float64(r.class.LatencyObjective))
-	c.leases[r.lease.key] = lease{expiresAt: g.now + life, request: r}
+	validity := time.Duration(leaseObjectives * float64(r.class.LatencyObjective))
+	c.leases[r.lease.key] = lease{expiresAt: g.now + validity, request: r}
 	c.inFlight.add(g.now, 1)
 	r.charged = true
 	r.done = true
@@ -88,7 +90,7 @@
 // one unit, but the receiver decodes it as a share of Burst and so takes the bucket for emptier than it is.
 func (c *customer) fillByte() byte { return encodeFill(c.tokens, max(1, c.plan.Burst)) }
 
-// handleLeaseReturn ends a lease, and gives back the units of one that was never used.
+// handleLeaseReturn ends a lease, and refunds the units of one that was never used.
 func (g *Gateway) handleLeaseReturn(from int, m leaseReturn) {
 	c := g.customers.byKey[m.Customer]
 	if c == nil {
@@ -108,7 +110,7 @@
 	g.releaseAfterResult(c)
 }
 
-// expireLeases drops the leases whose life is over.
+// expireLeases ends the leases that have expired.
 func (c *customer) expireLeases(now time.Duration) {
 	for key, granted := range c.leases {
 		if now > granted.expiresAt {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Estimates of what other gateways do.
+// Estimates of other gateways' demand.
 const (
 	// staleReportTicks is the age, in ticks, beyond which a peer's report is not used.
 	staleReportTicks = 6
 
-	// minStaleDemandFactor is what the assumed demand of a stale peer fades to, as a share of the demand
-	// here.
+	// minStaleDemandFactor is what the assumed demand of a stale peer decays to, as a share of its last
+	// reported demand, decayed over demandWindow, or of this gateway's demand, whichever is greater.
 	minStaleDemandFactor = 0.33
 
-	// staleDemandFadeTime is the time constant of that fading.
+	// staleDemandFadeTime is the time constant of that decay.
 	staleDemandFadeTime = 10 * time.Second
 
 	// demandWindow is the time constant over which demand is averaged.
 	demandWindow = 2 * time.Second
 
-	// reportTravelTime is the time that a report takes from one gateway to another.
+	// reportTravelTime is the assumed time that a report takes from one gateway to another.
 	reportTravelTime = 25 * time.Millisecond
 
-	// externalLevelTTL is how long a UsageLevel replaces the leaders' word while they do not answer.
+	// externalLevelTTL is how long a UsageLevel is used in place of lease responses while the leaders do not
+	// respond.
 	externalLevelTTL = 3 * time.Second
 )
 
@@ -37,8 +38,8 @@
 	// firstAttemptReserve is the share of a bucket that clients' retries leave to first attempts.
 	firstAttemptReserve = 0.7
 
-	// restartedLeaderFill is the fill that a leader presumes for a bucket it may have granted from before
-	// it was restarted.
+	// restartedLeaderFill is the fill that a gateway in leader mode assumes for a new customer's bucket while
+	// it cannot know whether it granted leases from it before a restart.
 	restartedLeaderFill = 0.8
 )
 
@@ -75,11 +76,11 @@
 	}
 }
 
-// refillShare is the share of the rate that refills the bucket here. A stale peer is assumed to use its
-// share of the rate: it may be cut off and still serve the customer.
+// refillShare is the share of Rate at which this gateway refills the bucket. A stale peer is assumed to use
+// its own share of the rate: it may be partitioned from this gateway and still serve the customer.
 func (g *Gateway) refillShare(c *customer) float64 {
-	if len(c.leaders) > 0 && !c.grantsLeases {
-		return 1 / float64(c.gatewaySpread) // the leader alone knows what the other gateways use
+	if !c.keepsBuckets() && !c.grantsLeases {
+		return 1 / float64(c.gatewaySpread) // only the leader knows the use at the other gateways
 	}
 	stale := 0.0
 	for _, view := range c.peerViews {
@@ -105,15 +106,16 @@
 	return c.demand/demandWindow.Seconds() + g.baselineDemand(c)
 }
 
-// peerDemand is a peer's demand in units a second. A stale peer is assumed to have the demand of this
-// gateway, then less, but never none: it may be cut off and serving, or gone for good.
+// peerDemand is a peer's demand in units a second. A stale peer is assumed to have at least the demand of
+// this gateway, times a factor that decays to minStaleDemandFactor: it may be partitioned from this gateway
+// and still serve the customer, or have stopped.
 func (g *Gateway) peerDemand(c *customer, view *peerView) float64 {
 	demand := view.demand
 	if g.isStale(view.peer) {
 		fading := 1.0
 		if g.settings.CanMessagePeers {
-			lastSign := max(view.peer.reportedAt, g.startedAt)
-			fading = decay(g.now-lastSign, staleDemandFadeTime)
+			lastReportAt := max(view.peer.reportedAt, g.startedAt)
+			fading = decay(g.now-lastReportAt, staleDemandFadeTime)
 		}
 		demand = max(demand, c.demand) * (minStaleDemandFactor + (1-minStaleDemandFactor)*fading)
 	}
@@ -132,25 +134,29 @@
 // demandShare is this gateway's share of the demand.
 func (g *Gateway) demandShare(c *customer) float64 { return g.ownDemand(c) / g.totalDemand(c) }
 
-// spendableTokens is the number of units that this gateway may admit now: its share of the bucket by
-// demand, or what is left once the peers have spent all that may be requested of them before they are
-// heard again, whichever is more.
+// spendableTokens is the number of units that this gateway may admit now. It is
+//
+//	max(share * tokens, tokens - sum over peers of (demand * report delay))
+//
+// with share as demandShare, tokens in units, demand in units a second and the report delay in seconds: the
+// share of the bucket by demand, or what is left when each peer has admitted all of its demand since it last
+// reported, whichever is more. A gateway that receives no load reports spends from a burst of its own.
 func (g *Gateway) spendableTokens(c *customer) float64 {
 	share := g.demandShare(c)
-	if len(c.leaders) == 0 && g.isolated(c) {
-		// No other gateway uses this one's share, which must hold one request at least.
+	if c.keepsBuckets() && g.hearsNoPeerOf(c) {
+		// No other gateway uses this share, which must be large enough for one request.
 		ownBurst := max(c.plan.Burst*share, g.settings.MaxRequestUnits)
 		return max(c.tokens*share, c.tokens-c.plan.Burst+ownBurst)
 	}
-	unseen := 0.0
+	unreported := 0.0
 	for _, view := range c.peerViews {
-		unseen += g.peerDemand(c, view) * g.reportDelay(view)
+		unreported += g.peerDemand(c, view) * g.reportDelay(view)
 	}
-	return max(c.tokens*share, c.tokens-unseen)
+	return max(c.tokens*share, c.tokens-unreported)
 }
 
-// reportDelay is the time in seconds for which a peer may spend before its report is here. A peer whose
-// report was cut short may have left the customer out.
+// reportDelay is the time in seconds for which a peer may admit requests before its report arrives. A peer
+// whose last report did not hold all changed customers may have left this one out.
 func (g *Gateway) reportDelay(view *peerView) float64 {
 	delay := (g.tick.interval + reportTravelTime).Seconds()
 	if !view.peer.complete {
@@ -185,7 +191,8 @@
 	return ReasonCeilingExceeded
 }
 
-// charge takes a request's units from the buckets.
+// charge takes a request's units from the buckets. The running total for peers counts whole units only:
+// peers never learn of the fraction of a request's units.
 func (c *customer) charge(r *request) {
 	c.tokens = max(0, c.tokens-r.units)
 	if !r.lease.granted { // the ceiling of a leased request is the leader's
@@ -194,15 +201,16 @@
 	c.admittedUnits += uint16(r.units)
 }
 
-// settle takes the difference between a request's actual and charged units, which may be negative.
+// settle takes the difference between a request's actual and charged units, which may be negative, from the
+// rate quota's bucket. The running total for peers drops its fraction, as in charge.
 func (c *customer) settle(units float64) {
 	c.tokens -= units
 	c.admittedUnits += uint16(int(units))
 }
 
-// handleUsageLevel takes the fill of a customer's bucket from an external counter. It counts only while
-// the gateway has run too shortly to know the fill, or is isolated: otherwise a quota could be granted
-// twice.
+// handleUsageLevel takes the tokens of a customer's bucket from an external counter. It is used only while
+// the gateway has not run long enough to know the tokens, or is isolated: otherwise a quota could be
+// granted twice.
 func (g *Gateway) handleUsageLevel(ev UsageLevel) {
 	c := g.customers.byKey[customerKey(ev.Customer)]
 	if c == nil || c.tokensKnown && !g.isolated(c) {
@@ -212,18 +220,25 @@
 	if c.tokensKnown {
 		c.externalLevelAt = g.now
 		for _, view := range c.peerViews {
-			view.hasReport = false // the level holds what the peers will report as admitted
+			view.hasReport = false // the level includes what the peers will report as admitted
 		}
 	}
 	c.tokensKnown = true
 	c.tokens = min(c.plan.Burst, max(0, ev.Units))
 }
 
-// isolated reports whether no gateway is heard that could tell of the customer's use elsewhere.
+// isolated reports whether this gateway receives nothing that shows the customer's use at other gateways:
+// neither load reports, where it keeps the buckets, nor lease responses, where leaders do.
 func (g *Gateway) isolated(c *customer) bool {
-	if len(c.leaders) > 0 {
-		return g.leases.responseRate < minResponseRate
+	if c.keepsBuckets() {
+		return g.hearsNoPeerOf(c)
 	}
-	isHeard := func(view *peerView) bool { return !g.isStale(view.peer) }
-	return len(c.peerViews) > 0 && !slices.ContainsFunc(c.peerViews, isHeard)
+	return g.leases.leadersUnresponsive()
+}
+
+// hearsNoPeerOf reports whether other gateways keep the customer's buckets, too, and the load reports of all
+// of them are stale.
+func (g *Gateway) hearsNoPeerOf(c *customer) bool {
+	isFresh := func(view *peerView) bool { return !g.isStale(view.peer) }
+	return len(c.peerViews) > 0 && !slices.ContainsFunc(c.peerViews, isFresh)
 }
--- a/policy/quota_leader.go
+++ b/policy/quota_leader.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// leaderMessageShare is the part of the messages a gateway can receive that a leader spends on one
-	// customer.
+	// leaderMessageShare is the share of the messages that a gateway can receive which may belong to one
+	// customer that it leads.
 	leaderMessageShare = 0.5
 
-	// leaderPeakFactor is the number of lease requests that leaders must bear, as a multiple of those
-	// within the quota.
+	// leaderPeakFactor is the rate of lease requests that leaders must be able to receive, as a multiple of
+	// the rate within the quota.
 	leaderPeakFactor = 2.0
 
 	// standbyCeilingShare is the share of a hard ceiling that the standby leader holds.
@@ -24,12 +24,13 @@
 	leaders, standby := g.quotaLeaders(c, g.size)
 	isLeader := slices.Contains(leaders, g.settings.SelfIndex)
 	hasQuota := c.plan.Rate > 0 || c.plan.MaxInFlight > 0
-	c.leaders = nil
+	c.leaders = leaderPair{}
 	switch {
 	case isLeader || !g.size.leaderMode:
 		g.assignPeerViews(c, leaders)
 	case hasQuota:
-		c.leaders = []int{leaders[g.settings.SelfIndex%len(leaders)], standby}
+		leader := leaders[g.settings.SelfIndex%len(leaders)]
+		c.leaders = leaderPair{assigned: true, leader: leader, standby: standby}
 	}
 	c.ceilingDivisor = g.ceilingDivisor(c, len(leaders))
 }
@@ -66,7 +67,9 @@
 	return max(1, int(math.Ceil(messages/perLeader)))
 }
 
-// ceilingDivisor is one over the share of a customer's ceiling that this gateway may use now.
+// ceilingDivisor is one over the share of a customer's ceiling that this gateway may use now. In leader mode
+// every gateway that is no leader keeps the standby's share, but only the standby leader gets to grant from
+// it: no other gateway admits a request under a ceiling without a lease.
 func (g *Gateway) ceilingDivisor(c *customer, leaders int) float64 {
 	if g.previousSize.gateways != 0 {
 		return max(g.ceilingDivisorIn(c, g.previousSize), g.ceilingDivisorIn(c, g.size))
@@ -74,7 +77,7 @@
 	switch {
 	case !g.size.leaderMode:
 		return float64(c.gatewaySpread)
-	case len(c.leaders) > 0:
+	case !c.keepsBuckets():
 		return 1 / standbyCeilingShare
 	}
 	return float64(leaders) / (1 - standbyCeilingShare)
