--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -32,12 +32,12 @@
 	// maxProbeInterval bounds the interval between probes.
 	maxProbeInterval = 8 * time.Second
 
-	// judgmentDecayTime is the time in which what is known of a server's failures and latency is
-	// forgotten: a server that gets no attempts gives no results to learn from.
+	// judgmentDecayTime is the time over which failure rates and latency ratios decay towards 0 and 1: a
+	// server that gets no attempts gives no results to learn from.
 	judgmentDecayTime = 10 * time.Second
 )
 
-// classHealth is what is known of the failures of a server for one class.
+// classHealth is the state of failure detection for one server and class.
 type classHealth struct {
 	failureRate   float64       // weighted average, at the monitor
 	lastSuccessAt time.Duration // of an attempt of this gateway; 0: none
@@ -77,13 +77,13 @@
 func (h *classHealth) recordFailure(weight float64) { h.failureRate += weight * (1 - h.failureRate) }
 
 // mayProbe reports whether an ejected server is due for a probe with this request. Only the first monitor
-// probes, and only with a first attempt that may be retried elsewhere.
+// probes, and only with the first attempt of a request that may be retried elsewhere.
 func (g *Gateway) mayProbe(s *server, h *classHealth, r *request) bool {
 	isDue := s.monitors[0] == g.settings.SelfIndex && g.now >= h.nextProbeAt
 	return isDue && r.attempts == 0 && r.class.Idempotency != NonIdempotent
 }
 
-// decayJudgment lets what is known of a server go with time.
+// decayJudgment moves the failure rates of a server towards 0 and its latency ratio towards 1.
 func (s *server) decayJudgment(elapsed time.Duration) {
 	part := min(1, elapsed.Seconds()/judgmentDecayTime.Seconds())
 	s.latencyRatio += (1 - s.latencyRatio) * part
@@ -94,7 +94,7 @@
 }
 
 // detectStalledAttempts counts attempts that take far longer than predicted as failed, and cancels those
-// that may be retried elsewhere. It guards against servers that take requests and answer none.
+// that may be retried elsewhere. So a server that accepts requests and answers none is ejected as well.
 func (g *Gateway) detectStalledAttempts(s *server) {
 	for _, r := range slices.Clone(s.attempts) {
 		if !g.isStalled(s, r) {
@@ -114,7 +114,7 @@
 	}
 	sentAt := r.current.sentAt
 	if h := s.healthFor(r.class); h != nil && h.lastSuccessAt > sentAt {
-		return false // the server does answer
+		return false // the server has answered since
 	}
 	expected := max(g.predictedLatency(s, r.class), minStallShare*r.class.LatencyObjective.Seconds())
 	return (g.now-sentAt).Seconds()/expected >= stallFactor
--- a/policy/outlier_monitor.go
+++ b/policy/outlier_monitor.go
@@ -14,22 +14,25 @@
 	// latencyRatioStep is the factor by which a latency ratio must change to be reported.
 	latencyRatioStep = 1.7
 
-	// outlierReportShare is the part of the messages a gateway can receive that outlier reports may fill.
+	// outlierReportShare is the share of the messages that a gateway can receive which outlier reports may
+	// use.
 	outlierReportShare = 0.1
 
-	// maxReportBudget is the number of outlier reports that a monitor may send on one server at once.
+	// maxReportBudget is the largest number of outlier reports that a monitor may send on one server in a
+	// burst.
 	maxReportBudget = 2.0
 
-	// outlierReportTTL is how long an outlier report holds that is not repeated.
+	// outlierReportTTL is how long an ejection lasts when its report is not repeated.
 	outlierReportTTL = 8 * time.Second
 
-	// outlierReportRenewal is the time before that at which a report is repeated.
+	// outlierReportRenewal is the time left of an ejection below which its report is repeated.
 	outlierReportRenewal = outlierReportTTL / 4
 )
 
-// monitorsOf names the gateways that judge a server for all others. In a large fleet each gateway meets a
-// server too seldom to judge it; in a small one each judges for itself. The second monitor, for the case
-// that the first is lost together with the server, only learns whether the server can be reached.
+// monitorsOf returns the first and the second monitor of a server. In leader mode they judge it for all
+// gateways, since each gateway alone has too few results of it; in full mesh each gateway is its own monitor.
+// The second monitor steps in when the first is lost together with the server, and is notified only of
+// attempts that could not connect.
 func (g *Gateway) monitorsOf(serverHash uint32) [2]int {
 	if !g.size.leaderMode {
 		return [2]int{g.settings.SelfIndex, g.settings.SelfIndex}
@@ -72,7 +75,7 @@
 	g.observeOutcome(s, int(m.Class), ResultCode(m.Code), latency)
 }
 
-// observeOutcome takes a result into what the monitor knows of a server.
+// observeOutcome updates the failure rates and the observed latency ratio of a monitored server by a result.
 func (g *Gateway) observeOutcome(s *server, class int, code ResultCode, latency time.Duration) {
 	h := &s.health[class]
 	idleLatency := g.classes[g.settings.Classes[class].Name].idleLatency
@@ -81,11 +84,11 @@
 	case OK:
 		h.recordSuccess()
 	case Rejected:
-		ratio = maxLatencyRatio // few more requests until it answers
+		ratio = maxLatencyRatio // so that the server gets few more requests
 	case ConnectFailed:
 		s.recordFailure(2 * failureWeight)
 	default:
-		s.recordFailure(failureWeight / 2) // it may fail other classes too
+		s.recordFailure(failureWeight / 2) // the server may fail other classes, too
 		h.recordFailure(failureWeight / 2)
 		ratio = max(ratio, s.observedRatio)
 	}
@@ -93,27 +96,37 @@
 	g.publishOutlierReport(s)
 }
 
-// publishOutlierReport notifies all gateways of what has changed of a server that this one monitors, and
-// repeats what still ejects it. Each report goes to every gateway, so all monitors together keep to a
-// part of the messages that a gateway can receive.
+// publishOutlierReport sends an outlier report on a server that this gateway monitors, if one is due and the
+// report budget permits it. Each report goes to every gateway, so all monitors together keep to a share of
+// the messages that a gateway can receive.
 func (g *Gateway) publishOutlierReport(s *server) {
 	g.refillReportBudget(s)
-	isFirst := s.monitors[0] == g.settings.SelfIndex
-	if !isFirst || !g.size.leaderMode {
+	if !g.isFirstMonitor(s) || !g.size.leaderMode {
 		s.observedRatio = s.latencyRatio
 	}
-	reported := s.ejectedClasses()
-	wanted := s.classesToEject(isFirst)
+	toEject := s.classesToEject(g.isFirstMonitor(s))
+	if s.reportBudget >= 1 && g.outlierReportDue(s, toEject) {
+		g.sendOutlierReport(s, toEject)
+	}
+}
+
+func (g *Gateway) isFirstMonitor(s *server) bool { return s.monitors[0] == g.settings.SelfIndex }
+
+// outlierReportDue reports whether the classes to eject or the latency ratio differ from what was last
+// reported, or a report that ejects the server must be repeated before it expires.
+func (g *Gateway) outlierReportDue(s *server, toEject byte) bool {
 	ratioChange := max(s.observedRatio/s.latencyRatio, s.latencyRatio/s.observedRatio)
 	ratioChanged := g.size.leaderMode && ratioChange > latencyRatioStep
-	repeatIsDue := isFirst && wanted != 0 && s.lastEjectedUntil()-g.now < outlierReportRenewal
-	hasNews := wanted != reported || ratioChanged || repeatIsDue
-	if s.reportBudget < 1 || !hasNews {
-		return
-	}
+	expiresSoon := s.lastEjectedUntil()-g.now < outlierReportRenewal
+	repeatIsDue := g.isFirstMonitor(s) && toEject != 0 && expiresSoon
+	return toEject != s.ejectedClasses() || ratioChanged || repeatIsDue
+}
+
+// sendOutlierReport applies an outlier report here and, in leader mode, sends it to all other gateways.
+func (g *Gateway) sendOutlierReport(s *server, toEject byte) {
 	m := outlierReport{
 		Server:         uint32(s.ID),
-		EjectedClasses: wanted,
+		EjectedClasses: toEject,
 		LatencyRatio:   encodeLatencyRatio(s.observedRatio),
 	}
 	g.applyOutlierReport(m)
@@ -123,7 +136,7 @@
 	}
 }
 
-// refillReportBudget brings the number of outlier reports that may be sent on a server up to now.
+// refillReportBudget adds to a server's report budget for the time since it was last called.
 func (g *Gateway) refillReportBudget(s *server) {
 	messages := g.settings.PeerMessagesPerSecond * outlierReportShare
 	perServer := messages / float64(max(1, len(g.endpoints.list)))
@@ -131,7 +144,9 @@
 	s.reportBudgetAt = g.now
 }
 
-// applyOutlierReport takes over what the monitor of a server says.
+// applyOutlierReport sets the ejected classes and the latency ratio of a server as its monitor reports them.
+// It sets ejectedUntil for healthy classes, too, which is harmless: the field is read only for classes with
+// ejected set, and every later report that sets ejected sets ejectedUntil as well.
 func (g *Gateway) applyOutlierReport(m outlierReport) {
 	s := g.endpoints.byID[ServerID(m.Server)]
 	if s == nil {
