--- a/policy/events.go
+++ b/policy/events.go
@@ -21,8 +21,9 @@
 	Units     float64       // cost, as far as it is known now
 	Remaining time.Duration // until the client gives up
 
-	// The customer comes in through GatewaySpread gateways (at least 1), counted round from FirstGateway.
-	// This gateway must be among them, and all gateways must be given the same.
+	// The customer's requests come in through GatewaySpread gateways (at least 1) from FirstGateway on, where
+	// gateway 0 follows the last one. This gateway must be among them, and all gateways must be given the
+	// same values for a customer.
 	FirstGateway  int
 	GatewaySpread int
 
@@ -57,11 +58,11 @@
 const (
 	OK            ResultCode = iota
 	Error                    // the server failed
-	Rejected                 // the server did not take it
+	Rejected                 // the server refused it and did not run it
 	TimedOut                 // no response in time
 	ConnectFailed            // the server could not be reached
 	Reset                    // the connection broke
-	Cancelled                // CancelAttempt came first
+	Cancelled                // ended by CancelAttempt
 	TooLate                  // it was not sent: no time was left, or no connection was to be had
 )
 
@@ -76,7 +77,7 @@
 
 // PeerMessage is what another gateway sent with SendPeerMessage. Malformed messages are dropped.
 type PeerMessage struct {
-	From int // number of the gateway; the caller vouches for it
+	From int // number of the gateway, which the caller has verified
 	Data []byte
 }
 
@@ -109,8 +110,7 @@
 	DeltaUpdate    EndpointUpdateKind = iota // the changed servers only
 	SnapshotUpdate                           // the whole list: a server that is not in it is Removed
 	CachedUpdate                             // a whole list from a cache, which may be old
-	// WatchEndpoints failed: the list stays, and is requested again
-	WatchFailed
+	WatchFailed                              // the watch ended: the list stays, and is requested again
 )
 
 // EndpointUpdate brings the server list or changes to it.
@@ -120,20 +120,36 @@
 }
 
 // UsageLevel reports the fill of a customer's rate quota as an external counter knows it. It counts only
-// where this gateway cannot know the fill: shortly after its start, or while no other gateway is heard.
+// where this gateway cannot know the fill: shortly after its start, or while it receives nothing from the
+// gateways that know the customer's use elsewhere.
 type UsageLevel struct {
 	Customer string
 	Units    float64 // left in the bucket
 }
 
-// FleetResized reports that the number of gateways has changed. Until a second one with PreviousSize 0
-// reports that all gateways have heard of the change, the share of each hard ceiling held here is the
-// smaller of the old and the new one. A gateway whose number is not below Gateways is leaving.
+// FleetResized reports a change of the number of gateways. It comes once when the change begins and, with
+// PreviousSize ResizeComplete, once all gateways have been notified. In between, the share of each hard
+// ceiling that this gateway uses is the smaller of the old and the new one. When a second change begins
+// before the first is complete, the old share remains that before the first. A gateway whose number is not
+// below Gateways is leaving.
 type FleetResized struct {
-	Gateways     int // below 1: the event is ignored
-	PreviousSize int // below 0: this gateway held no share before, or cannot know
+	Gateways int // the new number; below 1: the event is ignored
+
+	// PreviousSize is the number of gateways before the change (above 0), ResizeComplete, or
+	// UnknownPreviousSize (any number below 0).
+	PreviousSize int
 }
 
+// Values of FleetResized.PreviousSize that are not a number of gateways.
+const (
+	// ResizeComplete says that all gateways have been notified of the change.
+	ResizeComplete = 0
+
+	// UnknownPreviousSize says that this gateway held no share of any hard ceiling before the change, or
+	// cannot know it: it uses none until the change is complete. Every value below 0 means the same.
+	UnknownPreviousSize = -1
+)
+
 func (Request) event()            {}
 func (ResponseStarted) event()    {}
 func (AttemptResult) event()      {}
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// loadReportShare is the part of the messages a gateway can receive that load reports may fill.
+	// loadReportShare is the share of the messages that a gateway can receive which load reports may use.
 	loadReportShare = 0.75
 
 	// minTickInterval and maxTickInterval bound the time between ticks, and so between load reports.
@@ -17,23 +17,30 @@
 
 // fleetSize is a number of gateways with what follows from it.
 type fleetSize struct {
-	gateways   int  // 0: not set; below 0: this gateway held no share of any ceiling then
+	gateways   int  // of Gateway.previousSize: as FleetResized.PreviousSize
 	leaderMode bool // quota leaders in place of full mesh reports
 }
 
-// fleetSizeOf returns the size of a fleet of so many gateways.
+// isSet reports whether the size is that before a change which is not complete.
+func (s fleetSize) isSet() bool { return s.gateways != ResizeComplete }
+
+// isUnknown reports whether this gateway held no share of any ceiling at that size, or cannot know it.
+func (s fleetSize) isUnknown() bool { return s.gateways <= UnknownPreviousSize }
+
+// fleetSizeOf returns the size of a fleet of a number of gateways.
 func (g *Gateway) fleetSizeOf(gateways int) fleetSize {
 	tooSlow := g.fullMeshInterval(gateways) > leaderModeTickFactor*maxTickInterval
 	return fleetSize{gateways, tooSlow && g.settings.CanMessagePeers}
 }
 
-// fullMeshInterval is the time between reports that a gateway can receive from all others.
+// fullMeshInterval is the shortest time between load reports at which a gateway can receive those of all
+// others in a fleet of a number of gateways.
 func (g *Gateway) fullMeshInterval(gateways int) time.Duration {
 	reportsPerSecond := max(g.settings.PeerMessagesPerSecond*loadReportShare, 1)
 	return time.Duration(float64(max(gateways-1, 1)) / reportsPerSecond * float64(time.Second))
 }
 
-// applyFleetSize sets what follows from the number of gateways.
+// applyFleetSize sets the mode and the tick interval for a number of gateways.
 func (g *Gateway) applyFleetSize(gateways int) {
 	g.size = g.fleetSizeOf(gateways)
 	if !g.size.leaderMode {
@@ -43,14 +50,14 @@
 	g.tick.interval = max(interval, g.settings.Resolution)
 }
 
-// handleFleetResized takes a new number of gateways. Buckets and counts carry over. Until all gateways
-// are known to have heard of the change, the share of a ceiling held here is the smaller of the old and
-// the new one: the old shares sum to the whole, and so do the new ones, but a mixture could exceed it.
+// handleFleetResized applies a new number of gateways. Buckets and counts carry over. Until all gateways have
+// been notified of the change, this gateway uses the smaller of its old and its new share of each ceiling:
+// the old shares sum to at most the whole, and so do the new ones, but a mixture of both could exceed it.
 func (g *Gateway) handleFleetResized(ev FleetResized) {
 	switch {
-	case ev.PreviousSize == 0:
+	case ev.PreviousSize == ResizeComplete:
 		g.previousSize = fleetSize{}
-	case g.previousSize.gateways == 0:
+	case !g.previousSize.isSet():
 		g.previousSize = g.fleetSizeOf(ev.PreviousSize)
 		if !g.previousSize.leaderMode {
 			g.createPeers() // reports of the full mesh may still arrive
@@ -64,7 +71,7 @@
 	}
 }
 
-// resizeFleet makes room for a number of gateways, and forgets those beyond it.
+// resizeFleet resizes the peer table to a number of gateways, and removes those beyond it.
 func (g *Gateway) resizeFleet(gateways int) {
 	peers := make([]*peerState, max(gateways, g.settings.SelfIndex+1))
 	copy(peers, g.peers)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// customerIdleTimeout is how long a customer without requests stays known.
+	// customerIdleTimeout is how long the state of a customer without requests is retained.
 	customerIdleTimeout = 10 * time.Minute
 
 	// seedStream is the second half of the random generator's seed.
@@ -21,16 +21,16 @@
 	leaseTimer = "ask"
 )
 
-// Gateway decides for one gateway of a fleet. New makes one; Handle is its only input. It is not safe for
-// concurrent use.
+// Gateway makes the decisions of one gateway of a fleet. New makes one; Handle is its only input. It is not
+// safe for concurrent use.
 type Gateway struct {
 	settings    Settings
 	rng         *rand.Rand
-	incarnation uint32 // drawn at each start: a new one shows peers that running totals begin anew
+	incarnation uint32 // drawn at each start; a change shows peers that running totals begin at 0 again
 	started     bool
 	startedAt   time.Duration
-	now         time.Duration // time of the event at hand
-	actions     []Action      // what the event at hand leads to
+	now         time.Duration // time of the current event
+	actions     []Action      // actions of the current event
 
 	tick      ticker
 	classes   map[string]*requestClass
@@ -39,8 +39,8 @@
 	requests  map[RequestID]*request // local requests that are not finished or have an attempt in flight
 
 	size         fleetSize
-	previousSize fleetSize    // until all gateways have heard of the last change; no gateways: none under way
-	peers        []*peerState // by number; nil: not needed in leader mode so far
+	previousSize fleetSize    // before a change that is not complete; see fleetSize.isSet
+	peers        []*peerState // by number of the gateway; nil: not needed in leader mode so far
 
 	endpoints   endpointList
 	latency     latencyModel
@@ -51,15 +51,15 @@
 	reporter    loadReporter
 }
 
-// ticker holds what is known of the periodic work.
+// ticker is the state of the periodic work.
 type ticker struct {
 	interval time.Duration
 	count    uint32
 	lastAt   time.Duration
 }
 
-// New returns a gateway that has seen nothing yet. The seed feeds its random choices. The error is a
-// *SettingError.
+// New returns a gateway that has handled no event yet. The seed determines its random choices. An error is
+// always a *SettingError.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	return out
 }
 
-// start begins the ticks at a random phase, so that the gateways of a fleet do not tick at once.
+// start starts the ticks at a random phase, so that the gateways of a fleet do not tick at the same time.
 func (g *Gateway) start() {
 	g.started = true
 	g.startedAt = g.now
@@ -180,13 +180,13 @@
 	}
 }
 
-// everySecond reports whether the current tick is the one in about a second that does the rarer work.
+// everySecond is true for about one tick in a second.
 func (t *ticker) everySecond() bool {
 	ticksPerSecond := uint32(max(1, time.Second/t.interval))
 	return t.count%ticksPerSecond == 0
 }
 
-// do adds an action to those of the event at hand.
+// do adds an action to those of the current event.
 func (g *Gateway) do(a Action) { g.actions = append(g.actions, a) }
 
 // decay returns the fraction that is left, after a time, of a value that decays to 1/e within a time
--- a/policy/quota_leader.go
+++ b/policy/quota_leader.go
@@ -71,7 +71,7 @@
 // every gateway that is no leader keeps the standby's share, but only the standby leader gets to grant from
 // it: no other gateway admits a request under a ceiling without a lease.
 func (g *Gateway) ceilingDivisor(c *customer, leaders int) float64 {
-	if g.previousSize.gateways != 0 {
+	if g.previousSize.isSet() {
 		return max(g.ceilingDivisorIn(c, g.previousSize), g.ceilingDivisorIn(c, g.size))
 	}
 	switch {
@@ -86,7 +86,7 @@
 // ceilingDivisorIn is one over the share of a customer's ceiling that this gateway holds in a fleet of a
 // size. It is infinite where it holds none.
 func (g *Gateway) ceilingDivisorIn(c *customer, size fleetSize) float64 {
-	if size.gateways < 0 {
+	if size.isUnknown() {
 		return math.Inf(1)
 	}
 	leaders, standby := g.quotaLeaders(c, size)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Idempotency says what happens when a request runs more than once.
+// Idempotency says what happens when a request runs more than once. The zero value, Idempotent, is the most
+// permissive: callers must set the field for each class.
 type Idempotency int
 
 // The kinds of idempotency.
@@ -39,20 +40,20 @@
 	// Request.Remaining, which is what is left of it.
 	Deadline time.Duration
 
-	// Idempotency decides which failed attempts may be retried. The zero value is Idempotent: a request
-	// that must not run twice has to say so.
+	// Idempotency decides which failed attempts may be retried. The zero value is Idempotent, so a class
+	// whose requests must not run twice has to be set to NonIdempotent.
 	Idempotency Idempotency
 
-	// DedupScope names the servers that drop repeats. It counts only with IdempotentWithKey; the zero
+	// DedupScope names the servers that drop repeats. It is used only with IdempotentWithKey; the zero
 	// value is DedupAllServers.
 	DedupScope DedupScope
 
-	// DedupWindow is how long servers remember a key, from the first attempt that may have run. It counts
+	// DedupWindow is how long servers retain a key, from the first attempt that may have run. It is used
 	// only with IdempotentWithKey; with 0 such a request is never retried once it may have run.
 	DedupWindow time.Duration
 
-	// Streaming says that the response is a stream, whose begin ResponseStarted reports. Its attempts
-	// have no timeout of their own, and once the response has begun they are never taken for stalled.
+	// Streaming says that the response is a stream, whose start ResponseStarted reports. Its attempts
+	// have no time limit of their own, and once the response has started they never count as stalled.
 	Streaming bool
 }
 
@@ -79,8 +80,8 @@
 	OverQuotaCost float64
 
 	// HardRate is the rate of the hard ceiling in units a second. 0: no ceiling. Unlike the rate quota
-	// the ceiling is split into fixed shares and never exceeded, not even while gateways do not hear each
-	// other.
+	// the ceiling is split into fixed shares and never exceeded, not even while gateways cannot exchange
+	// messages.
 	HardRate float64
 
 	// HardBurst is the capacity of the ceiling's token bucket, in units.
@@ -102,10 +103,13 @@
 	Zone string
 
 	// Classes are the classes of requests, at least one, in the same order at all gateways: messages name
-	// a class by its position.
+	// a class by its position in one byte. New does not bound their number, but only the first eight classes
+	// can be ejected at a server, and beyond 256 classes messages name the wrong one.
 	Classes []Class
 
-	// Plans are the plans of customers, at least one, in the same order at all gateways.
+	// Plans are the plans of customers, at least one, in the same order at all gateways: messages name a plan
+	// by its position in one byte. New does not bound their number, but beyond 256 plans messages name the
+	// wrong one.
 	Plans []Plan
 
 	// Resolution is the least time between two events in sequence, and how early or late a timer may
@@ -124,11 +128,11 @@
 
 	// PeerMessagesPerSecond is the number of peer messages that one gateway can receive in a second. The
 	// tick interval and the change to leader mode follow from it: too high, and messages are lost; too
-	// low, and gateways know less of each other than they could. It must not be negative.
+	// low, and gateways report to each other less often than they could. It must not be negative.
 	PeerMessagesPerSecond float64
 
-	// MaxRequestUnits is the largest cost of one request, in units. A gateway that hears no other still
-	// admits one request of this size.
+	// MaxRequestUnits is the largest cost of one request, in units. A gateway that receives no load reports
+	// still admits one request of this size.
 	MaxRequestUnits float64
 
 	// MaxRetryAfter is the longest Retry-After that clients heed. 0: no advice is given.
@@ -141,7 +145,7 @@
 	// count alike.
 	WeightIsCapacity bool
 
-	// CrossZoneCost is the charge for an attempt that crosses zones, as a share of the value of a request.
+	// CrossZoneCost is the cost of an attempt that crosses zones, as a share of the value of a request.
 	CrossZoneCost float64
 
 	// LoadMetricNames are the names of the values in AttemptResult.LoadMetrics. No decision rests on
@@ -230,7 +234,7 @@
 		{"Rate", p.Rate}, {"Burst", p.Burst}, {"MaxInFlight", float64(p.MaxInFlight)},
 		{"HardRate", p.HardRate}, {"HardBurst", p.HardBurst},
 	} {
-		if !(f.value >= 0) { // NaN is refused too
+		if !(f.value >= 0) { // rejects NaN, too
 			return &SettingError{prefix + f.name, "negative"}
 		}
 	}
