--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Action is something that the caller of Handle must carry out, in order. The types of this package that
-// implement it are all there are.
+// Action is an output of Handle. The caller must carry out the actions of a call in order. Only types of this
+// package implement it.
 type Action interface{ action() }
 
 // StartAttempt starts an attempt of a request at a server. An AttemptResult must follow.
@@ -27,25 +27,29 @@
 const (
 	ReasonNone Reason = iota
 
-	// ReasonQuotaExceeded: the customer's rate quota does not hold the request's units.
+	// ReasonQuotaExceeded: the customer's rate quota has fewer tokens than the request costs.
 	ReasonQuotaExceeded
 
-	// ReasonInFlightLimit: the customer's cap on attempts in flight was full for too long.
+	// ReasonInFlightLimit: the customer's cap on attempts in flight was full for too long, or the quota
+	// leader that queued the request was lost meanwhile.
 	ReasonInFlightLimit
 
-	// ReasonCeilingExceeded: the customer's hard ceiling does not hold the request's units.
+	// ReasonCeilingExceeded: this gateway's share of the customer's hard ceiling has fewer tokens than the
+	// request costs.
 	ReasonCeilingExceeded
 
-	// ReasonLoadShed: a part of the requests is shed, or clients' retries give way to first attempts.
+	// ReasonLoadShed: the request was shed because of overload, or it was a client's retry while tokens or
+	// servers were short.
 	ReasonLoadShed
 
-	// ReasonNoServer: no server had room in time.
+	// ReasonNoServer: no server had capacity in time.
 	ReasonNoServer
 
 	// ReasonNoTime: too little time was left when the request arrived.
 	ReasonNoTime
 
-	// ReasonNoQuotaLeader: the quota leaders of the customer did not answer.
+	// ReasonNoQuotaLeader: the quota leaders of the customer did not respond, and the request could not be
+	// admitted without them.
 	ReasonNoQuotaLeader
 
 	// ReasonAttemptsExhausted: attempts were made, and no further one is allowed.
@@ -66,7 +70,7 @@
 }
 
 // SetTimer requests a TimerFired after a time, early or late by at most Settings.Resolution. Several
-// timers may run with one token.
+// timers with the same token may run at once.
 type SetTimer struct {
 	Token string
 	After time.Duration
@@ -82,7 +86,7 @@
 // WatchEndpoints requests the server list, and its changes from now on, as EndpointUpdate events.
 type WatchEndpoints struct{}
 
-// Log writes a line for the operators.
+// Log writes a log line for the operators.
 type Log struct{ Text string }
 
 func (StartAttempt) action()    {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -11,10 +11,10 @@
 	// queueTimeShare is how long a request may be queued, as a share of its latency objective.
 	queueTimeShare = 0.5
 
-	// serverShortageMemory is how long after a request found no server clients' retries are rejected.
+	// serverShortageMemory is how long clients' retries are rejected after a request found no server.
 	serverShortageMemory = 200 * time.Millisecond
 
-	// allQueued stands for as many queued requests as there are.
+	// allQueued is a limit above any number of queued requests.
 	allQueued = 1 << 30
 )
 
@@ -42,10 +42,10 @@
 	g.requestLease(r)
 }
 
-// timerMargin is the time left below which a timer may fire too late.
+// timerMargin is the remaining time below which a timer may fire after the deadline.
 func (g *Gateway) timerMargin() time.Duration { return 2 * g.settings.Resolution }
 
-// admit sends a request to a server (or grants its lease), queues it, or rejects it.
+// admit sends a request to a server (or grants the lease of a remote request), queues it, or rejects it.
 func (g *Gateway) admit(r *request) {
 	c := r.customer
 	c.pendingReports = reportRepeats
@@ -66,8 +66,8 @@
 	}
 }
 
-// retriesMustYield reports whether clients' retries give way to first attempts, against retry storms: the
-// bucket is low, or requests lack servers.
+// retriesMustYield reports whether clients' retries give way to first attempts, which prevents retry storms:
+// the bucket is low, or a request found no server recently.
 func (g *Gateway) retriesMustYield(r *request) bool {
 	plan := r.customer.plan
 	reserve := firstAttemptReserve * plan.Burst
@@ -75,7 +75,7 @@
 	return tokensAreLow || !r.remote && g.hasServerShortage()
 }
 
-// hasServerShortage reports whether a request found no server lately.
+// hasServerShortage reports whether a request found no server within the last serverShortageMemory.
 func (g *Gateway) hasServerShortage() bool {
 	lastAt := g.selector.lastShortageAt
 	return lastAt > 0 && g.now-lastAt < serverShortageMemory
@@ -94,7 +94,8 @@
 	g.finish(r)
 }
 
-// queueRejection says what a queued request waited for: a place under its customer's cap, or a server.
+// queueRejection returns the reason for rejecting a queued request: it waited for its customer's in-flight
+// cap or for a server.
 func (g *Gateway) queueRejection(r *request) Reason {
 	switch {
 	case !g.hasRoom(r.customer):
@@ -138,7 +139,7 @@
 }
 
 // releaseQueued starts attempts for up to limit queued requests of a customer, oldest first. It returns
-// false when no server had room.
+// false when no server had capacity.
 func (g *Gateway) releaseQueued(c *customer, limit int) bool {
 	for ; limit > 0 && len(c.queued) > 0; limit-- {
 		r := c.queued[0]
@@ -158,9 +159,8 @@
 	return true
 }
 
-// releaseAfterResult releases queued requests when an attempt has ended: those of its customer while
-// there is room under the cap, then one of each other customer, the longest waiting first, while servers
-// have room.
+// releaseAfterResult releases queued requests when an attempt has ended: those of its customer while the cap
+// permits it, then one of each other customer, the longest waiting first, while servers have capacity.
 func (g *Gateway) releaseAfterResult(c *customer) {
 	if !g.releaseQueued(c, allQueued) || len(g.customers.queued) == 0 {
 		return
@@ -185,8 +185,8 @@
 	}
 }
 
-// releaseShare is how many queued requests this gateway releases at a tick: its share of the free places
-// by queue length, rounded at random so that the gateways together fill them.
+// releaseShare is how many queued requests this gateway releases at a tick: its share of the free in-flight
+// capacity, by queue length, rounded at random so that the gateways together use all of it.
 func (g *Gateway) releaseShare(c *customer) int {
 	if c.plan.MaxInFlight == 0 {
 		return allQueued
@@ -197,8 +197,8 @@
 	return int(math.Floor(max(share, 0) + g.rng.Float64()))
 }
 
-// rejectExpired rejects queued requests that can no longer meet their objective, while a retry can still
-// help, and in any case before the deadline.
+// rejectExpired rejects requests that have been queued for longer than queueTime, early enough for the client
+// to retry, and those that would pass their deadline before the next tick but one.
 func (g *Gateway) rejectExpired(c *customer) {
 	for _, r := range slices.Clone(c.queued) {
 		expired := g.now-r.arrivedAt > r.class.queueTime()
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -12,8 +12,8 @@
 	attemptTimeoutDenominator = 5
 )
 
-// startAttempt sends a request to a server, and returns false when none has room. A remote request is
-// granted its lease.
+// startAttempt sends a request to a server, and returns false when none has capacity. A remote request gets
+// its lease instead.
 func (g *Gateway) startAttempt(r *request) bool {
 	if r.remote {
 		g.grantLease(r)
@@ -74,8 +74,8 @@
 	}
 }
 
-// handleAttemptResult learns from an attempt that has ended, finishes or retries its request, and
-// releases what waited for the place.
+// handleAttemptResult updates the statistics by an attempt that has ended, finishes or retries its request,
+// and releases queued requests.
 func (g *Gateway) handleAttemptResult(ev AttemptResult) {
 	r := g.requests[ev.ID]
 	if r == nil || r.current.server == nil || ev.Attempt != r.attempts-1 {
@@ -94,7 +94,7 @@
 	g.releaseAfterResult(c)
 }
 
-// continueRequest decides what follows the end of an attempt.
+// continueRequest finishes, rejects, retries or queues a request whose attempt has ended.
 func (g *Gateway) continueRequest(r *request, ev AttemptResult) {
 	answered := r.done || ev.Answered || ev.Code == OK
 	tooLate := ev.Code == TooLate || g.now >= r.deadline
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// customer is what a gateway knows of one customer.
+// customer is the state that a gateway has of one customer.
 type customer struct {
 	key           uint64 // names the customer in lease messages
 	reportHash    uint32 // names the customer in load reports
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// server is what a gateway knows of a server.
+// server is the state that a gateway has of a server.
 type server struct {
 	Server
 	reportHash     uint16 // names the server in load reports
 	inFlight       int    // own attempts
 	peersInFlight  float64
 	attempts       []*request                      // own attempts in flight, oldest first
-	rejectingUntil map[*customerPlan]time.Duration // plans that the server has rejected lately
-	coldSends      []time.Duration                 // own attempts while warming up, of the last window
-	drawWeight     float64                         // scratch of a weighted draw
+	rejectingUntil map[*customerPlan]time.Duration // until when the server gets no requests of a plan
+	coldSends      []time.Duration                 // start times of own attempts in the last ColdOverloadTime
+	drawWeight     float64                         // scratch space of drawByCapacity
 
 	monitors       [2]int  // the gateways that judge the server for all
-	latencyRatio   float64 // its latency against the other servers', at equal load
-	observedRatio  float64 // latencyRatio as its monitor observes it
+	latencyRatio   float64 // latency over that of the other servers at equal load
+	observedRatio  float64 // latencyRatio as observed by the monitor; used at the monitor only
 	health         []classHealth
 	reportBudget   float64 // outlier reports that may be sent now
 	reportBudgetAt time.Duration
@@ -30,7 +30,7 @@
 	byID       map[ServerID]*server
 	list       []*server // by ID
 	meanWeight float64
-	watching   bool // the list is requested
+	watching   bool // WatchEndpoints was requested and has not failed since
 }
 
 func newEndpointList() endpointList { return endpointList{byID: map[ServerID]*server{}} }
@@ -41,7 +41,7 @@
 	return uint32(id) * multiplier >> (32 - serverHashBits)
 }
 
-// requestEndpoints asks for the server list where that is required, once.
+// requestEndpoints requests the server list where Settings.MustWatchEndpoints says so, once until it fails.
 func (g *Gateway) requestEndpoints() {
 	if g.settings.MustWatchEndpoints && !g.endpoints.watching {
 		g.endpoints.watching = true
@@ -49,10 +49,10 @@
 	}
 }
 
-// handleEndpointUpdate takes the server list or changes to it.
+// handleEndpointUpdate applies the server list or changes to it.
 func (g *Gateway) handleEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == WatchFailed {
-		g.endpoints.watching = false // the next tick asks again
+		g.endpoints.watching = false // requestEndpoints repeats the request within about a second
 		return
 	}
 	if ev.Kind != DeltaUpdate {
@@ -66,7 +66,7 @@
 	slices.SortFunc(g.endpoints.list, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// updateServer takes one line of the server list. A server that was restarted has nothing known of it.
+// updateServer applies one line of the server list. The statistics of a server that was restarted are reset.
 func (g *Gateway) updateServer(listed Server) {
 	s := g.endpoints.byID[listed.ID]
 	switch {
@@ -102,8 +102,8 @@
 	}
 }
 
-// dropRemoved forgets removed servers without attempts in flight: otherwise the list would grow with each
-// server that is replaced, and each would count as one that could take load.
+// dropRemoved deletes removed servers without attempts in flight: otherwise the list would grow with each
+// server that is replaced, and averages over the list would include servers that are gone.
 func (l *endpointList) dropRemoved() {
 	l.list = slices.DeleteFunc(l.list, func(s *server) bool {
 		drop := s.State == Removed && s.inFlight == 0
--- a/policy/events.go
+++ b/policy/events.go
@@ -8,11 +8,11 @@
 // ServerID names a server. It must be the same at all gateways.
 type ServerID uint32
 
-// Event is an input of Handle. The types of this package that implement it are all there are.
+// Event is an input of Handle. Only types of this package implement it.
 type Event interface{ event() }
 
-// Request is a request of a client. Exactly one final response is owed for it: that of an attempt, or a
-// Reject or Fail. A client's retry is a new Request.
+// Request is a request of a client. It gets exactly one final response: that of an attempt, or a Reject or
+// Fail. A client's retry is a new Request.
 type Request struct {
 	ID        RequestID
 	Customer  string        // whose quotas apply
@@ -69,7 +69,7 @@
 // NeverRan reports whether the code proves that the attempt never ran.
 func (c ResultCode) NeverRan() bool { return c == Rejected || c == ConnectFailed || c == TooLate }
 
-// ClientDisconnected reports that the client has gone. No final response is owed any more.
+// ClientDisconnected reports that the client has disconnected. The request gets no final response any more.
 type ClientDisconnected struct{ ID RequestID }
 
 // TimerFired reports that a timer of SetTimer has run out.
--- a/policy/in_flight_limit.go
+++ b/policy/in_flight_limit.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// arrivalSlack and releaseSlack are the fractions of a free place under a cap that count as a whole
-	// one. Reported figures are rounded; without slack the last place would stay empty.
+	// arrivalSlack and releaseSlack are the parts of an attempt by which the cap may be exceeded on arrival
+	// and on release. Reported counts are rounded; without slack the cap would never be fully used.
 	arrivalSlack = 0.5
 	releaseSlack = 0.25
 )
@@ -32,8 +32,8 @@
 
 func (n *inFlightCounter) isZero() bool { return n.count <= 0 && n.integral <= 0 && n.mean <= 0 }
 
-// peerLoad sums the attempts in flight and the queued requests that the peers report. In place of a stale
-// peer's figures its share of the cap by demand is taken.
+// peerLoad sums the attempts in flight and the queued requests that the peers report. A stale peer is assumed
+// to have its share, by demand, of the cap in flight and nothing queued.
 func (g *Gateway) peerLoad(c *customer) (inFlight, queued float64) {
 	for _, view := range c.peerViews {
 		if g.isStale(view.peer) {
@@ -46,8 +46,9 @@
 	return inFlight, queued
 }
 
-// hasRoomOnArrival reports whether a request that arrives may have an attempt under the customer's cap:
-// this gateway keeps to its share of the free places by demand, but takes at least one.
+// hasRoomOnArrival reports whether a request that arrives may have an attempt at once under the customer's
+// cap: this gateway uses only its share, by demand, of what the peers leave of the cap, but at least one
+// attempt if they leave one.
 func (g *Gateway) hasRoomOnArrival(c *customer) bool {
 	if g.inFlightUnlimited(c) {
 		return true
@@ -63,7 +64,8 @@
 }
 
 // inFlightUnlimited reports whether the customer has no cap, or this gateway is isolated and has none of
-// its attempts in flight: one attempt is then allowed, so that isolation does not stop the customer.
+// the customer's attempts in flight: one attempt is then allowed, so that a partition does not stop the
+// customer.
 func (g *Gateway) inFlightUnlimited(c *customer) bool {
 	return c.plan.MaxInFlight == 0 || c.inFlight.count == 0 && g.isolated(c)
 }
--- a/policy/latency_model.go
+++ b/policy/latency_model.go
@@ -3,17 +3,18 @@
 import "math"
 
 const (
-	// initialLatencyDivisor is the latency objective of a class over the latency first guessed for it.
+	// initialLatencyDivisor is the latency objective of a class over the initial estimate of its idle
+	// latency.
 	initialLatencyDivisor = 8.0
 
-	// maxLatencyFactor bounds what one result counts for in the idle latency of a class, in idle latencies.
+	// maxLatencyFactor caps a result in the average of a class's idle latency, in idle latencies.
 	maxLatencyFactor = 4.0
 
-	// maxLatencyRatio bounds what one result counts for in the latency ratio of a server.
+	// maxLatencyRatio caps a result in the average of a server's latency ratio.
 	maxLatencyRatio = 12.0
 
-	// learningWeight is the weight of one result in the latency ratio of a server, and of one lease
-	// response in what is known of the leaders.
+	// learningWeight is the weight of one result in the latency ratio of a server, and of one lease request
+	// in the response rate and the mean response time of the leaders.
 	learningWeight = 0.1
 
 	// classLatencyWeight is the weight of one result in the idle latency of a class.
@@ -28,16 +29,16 @@
 	Class
 	index       int
 	idleLatency float64 // seconds that an idle warm server of average speed takes
-	outcomes    float64 // results that idleLatency rests on
+	outcomes    float64 // number of results in idleLatency
 }
 
-// latencyModel is what is known of latencies over all classes.
+// latencyModel holds the latencies over all classes, in seconds.
 type latencyModel struct {
-	idle              float64 // seconds that an idle server takes, over all classes
-	shortestObjective float64 // seconds
+	idle              float64 // average of the classes' idle latencies, weighted by results
+	shortestObjective float64
 }
 
-// newLatencyModel guesses the idle latencies of all classes.
+// newLatencyModel sets the initial estimates of the idle latencies of all classes.
 func newLatencyModel(classes map[string]*requestClass) latencyModel {
 	m := latencyModel{shortestObjective: math.Inf(1)}
 	for _, c := range classes {
@@ -63,8 +64,8 @@
 	return class.idleLatency * s.latencyRatio * g.queueingFactor(s, s.load()) / g.warmFraction(s)
 }
 
-// relativeCapacity is the capacity of a server's machine against the mean of the list, where the list has
-// it.
+// relativeCapacity is the capacity of a server's machine over the mean of the list, or 1 where the list has
+// no capacities.
 func (g *Gateway) relativeCapacity(s *server) float64 {
 	if g.settings.WeightIsCapacity && s.Weight > 0 && g.endpoints.meanWeight > 0 {
 		return s.Weight / g.endpoints.meanWeight
@@ -72,8 +73,7 @@
 	return 1
 }
 
-// learnFromResult takes the result of an attempt into the latencies, the overload and the outlier
-// detection.
+// learnFromResult updates the latencies, the overload and the outlier detection by the result of an attempt.
 func (g *Gateway) learnFromResult(s *server, r *request, ev AttemptResult) {
 	if ev.Code != TooLate && ev.Code != Cancelled {
 		g.reportOutcome(s, r.class, ev.Code, ev.Latency)
@@ -88,13 +88,14 @@
 		}
 		g.learnLatency(s, r, ev.Latency.Seconds())
 	case Rejected:
-		// The server may reject one plan only: requests of this plan go elsewhere for a while.
+		// The server may reject one plan only: it gets no requests of this plan for planRejectionBackoff.
 		s.rejectingUntil[r.customer.plan] = g.now + planRejectionBackoff
 		g.shedder.observe(1)
 	}
 }
 
-// learnLatency takes a latency in seconds into those of the server and of the class.
+// learnLatency updates the latency ratio of the server and the idle latency of the class by a latency in
+// seconds.
 func (g *Gateway) learnLatency(s *server, r *request, latency float64) {
 	slowdown := g.queueingFactor(s, r.current.loadAtSend) / g.warmFraction(s)
 	idle := latency / slowdown
@@ -107,8 +108,8 @@
 	class.idleLatency += weight * (min(idle, maxLatencyFactor*class.idleLatency) - class.idleLatency)
 }
 
-// latencyRatioWeight is the weight of one result in a server's latency ratio. In leader mode the ratio
-// comes from the server's monitor, which sees more results.
+// latencyRatioWeight is the weight of one result in a server's latency ratio. In leader mode it is 0, since
+// the ratio comes from the server's monitor, which gets the results of all gateways.
 func (g *Gateway) latencyRatioWeight() float64 {
 	if g.size.leaderMode {
 		return 0
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// reportRepeats is the number of reports that carry a change, since reports may be lost.
+	// reportRepeats is the number of reports that carry a change. It is above 1 since reports may be lost.
 	reportRepeats = 3
 
 	// leaderReportTicks is the number of ticks between the reports of a customer's leaders to each other.
 	leaderReportTicks = 2
 
-	// priorityPerUnreportedTick is what each tick without a report adds to the priority of a customer, so
-	// that all are reported in the end.
+	// priorityPerUnreportedTick is added to the priority of a customer for each tick without a report, so
+	// that no customer starves.
 	priorityPerUnreportedTick = 0.01
 )
 
-// peerState is what one other gateway last reported.
+// peerState is the last report of one other gateway.
 type peerState struct {
 	index            int
 	hasReport        bool
 	incarnation      uint32
 	sequence         uint32
 	reportedAt       time.Duration
-	complete         bool // the report named all customers with changes
+	complete         bool // the report held all customers with changes
 	inFlightByServer map[uint16]float64
 	customerViews    []*peerView
 }
 
-// peerView is what one other gateway last reported of one customer.
+// peerView is the last report of one other gateway on one customer.
 type peerView struct {
 	peer          *peerState
 	hasReport     bool
@@ -44,7 +44,7 @@
 	ranking  ranking
 }
 
-// peerAt returns what is known of a gateway, and begins to know it.
+// peerAt returns the state of a gateway, which it creates if there is none.
 func (g *Gateway) peerAt(index int) *peerState {
 	if g.peers[index] == nil {
 		g.peers[index] = &peerState{index: index}
@@ -58,7 +58,8 @@
 	}
 }
 
-// assignPeerViews sets which other gateways keep a customer's counts. Views that there are stay.
+// assignPeerViews sets which other gateways keep a customer's buckets. The views of those that kept them
+// before are retained.
 func (g *Gateway) assignPeerViews(c *customer, gateways []int) {
 	old := c.peerViews
 	c.peerViews = nil
@@ -94,8 +95,7 @@
 	return !g.size.leaderMode || g.tick.count%leaderReportTicks == 0
 }
 
-// sendLoadReports sends a report to each peer. In leader mode only those get one for whom there are
-// customers.
+// sendLoadReports sends a report to each peer, in leader mode only to those for which it holds a customer.
 func (g *Gateway) sendLoadReports() {
 	g.reporter.sequence++
 	ranked := g.rankCustomers()
@@ -119,7 +119,7 @@
 	}
 }
 
-// rankCustomers ranks the customers that peers must hear of.
+// rankCustomers ranks the customers that have changes to report.
 func (g *Gateway) rankCustomers() *ranking {
 	ranked := &g.reporter.ranking
 	ranked.reset()
@@ -133,7 +133,7 @@
 	return ranked
 }
 
-// hasChanges reports whether peers must hear of a customer.
+// hasChanges reports whether the customer must be reported to peers.
 func (c *customer) hasChanges() bool {
 	return len(c.peerViews) > 0 && (c.isBusy() || c.pendingReports > 0)
 }
@@ -146,8 +146,8 @@
 	return float64(len(c.queued)) + unreported + priorityPerUnreportedTick*waited
 }
 
-// newLoadReport makes the report for one peer: the servers at which this gateway has attempts in flight,
-// then the customers that come in through both gateways, by priority, as many as fit.
+// newLoadReport makes the report for one peer: the servers at which this gateway has attempts in flight, then
+// the customers whose buckets both gateways keep, by priority, as many as fit.
 func (g *Gateway) newLoadReport(p *peerState, ranked *ranking) loadReport {
 	m := loadReport{
 		incarnation: g.incarnation,
@@ -203,7 +203,7 @@
 	return m
 }
 
-// handleLoadReport takes a peer's report, unless a later one is here already, which covers all it says.
+// handleLoadReport applies a peer's report, unless a later one has arrived before.
 func (g *Gateway) handleLoadReport(p *peerState, m loadReport) {
 	if p == nil {
 		return
@@ -235,8 +235,9 @@
 	}
 }
 
-// mergePeerLoad takes what a peer reports of a customer. Running totals make up for lost reports; the
-// total of a peer that has restarted begins at 0.
+// mergePeerLoad applies a peer's report on a customer. It takes the units that the peer has admitted since
+// its last report from the bucket. Since they are the difference of two running totals, lost reports do no
+// harm; the total of a peer that has restarted begins at 0.
 func (g *Gateway) mergePeerLoad(c *customer, p *peerState, reported reportedCustomer) {
 	view := viewOf(c.peerViews, p)
 	if view == nil {
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -10,15 +10,15 @@
 	// overloadThreshold is the overload above which load is shed.
 	overloadThreshold = 0.4
 
-	// leaderModeOverloadThreshold replaces it in leader mode, where gateways do not see the load at
-	// servers and have to act earlier.
+	// leaderModeOverloadThreshold replaces overloadThreshold in leader mode, where gateways do not know the
+	// load at servers and must respond earlier.
 	leaderModeOverloadThreshold = 0.25
 
 	// idleOverloadFactor raises the threshold of leader mode to this multiple of the idle overload, for
 	// objectives near the latencies of idle servers.
 	idleOverloadFactor = 1.8
 
-	// minIdleOutcomes is the number of results of each class that the idle overload rests on.
+	// minIdleOutcomes is the number of results of each class from which on the idle overload is computed.
 	minIdleOutcomes = 20
 )
 
@@ -27,32 +27,31 @@
 	// admitDecayTime is the time constant with which the admit probability falls during overload.
 	admitDecayTime = 3 * time.Second
 
-	// admitRecoveryTime is the time in which it rises from 0 to 1 afterwards.
+	// admitRecoveryTime is the time in which the admit probability rises from 0 to 1 after overload.
 	admitRecoveryTime = 8 * time.Second
 
-	// minAdmitProbability bounds the admit probability from below: without results there would be no sign
-	// of recovery.
+	// minAdmitProbability is the least admit probability: without results a recovery could not be detected.
 	minAdmitProbability = 0.25
 
-	// overloadDecayTime is the time constant with which overload is forgotten.
+	// overloadDecayTime is the time constant with which overload decays without results.
 	overloadDecayTime = 12 * time.Second
 
-	// overloadWeight is the weight of one result, or of a leader's word, in the overload.
+	// overloadWeight is the weight of one result, or of the overload in one lease response, in the overload.
 	overloadWeight = 0.15
 )
 
-// loadShedder sets the share of requests that are admitted. It acts on load that no report covers: of
-// gateways that are not heard, or on servers that have become slow.
+// loadShedder sets the share of requests that are admitted. It responds to load that quotas and load
+// reports do not bound: of gateways whose reports are lost, or at servers that have become slow.
 type loadShedder struct {
 	admitProbability float64
 	overload         float64 // average of latency over objective, each at most 1
-	idleOverload     float64 // least mean of the classes' idle latency over objective so far; 0: not known
+	idleOverload     float64 // lowest mean over classes of idle latency over objective so far; 0: unknown
 }
 
 // observe takes one sample of overload, from 0 to 1.
 func (s *loadShedder) observe(sample float64) { s.overload += overloadWeight * (sample - s.overload) }
 
-// observeIdle takes a mean of idle latency over objective.
+// observeIdle takes one sample of the mean over classes of idle latency over objective.
 func (s *loadShedder) observeIdle(ratio float64) {
 	s.idleOverload = min(ratio, cmp.Or(s.idleOverload, ratio))
 }
@@ -64,7 +63,7 @@
 	return leaderMode && s.overload > max(leaderModeOverloadThreshold, idleOverloadFactor*s.idleOverload)
 }
 
-// update moves the admit probability by the overload of the time that has elapsed.
+// update lowers or raises the admit probability for the time that has elapsed, and lets the overload decay.
 func (s *loadShedder) update(elapsed time.Duration, leaderMode bool) {
 	if s.isOverloaded(leaderMode) {
 		s.admitProbability = max(minAdmitProbability, s.admitProbability*decay(elapsed, admitDecayTime))
--- a/policy/report_ranking.go
+++ b/policy/report_ranking.go
@@ -1,7 +1,7 @@
 package policy
 
-// ranking gives customers by report priority, then by position in the ring. A report has room for few of
-// many customers, so only those that are asked for are sorted.
+// ranking orders customers by report priority, then by position in customerTable.ring. A report can hold
+// few of many customers, so the heap is sorted only as far as needed.
 type ranking struct {
 	sorted []*customer
 	heap   []*customer
@@ -12,7 +12,7 @@
 	r.heap = r.heap[:0]
 }
 
-// add adds a customer; heapify must follow before at.
+// add adds a customer. heapify must be called before at.
 func (r *ranking) add(c *customer) { r.heap = append(r.heap, c) }
 
 func (r *ranking) isEmpty() bool { return len(r.sorted)+len(r.heap) == 0 }
@@ -31,7 +31,7 @@
 	}
 }
 
-// siftDown restores the heap below a position.
+// siftDown restores the heap order below a position.
 func (r *ranking) siftDown(i int) {
 	h := r.heap
 	for {
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// request is a client's request, or one that another gateway requests a lease for. A remote request is
-// finished with the grant or the rejection of its lease: it never has an attempt here.
+// request is a client's request, or a remote one, for which another gateway requests a lease. A remote
+// request is finished with the grant or the rejection of its lease and never has an attempt at this
+// gateway.
 type request struct {
 	id          RequestID // 0 for a remote request
 	customer    *customer
@@ -13,8 +14,8 @@
 	deadline    time.Duration
 	clientRetry bool
 	remote      bool
-	charged     bool // its units are taken from the buckets
-	done        bool // its final response is given, or the client has gone
+	charged     bool // the units have been taken from the buckets
+	done        bool // the final response has been given, or the client has disconnected
 
 	lease      leaseState
 	attempts   int          // started so far
@@ -26,10 +27,10 @@
 // leaseState is the state of a request's lease. Of a remote request only key is used.
 type leaseState struct {
 	key            leaseKey
-	chance         float64 // with which a lease was requested at all
+	chance         float64 // probability with which a lease was requested at all; see leaseChance
 	requests       int     // lease requests sent
 	requestedAt    time.Duration
-	waitUntil      time.Duration // for the response
+	waitUntil      time.Duration // when waiting for the response ends
 	queuedAtLeader bool
 	granted        bool
 }
@@ -50,8 +51,8 @@
 	cancelRequested bool
 }
 
-// runState describes the first attempt that may have run, which fixes where and until when servers drop
-// repeats.
+// runState describes the first attempt that may have run. It determines which servers drop repeats, and until
+// when.
 type runState struct {
 	happened bool
 	zone     string
@@ -59,7 +60,7 @@
 	at       time.Duration
 }
 
-// newLocalRequest registers a client's request. One of a class that is not in the settings is taken to be
+// newLocalRequest registers a client's request. A request of a class that is not in the settings counts as
 // NonIdempotent.
 func (g *Gateway) newLocalRequest(ev Request) *request {
 	c := g.customerOf(&ev)
@@ -97,7 +98,7 @@
 	}
 }
 
-// finish ends a request: it leaves its queue, and is forgotten once it has no attempt in flight.
+// finish marks a request as done, removes it from its queue, and deletes it once no attempt is in flight.
 func (g *Gateway) finish(r *request) {
 	r.done = true
 	g.dequeue(r)
@@ -109,7 +110,8 @@
 	g.returnLease(r)
 }
 
-// rejectionIsHarmless reports whether a client may retry the request without a second run.
+// rejectionIsHarmless reports whether a retry by the client is harmless: no attempt has run, or a second run
+// does no harm.
 func (r *request) rejectionIsHarmless() bool {
 	switch {
 	case !r.firstRun.happened || r.class.Idempotency == Idempotent:
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// coldBudgetSafety is the part of a cold server's budget that is used: warmFraction is a lower bound, but
-// gateways know each other's attempts only late.
+// coldBudgetSafety is the share of a cold server's budget that is used. The rest is a reserve, since gateways
+// learn of each other's attempts with delay.
 const coldBudgetSafety = 0.5
 
-// warmFraction is the least share of its capacity that a server surely has. It grows linearly from
+// warmFraction is a lower bound of the share of its capacity that a server has. It grows linearly from
 // InitialCapacity to 1 in WarmupTime.
 func (g *Gateway) warmFraction(s *server) float64 {
 	initial := g.settings.InitialCapacity
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -12,9 +12,9 @@
 	Tokens        float64 `json:"Store"`  // units in the bucket
 }
 
-// RestoreSnapshot brings back what SaveSnapshot gave an earlier process of this gateway, a time of Age
-// ago. It comes before any request; customers that are known already, or whose plan is not in the
-// settings, are left out. Without it a quota may be granted a second time after a restart.
+// RestoreSnapshot restores what SaveSnapshot returned to an earlier process of this gateway, a time of Age
+// ago. It should come before any request: customers that are already known, or whose plan is not in the
+// settings, are skipped. Without it a quota may be granted a second time after a restart.
 type RestoreSnapshot struct {
 	Age       time.Duration // below 0 counts as 0
 	Customers []CustomerSnapshot
@@ -22,9 +22,9 @@
 
 func (RestoreSnapshot) event() {}
 
-// SaveSnapshot appends to out what is to outlive the process, of at most limit customers from a position
-// on. The first position is 0; next is the position to go on from, or 0 when that was all. It changes
-// nothing, but like Handle it must not run concurrently with other calls.
+// SaveSnapshot appends to out the snapshots of those customers, among at most limit from a position on, whose
+// buckets are not full. The first position is 0; next is the position to continue from, or 0 at the end. It
+// changes nothing, but like Handle it must not run concurrently with other calls.
 func (g *Gateway) SaveSnapshot(now time.Duration, from, limit int, out []CustomerSnapshot) (
 	list []CustomerSnapshot, next int) {
 	ring := g.customers.ring
@@ -69,8 +69,8 @@
 	}
 }
 
-// restoreTokens takes the tokens as they were some time ago. The bucket has been refilled since, but for
-// what other gateways admitted, which they will report.
+// restoreTokens sets the tokens from those of a time ago, plus the refill since. What other gateways admitted
+// meanwhile they will report.
 func (c *customer) restoreTokens(tokens float64, age time.Duration) {
 	c.tokens = min(c.tokens, max(0, tokens)+c.plan.Rate*age.Seconds())
 }
