--- a/policy/actions.go
+++ b/policy/actions.go
@@ -34,8 +34,8 @@
 	// leader that queued the request was lost meanwhile.
 	ReasonInFlightLimit
 
-	// ReasonCeilingExceeded: this gateway's share of the customer's hard ceiling has fewer tokens than the
-	// request costs.
+	// ReasonCeilingExceeded: the share of the customer's hard ceiling that the deciding gateway holds has
+	// fewer tokens than the request costs.
 	ReasonCeilingExceeded
 
 	// ReasonLoadShed: the request was shed because of overload, or it was a client's retry while tokens or
@@ -56,14 +56,15 @@
 	ReasonAttemptsExhausted
 )
 
-// Reject is a final response which promises that a retry is harmless.
+// Reject is a final response to a request for which a retry by the client is harmless: it has not run,
+// or a second run is harmless or prevented by the servers.
 type Reject struct {
 	ID         RequestID
-	RetryAfter time.Duration // advice to the client; 0: none
+	RetryAfter time.Duration // Settings.MaxRetryAfter; 0: no advice to the client
 	Reason     Reason
 }
 
-// Fail is a final response that promises nothing: the request may have run.
+// Fail is a final response to a request that may have run, so that a retry by the client could run it twice.
 type Fail struct {
 	ID     RequestID
 	Reason Reason
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -32,6 +32,12 @@
 // A Gateway is not safe for concurrent use, and Handle never blocks. The caller keeps ownership of the
 // slices in events, which must not change until Handle returns; the slices in actions belong to the caller.
 //
+// # Errors
+//
+// New returns a *SettingError for settings that cannot be used. Handle returns no errors: it ignores events
+// about unknown requests, servers and timers, and drops malformed peer messages. A request that cannot be
+// served ends with a Reject or a Fail, whose Reason says why.
+//
 // # Units
 //
 // Times are time.Duration since an arbitrary origin that is the same for all events of one Gateway. Quotas
--- a/policy/events.go
+++ b/policy/events.go
@@ -12,13 +12,14 @@
 type Event interface{ event() }
 
 // Request is a request of a client. It gets exactly one final response: that of an attempt, or a Reject or
-// Fail. A client's retry is a new Request.
+// Fail. A client's retry is a new Request. Messages to other gateways carry its Units as a whole number of 16
+// bits, so the other gateways do not count fractions, and more than 65535 units cannot be represented.
 type Request struct {
 	ID        RequestID
 	Customer  string        // whose quotas apply
 	Plan      string        // Plan.Name; one that is not in the settings has no quotas
 	Class     string        // Class.Name; one that is not in the settings is NonIdempotent
-	Units     float64       // cost, as far as it is known now
+	Units     float64       // cost, or an estimate of it
 	Remaining time.Duration // until the client gives up
 
 	// The customer's requests come in through GatewaySpread gateways (at least 1) from FirstGateway on, where
@@ -30,8 +31,8 @@
 	ClientRetry bool // the client marked the request as a retry: it gives way to first attempts
 }
 
-// ResponseStarted reports that the response of a streaming class has begun. The attempt is then not
-// cancelled any more.
+// ResponseStarted reports that the response to a request of a streaming class has started. From then on the
+// attempt is not cancelled.
 type ResponseStarted struct {
 	ID      RequestID
 	Attempt int // attempts of a request count from 0
@@ -47,7 +48,7 @@
 	Code        ResultCode
 	Latency     time.Duration // from the start of the attempt
 	Answered    bool          // the client has its final response
-	ActualUnits float64       // the true cost, where it is known only now; 0: as in Request
+	ActualUnits float64       // the actual cost, if it differs from Request.Units; 0: it does not
 	LoadMetrics []float64     // in the order of Settings.LoadMetricNames; may be nil
 }
 
@@ -63,7 +64,7 @@
 	ConnectFailed            // the server could not be reached
 	Reset                    // the connection broke
 	Cancelled                // ended by CancelAttempt
-	TooLate                  // it was not sent: no time was left, or no connection was to be had
+	TooLate                  // not sent: no time was left, or no connection was available
 )
 
 // NeverRan reports whether the code proves that the attempt never ran.
@@ -110,25 +111,25 @@
 	DeltaUpdate    EndpointUpdateKind = iota // the changed servers only
 	SnapshotUpdate                           // the whole list: a server that is not in it is Removed
 	CachedUpdate                             // a whole list from a cache, which may be old
-	WatchFailed                              // the watch ended: the list stays, and is requested again
+	WatchFailed                              // WatchEndpoints failed: it is requested again
 )
 
-// EndpointUpdate brings the server list or changes to it.
+// EndpointUpdate delivers the server list or changes to it.
 type EndpointUpdate struct {
 	Kind    EndpointUpdateKind
 	Servers []Server
 }
 
-// UsageLevel reports the fill of a customer's rate quota as an external counter knows it. It counts only
-// where this gateway cannot know the fill: shortly after its start, or while it receives nothing from the
+// UsageLevel reports the tokens of a customer's rate quota according to an external counter. It is used only
+// where this gateway cannot know them: shortly after its start, or while it receives nothing from the
 // gateways that know the customer's use elsewhere.
 type UsageLevel struct {
 	Customer string
 	Units    float64 // left in the bucket
 }
 
-// FleetResized reports a change of the number of gateways. It comes once when the change begins and, with
-// PreviousSize ResizeComplete, once all gateways have been notified. In between, the share of each hard
+// FleetResized reports a change of the number of gateways. It comes when the change begins and again, with
+// PreviousSize ResizeComplete, when all gateways have been notified. In between, the share of each hard
 // ceiling that this gateway uses is the smaller of the old and the new one. When a second change begins
 // before the first is complete, the old share remains that before the first. A gateway whose number is not
 // below Gateways is leaving.
--- a/policy/latency_model.go
+++ b/policy/latency_model.go
@@ -34,7 +34,7 @@
 
 // latencyModel holds the latencies over all classes, in seconds.
 type latencyModel struct {
-	idle              float64 // average of the classes' idle latencies, weighted by results
+	idle              float64 // moving average over results of the idle latencies of their classes
 	shortestObjective float64
 }
 
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Messages between gateways. Numbers are big endian. The formats must stay as they are: gateways of
+// Messages between gateways. Numbers are big endian. The formats must not change: gateways of
 // different builds run side by side while a fleet is updated.
 
 // peerMessage is a message to another gateway.
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -36,8 +36,8 @@
 	// load is shed; too long, and overload is noticed late.
 	LatencyObjective time.Duration
 
-	// Deadline is how long a client waits, over all its attempts. It must be above 0. Decisions rest on
-	// Request.Remaining, which is what is left of it.
+	// Deadline is how long a client waits, over all attempts. It must be above 0. Decisions use
+	// Request.Remaining, the time that is left of it.
 	Deadline time.Duration
 
 	// Idempotency decides which failed attempts may be retried. The zero value is Idempotent, so a class
@@ -71,12 +71,11 @@
 	// MaxInFlight caps the attempts in flight. 0: no cap.
 	MaxInFlight int
 
-	// OverQuotaValue is the share of the value that a request beyond the quota still earns. No decision
-	// rests on it today.
+	// OverQuotaValue is the share of the value that a request beyond the quota still earns. No decision uses
+	// it.
 	OverQuotaValue float64
 
-	// OverQuotaCost is the share of the value that a request beyond the quota costs. No decision rests on
-	// it today.
+	// OverQuotaCost is the share of the value that a request beyond the quota costs. No decision uses it.
 	OverQuotaCost float64
 
 	// HardRate is the rate of the hard ceiling in units a second. 0: no ceiling. Unlike the rate quota
@@ -88,8 +87,8 @@
 	HardBurst float64
 }
 
-// Settings configure a Gateway. They are copied by New and stay as they are, but for the number of
-// gateways, which FleetResized changes.
+// Settings configure a Gateway. New copies the struct but not its slices, which must not change afterwards.
+// Only the number of gateways can change later, by FleetResized.
 type Settings struct {
 	// SelfIndex is the number of this gateway, from 0 to Gateways-1. Two gateways with one number would
 	// both use its share of each quota.
@@ -135,10 +134,12 @@
 	// still admits one request of this size.
 	MaxRequestUnits float64
 
-	// MaxRetryAfter is the longest Retry-After that clients heed. 0: no advice is given.
+	// MaxRetryAfter is the longest Retry-After that clients obey, and the one that every Reject advises. 0:
+	// no advice is given.
 	MaxRetryAfter time.Duration
 
-	// MustWatchEndpoints says that server changes come only after WatchEndpoints.
+	// MustWatchEndpoints makes the Gateway request the server list by WatchEndpoints. Without it the caller
+	// sends EndpointUpdate events without a request.
 	MustWatchEndpoints bool
 
 	// WeightIsCapacity says that Server.Weight is the capacity of the machine. Without it all servers
@@ -148,12 +149,12 @@
 	// CrossZoneCost is the cost of an attempt that crosses zones, as a share of the value of a request.
 	CrossZoneCost float64
 
-	// LoadMetricNames are the names of the values in AttemptResult.LoadMetrics. No decision rests on
-	// these values today.
+	// LoadMetricNames are the names of the values in AttemptResult.LoadMetrics. No decision uses
+	// these values.
 	LoadMetricNames []string
 
 	// ResponseGrace is how long after its deadline a final response still counts as in time. No decision
-	// rests on it today: the gateway keeps to the deadline.
+	// uses it: the gateway keeps to the deadline.
 	ResponseGrace time.Duration
 
 	// InitialCapacity is the share of its capacity that a server has at its start. 0: servers are warm at
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -3,7 +3,7 @@
 import "time"
 
 // CustomerSnapshot is the state of a customer's rate quota that outlives the process, if its bucket is
-// not full. Its JSON form is stored; the field names there must stay.
+// not full. Its JSON form is stored on disk, so the JSON field names must not change.
 type CustomerSnapshot struct {
 	Key           uint64  `json:"Key"`    // hash of the customer's name
 	Plan          string  `json:"Plan"`   // Plan.Name
