--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -21,7 +21,7 @@
 	leaderMode bool // quota leaders in place of full mesh reports
 }
 
-// isSet reports whether the size is that before a change which is not complete.
+// isSet reports, for Gateway.previousSize, whether a change of the fleet's size is not complete yet.
 func (s fleetSize) isSet() bool { return s.gateways != ResizeComplete }
 
 // isUnknown reports whether this gateway held no share of any ceiling at that size, or cannot know it.
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -108,7 +108,7 @@
 
 // peerDemand is a peer's demand in units a second. A stale peer is assumed to have at least the demand of
 // this gateway, times a factor that decays to minStaleDemandFactor: it may be partitioned from this gateway
-// and still serve the customer, or have stopped.
+// and still serve the customer, or have stopped. Without peer messages the factor stays 1.
 func (g *Gateway) peerDemand(c *customer, view *peerView) float64 {
 	demand := view.demand
 	if g.isStale(view.peer) {
--- a/policy/quota_leader.go
+++ b/policy/quota_leader.go
@@ -68,8 +68,10 @@
 }
 
 // ceilingDivisor is one over the share of a customer's ceiling that this gateway may use now. In leader mode
-// every gateway that is no leader keeps the standby's share, but only the standby leader gets to grant from
-// it: no other gateway admits a request under a ceiling without a lease.
+// every gateway that requests leases keeps the standby leader's share, but only the standby leader grants
+// leases from it: without a lease no gateway admits a request under a ceiling. A customer with a ceiling but
+// neither a rate quota nor an in-flight cap has no leases: there every gateway uses a leader's share, and the
+// gateways together exceed the ceiling.
 func (g *Gateway) ceilingDivisor(c *customer, leaders int) float64 {
 	if g.previousSize.isSet() {
 		return max(g.ceilingDivisorIn(c, g.previousSize), g.ceilingDivisorIn(c, g.size))
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -92,8 +92,8 @@
 	return r.mayRunAgainAt(s, g.now) && g.hasColdBudget(s)
 }
 
-// bestOfRandom compares candidateCount random servers by predicted latency and cross-zone cost. It reorders
-// servers, and returns nil when all are saturated.
+// bestOfRandom compares candidateCount random servers by predicted latency and cross-zone cost. It overwrites
+// the slice servers, and returns nil when all are saturated.
 func (g *Gateway) bestOfRandom(servers []*server, class *requestClass) *server {
 	var best *server
 	lowest := math.Inf(1)
