--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// attemptTimeoutNumerator over attemptTimeoutDenominator is the least timeout of an attempt, as a share
-// of the latency objective, where attempts cannot be cancelled.
+// attemptTimeoutNumerator over attemptTimeoutDenominator is the shortest time limit of an attempt, as a
+// share of the latency objective, where attempts cannot be cancelled.
 const (
 	attemptTimeoutNumerator   = 3
 	attemptTimeoutDenominator = 5
 )
 
-// startAttempt sends a request to a server, and returns false when none has room. A remote request is
-// granted its lease.
+// startAttempt sends a request to a server, and returns false when none has capacity. A remote request gets
+// its lease instead.
 func (g *Gateway) startAttempt(r *request) bool {
 	if r.remote {
 		g.grantLease(r)
@@ -37,11 +37,13 @@
 	return true
 }
 
-// attemptTimeout leaves time for a retry where a stalled attempt cannot be cancelled. 0: until the
-// deadline.
+// attemptTimeout returns the time limit of an attempt; 0 means until the request's deadline. It is set only
+// where a stalled attempt cannot be cancelled but may be retried: the request is idempotent, and its response
+// is no stream, which a time limit could end in the middle. (mayCancel needs no such exception for streams,
+// since an attempt whose response has started never counts as stalled.)
 func (g *Gateway) attemptTimeout(r *request) time.Duration {
-	mayRepeat := r.class.Idempotency == Idempotent && !r.class.Streaming
-	if g.settings.CanCancel || !mayRepeat {
+	mayTimeOut := r.class.Idempotency == Idempotent && !r.class.Streaming
+	if g.settings.CanCancel || !mayTimeOut {
 		return 0
 	}
 	objective := r.class.LatencyObjective
@@ -72,8 +74,8 @@
 	}
 }
 
-// handleAttemptResult learns from an attempt that has ended, finishes or retries its request, and
-// releases what waited for the place.
+// handleAttemptResult updates the statistics by an attempt that has ended, finishes or retries its request,
+// and releases queued requests.
 func (g *Gateway) handleAttemptResult(ev AttemptResult) {
 	r := g.requests[ev.ID]
 	if r == nil || r.current.server == nil || ev.Attempt != r.attempts-1 {
@@ -92,14 +94,14 @@
 	g.releaseAfterResult(c)
 }
 
-// continueRequest decides what follows the end of an attempt.
+// continueRequest finishes, rejects, retries or queues a request whose attempt has ended.
 func (g *Gateway) continueRequest(r *request, ev AttemptResult) {
 	answered := r.done || ev.Answered || ev.Code == OK
 	tooLate := ev.Code == TooLate || g.now >= r.deadline
 	switch {
 	case answered:
 		g.finish(r)
-	case tooLate || !g.mayRetry(r, ev.Code):
+	case tooLate || !g.takeRetry(r, ev.Code):
 		g.reject(r, ReasonAttemptsExhausted)
 	case !g.hasRoom(r.customer) || !g.startAttempt(r):
 		g.enqueue(r)
--- a/policy/events.go
+++ b/policy/events.go
@@ -8,29 +8,31 @@
 // ServerID names a server. It must be the same at all gateways.
 type ServerID uint32
 
-// Event is an input of Handle. The types of this package that implement it are all there are.
+// Event is an input of Handle. Only types of this package implement it.
 type Event interface{ event() }
 
-// Request is a request of a client. Exactly one final response is owed for it: that of an attempt, or a
-// Reject or Fail. A client's retry is a new Request.
+// Request is a request of a client. It gets exactly one final response: that of an attempt, or a Reject or
+// Fail. A client's retry is a new Request. Messages to other gateways carry its Units as a whole number of 16
+// bits, so the other gateways do not count fractions, and more than 65535 units cannot be represented.
 type Request struct {
 	ID        RequestID
 	Customer  string        // whose quotas apply
 	Plan      string        // Plan.Name; one that is not in the settings has no quotas
 	Class     string        // Class.Name; one that is not in the settings is NonIdempotent
-	Units     float64       // cost, as far as it is known now
+	Units     float64       // cost, or an estimate of it
 	Remaining time.Duration // until the client gives up
 
-	// The customer comes in through GatewaySpread gateways (at least 1), counted round from FirstGateway.
-	// This gateway must be among them, and all gateways must be given the same.
+	// The customer's requests come in through GatewaySpread gateways (at least 1) from FirstGateway on, where
+	// gateway 0 follows the last one. This gateway must be among them, and all gateways must be given the
+	// same values for a customer.
 	FirstGateway  int
 	GatewaySpread int
 
 	ClientRetry bool // the client marked the request as a retry: it gives way to first attempts
 }
 
-// ResponseStarted reports that the response of a streaming class has begun. The attempt is then not
-// cancelled any more.
+// ResponseStarted reports that the response to a request of a streaming class has started. From then on the
+// attempt is not cancelled.
 type ResponseStarted struct {
 	ID      RequestID
 	Attempt int // attempts of a request count from 0
@@ -46,7 +48,7 @@
 	Code        ResultCode
 	Latency     time.Duration // from the start of the attempt
 	Answered    bool          // the client has its final response
-	ActualUnits float64       // the true cost, where it is known only now; 0: as in Request
+	ActualUnits float64       // the actual cost, if it differs from Request.Units; 0: it does not
 	LoadMetrics []float64     // in the order of Settings.LoadMetricNames; may be nil
 }
 
@@ -57,18 +59,18 @@
 const (
 	OK            ResultCode = iota
 	Error                    // the server failed
-	Rejected                 // the server did not take it
+	Rejected                 // the server refused it and did not run it
 	TimedOut                 // no response in time
 	ConnectFailed            // the server could not be reached
 	Reset                    // the connection broke
-	Cancelled                // CancelAttempt came first
-	TooLate                  // it was not sent: no time was left, or no connection was to be had
+	Cancelled                // ended by CancelAttempt
+	TooLate                  // not sent: no time was left, or no connection was available
 )
 
 // NeverRan reports whether the code proves that the attempt never ran.
 func (c ResultCode) NeverRan() bool { return c == Rejected || c == ConnectFailed || c == TooLate }
 
-// ClientDisconnected reports that the client has gone. No final response is owed any more.
+// ClientDisconnected reports that the client has disconnected. The request gets no final response any more.
 type ClientDisconnected struct{ ID RequestID }
 
 // TimerFired reports that a timer of SetTimer has run out.
@@ -76,7 +78,7 @@
 
 // PeerMessage is what another gateway sent with SendPeerMessage. Malformed messages are dropped.
 type PeerMessage struct {
-	From int // number of the gateway; the caller vouches for it
+	From int // number of the gateway, which the caller has verified
 	Data []byte
 }
 
@@ -109,31 +111,46 @@
 	DeltaUpdate    EndpointUpdateKind = iota // the changed servers only
 	SnapshotUpdate                           // the whole list: a server that is not in it is Removed
 	CachedUpdate                             // a whole list from a cache, which may be old
-	// WatchEndpoints failed: the list stays, and is requested again
-	WatchFailed
+	WatchFailed                              // WatchEndpoints failed: it is requested again
 )
 
-// EndpointUpdate brings the server list or changes to it.
+// EndpointUpdate delivers the server list or changes to it.
 type EndpointUpdate struct {
 	Kind    EndpointUpdateKind
 	Servers []Server
 }
 
-// UsageLevel reports the fill of a customer's rate quota as an external counter knows it. It counts only
-// where this gateway cannot know the fill: shortly after its start, or while no other gateway is heard.
+// UsageLevel reports the tokens of a customer's rate quota according to an external counter. It is used only
+// where this gateway cannot know them: shortly after its start, or while it receives nothing from the
+// gateways that know the customer's use elsewhere.
 type UsageLevel struct {
 	Customer string
 	Units    float64 // left in the bucket
 }
 
-// FleetResized reports that the number of gateways has changed. Until a second one with PreviousSize 0
-// reports that all gateways have heard of the change, the share of each hard ceiling held here is the
-// smaller of the old and the new one. A gateway whose number is not below Gateways is leaving.
+// FleetResized reports a change of the number of gateways. It comes when the change begins and again, with
+// PreviousSize ResizeComplete, when all gateways have been notified. In between, the share of each hard
+// ceiling that this gateway uses is the smaller of the old and the new one. When a second change begins
+// before the first is complete, the old share remains that before the first. A gateway whose number is not
+// below Gateways is leaving.
 type FleetResized struct {
-	Gateways     int // below 1: the event is ignored
-	PreviousSize int // below 0: this gateway held no share before, or cannot know
+	Gateways int // the new number; below 1: the event is ignored
+
+	// PreviousSize is the number of gateways before the change (above 0), ResizeComplete, or
+	// UnknownPreviousSize (any number below 0).
+	PreviousSize int
 }
 
+// Values of FleetResized.PreviousSize that are not a number of gateways.
+const (
+	// ResizeComplete says that all gateways have been notified of the change.
+	ResizeComplete = 0
+
+	// UnknownPreviousSize says that this gateway held no share of any hard ceiling before the change, or
+	// cannot know it: it uses none until the change is complete. Every value below 0 means the same.
+	UnknownPreviousSize = -1
+)
+
 func (Request) event()            {}
 func (ResponseStarted) event()    {}
 func (AttemptResult) event()      {}
