--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -213,3 +213,25 @@
 		t.Fatalf("the bucket never fell below %.1f: the test requests too little", worst)
 	}
 }
+
+// A customer whose plan has a hard ceiling, but neither a rate nor a cap, is admitted no more units by all
+// gateways together than its ceiling holds, also in a fleet in leader mode.
+func TestCeilingAloneHoldsInLeaderMode(t *testing.T) {
+	const gateways = 60
+	admitted := 0
+	for i := range gateways {
+		s := baseSettings()
+		s.SelfIndex, s.Gateways = i, gateways
+		w := newHarness(t, s, testServers(40))
+		w.advance(time.Minute) // the gateway's share of the ceiling fills up
+		for range 20 {
+			w.lastID++
+			actions := w.handle(Request{ID: w.lastID, Customer: testCustomer, Plan: "hard", Class: "safe",
+				Units: 1, Remaining: time.Second, FirstGateway: 0, GatewaySpread: gateways})
+			admitted += len(actionsOf[StartAttempt](actions))
+		}
+	}
+	if ceiling := baseSettings().Plans[3].HardBurst; float64(admitted) > ceiling {
+		t.Errorf("%d units admitted under a ceiling of %v", admitted, ceiling)
+	}
+}
