--- a/config/config.go
+++ b/config/config.go
@@ -149,11 +149,11 @@
 
 // Counter is the shared usage counter, of one or more shards that speak RESP.
 type Counter struct {
-	Addresses      []string      // host:port of each shard; the customer's name selects one
-	CallsPerSecond float64       // of the whole fleet; 1 to 1e6, default 500
-	Timeout        time.Duration // of one call; 1 ms to 1 min, default 80 ms
-	Window         time.Duration // a total is counted for each; 1 s to 24 h, default 1 min
-	Retention      time.Duration // of a total; 1 s to 30 days, at least two windows, default 1 h
+	Addresses         []string      // host:port of each shard; the customer's name selects one
+	CommandsPerSecond float64       // of the whole fleet; 1 to 1e6, default 500
+	Timeout           time.Duration // of one call; 1 ms to 1 min, default 80 ms
+	Window            time.Duration // a total is counted for each; 1 s to 24 h, default 1 min
+	Retention         time.Duration // of a total; 1 s to 30 days, at least two windows, default 1 h
 }
 
 // Limits bounds what the gateway accepts and for how long it waits. All are safe to raise
--- a/config/counter.go
+++ b/config/counter.go
@@ -11,11 +11,11 @@
 		return
 	}
 	c := &Counter{
-		CallsPerSecond: l.number(in.CallsPerSecond, numberBounds{Default: 500, Min: 1, Max: 1e6}),
-		Timeout:        l.duration(in.Timeout, durationBounds{Default: 80 * time.Millisecond, Min: time.Millisecond, Max: time.Minute}),
-		Window:         l.duration(in.Window, durationBounds{Default: time.Minute, Min: time.Second, Max: day}),
-		Retention:      l.duration(in.Retention, durationBounds{Default: time.Hour, Min: time.Second, Max: 30 * day}),
-		Addresses:      l.addresses(in.Addresses),
+		CommandsPerSecond: l.number(in.CommandsPerSecond, numberBounds{Default: 500, Min: 1, Max: 1e6}),
+		Timeout:           l.duration(in.Timeout, durationBounds{Default: 80 * time.Millisecond, Min: time.Millisecond, Max: time.Minute}),
+		Window:            l.duration(in.Window, durationBounds{Default: time.Minute, Min: time.Second, Max: day}),
+		Retention:         l.duration(in.Retention, durationBounds{Default: time.Hour, Min: time.Second, Max: 30 * day}),
+		Addresses:         l.addresses(in.Addresses),
 	}
 	if len(c.Addresses) == 0 {
 		l.mistake(in.Addresses.Range(), "No address", "At least one part of the counter is needed.")
--- a/config/every_key_test.go
+++ b/config/every_key_test.go
@@ -76,7 +76,7 @@
 		},
 		Authorizer: &Authorizer{Addresses: []string{"127.0.0.1:9201", "127.0.0.1:9200"}, Timeout: 150 * time.Millisecond,
 			MaxInFlight: 50, MaxRequestBody: 4096, AllowedHeaders: []string{"Authorization", "X-A"}, DisallowedHeaders: []string{"Cookie"}},
-		Counter: &Counter{Addresses: []string{"127.0.0.1:6379", "127.0.0.1:6380"}, CallsPerSecond: 700, Timeout: 90 * time.Millisecond,
+		Counter: &Counter{Addresses: []string{"127.0.0.1:6379", "127.0.0.1:6380"}, CommandsPerSecond: 700, Timeout: 90 * time.Millisecond,
 			Window: 30 * time.Second, Retention: 2 * time.Hour},
 		Limits: Limits{
 			MaxLineBytes: 4096, MaxHeaderFields: 50, MaxHeaderBytes: 16384, MaxRequestBody: 65536, MaxResponseBody: 131072,
@@ -105,7 +105,7 @@
 			InitialCapacity: 0.2, ColdOverloadFactor: 2, ColdOverloadTime: time.Second, RejectionStatus: 503, RejectionHeader: "X-Not-Run",
 		},
 		Authorizer: &Authorizer{Addresses: []string{"127.0.0.1:9200"}, Timeout: 200 * time.Millisecond, MaxInFlight: 1000},
-		Counter: &Counter{Addresses: []string{"127.0.0.1:6379"}, CallsPerSecond: 500, Timeout: 80 * time.Millisecond,
+		Counter: &Counter{Addresses: []string{"127.0.0.1:6379"}, CommandsPerSecond: 500, Timeout: 80 * time.Millisecond,
 			Window: time.Minute, Retention: time.Hour},
 		Limits: Limits{
 			MaxLineBytes: 8 << 10, MaxHeaderFields: 100, MaxHeaderBytes: 32 << 10, MaxRequestBody: 1 << 20, MaxResponseBody: 8 << 20,
--- a/config/hcl_schema.go
+++ b/config/hcl_schema.go
@@ -150,11 +150,11 @@
 }
 
 type counterBlock struct {
-	Addresses      hcl.Expression `hcl:"addresses"`
-	CallsPerSecond hcl.Expression `hcl:"calls_per_second,optional"`
-	Timeout        hcl.Expression `hcl:"limit,optional"`
-	Window         hcl.Expression `hcl:"window,optional"`
-	Retention      hcl.Expression `hcl:"keep,optional"`
+	Addresses         hcl.Expression `hcl:"addresses"`
+	CommandsPerSecond hcl.Expression `hcl:"calls_per_second,optional"`
+	Timeout           hcl.Expression `hcl:"limit,optional"`
+	Window            hcl.Expression `hcl:"window,optional"`
+	Retention         hcl.Expression `hcl:"keep,optional"`
 }
 
 type limitsBlock struct {
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -117,8 +117,8 @@
 		return &AuthorizerError{err}
 	}
 	g.closes = append(g.closes, g.logged("closing the authorization client failed", client.Close))
-	options.Authorizer = client
-	options.Authz = authz.New(authzSettings(g.cfg, g.options.Seed))
+	options.AuthorizationClient = client
+	options.AuthorizationDecider = authz.New(authzSettings(g.cfg, g.options.Seed))
 	return nil
 }
 
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -85,7 +85,7 @@
 		Shards:                len(counter.Addresses),
 		Window:                counter.Window,
 		RetainedWindows:       int(counter.Retention / counter.Window),
-		CallsPerSecond:        counter.CallsPerSecond / float64(gateways),
+		CommandsPerSecond:     counter.CommandsPerSecond / float64(gateways),
 		PeerMessagesPerSecond: cfg.Peers.MessagesPerSecond * usageMessageShare,
 		Plans:                 plans,
 	}
@@ -122,7 +122,7 @@
 // resize follows a change of the fleet's size.
 func (r *usageRecorder) resize(gateways int) {
 	r.assignPeers(gateways)
-	r.tracker.SetCallsPerSecond(r.gateway.cfg.Counter.CallsPerSecond / float64(gateways))
+	r.tracker.SetCommandsPerSecond(r.gateway.cfg.Counter.CommandsPerSecond / float64(gateways))
 }
 
 // RequestSeen implements node.UsageRecorder.
--- a/lab/quota.go
+++ b/lab/quota.go
@@ -346,7 +346,7 @@
 	n.feed(list)
 	if n.f.e.Way == WithTally {
 		n.tl = usage.New(usage.Settings{Self: usage.WriterID{Node: n.num, Incarnation: n.inc}, Shards: 1, Window: time.Hour, RetainedWindows: 24,
-			CallsPerSecond: callRate / float64(n.size), PeerMessagesPerSecond: mailRate * 0.05,
+			CommandsPerSecond: callRate / float64(n.size), PeerMessagesPerSecond: mailRate * 0.05,
 			Plans: map[string]usage.Plan{plan.Name: {Rate: plan.Rate, Burst: plan.Burst}}})
 		n.tick(n.inc)
 	}
@@ -632,7 +632,7 @@
 	n.size = size
 	n.feed(policy.FleetResized{Gateways: size, PreviousSize: was})
 	if n.tl != nil {
-		n.tl.SetCallsPerSecond(callRate / float64(size))
+		n.tl.SetCommandsPerSecond(callRate / float64(size))
 	}
 }
 
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -121,8 +121,8 @@
 	if latency == 0 {
 		latency = n.activeTimeSince(r.attempts.startedAt)
 	}
-	if result.Code == policy.OK && n.options.Authz != nil {
-		n.options.Authz.RecordLatency(r.request.Class, latency)
+	if result.Code == policy.OK && n.options.AuthorizationDecider != nil {
+		n.options.AuthorizationDecider.RecordLatency(r.request.Class, latency)
 	}
 	n.queuePolicyEvent(policy.AttemptResult{
 		ID:       r.id,
--- a/node/authorization.go
+++ b/node/authorization.go
@@ -13,10 +13,10 @@
 func (n *Node) authorize(r *pendingRequest) {
 	r.awaitAuthorization()
 	if n.lastID%authorizationPruneInterval == 0 {
-		n.options.Authz.RemoveExpired(n.wallTime())
+		n.options.AuthorizationDecider.RemoveExpired(n.wallTime())
 	}
 	request := r.request
-	actions := n.options.Authz.StartRequest(n.wallTime(), authz.Request{
+	actions := n.options.AuthorizationDecider.StartRequest(n.wallTime(), authz.Request{
 		ID:        uint64(r.id),
 		Class:     request.Class,
 		Customer:  request.Customer,
@@ -40,7 +40,7 @@
 		case authz.Resolve:
 			n.concludeAuthorization(action)
 		case authz.ScheduleTick:
-			n.timerWheel.Add(n.now+action.After, func() { n.executeAuthorization(n.options.Authz.Tick(n.wallTime())) })
+			n.timerWheel.Add(n.now+action.After, func() { n.executeAuthorization(n.options.AuthorizationDecider.Tick(n.wallTime())) })
 		case authz.OperatorNote:
 			n.options.Logger.Warn(action.Text, "address", action.Address)
 		}
@@ -56,7 +56,7 @@
 	r.work.timeout = n.timerWheel.Add(n.now+action.Timeout, func() {
 		n.finishCheck(r, action.Attempt, AuthorizationResult{Outcome: authz.TimedOut, Detail: "authorization check timed out"})
 	})
-	r.work.cancel = n.options.Authorizer.Check(action.Address, r.request, action.Timeout, func(result AuthorizationResult) {
+	r.work.cancel = n.options.AuthorizationClient.Check(action.Address, r.request, action.Timeout, func(result AuthorizationResult) {
 		n.enqueue(checkFinished{request: r, check: action.Attempt, result: result})
 	})
 }
@@ -71,7 +71,7 @@
 	r.authorization.result = result
 	elapsed := n.now - r.authorization.startedAt
 	latency := n.activeTimeSince(r.authorization.startedAt)
-	n.executeAuthorization(n.options.Authz.FinishCheck(n.wallTime(), uint64(r.id), check, authz.CheckResult{
+	n.executeAuthorization(n.options.AuthorizationDecider.FinishCheck(n.wallTime(), uint64(r.id), check, authz.CheckResult{
 		Outcome:       result.Outcome,
 		Latency:       latency,
 		ProcessPaused: latency < elapsed,
@@ -87,7 +87,7 @@
 	}
 	r.work.stop()
 	r.awaitDecision()
-	n.executeAuthorization(n.options.Authz.CancelRequest(n.wallTime(), uint64(r.id)))
+	n.executeAuthorization(n.options.AuthorizationDecider.CancelRequest(n.wallTime(), uint64(r.id)))
 }
 
 // concludeAuthorization ends the authorization of a request by the decider's decision,
--- a/node/authorizer.go
+++ b/node/authorizer.go
@@ -37,30 +37,30 @@
 }
 
 // apply changes a request as the authorization service asks for.
-func (c *AuthorizationResult) apply(call *HTTPRequest) {
-	for _, name := range c.RemoveHeaders {
-		call.Header.Del(name)
+func (r *AuthorizationResult) apply(request *HTTPRequest) {
+	for _, name := range r.RemoveHeaders {
+		request.Header.Del(name)
 	}
-	for _, field := range c.SetHeaders {
-		call.Header.Set(field.Name, field.Value)
+	for _, field := range r.SetHeaders {
+		request.Header.Set(field.Name, field.Value)
 	}
-	call.Header = append(call.Header, c.AppendHeaders...)
-	if len(c.SetQuery) > 0 || len(c.RemoveQuery) > 0 {
-		call.Target = c.applyToQuery(call.Target)
+	request.Header = append(request.Header, r.AppendHeaders...)
+	if len(r.SetQuery) > 0 || len(r.RemoveQuery) > 0 {
+		request.Target = r.applyToQuery(request.Target)
 	}
 }
 
 // applyToQuery returns a target with query parameters set and removed. The others keep
 // their place and their encoding.
-func (c *AuthorizationResult) applyToQuery(target string) string {
+func (r *AuthorizationResult) applyToQuery(target string) string {
 	path, query, _ := strings.Cut(target, "?")
 	var parameters []string
 	for parameter := range strings.SplitSeq(query, "&") {
-		if parameter != "" && !c.replacesParameter(parameter) {
+		if parameter != "" && !r.replacesParameter(parameter) {
 			parameters = append(parameters, parameter)
 		}
 	}
-	for _, field := range c.SetQuery {
+	for _, field := range r.SetQuery {
 		parameters = append(parameters, url.QueryEscape(field.Name)+"="+url.QueryEscape(field.Value))
 	}
 	if len(parameters) == 0 {
@@ -70,14 +70,14 @@
 }
 
 // replacesParameter reports whether an encoded query parameter is set or removed.
-func (c *AuthorizationResult) replacesParameter(parameter string) bool {
+func (r *AuthorizationResult) replacesParameter(parameter string) bool {
 	encodedName, _, _ := strings.Cut(parameter, "=")
 	name, err := url.QueryUnescape(encodedName)
 	if err != nil {
 		name = encodedName
 	}
-	if slices.Contains(c.RemoveQuery, name) {
+	if slices.Contains(r.RemoveQuery, name) {
 		return true
 	}
-	return slices.ContainsFunc(c.SetQuery, func(field http1.Field) bool { return field.Name == name })
+	return slices.ContainsFunc(r.SetQuery, func(field http1.Field) bool { return field.Name == name })
 }
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -82,7 +82,7 @@
 		return
 	}
 	r.deadlineTimer = n.timerWheel.Add(r.deadline, func() { n.handleDeadline(r) })
-	if n.options.Authz == nil {
+	if n.options.AuthorizationDecider == nil {
 		n.askPolicy(r)
 		return
 	}
--- a/node/options.go
+++ b/node/options.go
@@ -26,13 +26,14 @@
 	// Upstream makes the attempts. Nil: every request must be Proxied.
 	Upstream Upstream
 
-	// Authz decides on the authorization of requests, in the loop, which owns it from
-	// then on. Nil: no request is authorized, all go to the policy.
-	Authz *authz.Decider
-
-	// Authorizer makes the authorization checks that Authz asks for. Nil: Authz must
-	// not ask for any.
-	Authorizer Authorizer
+	// AuthorizationDecider decides whether a request is checked, and what its result
+	// means. It runs in the loop, which owns it from then on. Nil: no request is checked,
+	// all go to the policy.
+	AuthorizationDecider *authz.Decider
+
+	// AuthorizationClient makes the checks that AuthorizationDecider asks for. Nil: the
+	// decider must not ask for any.
+	AuthorizationClient Authorizer
 
 	// SendToPeer sends a message of at most 256 bytes to a gateway, by its number. It is
 	// called in the loop and must not block: the message may be lost instead.
--- a/usage/calls.go
+++ b/usage/calls.go
@@ -40,7 +40,7 @@
 
 // hasCallCapacity tells whether budget and concurrency allow one more call.
 func (t *Tracker) hasCallCapacity() bool {
-	return t.callBudget >= 1 && len(t.inFlight) < maxCallsInFlight
+	return t.commandBudget >= 1 && len(t.inFlight) < maxCallsInFlight
 }
 
 // sendQueuedCalls sends the most urgent queued calls that the budget allows.
@@ -147,7 +147,7 @@
 		customer.refill(now)
 		call.Level = customer.level
 	}
-	t.callBudget -= float64(call.CommandCount())
+	t.commandBudget -= float64(call.CommandCount())
 	total.callInFlight = true
 	total.changedSinceCall = false
 	t.inFlight[call.ID] = &inFlightCall{total, call.Raise}
--- a/usage/fleet_test.go
+++ b/usage/fleet_test.go
@@ -63,7 +63,7 @@
 		Shards:                1,
 		Window:                time.Minute,
 		RetainedWindows:       60,
-		CallsPerSecond:        200,
+		CommandsPerSecond:     200,
 		PeerMessagesPerSecond: 50,
 		Plans:                 map[string]Plan{"p": {Rate: 10, Burst: 20}},
 	}
--- a/usage/responses.go
+++ b/usage/responses.go
@@ -12,24 +12,24 @@
 	delete(t.inFlight, id)
 	call.total.callInFlight = false
 	if response.Failed {
-		t.handleFailure(now, call.total)
+		t.handleFailedCall(now, call.total)
 	} else {
-		t.handleSuccess(now, call, &response)
+		t.handleValidResponse(now, call, &response)
 	}
 	return t.actions
 }
 
-// handleFailure records a call without a valid response. It may have been carried out;
+// handleFailedCall records a call without a valid response. It may have been carried out;
 // writing the same entries again is harmless.
-func (t *Tracker) handleFailure(now time.Time, total *windowTotal) {
-	t.recordFailure(now, t.shardOf(total))
+func (t *Tracker) handleFailedCall(now time.Time, total *windowTotal) {
+	t.countFailedCall(now, t.shardOf(total))
 	t.queueCall(now, total)
 }
 
-// handleSuccess records a valid response.
-func (t *Tracker) handleSuccess(now time.Time, call *inFlightCall, response *CounterResponse) {
+// handleValidResponse records a valid response.
+func (t *Tracker) handleValidResponse(now time.Time, call *inFlightCall, response *CounterResponse) {
 	total := call.total
-	t.assessResponse(now, total, response)
+	t.updateShardHealth(now, total, response)
 	for _, entry := range response.Entries {
 		t.mergeConfirmed(now, total, entry)
 	}
--- a/usage/settings.go
+++ b/usage/settings.go
@@ -24,10 +24,10 @@
 	// cover the time that the counter itself retains totals.
 	RetainedWindows int
 
-	// CallsPerSecond is the budget for the counter, in commands per second; one
+	// CommandsPerSecond is the budget for the counter, in commands per second; one
 	// CounterCall takes CounterCall.CommandCount of them. At most one second's budget
 	// accumulates. With a small value the counter lags behind; nothing is lost.
-	CallsPerSecond float64
+	CommandsPerSecond float64
 
 	// PeerMessagesPerSecond is the budget for messages to peers, in messages per second. At
 	// most one second's budget accumulates. With a small value peers learn of usage from
--- a/usage/shard_health.go
+++ b/usage/shard_health.go
@@ -54,8 +54,8 @@
 	lossEvidence  LostEntries
 }
 
-// recordFailure records a call without a valid response.
-func (t *Tracker) recordFailure(now time.Time, shard *shardHealth) {
+// countFailedCall records a call without a valid response.
+func (t *Tracker) countFailedCall(now time.Time, shard *shardHealth) {
 	shard.failedCalls++
 	shard.healthyResponses = 0
 	overdue := shard.failedCalls >= minFailedCalls && now.Sub(shard.respondedAt) > unresponsiveAfter
@@ -71,8 +71,8 @@
 	shard.retryAt = now.Add(shard.backoff)
 }
 
-// recordResponse records that a call had a valid response.
-func (s *shardHealth) recordResponse(now time.Time) {
+// clearFailedCalls records that a call had a valid response.
+func (s *shardHealth) clearFailedCalls(now time.Time) {
 	s.respondedAt = now
 	s.retryAt = time.Time{}
 	s.backoff = 0
@@ -86,11 +86,11 @@
 	return changed
 }
 
-// assessResponse compares a response with what the counter must hold, updates the shard's
+// updateShardHealth compares a response with what the counter must hold, updates the shard's
 // state, and takes what the response holds as confirmed.
-func (t *Tracker) assessResponse(now time.Time, total *windowTotal, response *CounterResponse) {
+func (t *Tracker) updateShardHealth(now time.Time, total *windowTotal, response *CounterResponse) {
 	shard := t.shardOf(total)
-	shard.recordResponse(now)
+	shard.clearFailedCalls(now)
 	held := make(map[WriterID]MilliUnits, len(response.Entries))
 	for _, entry := range response.Entries {
 		held[entry.Writer] = entry.Units
@@ -109,9 +109,9 @@
 	case shard.lossSuspected:
 		t.setShardState(shard, shard.classifyLoss(epochChanged), shard.lossEvidence)
 	case overdueClaims > 0:
-		t.recordDivergedResponse(shard, UnconfirmedClaims{total.key, overdueClaims})
+		t.countDivergedResponse(shard, UnconfirmedClaims{total.key, overdueClaims})
 	default:
-		t.recordHealthyResponse(shard)
+		t.countHealthyResponse(shard)
 	}
 	total.confirm(held, lossFound)
 }
@@ -183,8 +183,8 @@
 	return state
 }
 
-// recordDivergedResponse records a response that lacks claimed entries.
-func (t *Tracker) recordDivergedResponse(shard *shardHealth, evidence UnconfirmedClaims) {
+// countDivergedResponse records a response that lacks claimed entries.
+func (t *Tracker) countDivergedResponse(shard *shardHealth, evidence UnconfirmedClaims) {
 	shard.healthyResponses = 0
 	shard.divergedResponses++
 	if shard.divergedResponses >= minDivergedResponses {
@@ -192,8 +192,8 @@
 	}
 }
 
-// recordHealthyResponse records a response that holds every expected entry.
-func (t *Tracker) recordHealthyResponse(shard *shardHealth) {
+// countHealthyResponse records a response that holds every expected entry.
+func (t *Tracker) countHealthyResponse(shard *shardHealth) {
 	shard.divergedResponses = 0
 	shard.healthyResponses++
 	if shard.healthyResponses >= minHealthyResponses || shard.state == Unknown {
--- a/usage/shard_health_test.go
+++ b/usage/shard_health_test.go
@@ -108,7 +108,7 @@
 
 func newShardedCounter(shards int) *shardedCounter {
 	settings := singleNodeSettings(shards, time.Hour, Plan{10, 20})
-	settings.CallsPerSecond = 100
+	settings.CommandsPerSecond = 100
 	s := &shardedCounter{now: startTime, tracker: New(settings), unresponsive: noShard, forwarded: map[string]MilliUnits{}}
 	for range shards {
 		s.shards = append(s.shards, newFakeShard("1"))
--- a/usage/tracker.go
+++ b/usage/tracker.go
@@ -17,11 +17,11 @@
 	latestIncarnation map[int]uint64
 
 	// Calls to the counter.
-	shards     []shardHealth
-	callBudget float64 // commands; negative after a call that cost more than was left
-	callQueue  []*windowTotal
-	inFlight   map[uint64]*inFlightCall
-	lastCallID uint64
+	shards        []shardHealth
+	commandBudget float64 // commands; negative after a call that cost more than was left
+	callQueue     []*windowTotal
+	inFlight      map[uint64]*inFlightCall
+	lastCallID    uint64
 
 	// Messages to peers.
 	messageBudget float64 // messages
@@ -48,7 +48,7 @@
 		totalsByWindow:    map[int64][]*windowTotal{},
 		latestIncarnation: map[int]uint64{s.Self.Node: s.Self.Incarnation},
 		shards:            make([]shardHealth, max(1, s.Shards)),
-		callBudget:        s.CallsPerSecond,
+		commandBudget:     s.CommandsPerSecond,
 		inFlight:          map[uint64]*inFlightCall{},
 		messageBudget:     s.PeerMessagesPerSecond,
 		rotations:         make([]rotation, max(1, s.Shards)),
@@ -59,8 +59,8 @@
 	return t
 }
 
-// SetCallsPerSecond replaces Settings.CallsPerSecond.
-func (t *Tracker) SetCallsPerSecond(calls float64) { t.settings.CallsPerSecond = calls }
+// SetCommandsPerSecond replaces Settings.CallsPerSecond.
+func (t *Tracker) SetCommandsPerSecond(calls float64) { t.settings.CommandsPerSecond = calls }
 
 // Tick sends the calls and messages that the budgets allow. It should be called several
 // times a second.
@@ -91,7 +91,7 @@
 func (t *Tracker) replenishBudgets(now time.Time) {
 	elapsed := min(1, max(0, now.Sub(t.tickedAt).Seconds()))
 	t.tickedAt = now
-	t.callBudget = replenish(t.callBudget, t.settings.CallsPerSecond, elapsed)
+	t.commandBudget = replenish(t.commandBudget, t.settings.CommandsPerSecond, elapsed)
 	t.messageBudget = replenish(t.messageBudget, t.settings.PeerMessagesPerSecond, elapsed)
 }
 
--- a/usage/tracker_test.go
+++ b/usage/tracker_test.go
@@ -14,7 +14,7 @@
 		Shards:                shards,
 		Window:                window,
 		RetainedWindows:       5,
-		CallsPerSecond:        50,
+		CommandsPerSecond:     50,
 		PeerMessagesPerSecond: 5,
 		Plans:                 map[string]Plan{"p": plan},
 	}
