--- a/node/attempts.go
+++ b/node/attempts.go
@@ -74,7 +74,7 @@
 	n.enqueue(proxiedAttemptFinished{id: id, attempt: attempt, result: result})
 }
 
-// handleProxiedAttemptFinished takes the report of a proxy.
+// handleProxiedAttemptFinished handles the report of a proxy.
 func (n *Node) handleProxiedAttemptFinished(e proxiedAttemptFinished) {
 	r := n.requests[e.id]
 	if r != nil && r.request.Proxied && r.attempts.isActive(e.attempt) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// handleAttemptFinished takes the result of an attempt, unless it was ended before.
+// handleAttemptFinished handles the result of an attempt, unless it was ended before.
 func (n *Node) handleAttemptFinished(e attemptFinished) {
 	if e.request.attempts.isActive(e.attempt) {
 		e.request.work.completed()
@@ -104,9 +104,9 @@
 	n.finishAttempt(r, Result{Code: policy.TimedOut, Detail: "attempt timed out"})
 }
 
-// finishAttempt ends the active attempt with its result, of which the policy hears;
-// without an active attempt it does nothing. A server's response becomes the final one.
-// The work on the connection has ended when the policy hears of the result, so that a
+// finishAttempt ends the active attempt with its result and passes the result to the
+// policy; without an active attempt it does nothing. A server's response becomes the final
+// one. The work on the connection ends before the policy handles the result, so that a
 // next attempt starts after this one has ended.
 func (n *Node) finishAttempt(r *pendingRequest, result Result) {
 	if !r.attempts.active {
--- a/node/authorization.go
+++ b/node/authorization.go
@@ -9,7 +9,7 @@
 // the authorization results that have expired.
 const authorizationPruneInterval = 4096
 
-// authorize puts a request to the authorization decider.
+// authorize submits a request to the authorization decider.
 func (n *Node) authorize(r *pendingRequest) {
 	r.awaitAuthorization()
 	if n.lastID%authorizationPruneInterval == 0 {
@@ -90,9 +90,9 @@
 	n.executeAuthorization(n.options.AuthorizationDecider.CancelRequest(n.wallTime(), uint64(r.id)))
 }
 
-// concludeAuthorization ends the authorization of a request by the decider's decision,
-// which rests on the last check or, where that gave no result, on a cached result or
-// the default of the class.
+// concludeAuthorization ends the authorization of a request as the decider resolved it:
+// by the last check or, where that gave no result, by a cached result or the default of
+// the class.
 func (n *Node) concludeAuthorization(action authz.Resolve) {
 	r := n.requests[policy.RequestID(action.ID)]
 	if r == nil || r.state != stateAuthorizing {
--- a/node/authorizer.go
+++ b/node/authorizer.go
@@ -30,10 +30,10 @@
 
 // Authorizer makes checks with the external authorization service.
 type Authorizer interface {
-	// Check asks the service at one of its addresses; target counts them from 0. It is
-	// called in the loop and must not block. It calls done once, from any goroutine,
-	// unless cancel is called first. The node ends the check after the budget.
-	Check(target int, request *Request, budget time.Duration, done func(AuthorizationResult)) (cancel func())
+	// Check asks the service at the address with that index, from 0. It is called in the
+	// loop and must not block. It calls done once, from any goroutine, unless cancel is
+	// called first. The node ends the check after the timeout.
+	Check(address int, request *Request, timeout time.Duration, done func(AuthorizationResult)) (cancel func())
 }
 
 // apply changes a request as the authorization service asks for.
--- a/node/doc.go
+++ b/node/doc.go
@@ -7,19 +7,19 @@
 // One goroutine, the loop of [Node.Run], owns the policy, the authorization decider, the
 // timer wheel, the endpoint list and the state of all requests. None of these needs a
 // lock. Everything else happens in other goroutines: frontends, connections to servers,
-// the peers' socket, the watch of the endpoint list. They hand the loop events, which it
-// handles in order of arrival; handing one over never blocks. What the loop calls
+// the peers' socket, the watch of the endpoint list. They enqueue events for the loop, which
+// handles them in order of arrival; enqueueing never blocks. What the loop calls
 // ([Upstream], [Authorizer], [UsageRecorder], replies to requests, Options.SendToPeer)
 // must not block either.
 //
 // Only the queue of events, the number of unanswered requests and whether the node
 // accepts more of them are shared, under a lock.
 //
-// # The way of a request
+// # Life of a request
 //
 // [Node.Submit] accepts a request or rejects it at once. The loop begins it, sets the
-// timer of its deadline, and puts it to the authorization decider, if there is one. A
-// request that is let through goes to the policy, which rejects it, fails it, or starts an
+// timer of its deadline, and submits it to the authorization decider, if there is one. A
+// request that is permitted goes to the policy, which rejects it, fails it, or starts an
 // attempt at a server. The result of an attempt goes back to the policy, which may start
 // a further one; a server's response becomes the final response. A Proxied request is
 // answered with a [ForwardPermit]: the proxy makes the attempt, and reports its result
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -6,8 +6,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Endpoint is one line of the endpoint list: what the policy knows of a server, and how
-// to reach it.
+// Endpoint is one entry of the endpoint list: a server as the policy sees it, and its
+// address.
 type Endpoint struct {
 	// Server is for the policy. HasStartTime and StartedAt are set by the node, from
 	// StartTime.
@@ -15,8 +15,9 @@
 
 	Address string // host:port
 
-	// ConnectionKey names the server and its start: connections are shared by attempts
-	// with the same key only. Empty: the address is the key.
+	// ConnectionKey names the server and its start. HTTP/1.1 connections are shared only
+	// by attempts with the same key; HTTP/2 connections are shared by address. Empty: the
+	// address is the key.
 	ConnectionKey string
 
 	StartTime time.Time // the server's last start by the wall clock; zero: not known
@@ -29,8 +30,8 @@
 	n.enqueue(endpointsUpdated{kind: kind, endpoints: list})
 }
 
-// applyEndpointUpdate takes an update over into the endpoint list, and passes it on to
-// the policy.
+// applyEndpointUpdate merges an update into the endpoint list and passes it to the
+// policy.
 func (n *Node) applyEndpointUpdate(e endpointsUpdated) {
 	update := policy.EndpointUpdate{Kind: e.kind}
 	if e.kind == policy.SnapshotUpdate || e.kind == policy.CachedUpdate {
@@ -54,7 +55,9 @@
 
 // withdrawUnsentAttempts ends the attempts at servers that accept no more work, as far
 // as their requests have not been written yet: a slow dial may succeed long after its
-// server began to drain.
+// server began to drain. A withdrawn attempt ends as ConnectFailed, which permits a retry
+// but is not exact: the server was not at fault, and yet the policy counts a failure of
+// the server for all classes.
 func (n *Node) withdrawUnsentAttempts() {
 	for _, r := range n.requests {
 		if !r.attempts.active || n.acceptsWork(r.attempts.server) {
--- a/node/events.go
+++ b/node/events.go
@@ -8,24 +8,24 @@
 // event is something that happened outside the loop and waits to be handled by it.
 // Any goroutine may enqueue one; only the loop handles it.
 type event interface {
-	// pauseKind decides which events go first among those that came in while the
+	// pauseKind decides which events go first among those received while the
 	// process was paused. Without a pause, events are handled in order of arrival.
 	pauseKind() pause.EventKind
 }
 
-// requestSubmitted brings a request that Submit accepted.
+// requestSubmitted carries a request that Submit accepted.
 type requestSubmitted struct{ request *pendingRequest }
 
-// clientDisconnected says that the client of a request has gone.
+// clientDisconnected reports that the client of a request has disconnected.
 type clientDisconnected struct{ request *pendingRequest }
 
-// peerMessageReceived brings a message of another gateway.
+// peerMessageReceived carries a message of another gateway.
 type peerMessageReceived struct {
 	from int
 	data []byte
 }
 
-// endpointsUpdated brings the endpoint list or changes to it.
+// endpointsUpdated carries the endpoint list or changes to it.
 type endpointsUpdated struct {
 	kind      policy.EndpointUpdateKind
 	endpoints []Endpoint
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -64,8 +64,8 @@
 	return n.unanswered
 }
 
-// beginRequest is a request's first turn in the loop: it gets its number and its
-// deadline, and is put to the authorizer or the policy.
+// beginRequest is the first step of a request in the loop: it gets its number and its
+// deadline, and goes to the authorization decider or the policy.
 func (n *Node) beginRequest(r *pendingRequest) {
 	n.lastID++
 	r.id = n.lastID
@@ -89,14 +89,14 @@
 	n.authorize(r)
 }
 
-// timeToAnswer is how much of the client's timeout the node uses: all but the margin
-// for the way back, and half of it at least.
+// timeToAnswer is the part of the client's timeout that the node uses: all but the margin
+// for the response to reach the client, and half of it at least.
 func (n *Node) timeToAnswer(clientTimeout time.Duration) time.Duration {
 	return max(clientTimeout-n.options.ResponseMargin, clientTimeout/2)
 }
 
 // handleDeadline ensures that a request has its final response at its deadline,
-// whatever authorizer, servers and policy do.
+// whatever the authorization service, the servers and the policy do.
 func (n *Node) handleDeadline(r *pendingRequest) {
 	if r.isAnswered() {
 		return
--- a/node/logging.go
+++ b/node/logging.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// responseLogDetails is what the log says of a final response beyond the request and
-// the response.
+// responseLogDetails are the logged facts of a final response that neither the request
+// nor the response contains.
 type responseLogDetails struct {
 	attempts int
 	elapsed  time.Duration // from the request's arrival to its response
@@ -39,8 +39,8 @@
 	n.options.Logger.LogAttrs(n.logContext, slog.LevelInfo, "answer", attrs...)
 }
 
-// loggedKind is the kind of a response in the log, where a permit to forward is told
-// apart from a server's response.
+// loggedKind is the kind of a response in the log, which distinguishes a permit to forward
+// from a server's response.
 func loggedKind(response FinalResponse) string {
 	if response.Permit != nil {
 		return "let pass"
--- a/node/loop.go
+++ b/node/loop.go
@@ -82,8 +82,10 @@
 	return next - time.Since(n.timeOrigin)
 }
 
-// detectPause takes the time and raises the barrier where the process was paused, or
-// where the loop alone did not read the clock for too long.
+// detectPause reads the clock and raises the barrier where the process was paused, or
+// where the loop alone did not read the clock for too long. The logged duration is the
+// time since the loop last read the clock, which is not the length of the pause: it may
+// be microseconds where the clock was read between the pause and this call.
 func (n *Node) detectPause() {
 	now := n.options.Clock.Now()
 	pauses := n.options.Clock.Pauses()
@@ -119,7 +121,7 @@
 }
 
 // handleDeferred handles the events that waited behind the barrier, in the order that
-// package pause gives them: what happened in the world goes before the timers that
+// package pause gives them: external events go before the timers that
 // expired meanwhile, and these before new requests.
 func (n *Node) handleDeferred() {
 	deferred := n.deferred
--- a/node/options.go
+++ b/node/options.go
@@ -19,8 +19,8 @@
 	// choices of servers, which then get their load in step.
 	Seed uint64
 
-	// Logger gets one line for each final response, at level Info, and what operators
-	// are to know.
+	// Logger gets one line for each final response, at level Info, and the events that
+	// concern operators.
 	Logger *slog.Logger
 
 	// Upstream makes the attempts. Nil: every request must be Proxied.
@@ -55,10 +55,10 @@
 	// TimeOrigin is the time 0 of the node and of Clock. Default: the time of New.
 	TimeOrigin time.Time
 
-	// UsageRecorder is told of units asked for and used. Default: nobody is told.
+	// UsageRecorder records the units requested and used. Default: none are recorded.
 	UsageRecorder UsageRecorder
 
-	// Clock tells the time and finds pauses of the process. Default: one that finds
+	// Clock returns the time and finds pauses of the process. Default: one that finds
 	// none, so that only the loop itself notices that it did not run.
 	Clock Clock
 
@@ -68,7 +68,7 @@
 
 	// OnRequestDone is called once nothing more is done for a request, in the loop, or
 	// in Submit for a request that is rejected at once. It must not block. Default:
-	// nobody is told.
+	// no function is called.
 	OnRequestDone func(*Request)
 }
 
@@ -98,8 +98,8 @@
 	// ActiveTime is how long the process ran between two times; never below 0.
 	ActiveTime(from, to time.Duration) time.Duration
 
-	// UnreadSockets is the number of sockets that may hold something that came in
-	// before the last pause ended.
+	// UnreadSockets is the number of sockets that may hold bytes received before the last
+	// pause ended.
 	UnreadSockets() int
 }
 
--- a/node/pending_request.go
+++ b/node/pending_request.go
@@ -7,8 +7,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// requestState is where a request stands between Submit and its release. It only
-// changes in the methods of pendingRequest below:
+// requestState is the state of a request between Submit and its release. It changes only
+// in the methods of pendingRequest below:
 //
 //	authorizing → deciding → inFlight → answered
 //	                  ↑_________|
@@ -23,8 +23,8 @@
 	stateAnswered                        // has its final response; a proxied attempt may still be in flight
 )
 
-// pendingRequest is what the loop keeps of a request until it is answered and no
-// attempt is in flight. After Submit has enqueued it, it belongs to the loop.
+// pendingRequest is the loop's state of a request until it is answered and no attempt is
+// in flight. The loop owns it once Submit has enqueued it.
 type pendingRequest struct {
 	id      policy.RequestID // 0 until the loop has begun the request
 	request *Request
@@ -42,7 +42,7 @@
 	work          outgoingWork
 }
 
-// authorizationCheck is the last authorization check of a request and what came of it.
+// authorizationCheck is the last authorization check of a request and its result.
 type authorizationCheck struct {
 	number    int           // of the last check started
 	startedAt time.Duration // since the node's time origin
@@ -50,8 +50,7 @@
 	granted   AuthorizationResult // the result by which the request was let through
 }
 
-// attemptHistory is what is known of the attempts of a request: how many there were,
-// and the last one.
+// attemptHistory is the number of attempts of a request, and the state of the last one.
 type attemptHistory struct {
 	count      int // attempts started; they are numbered from 0
 	active     bool
@@ -93,10 +92,10 @@
 // whether it did.
 func (w *outgoingWork) tryWithdraw() bool { return w.withdraw != nil && w.withdraw() }
 
-// awaitAuthorization is the first state of a request that is put to the authorizer.
+// awaitAuthorization begins the state of a request that waits for its check.
 func (r *pendingRequest) awaitAuthorization() { r.state = stateAuthorizing }
 
-// awaitDecision leaves the next step to the policy.
+// awaitDecision begins the state of a request that waits for the policy.
 func (r *pendingRequest) awaitDecision() { r.state = stateDeciding }
 
 // beginAttempt counts an attempt, whether or not it can still be sent, and returns its
--- a/node/policy.go
+++ b/node/policy.go
@@ -9,7 +9,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// What clients read where every request is failed.
+// Details in the responses when every request is failed.
 const (
 	detailPolicyPanicked = "panic in a decision"
 	detailStopped        = "stopped"
@@ -83,7 +83,7 @@
 
 // restartPolicy replaces a policy that panicked, whose state can't be trusted: every
 // request is failed, and a new policy starts as after a restart of the process, with
-// the endpoint list as it stands.
+// the current endpoint list.
 func (n *Node) restartPolicy(event policy.Event, cause error) {
 	n.options.Logger.Error("policy panicked; failing all requests and restarting policy",
 		"event", fmt.Sprintf("%T", event), "panic", cause)
@@ -163,21 +163,21 @@
 	}
 }
 
-// Resize tells the policy that the number of gateways has changed from previous, which
-// is 0 and below as in policy.FleetResized. It is called in the loop only; see Do.
+// Resize gives the policy the number of gateways. previous is the size before; 0: the
+// change is complete; negative: unknown. It is called in the loop only; see Do.
 func (n *Node) Resize(gateways, previous int) {
 	resized := policy.FleetResized{Gateways: gateways, PreviousSize: previous}
 	n.options.Settings.Gateways = gateways
 	n.fleetSize = resized
 	if previous != 0 {
-		n.fleetSize.PreviousSize = -1 // a restarted policy holds nothing of the size before
+		n.fleetSize.PreviousSize = -1 // a restarted policy has no share of the size before
 	}
 	n.queuePolicyEvent(resized)
 	n.runPolicy()
 }
 
-// SetUsageLevel tells the policy how many units a customer's quota has left by the
-// external usage counter. It is called in the loop only; see Do.
+// SetUsageLevel gives the policy the units that a customer's quota has left according to
+// the external usage counter. It is called in the loop only; see Do.
 func (n *Node) SetUsageLevel(customer string, units float64) {
 	n.queuePolicyEvent(policy.UsageLevel{Customer: customer, Units: units})
 }
--- a/node/reasons.go
+++ b/node/reasons.go
@@ -17,12 +17,12 @@
 	ReasonUnknownKey               Reason = "unknown-key"               // the API key names no customer
 	ReasonNoRoute                  Reason = "no-route"                  // no class has a route for it
 	ReasonQuota                    Reason = "quota"                     // the customer's rate quota is used up
-	ReasonInFlightLimit            Reason = "open-cap"                  // the customer has too many attempts in flight
+	ReasonInFlightLimit            Reason = "open-cap"                  // the customer has too many attempts in flight, or its queue was lost with a quota leader
 	ReasonCeiling                  Reason = "ceiling"                   // the customer's hard ceiling is reached
-	ReasonLoadShed                 Reason = "shed"                      // the servers are overloaded
+	ReasonLoadShed                 Reason = "shed"                      // shed by admission control; also the reasons that this build does not know
 	ReasonNoServer                 Reason = "no-server"                 // no server could take it in time
-	ReasonNoTime                   Reason = "no-time"                   // too little time was left
-	ReasonQuotaUnknown             Reason = "quota-unknown"             // the quota's leader did not respond
+	ReasonNoTime                   Reason = "no-time"                   // too little time was left, or no connection to the server was free
+	ReasonQuotaUnknown             Reason = "quota-unknown"             // no leader of the quota responded, and the request was not admitted without one
 	ReasonServerGone               Reason = "server-gone"               // the last attempt's connection failed or was reset
 	ReasonServerError              Reason = "server-error"              // the last attempt ended with an error
 	ReasonServerRejected           Reason = "server-full"               // the last attempt's server rejected it
@@ -32,7 +32,7 @@
 	ReasonAuthorizationUnreachable Reason = "authorisation-unreachable" // the authorization service could not be reached
 	ReasonOverload                 Reason = "overload"                  // the node has too many unanswered requests
 	ReasonDraining                 Reason = "draining"                  // the node is shutting down
-	ReasonInternal                 Reason = "internal"                  // a fault of the node
+	ReasonInternal                 Reason = "internal"                  // the policy panicked, or the node stopped before the request was answered
 	ReasonClientDisconnected       Reason = "client-gone"               // in logs only
 )
 
@@ -76,7 +76,8 @@
 	case policy.ReasonNoQuotaLeader:
 		return ReasonQuotaUnknown
 	}
-	// A gateway of a newer version may also give a reason that is not known here.
+	// ReasonLoadShed also stands for every other reason: those of load shedding, and those
+	// of a newer version of the policy, which a quota leader may send.
 	return ReasonLoadShed
 }
 
--- a/node/request.go
+++ b/node/request.go
@@ -9,14 +9,14 @@
 // HTTPRequest is the content of a client's request, as it is forwarded.
 type HTTPRequest struct {
 	Method string
-	Target string // path and query, as they came in
+	Target string // path and query, as received
 	Host   string
 	Header http1.Header // end-to-end fields only
 	Body   []byte
 }
 
-// Request is one request of a client, whatever protocol it came by. The node changes
-// Call as the authorization service asks for; all else stays as it was submitted.
+// Request is one request of a client, whatever its protocol. The node changes the field
+// HTTP as the authorization service asks for; the others stay as they were submitted.
 type Request struct {
 	Trace    string  // request ID, for logs and records
 	Class    string  // name of a class of the policy's settings
@@ -24,12 +24,12 @@
 	Plan     string  // name of a plan of the policy's settings
 	Units    float64 // what the request counts against the customer's quota
 
-	// FirstGateway and GatewaySpread say by which gateways the customer's requests come
-	// in: GatewaySpread of them, at least one, counted from FirstGateway on.
+	// FirstGateway and GatewaySpread name the gateways that receive the customer's
+	// requests: GatewaySpread of them, at least one, counted from FirstGateway on.
 	FirstGateway  int
 	GatewaySpread int
 
-	Arrived       time.Time     // when the request came in; zero: when it is submitted
+	Arrived       time.Time     // when the request was received; zero: when it is submitted
 	ClientTimeout time.Duration // how long after Arrived the client gives up
 	ClientRetry   bool          // the client marked the request as a retry
 
--- a/node/response.go
+++ b/node/response.go
@@ -20,7 +20,8 @@
 // String returns the kind as it appears in the log.
 func (k ResponseKind) String() string { return [...]string{"served", "refused", "failed"}[k] }
 
-// Response is what a server responded, or the authorization service in denying.
+// Response is the response of a server, or of the authorization service to a request that
+// it denied.
 type Response struct {
 	Status int          // HTTP status code
 	Header http1.Header // end-to-end fields only
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -18,8 +18,9 @@
 
 // SaveSnapshot returns the policy's state that is to outlive the process, and false
 // where the context ends first. It waits for the loop, which copies the state in
-// several turns; it must not be called in the loop, nor without a context that ends
-// when Run returns.
+// several turns, and must not be called in the loop. The loop must run until SaveSnapshot
+// returns, or it waits for the end of the context; the gateway ensures this by closing
+// its parts in reverse order of their start.
 func (n *Node) SaveSnapshot(ctx context.Context) ([]policy.CustomerSnapshot, bool) {
 	var customers []policy.CustomerSnapshot
 	next := 0
--- a/pause/arrival.go
+++ b/pause/arrival.go
@@ -10,7 +10,7 @@
 	LastEmpty time.Duration // when the socket was last seen empty; not after ReadAt
 	ReadAt    time.Duration // when the read returned
 
-	// KernelTimestamp is when the kernel took the bytes in, by the wall clock since the
+	// KernelTimestamp is when the kernel received the bytes, by the wall clock since the
 	// origin. It counts only with HasKernelTimestamp.
 	KernelTimestamp    time.Duration
 	HasKernelTimestamp bool
@@ -41,7 +41,7 @@
 // kernelArrivalTime converts a kernel timestamp to the monotonic clock. If the wall clock was
 // set, it is unknown by which of two offsets the timestamp was taken: of the two readings,
 // the earlier counts after a pause, being the safe one, and the later otherwise. A reading
-// that the bounds of the read exclude gives way to the other.
+// that the bounds of the read exclude is replaced by the other.
 func (d *Detector) kernelArrivalTime(r SocketRead, paused bool) time.Duration {
 	byLatest := r.KernelTimestamp - d.wallOffset
 	byPrevious := r.KernelTimestamp - d.previousWallOffset
--- a/pause/backlog.go
+++ b/pause/backlog.go
@@ -8,16 +8,16 @@
 // EventKind is a kind of event that waits for an event loop.
 type EventKind int
 
-// The kinds, in the order in which they count after a pause: what happened outside goes
-// before what the process is to do next. Timers that are due fire after CallFinished and
-// before OtherEvent: what finished in time did so before its timer was due.
+// The kinds, in the order in which they are handled after a pause: external events go
+// before new work. Timers that are due fire after CallFinished and before OtherEvent: a call
+// that finished in time did so before its timer was due.
 const (
 	EndpointsUpdated   EventKind = iota // the list of upstream endpoints changed
-	PeerMessage                         // a peer or the usage counter sent a message
+	PeerMessage                         // a peer sent a message to the quota policy
 	ClientDisconnected                  // a client disconnected before its response
 	CallFinished                        // a server or the authorizer responded, or failed to
-	OtherEvent
-	RequestArrived // a client sent a request
+	OtherEvent                          // any other event, such as a response of the usage counter
+	RequestArrived                      // a client sent a request
 )
 
 // SortBacklog sorts the events that waited by kind, stable within a kind, and returns how
--- a/pause/barrier.go
+++ b/pause/barrier.go
@@ -8,7 +8,7 @@
 // minRecheckInterval is the least time after which a raised Barrier asks to be checked again.
 const minRecheckInterval = time.Millisecond
 
-// Barrier holds an event loop up after a pause until what lay in the sockets has been read.
+// Barrier delays an event loop after a pause until the bytes in the sockets have been read.
 type Barrier struct {
 	settings     Settings
 	raised       bool
@@ -26,11 +26,11 @@
 	b.drainedSince = notDrained
 }
 
-// Raised reports whether the event loop is held up.
+// Raised reports whether the event loop is delayed.
 func (b *Barrier) Raised() bool { return b.raised }
 
-// Observe takes in how many sockets hold something unread, while the barrier is raised. It
-// lifts the barrier if they have been drained for SettleTime, or it has held for MaxBarrier,
+// Observe records how many sockets have unread bytes, while the barrier is raised. It
+// lifts the barrier if they have been drained for SettleTime, or it was raised for MaxBarrier,
 // and returns 0; otherwise it returns the time after which to observe again.
 func (b *Barrier) Observe(now time.Duration, unreadSockets int) (recheckAfter time.Duration) {
 	if unreadSockets > 0 {
--- a/pause/detector.go
+++ b/pause/detector.go
@@ -28,7 +28,7 @@
 // NewDetector returns a Detector that has found no pause.
 func NewDetector(s Settings) *Detector { return &Detector{settings: s} }
 
-// Observe takes in both clocks' times since the origin, monotonic and wall. It returns the
+// Observe records both clocks' times since the origin, monotonic and wall. It returns the
 // pause that this observation ends, if it ends one. Times before the last observation end
 // none.
 func (d *Detector) Observe(now, wall time.Duration) (p Pause, found bool) {
--- a/pause/doc.go
+++ b/pause/doc.go
@@ -4,8 +4,9 @@
 //
 //   - A Detector finds pauses from observations of the clock, and dates what was read from
 //     sockets around them.
-//   - A Barrier holds an event loop up after a pause until the sockets are drained.
-//   - SortBacklog gives the order in which an event loop takes what waited behind a Barrier.
+//   - A Barrier delays an event loop after a pause until the sockets are drained.
+//   - SortBacklog gives the order in which an event loop handles the events that waited behind a
+//     Barrier.
 //
 // Times are durations since an origin that the caller chooses, by the monotonic clock unless
 // said otherwise. No type is safe for concurrent use.
--- a/pause/settings.go
+++ b/pause/settings.go
@@ -12,7 +12,7 @@
 
 	// MinPause is the time between two observations above which the process counts as
 	// paused between them; 50 ms by default. If it is too short, a busy scheduler causes
-	// pauses that delay responses; if it is too long, requests are sent on for clients that
+	// pauses that delay responses; if it is too long, requests are forwarded for clients that
 	// disconnected during a pause.
 	MinPause time.Duration
 
@@ -22,7 +22,7 @@
 	// wall clock that was set.
 	SettleTime time.Duration
 
-	// MaxBarrier bounds how long a Barrier holds the event loop up; 200 ms by default. A
+	// MaxBarrier bounds how long a Barrier delays the event loop; 200 ms by default. A
 	// socket that never drains delays all responses by so much after each pause.
 	MaxBarrier time.Duration
 
