--- a/config/config.go
+++ b/config/config.go
@@ -13,8 +13,8 @@
 type Config struct {
 	Number   int    // this gateway's number, from 0 (default) to 65535; a roster replaces it
 	Name     string // this gateway's name in the roster; "" (default) without one
-	Zone     string // the zone this gateway stands in; "" by default
-	StateDir string // directory of what outlives a restart; "" (default): nothing is stored
+	Zone     string // the zone of this gateway; "" by default
+	StateDir string // directory of the files that outlive a restart; "" (default): nothing is stored
 
 	LogLevel slog.Level // info by default
 	LogJSON  bool       // log lines are JSON; text by default
@@ -25,7 +25,7 @@
 	Plans      []policy.Plan // at least one
 	Customers  []Customer
 	Peers      Peers
-	Roster     *membership.Roster // as the file had it at the start; nil: Peers lists the fleet
+	Roster     *membership.Roster // as read from its file at the start; nil: Peers lists the fleet
 	Servers    Servers
 	Authorizer *Authorizer // nil: no class is authorized
 	Counter    *Counter    // nil: usage is summed by the gateways alone
@@ -65,8 +65,8 @@
 	Units          float64 // quota units that a request uses; 1 (default) to 1000
 	PriorityWeight float64 // relative to other classes; 0 to 1e6, default 1
 	Authorization  AuthorizationMode
-	// AuthorizationCacheTTL is for how long an earlier result replaces one that the
-	// authorizer does not give; 0 (default, never) to 24 h.
+	// AuthorizationCacheTTL is how long a cached result is used where the authorizer
+	// gives none; 0 (default, never) to 24 h.
 	AuthorizationCacheTTL time.Duration
 	Routes                []Route // at least one
 }
@@ -82,8 +82,8 @@
 	FailOpen          AuthorizationMode = "allow"  // without a result the request goes on
 )
 
-// Route matches requests of a class. {name} in the path stands for any one segment,
-// {name...} at its end for all the segments that follow.
+// Route matches requests of a class. {name} in the path matches any one segment,
+// {name...} at its end matches all the segments that follow.
 type Route struct{ Method, Path string }
 
 // Customer is the owner of a quota.
@@ -105,7 +105,7 @@
 	Addresses         map[int]string // host:port by gateway number, without this gateway's
 	Keys              [][]byte       // of 32 bytes; the first seals messages, each opens them
 	KeyFile           string         // reloaded when it changes; "": Keys is fixed
-	MessagesPerSecond float64        // that a gateway takes in; 1 to 1e6, default 60
+	MessagesPerSecond float64        // that a gateway receives; 1 to 1e6, default 60
 	MaxMessageAge     time.Duration  // older messages are dropped; 100 ms to 1 h, default 10 s
 }
 
@@ -150,7 +150,7 @@
 // Counter is the shared usage counter, of one or more shards that speak RESP.
 type Counter struct {
 	Addresses         []string      // host:port of each shard; the customer's name selects one
-	CommandsPerSecond float64       // of the whole fleet; 1 to 1e6, default 500
+	CommandsPerSecond float64       // commands of the whole fleet; HCL key calls_per_second; 1 to 1e6, default 500
 	Timeout           time.Duration // of one call; 1 ms to 1 min, default 80 ms
 	Window            time.Duration // a total is counted for each; 1 s to 24 h, default 1 min
 	Retention         time.Duration // of a total; 1 s to 30 days, at least two windows, default 1 h
@@ -167,7 +167,7 @@
 	HeaderTimeout   time.Duration // from a request's first byte to its whole header; 1 ms to 1 h, default 5 s
 	BodyTimeout     time.Duration // from a request's first byte to its whole body; 1 ms to 1 h, default 10 s
 	IdleTimeout     time.Duration // of a connection without a request; 1 ms to 24 h, default 5 min
-	WriteTimeout    time.Duration // for a client to take in a response; 1 ms to 1 h, default 10 s
+	WriteTimeout    time.Duration // for a client to receive a response; 1 ms to 1 h, default 10 s
 	MaxConnections  int           // from clients, for each listener; 1 to 1e6, default 20,000
 	MaxStreams      int           // in flight on one HTTP/2 connection; 1 to 100,000, default 100
 	// FrameBudget is how many resets, pings, settings and empty frames one HTTP/2
--- a/config/hcl_schema.go
+++ b/config/hcl_schema.go
@@ -3,7 +3,7 @@
 import "github.com/hashicorp/hcl/v2"
 
 // The types below are the blocks of a configuration file as HCL decodes them. Values stay
-// expressions, so that a mistake in one can name its place. The tags are the keys that
+// expressions, so that a mistake can be reported with its place. The tags are the keys that
 // users write; they are part of the interface.
 
 type file struct {
--- a/config/keys.go
+++ b/config/keys.go
@@ -15,7 +15,7 @@
 var ErrNoKey = errors.New("no key")
 
 // KeyError is the error of ParseKeys for a key that is not 32 bytes in hex. It does not
-// hold the key itself, which must not reach a log.
+// contain the key itself, which must not reach a log.
 type KeyError struct {
 	Position int // of the key in the text, from 1
 }
@@ -24,11 +24,11 @@
 	return fmt.Sprintf("key %d is not of %d bytes in hex", e.Position, keySize)
 }
 
-// ParseKeys reads the keys of a fleet, one a line in hex, of 32 bytes each. The error is
-// ErrNoKey or a *KeyError.
+// ParseKeys reads the keys of a fleet, of 32 bytes each, in hex. Keys are separated by line
+// breaks or any other whitespace. The error is ErrNoKey or a *KeyError.
 func ParseKeys(text string) (keys [][]byte, err error) {
-	for line := range strings.FieldsSeq(text) {
-		key, err := hex.DecodeString(line)
+	for field := range strings.FieldsSeq(text) {
+		key, err := hex.DecodeString(field)
 		if err != nil || len(key) != keySize {
 			return nil, &KeyError{Position: len(keys) + 1}
 		}
--- a/config/mistakes.go
+++ b/config/mistakes.go
@@ -10,7 +10,7 @@
 )
 
 // Mistakes is the error of Load and Parse for a text that is not a valid configuration. It
-// holds every mistake that was found, in the order of the file.
+// contains every mistake that was found, ordered as sortByPlace says.
 type Mistakes struct {
 	Diagnostics hcl.Diagnostics // at least one
 	files       map[string]*hcl.File
@@ -29,8 +29,9 @@
 	return strings.TrimSpace(text.String())
 }
 
-// sortByPlace puts diagnostics into the order of the file. Those without a place, and
-// those with the same, keep their order.
+// sortByPlace puts diagnostics into the order of the file where each has a place; those at
+// the same place keep their order. A diagnostic without a place compares equal to every
+// other: where there is one, the order of the rest is not defined.
 func sortByPlace(diags hcl.Diagnostics) {
 	slices.SortStableFunc(diags, func(a, b *hcl.Diagnostic) int {
 		if a.Subject == nil || b.Subject == nil {
--- a/config/values.go
+++ b/config/values.go
@@ -46,7 +46,7 @@
 	return v, true
 }
 
-// isSet tells whether a key stands in the file with a value other than null.
+// isSet reports whether the file sets a key to a value other than null.
 func isSet(e hcl.Expression) bool {
 	if e == nil {
 		return false
@@ -80,6 +80,7 @@
 	return s
 }
 
+// number is a number within bounds, and the default beside a mistake.
 func (l *loader) number(e hcl.Expression, bounds numberBounds) float64 {
 	v, ok := l.value(e, cty.Number, "A number")
 	if !ok {
@@ -93,6 +94,8 @@
 	return f
 }
 
+// integer is a whole number within bounds. A number with a fraction is a mistake, and the
+// result beside it is the number without the fraction.
 func (l *loader) integer(e hcl.Expression, bounds integerBounds) int {
 	f := l.number(e, numberBounds{
 		Default: float64(bounds.Default),
@@ -106,6 +109,7 @@
 	return n
 }
 
+// duration is a duration within bounds, and the default beside a mistake.
 func (l *loader) duration(e hcl.Expression, bounds durationBounds) time.Duration {
 	v, ok := l.value(e, cty.String, `A duration such as "250ms"`)
 	if !ok {
@@ -123,7 +127,9 @@
 	return d
 }
 
-// oneOf is one of the allowed texts, the first of which is the default.
+// oneOf returns the text of a key that must be one of the allowed ones. It returns
+// defaultText where the key is not set, and, beside the mistake, where its text is not
+// allowed.
 func oneOf[T ~string](l *loader, e hcl.Expression, defaultText T, allowed ...T) T {
 	s := T(l.text(e, string(defaultText)))
 	if !slices.Contains(allowed, s) {
