--- a/usage/actions.go
+++ b/usage/actions.go
@@ -13,7 +13,7 @@
 	Key   TotalKey
 
 	// Raise are entries to write unconditionally: those of this node's processes, and those
-	// of dead writers that the counter holds lower than they were.
+	// of dead writers that are lower in the counter than before.
 	Raise []CounterEntry
 
 	// AddIfMissing are entries of other nodes, to write only where the counter has none:
@@ -42,7 +42,7 @@
 
 // CounterResponse is the result of a CounterCall.
 type CounterResponse struct {
-	// Failed says that no valid response came in time. The call may or may not have been
+	// Failed means that no valid response came in time. The call may or may not have been
 	// carried out. The other fields are not used.
 	Failed bool
 
--- a/usage/calls.go
+++ b/usage/calls.go
@@ -13,7 +13,7 @@
 	epochInterval = time.Second
 
 	// firstCallUrgency is the urgency, in seconds of waiting, of a total that the counter
-	// was never asked for.
+	// has never returned.
 	firstCallUrgency = 1.0
 
 	// emptyBucketUrgency is the urgency, in seconds of waiting, of a customer whose bucket
@@ -27,7 +27,7 @@
 	raised []CounterEntry
 }
 
-// queueCall notes that a total has changed and makes it wait for a call.
+// queueCall records that a total has changed and queues it for a call.
 func (t *Tracker) queueCall(now time.Time, total *windowTotal) {
 	total.changedSinceCall = true
 	if total.callPending() {
@@ -38,7 +38,7 @@
 	t.callQueue = append(t.callQueue, total)
 }
 
-// hasCallCapacity tells whether budget and concurrency allow one more call.
+// hasCallCapacity reports whether budget and concurrency allow one more call.
 func (t *Tracker) hasCallCapacity() bool {
 	return t.commandBudget >= 1 && len(t.inFlight) < maxCallsInFlight
 }
@@ -154,7 +154,7 @@
 	t.actions = append(t.actions, call)
 }
 
-// addEntries adds to a call the entries that the counter should hold and does not.
+// addEntries adds to a call the entries that are missing or lower in the counter.
 func (t *Tracker) addEntries(now time.Time, total *windowTotal, call *CounterCall) {
 	for _, writer := range total.sortedWriters() {
 		entry := total.entries[writer]
@@ -175,5 +175,5 @@
 	}
 }
 
-// isOwn tells whether a writer is a process of this node.
+// isOwn reports whether a writer is a process of this node.
 func (t *Tracker) isOwn(writer WriterID) bool { return writer.Node == t.settings.Self.Node }
--- a/usage/counter_entry.go
+++ b/usage/counter_entry.go
@@ -38,7 +38,7 @@
 	return cmp.Or(cmp.Compare(k.Customer, other.Customer), cmp.Compare(k.Window, other.Window))
 }
 
-// CounterEntry is what one writer used of a total. Units never decrease over a writer's
+// CounterEntry is the usage of one writer in a total. Units never decrease over a writer's
 // life, so that of two copies of an entry the larger is the newer.
 type CounterEntry struct {
 	Key    TotalKey
@@ -50,12 +50,14 @@
 type writerEntry struct {
 	units MilliUnits // largest known
 
-	// confirmed is what the counter is known to hold; 0: not known to hold any. It is
-	// negative after the shard lost the entry, which must then be written again.
+	// confirmed is the amount that the counter is known to have; 0: it is not known to
+	// have any. Negative: the shard lost the entry, which must then be written again; see
+	// markLost.
 	confirmed MilliUnits
 
-	// claimed is what the writer's node said it wrote, at claimedAt; the zero time: no
-	// claim is open. Responses that lack a claim are evidence of a diverged shard.
+	// claimed is the amount that the writer's node announced to have written, received at
+	// claimedAt; the zero time: no claim is open. Responses that lack a claim are evidence
+	// of a diverged shard.
 	claimed   MilliUnits
 	claimedAt time.Time
 
@@ -65,6 +67,14 @@
 // pendingUnits is how far the entry is ahead of the counter.
 func (e *writerEntry) pendingUnits() MilliUnits { return e.units - e.confirmed }
 
+// lostConfirmation is added to writerEntry.confirmed for each loss of the entry.
+const lostConfirmation MilliUnits = -1
+
+// markLost marks the entry as lost by its shard. Every negative value means lost. Further
+// losses before the counter has the entry again count down from there, a thousandth of a
+// unit each: pendingUnits, and with it the urgency of the next call, rises by as little.
+func (e *writerEntry) markLost() { e.confirmed = min(e.confirmed, 0) + lostConfirmation }
+
 // entry returns a writer's entry and creates it if it is missing.
 func (w *windowTotal) entry(writer WriterID) *writerEntry {
 	entry := w.entries[writer]
@@ -85,7 +95,7 @@
 	return writers
 }
 
-// mergeConfirmed merges an entry that the counter holds.
+// mergeConfirmed merges an entry that the counter returned.
 func (t *Tracker) mergeConfirmed(now time.Time, total *windowTotal, received CounterEntry) {
 	if entry := t.entryOfOther(total, received.Writer); entry != nil {
 		entry.confirmed = received.Units
@@ -93,8 +103,8 @@
 	}
 }
 
-// mergeClaim merges an entry that its writer's node sent. What it says should be in the
-// counter soon.
+// mergeClaim merges an entry that its writer's node sent, which should be in the counter
+// soon.
 func (t *Tracker) mergeClaim(now time.Time, total *windowTotal, received CounterEntry) {
 	entry := t.entryOfOther(total, received.Writer)
 	if entry == nil {
@@ -108,7 +118,7 @@
 }
 
 // entryOfOther notes that a writer exists and returns its entry. It returns nil for this
-// process's own entry, which nobody else knows better.
+// process's own entry, of which no other node has a newer copy.
 func (t *Tracker) entryOfOther(total *windowTotal, writer WriterID) *writerEntry {
 	t.latestIncarnation[writer.Node] = max(t.latestIncarnation[writer.Node], writer.Incarnation)
 	if writer == t.settings.Self {
--- a/usage/customers.go
+++ b/usage/customers.go
@@ -8,8 +8,8 @@
 	plan  Plan
 	peers []int // nodes that serve the customer, this one included
 
-	level        Level // as far as this node knows
-	levelKnown   bool  // the level rests on the counter, or on all usage since the bucket was full
+	level        Level // as this node knows it
+	levelKnown   bool  // the level is derived from the counter, or from all usage since the bucket was full
 	trackedSince time.Time
 	lastSeen     time.Time
 	current      *windowTotal // of the latest window; never nil once in Tracker.customers
@@ -79,7 +79,7 @@
 	customer.current = total
 }
 
-// needsLevel tells whether the counter should be asked for the customer's level.
+// needsLevel reports whether the counter should be asked for the customer's level.
 func (c *customerUsage) needsLevel() bool {
 	return !c.levelKnown && !c.current.callPending() && c.current.respondedAt.IsZero()
 }
--- a/usage/doc.go
+++ b/usage/doc.go
@@ -11,8 +11,8 @@
 // once, and no unit counts twice.
 //
 // The shared counter has one or more shards. Each call reads all entries of a total
-// before it writes, so that every response shows whether the shard still holds what it
-// confirmed earlier. From that the Tracker derives a ShardState and restores what was
+// before it writes, so that every response shows whether the shard still has the
+// entries that it confirmed earlier. From that the Tracker derives a ShardState and restores what was
 // lost.
 //
 // # Concurrency
--- a/usage/evidence.go
+++ b/usage/evidence.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Evidence is what made a Tracker change its belief about a shard: a FailedCalls, a
+// Evidence is the reason for which a Tracker changed the state of a shard: a FailedCalls, a
 // LostEntries, an UnconfirmedClaims or a CompleteResponses. String describes it for the log.
 type Evidence interface{ fmt.Stringer }
 
@@ -15,8 +15,8 @@
 	return fmt.Sprintf("%d consecutive calls failed", f.Count)
 }
 
-// LostEntries is evidence that a shard lost entries of a total, or another shard answers in
-// its place.
+// LostEntries is evidence that a shard lost entries of a total, or that another shard answers
+// in its place.
 type LostEntries struct {
 	Key         TotalKey
 	Missing     int        // entries that are gone
@@ -29,13 +29,13 @@
 		l.Key.Customer, l.Key.Window, l.Missing, l.Lower, l.LargestLoss.inUnits())
 }
 
-// any tells whether an entry was lost.
+// any reports whether an entry was lost.
 func (l LostEntries) any() bool { return l.Missing > 0 || l.Lower > 0 }
 
 // UnconfirmedClaims is evidence of a diverged shard.
 type UnconfirmedClaims struct {
 	Key   TotalKey
-	Count int // writers whose nodes said they wrote entries that the shard lacks
+	Count int // writers whose nodes announced entries that the shard lacks
 }
 
 func (u UnconfirmedClaims) String() string {
--- a/usage/gossip.go
+++ b/usage/gossip.go
@@ -6,7 +6,8 @@
 	// maxEntriesPerMessage bounds the size of a message to a peer.
 	maxEntriesPerMessage = 12
 
-	// isolatedAfter is how long a node hears from no peer before it counts as isolated.
+	// isolatedAfter is how long a node receives no peer's message before it counts as
+	// isolated.
 	isolatedAfter = 1500 * time.Millisecond
 
 	// isolatedRefreshInterval is how often an isolated node reads the totals in use.
@@ -14,7 +15,7 @@
 )
 
 // MergeFromPeer merges entries that a node sent. Entries of other writers than that node's
-// own, of customers that have not come in here, and of windows out of range are ignored.
+// own, of customers without a request here, and of windows out of range are ignored.
 func (t *Tracker) MergeFromPeer(now time.Time, from int, entries []CounterEntry) {
 	t.peerHeardAt = now
 	for _, entry := range entries {
@@ -26,14 +27,14 @@
 	}
 }
 
-// windowInRange tells whether a peer's entry of a window is taken: the peer's clock may be
+// windowInRange reports whether a peer's entry of a window is accepted: the peer's clock may be
 // ahead by one window.
 func (t *Tracker) windowInRange(now time.Time, window int64) bool {
 	current := t.windowAt(now)
 	return window >= current-int64(t.settings.RetainedWindows) && window <= current+1
 }
 
-// queueGossip makes a total whose own entry has grown wait for messages to its peers.
+// queueGossip queues a total whose own entry has grown for messages to its peers.
 func (t *Tracker) queueGossip(total *windowTotal) {
 	if total.gossipQueued || len(total.peers) <= 1 {
 		return
@@ -97,8 +98,8 @@
 	return complete
 }
 
-// isolated tells whether this node may hear from none of its peers. Its knowledge of their
-// usage then comes from the counter alone.
+// isolated reports whether this node may be cut off from all its peers. It then learns of
+// their usage from the counter alone.
 func (t *Tracker) isolated(now time.Time) bool {
 	return now.Sub(t.peerHeardAt) > isolatedAfter && now.Sub(t.startedAt) > isolatedAfter
 }
--- a/usage/level.go
+++ b/usage/level.go
@@ -14,7 +14,7 @@
 	At    time.Time
 }
 
-// refill adds to the level what the plan's rate gave until now.
+// refill adds to the level the units that accrued until now at the plan's rate.
 func (c *customerUsage) refill(now time.Time) {
 	if elapsed := now.Sub(c.level.At).Seconds(); elapsed > 0 {
 		c.level.Units = min(c.plan.Burst, c.level.Units+c.plan.Rate*elapsed)
@@ -26,7 +26,7 @@
 	}
 }
 
-// consume takes used units off the level. The level is never negative.
+// consume subtracts used units from the level. The level is never negative.
 func (c *customerUsage) consume(now time.Time, used MilliUnits) {
 	c.refill(now)
 	c.level.Units = max(0, c.level.Units-used.inUnits())
@@ -38,7 +38,7 @@
 	return min(c.plan.Burst, c.level.Units+c.plan.Rate*elapsed)
 }
 
-// updateLevel takes the level of a response, and reports the customer's level where the
+// updateLevel handles the level of a response, and reports the customer's level where the
 // counter knows more than this node.
 func (t *Tracker) updateLevel(now time.Time, total *windowTotal, level Level) {
 	customer := t.customers[total.key.Customer]
@@ -53,8 +53,8 @@
 	}
 }
 
-// learnLevel takes the level that the counter holds, which a process that just started
-// cannot know.
+// learnLevel adopts the level in the counter, which a process that just started cannot
+// know.
 func (t *Tracker) learnLevel(now time.Time, customer *customerUsage, level Level) {
 	if level.At.IsZero() {
 		customer.levelKnown = t.bucketRefilled(now, customer)
@@ -72,8 +72,8 @@
 	t.reportLevel(customer)
 }
 
-// bucketRefilled tells whether a full bucket's worth of time has passed since the window or
-// this process began. The window's totals then hold all usage that matters.
+// bucketRefilled reports whether the time to fill the whole bucket has passed since the
+// window or this process began. The window's totals then contain all usage that matters.
 func (t *Tracker) bucketRefilled(now time.Time, customer *customerUsage) bool {
 	timeToFill := time.Duration(customer.plan.Burst / max(customer.plan.Rate, minRate) * float64(time.Second))
 	windowAge := time.Duration(now.UnixNano() % int64(t.settings.Window))
--- a/usage/persistence.go
+++ b/usage/persistence.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// queueStorage makes a total wait for a comparison with storage.
+// queueStorage queues a total for a comparison with storage.
 func (t *Tracker) queueStorage(total *windowTotal) {
 	if total.storageQueued || total.evicted {
 		return
@@ -29,9 +29,9 @@
 }
 
 // StorageChanges returns the entries to save, and with zero Units those to delete, so that
-// storage holds this node's entries that the counter has not confirmed or whose window is
+// storage contains this node's entries that the counter has not confirmed or whose window is
 // still open. The caller must save them before it discards them: they are not returned
-// again. A call examines at most limit totals, which bounds the time it takes; more tells
+// again. A call examines at most limit totals, which bounds the time it takes; more reports
 // that another call would return further changes.
 func (t *Tracker) StorageChanges(now time.Time, limit int) (changes []CounterEntry, more bool) {
 	lastOpenWindow := t.windowAt(now) - 1
@@ -53,7 +53,7 @@
 	return changes, len(t.storageQueue) > 0 || len(t.evictedStored) > 0
 }
 
-// appendChanges appends the changes of one total and takes them as stored.
+// appendChanges appends the changes of one total and marks them as stored.
 func (t *Tracker) appendChanges(changes []CounterEntry, total *windowTotal, lastOpenWindow int64) []CounterEntry {
 	for writer, entry := range total.entries {
 		if !t.isOwn(writer) {
--- a/usage/recovery.go
+++ b/usage/recovery.go
@@ -13,7 +13,7 @@
 			continue
 		}
 		for _, entry := range total.entries {
-			entry.confirmed = min(entry.confirmed, 0) - 1
+			entry.markLost()
 		}
 		t.queueStorage(total)
 		if total != cause {
@@ -22,7 +22,7 @@
 	}
 }
 
-// hasUnconfirmed tells whether the counter lacks entries that this node has to raise.
+// hasUnconfirmed reports whether the counter lacks entries that this node has to raise.
 func (t *Tracker) hasUnconfirmed(total *windowTotal) bool {
 	for writer, entry := range total.entries {
 		ownPending := t.isOwn(writer) && entry.pendingUnits() > 0
@@ -33,12 +33,13 @@
 	return false
 }
 
-// needsRepair tells whether the counter holds the entry of a dead writer lower than it was.
+// needsRepair reports whether the counter has a lower value of a dead writer's entry than
+// before.
 // A writer is dead once a later process of its node is known. Every node that knows the
 // larger value raises it; two that know different values may overwrite each other once,
-// and the larger one stands in the end.
+// and the larger value remains.
 func (t *Tracker) needsRepair(total *windowTotal, writer WriterID, entry *writerEntry) bool {
 	writerDead := writer.Incarnation < t.latestIncarnation[writer.Node]
-	heldLower := entry.confirmed > 0 && entry.pendingUnits() > 0
-	return writerDead && heldLower && !total.respondedAt.IsZero()
+	lowerThanKnown := entry.confirmed > 0 && entry.pendingUnits() > 0
+	return writerDead && lowerThanKnown && !total.respondedAt.IsZero()
 }
--- a/usage/responses.go
+++ b/usage/responses.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// HandleResponse takes the result of the CounterCall with an ID. An unknown ID is ignored.
+// HandleResponse handles the result of the CounterCall with an ID. An unknown ID is ignored.
 func (t *Tracker) HandleResponse(now time.Time, id uint64, response CounterResponse) []Action {
 	t.actions = nil
 	call := t.inFlight[id]
@@ -19,14 +19,15 @@
 	return t.actions
 }
 
-// handleFailedCall records a call without a valid response. It may have been carried out;
-// writing the same entries again is harmless.
+// handleFailedCall handles a call without a valid response, and queues it again. It may have
+// been carried out; writing the same entries again is harmless.
 func (t *Tracker) handleFailedCall(now time.Time, total *windowTotal) {
 	t.countFailedCall(now, t.shardOf(total))
 	t.queueCall(now, total)
 }
 
-// handleValidResponse records a valid response.
+// handleValidResponse updates the shard's health, merges the entries of the response and
+// queues the total again where the counter still lacks something.
 func (t *Tracker) handleValidResponse(now time.Time, call *inFlightCall, response *CounterResponse) {
 	total := call.total
 	t.updateShardHealth(now, total, response)
--- a/usage/shard_health.go
+++ b/usage/shard_health.go
@@ -15,7 +15,7 @@
 	initialBackoff = 250 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 
-	// minHealthyResponses is how many consecutive responses must hold every expected entry
+	// minHealthyResponses is how many consecutive responses must have every expected entry
 	// before a fault counts as over.
 	minHealthyResponses = 3
 
@@ -27,9 +27,6 @@
 	claimSettleTime = 2 * time.Second
 )
 
-// lostConfirmation marks an entry that the shard lost, see writerEntry.confirmed.
-const lostConfirmation MilliUnits = -1
-
 // shardHealth is the state of one shard of the counter.
 type shardHealth struct {
 	index       int
@@ -54,7 +51,7 @@
 	lossEvidence  LostEntries
 }
 
-// countFailedCall records a call without a valid response.
+// countFailedCall updates a shard's state and backoff after a call without a valid response.
 func (t *Tracker) countFailedCall(now time.Time, shard *shardHealth) {
 	shard.failedCalls++
 	shard.healthyResponses = 0
@@ -71,7 +68,7 @@
 	shard.retryAt = now.Add(shard.backoff)
 }
 
-// clearFailedCalls records that a call had a valid response.
+// clearFailedCalls ends the count of failed calls and the backoff, after a valid response.
 func (s *shardHealth) clearFailedCalls(now time.Time) {
 	s.respondedAt = now
 	s.retryAt = time.Time{}
@@ -79,15 +76,15 @@
 	s.failedCalls = 0
 }
 
-// updateEpoch takes the epoch of a response, and tells whether it has changed.
+// updateEpoch records the epoch of a response, and reports whether it has changed.
 func (s *shardHealth) updateEpoch(epoch string) bool {
 	changed := s.epoch != "" && epoch != "" && epoch != s.epoch
 	s.epoch = cmp.Or(epoch, s.epoch)
 	return changed
 }
 
-// updateShardHealth compares a response with what the counter must hold, updates the shard's
-// state, and takes what the response holds as confirmed.
+// updateShardHealth compares a valid response with the entries confirmed earlier, updates the
+// shard's state, and records the entries of the response as confirmed.
 func (t *Tracker) updateShardHealth(now time.Time, total *windowTotal, response *CounterResponse) {
 	shard := t.shardOf(total)
 	shard.clearFailedCalls(now)
@@ -116,7 +113,7 @@
 	total.confirm(held, lossFound)
 }
 
-// findLoss compares the entries held by the counter with those that it has confirmed.
+// findLoss compares the entries in the counter with those that it confirmed earlier.
 func (w *windowTotal) findLoss(held map[WriterID]MilliUnits) LostEntries {
 	loss := LostEntries{Key: w.key}
 	for writer, entry := range w.entries {
@@ -133,8 +130,8 @@
 	return loss
 }
 
-// settleClaims closes the claims that the counter holds, and returns the number of those
-// that it should hold by now and does not.
+// settleClaims closes the claims whose entries are in the counter, and returns the number
+// of those whose entries are overdue.
 func (w *windowTotal) settleClaims(now time.Time, held map[WriterID]MilliUnits) (overdue int) {
 	for writer, entry := range w.entries {
 		if entry.claimedAt.IsZero() {
@@ -149,13 +146,13 @@
 	return overdue
 }
 
-// confirm takes the entries held by the counter as confirmed, also where they are lower.
-// After a loss, those that it does not hold are marked as lost.
+// confirm records the entries in the counter as confirmed, also where they are lower than
+// before. After a loss, those that are missing are marked as lost.
 func (w *windowTotal) confirm(held map[WriterID]MilliUnits, lossFound bool) {
 	for writer, entry := range w.entries {
 		entry.confirmed = held[writer]
 		if lossFound && entry.confirmed == 0 {
-			entry.confirmed = lostConfirmation
+			entry.markLost()
 		}
 	}
 }
@@ -192,7 +189,7 @@
 	}
 }
 
-// countHealthyResponse records a response that holds every expected entry.
+// countHealthyResponse records a response that has every expected entry.
 func (t *Tracker) countHealthyResponse(shard *shardHealth) {
 	shard.divergedResponses = 0
 	shard.healthyResponses++
--- a/usage/shard_state.go
+++ b/usage/shard_state.go
@@ -1,12 +1,12 @@
 package usage
 
-// ShardState is what a Tracker believes of a shard of the counter.
+// ShardState is the condition of a shard of the counter, as a Tracker infers it.
 type ShardState int
 
 // The states of a shard.
 const (
 	Unknown      ShardState = iota // no response yet
-	Healthy                        // responses hold every expected entry
+	Healthy                        // responses have every expected entry
 	Unresponsive                   // calls fail
 	Emptied                        // another epoch, all entries gone: restarted empty
 	Replaced                       // another epoch, older entries: another shard in its place
--- a/usage/sweep.go
+++ b/usage/sweep.go
@@ -48,7 +48,8 @@
 	t.recentlyUsed = t.recentlyUsed[:0]
 }
 
-// evictClosedWindows evicts what is no longer needed of the windows before the last two.
+// evictClosedWindows evicts the totals of windows before the last two that are no longer
+// needed.
 func (t *Tracker) evictClosedWindows(current int64) {
 	for window, totals := range t.totalsByWindow {
 		if window >= current-1 {
@@ -70,7 +71,7 @@
 	}
 }
 
-// inUse tells whether a total must stay in memory.
+// inUse reports whether a total must stay in memory.
 func (w *windowTotal) inUse() bool { return w.callPending() || w.gossipQueued || w.current }
 
 // evict removes a total from memory, and its entries from storage with the next save.
--- a/usage/totals.go
+++ b/usage/totals.go
@@ -27,16 +27,16 @@
 	recentlyUsed  bool // recentlyUsed
 }
 
-// callPending tells whether a call is queued or in flight.
+// callPending reports whether a call is queued or in flight.
 func (w *windowTotal) callPending() bool { return w.callQueued || w.callInFlight }
 
-// needsRefresh tells whether the current window of a customer should be read again, because
+// needsRefresh reports whether the current window of a customer should be read again, because
 // the counter last responded longer ago than an interval.
 func (w *windowTotal) needsRefresh(now time.Time, interval time.Duration) bool {
 	return w.current && !w.callPending() && now.Sub(w.respondedAt) > interval
 }
 
-// windowAt is the number of the window that holds a time.
+// windowAt is the number of the window that contains a time.
 func (t *Tracker) windowAt(now time.Time) int64 {
 	return now.UnixNano() / int64(t.settings.Window)
 }
--- a/usage/tracker.go
+++ b/usage/tracker.go
@@ -59,8 +59,8 @@
 	return t
 }
 
-// SetCommandsPerSecond replaces Settings.CallsPerSecond.
-func (t *Tracker) SetCommandsPerSecond(calls float64) { t.settings.CommandsPerSecond = calls }
+// SetCommandsPerSecond replaces Settings.CommandsPerSecond.
+func (t *Tracker) SetCommandsPerSecond(commands float64) { t.settings.CommandsPerSecond = commands }
 
 // Tick sends the calls and messages that the budgets allow. It should be called several
 // times a second.
@@ -80,7 +80,7 @@
 	return t.actions
 }
 
-// noteStart takes the time of the first event as the process's start.
+// noteStart records the time of the first event as the process's start.
 func (t *Tracker) noteStart(now time.Time) {
 	if t.startedAt.IsZero() {
 		t.startedAt = now
