--- a/membership/actions.go
+++ b/membership/actions.go
@@ -1,15 +1,15 @@
 package membership
 
-// Action is something that a StateMachine wants done. The actions of one call, and of
-// successive calls, must be carried out in the order returned: what the disk must hold
-// precedes what the gateway and its peers are told.
+// Action is an effect that a StateMachine asks its caller to perform. The actions of one
+// call, and of successive calls, must be carried out in the order returned: what must be
+// on disk precedes the messages to the gateway and its peers.
 type Action interface{ action() }
 
 // FleetResized sets the fleet's size in the quota policy, as policy.FleetResized does: the
 // gateway enforces the smaller of its shares by Gateways and by PreviousSize.
 type FleetResized struct {
 	Gateways     int
-	PreviousSize int // 0: no change is under way; negative: unknown, so that the share is none
+	PreviousSize int // 0: no change is in progress; negative: unknown, so that the share is none
 }
 
 // AddressAssigned sets the address to which messages for a number go.
@@ -28,7 +28,7 @@
 // so that a restart never takes back what the node has announced.
 type SaveSnapshot struct{ Snapshot Snapshot }
 
-// PhaseChanged tells that this node has entered a phase.
+// PhaseChanged reports that this node has entered a phase.
 type PhaseChanged struct{ Phase Phase }
 
 // OperatorNote is an event for the operators' log.
@@ -51,7 +51,7 @@
 func (PhaseChanged) action()     {}
 func (OperatorNote) action()     {}
 
-// note appends an event that resolves by itself, or is no problem.
+// note appends an event that resolves by itself, or needs no action.
 func (m *StateMachine) note(message string, attributes ...Attribute) {
 	m.actions = append(m.actions, OperatorNote{Message: message, Attributes: attributes})
 }
--- a/membership/announcement.go
+++ b/membership/announcement.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Announcement is what a node tells its peers about itself.
+// Announcement is a node's message to its peers about its own state.
 type Announcement struct {
 	Epoch uint64 // of its accepted roster
 	Stage Stage  // of the change to that epoch
@@ -20,7 +20,7 @@
 	StageComplete                   // the new share is in force
 )
 
-// announcement returns this node's own; there must be an accepted roster.
+// announcement returns this node's announcement; there must be an accepted roster.
 func (m *StateMachine) announcement() Announcement {
 	return Announcement{Epoch: m.accepted.Epoch, Stage: m.stage, Phase: m.phase}
 }
@@ -30,7 +30,7 @@
 	return a.Epoch < b.Epoch || a.Epoch == b.Epoch && a.Stage < b.Stage
 }
 
-// HandleAnnouncement takes in a peer's announcement. Announcements may be lost, repeated,
+// HandleAnnouncement handles a peer's announcement. Announcements may be lost, repeated,
 // late or out of order: neither a peer's epoch nor its stage ever goes back.
 func (m *StateMachine) HandleAnnouncement(now time.Time, from int, a Announcement) []Action {
 	m.actions = nil
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -10,9 +10,12 @@
 //
 // # Stages of an epoch change
 //
-// Each gateway enforces a share of every customer's hard ceiling, 1/n in a fleet of n. A
-// change goes through three stages on each node, so that the shares in force never sum to
-// more than the whole, whatever order nodes read the roster and messages arrive in:
+// Each gateway enforces its share of every customer's hard ceiling, which follows from the
+// fleet's size (ceilingDivisor in policy/quota_leader.go): equal shares of the gateways that
+// receive the customer's requests or, in a large fleet, one for the standby leader and the
+// rest divided among the leaders. A change goes through three stages on each node, so that
+// the shares in force never sum to more than the whole, in whatever order nodes read the
+// roster and messages arrive:
 //
 //   - StageReceived: the node has accepted the roster and enforces its previous share.
 //   - StageMinimumShares: every node of the epoch, and every leaving node, has announced
@@ -20,7 +23,8 @@
 //   - StageComplete: all of them have announced StageMinimumShares. The node enforces its
 //     new share.
 //
-// Nodes that are known not to run any more (Roster.RemovedNames) are not waited for. A node
+// A change does not wait for nodes that are known not to run any more (Roster.RemovedNames).
+// A node
 // accepts the next epoch only when the change before is complete. Safety does not rest on
-// clocks: time decides only how often announcements are repeated.
+// clocks: time determines only how often announcements are repeated.
 package membership
--- a/membership/epoch_change.go
+++ b/membership/epoch_change.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// unknownSize stands for the fleet's size before a change where this process cannot know
+// unknownSize represents the fleet's size before a change where this process cannot know
 // which shares are in force elsewhere. The node enforces no share until the change is
 // complete.
 const unknownSize = -1
@@ -130,8 +130,8 @@
 	return list
 }
 
-// isRemoved reports whether the pending roster vouches for a number's node not to run. The
-// accepted roster names no such node.
+// isRemoved reports whether the pending roster lists the node under RemovedNames. (The
+// accepted roster cannot: Validate rejects that.)
 func (m *StateMachine) isRemoved(number int) bool {
 	return m.pending != nil && slices.Contains(m.pending.RemovedNames, m.nodes[number].Name)
 }
--- a/membership/phase.go
+++ b/membership/phase.go
@@ -26,7 +26,7 @@
 	return phaseNames[p]
 }
 
-// EndpointsReady tells that the node has a list of upstream endpoints.
+// EndpointsReady reports that the node has a list of upstream endpoints.
 func (m *StateMachine) EndpointsReady() []Action {
 	m.actions = nil
 	m.hasEndpoints = true
@@ -34,7 +34,7 @@
 	return m.actions
 }
 
-// StartServing tells that the node accepts connections. It has no effect unless the node is
+// StartServing reports that the node accepts connections. It has no effect unless the node is
 // Ready.
 func (m *StateMachine) StartServing() []Action {
 	m.actions = nil
@@ -44,7 +44,7 @@
 	return m.actions
 }
 
-// StartDraining tells that the node accepts no new connections.
+// StartDraining reports that the node accepts no new connections.
 func (m *StateMachine) StartDraining() []Action {
 	m.actions = nil
 	if m.phase < Draining {
@@ -53,7 +53,7 @@
 	return m.actions
 }
 
-// Stop tells that nothing is in flight any more. Peers stop waiting for this node if it is
+// Stop reports that nothing is in flight any more. Peers stop waiting for this node if it is
 // leaving.
 func (m *StateMachine) Stop() []Action {
 	m.actions = nil
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -8,23 +8,23 @@
 	Address string // host:port on which the node receives peer messages
 }
 
-// LeavingNode is a node that was taken out of the roster and may not have read so yet. Its
+// LeavingNode is a node that was removed from the roster and may not have read that yet. Its
 // number is given to no other node meanwhile.
 type LeavingNode struct {
 	Number int // the number that it acted under
 	Node
 }
 
-// Roster is the list of the fleet's nodes in one epoch. It is plain data: whoever passes a
-// Roster to this package must not change its slices afterwards.
+// Roster is the list of the fleet's nodes in one epoch. It is plain data: a caller
+// that passes a Roster to this package must not change its slices afterwards.
 type Roster struct {
 	Epoch uint64 // 1 or more; one more than that of the roster before
 	// Nodes are the members; the index of a node is its number.
 	Nodes []Node
-	// Leaving are all nodes taken out in this epoch or an earlier one that may still act
+	// Leaving are all nodes removed in this epoch or an earlier one that may still act
 	// under their old numbers.
 	Leaving []LeavingNode
-	// RemovedNames are nodes that the operators vouch for not to run any more. No change
+	// RemovedNames are nodes that the operators declare not to run any more. No change
 	// waits for them.
 	RemovedNames []string
 }
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// rosterValidator holds what the nodes checked so far have used.
+// rosterValidator has the names, numbers and addresses of the nodes checked so far.
 type rosterValidator struct {
 	names     map[string]bool
 	addresses map[string]bool
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -19,12 +19,12 @@
 	Snapshot Snapshot
 
 	// ChangeAnnouncementInterval is the time between announcements to all peers while a
-	// change is under way; 500 ms by default. Announcements may be lost, so a longer
+	// change is in progress; 500 ms by default. Announcements may be lost, so a longer
 	// interval prolongs changes, and a shorter one costs messages.
 	ChangeAnnouncementInterval time.Duration
 
-	// IdleAnnouncementInterval is the time between announcements while no change is under
-	// way; 10 s by default. It bounds how long a restarted peer takes to learn of this node.
+	// IdleAnnouncementInterval is the time between announcements while no change is in
+	// progress; 10 s by default. It bounds how long a restarted peer takes to learn of this node.
 	IdleAnnouncementInterval time.Duration
 
 	// ReminderInterval is the time between notes that name the nodes a change waits for;
--- a/membership/state_machine.go
+++ b/membership/state_machine.go
@@ -5,9 +5,9 @@
 // noNumber is the number of a node that the accepted roster does not name.
 const noNumber = -1
 
-// StateMachine holds one node's view of the fleet: the roster in force, the progress of the
+// StateMachine is one node's view of the fleet: the roster in force, the progress of the
 // change to it, what peers have announced, and this node's phase. Each method that returns
-// actions takes in one event; the actions are valid until the next such call. A StateMachine
+// actions handles one event; the actions are valid until the next such call. A StateMachine
 // is not safe for concurrent use.
 type StateMachine struct {
 	settings Settings
@@ -46,7 +46,7 @@
 // far as this node knows.
 func (m *StateMachine) ChangeComplete() bool { return m.accepted != nil && m.stage == StageComplete }
 
-// HandleRoster takes in a roster as it was read. A roster that is not valid, older than the
+// HandleRoster handles a roster that was read from its file. A roster that is not valid, older than the
 // accepted one, or different under the same epoch changes nothing and is noted. A later one
 // is accepted at once, or stays pending while a change is in progress.
 func (m *StateMachine) HandleRoster(now time.Time, r Roster) []Action {
