--- a/authz/address.go
+++ b/authz/address.go
@@ -53,7 +53,7 @@
 	breakerClosed
 )
 
-// checkEnded takes in the result of a check.
+// checkEnded records the result of a check.
 func (a *address) checkEnded(now time.Time, result CheckResult, timeout time.Duration, rng *rand.Rand) breakerChange {
 	a.inFlight--
 	probe := a.breaker.checkEnded()
--- a/authz/cache.go
+++ b/authz/cache.go
@@ -14,12 +14,12 @@
 	payload   any
 }
 
-// resultCache holds results for requests whose own check gives none.
+// resultCache caches results for requests whose own check gives none.
 type resultCache struct{ entries map[cacheKey]*cachedResult }
 
 func newResultCache() *resultCache { return &resultCache{entries: map[cacheKey]*cachedResult{}} }
 
-// put stores a result for a time. When the cache is full, an arbitrary entry makes place.
+// put stores a result for a time. When the cache is full, an arbitrary entry is evicted.
 func (c *resultCache) put(now time.Time, key cacheKey, result CheckResult, ttl time.Duration) {
 	if len(c.entries) >= maxCacheEntries {
 		for evicted := range c.entries {
--- a/authz/circuit_breaker.go
+++ b/authz/circuit_breaker.go
@@ -17,7 +17,7 @@
 	// openJitter spreads the open time by this share up and down, so that gateways do not probe
 	// all at once.
 	openJitter = 0.2
-	// closeAfterProbes successful ones in a row close a breaker.
+	// closeAfterProbes is how many consecutive successful probes close a breaker.
 	closeAfterProbes = 3
 )
 
@@ -55,7 +55,7 @@
 	return probe
 }
 
-// recordFailure takes in a check without a result, and reports whether it opened a closed breaker.
+// recordFailure records a check without a result, and reports whether it opened a closed breaker.
 func (b *circuitBreaker) recordFailure(now time.Time, probe bool, timeout time.Duration, rng *rand.Rand) (opened bool) {
 	b.failures++
 	noResults := now.Sub(b.lastResultAt) > openAfterTimeouts*timeout
@@ -72,7 +72,7 @@
 	return opened
 }
 
-// recordResult takes in a check with a result, and reports whether it closed the breaker.
+// recordResult records a check with a result, and reports whether it closed the breaker.
 func (b *circuitBreaker) recordResult(now time.Time) (closed bool) {
 	b.failures = 0
 	b.lastResultAt = now
--- a/authz/concurrency_limit.go
+++ b/authz/concurrency_limit.go
@@ -18,8 +18,8 @@
 	failureDecrease = 0.7
 	// growUsage is the share of the limit that must be in use for it to grow.
 	growUsage = 0.5
-	// baselineDrift moves the baseline towards each latency, so that the best ones of long ago
-	// are forgotten.
+	// baselineDrift moves the baseline towards each latency, so that the lowest ones of long ago
+	// lose their effect.
 	baselineDrift = 0.01
 )
 
@@ -41,10 +41,10 @@
 // allows reports whether one more may be in flight.
 func (l *concurrencyLimit) allows(inFlight int) bool { return float64(inFlight) < max(1, l.limit) }
 
-// recordFailure takes in a check without a result.
+// recordFailure records a check without a result.
 func (l *concurrencyLimit) recordFailure() { l.limit = max(minConcurrency, l.limit*failureDecrease) }
 
-// recordResult takes in the latency of a result, and how many other checks are in flight.
+// recordResult records the latency of a result, and how many other checks are in flight.
 func (l *concurrencyLimit) recordResult(latencySeconds float64, inFlight int) {
 	if l.baselineSeconds == 0 || latencySeconds < l.baselineSeconds {
 		l.baselineSeconds = latencySeconds
--- a/authz/decider.go
+++ b/authz/decider.go
@@ -11,7 +11,7 @@
 	maxAttempts = 2
 	// tickSlack is added to the time of a tick, so that it comes after the moment that it is for.
 	tickSlack = time.Millisecond
-	// rngStream tells the random numbers apart from those of other users of the same seed.
+	// rngStream separates the random numbers from those of other users of the same seed.
 	rngStream = 3
 )
 
@@ -65,7 +65,7 @@
 // QueueLength returns the number of requests that wait for a check.
 func (d *Decider) QueueLength() int { return d.queue.len() }
 
-// StartRequest takes in a new request. One [Resolve] follows for it, now or later, unless
+// StartRequest handles a new request. One [Resolve] follows for it, now or later, unless
 // [Decider.CancelRequest] comes first.
 func (d *Decider) StartRequest(now time.Time, request Request) []Action {
 	d.beginEvent(now)
@@ -89,7 +89,7 @@
 	case checkTime < minCheckTimeout:
 		d.resolveByFallback(r)
 	case r.overQuota && d.queue.len() > 0:
-		// The service is short of capacity, which is not for customers over their quota.
+		// The service is short of capacity, which is reserved for customers within their quota.
 		d.resolve(r, Resolve{Decision: RejectOverQuota})
 	case d.queue.len() >= maxQueueLength:
 		d.resolveByFallback(r)
@@ -103,7 +103,7 @@
 	return d.actions
 }
 
-// FinishCheck takes in the result of a check. The result of an attempt that is not in flight is
+// FinishCheck handles the result of a check. The result of an attempt that is not in flight is
 // ignored.
 func (d *Decider) FinishCheck(now time.Time, id uint64, attempt int, result CheckResult) []Action {
 	d.beginEvent(now)
@@ -127,8 +127,8 @@
 	return d.actions
 }
 
-// CancelRequest takes in that a request needs no decision any more. Nothing follows for it but
-// [CancelCheck], where a check is in flight.
+// CancelRequest withdraws a request that needs no decision any more. The only action that may
+// follow for it is [CancelCheck], where a check is in flight.
 func (d *Decider) CancelRequest(now time.Time, id uint64) []Action {
 	d.beginEvent(now)
 	r := d.requests[id]
@@ -160,7 +160,7 @@
 	return d.actions
 }
 
-// RecordLatency takes in how long a successful attempt of a class took at the servers.
+// RecordLatency records how long a successful attempt of a class took at the servers.
 func (d *Decider) RecordLatency(class string, latency time.Duration) {
 	if c := d.classes[class]; c != nil {
 		c.recordLatency(latency)
@@ -231,7 +231,7 @@
 	d.emit(SendCheck{ID: r.ID, Attempt: attempt, Address: a.index, Timeout: timeout})
 }
 
-// resolveUnreachable empties the queue when no address may be asked: waiting would be in vain.
+// resolveUnreachable empties the queue when no address may be asked: waiting would not help.
 func (d *Decider) resolveUnreachable() {
 	for _, r := range d.queue.removeAll() {
 		r.unreachable = true
--- a/authz/doc.go
+++ b/authz/doc.go
@@ -1,5 +1,5 @@
 // Package authz decides how an external authorization service is asked, without I/O: events
-// and the time go in, actions come out, and chance comes from a seed. The gRPC client that
+// and the time go in, actions come out, and random numbers come from a seed. The gRPC client that
 // carries out the actions is in upstream/extauthz.
 //
 // A [Decider] is a state machine for one gateway. For each request it decides
@@ -16,5 +16,5 @@
 // A check is read-only for the service, so a failed one may be retried at another address; a
 // request has at most one check in flight.
 //
-// A Decider and everything it holds is not safe for concurrent use.
+// A Decider is not safe for concurrent use.
 package authz
--- a/authz/events.go
+++ b/authz/events.go
@@ -26,7 +26,7 @@
 	Unreachable // the call failed
 )
 
-// hasResult tells whether the service decided.
+// hasResult reports whether the service decided.
 func (o Outcome) hasResult() bool { return o == Allowed || o == Denied }
 
 // CheckResult is how a check ended.
@@ -44,7 +44,7 @@
 	ProcessPaused bool
 }
 
-// Decision is what is to be done with a request.
+// Decision is the outcome for a request.
 type Decision int
 
 // The decisions.
@@ -74,7 +74,7 @@
 // CancelCheck cancels a request's check in flight. Its result must not be reported.
 type CancelCheck struct{ ID uint64 }
 
-// Resolve says what is to be done with a request. It is the last action for it.
+// Resolve gives the decision on a request. It is the last action for it.
 type Resolve struct {
 	ID       uint64
 	Decision Decision
--- a/authz/fallback.go
+++ b/authz/fallback.go
@@ -1,6 +1,6 @@
 package authz
 
-// resolveByResult resolves a request by what the service decided.
+// resolveByResult resolves a request as the service decided.
 func (d *Decider) resolveByResult(r *pendingRequest, outcome Outcome) {
 	d.resolve(r, Resolve{Decision: decisionOf(outcome)})
 }
--- a/authz/over_quota.go
+++ b/authz/over_quota.go
@@ -5,19 +5,19 @@
 const (
 	// overQuotaFactor times its plan's rate is what a customer may request before it is over
 	// quota here. It is above 1 because the policy counts exactly, after the check; here only
-	// those who would use up the service's capacity in vain are kept behind others.
+	// those that would waste much of the service's capacity wait behind others.
 	overQuotaFactor = 2.0
 	// bucketIdleTime after its last request a customer's bucket is dropped.
 	bucketIdleTime = time.Minute
 )
 
-// tokenBucket holds the requests that a customer may start now.
+// tokenBucket counts the requests that a customer may start now.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt time.Time
 }
 
-// quotaEstimator tells which customers send far more requests than their plans allow.
+// quotaEstimator finds the customers that send far more requests than their plans allow.
 type quotaEstimator struct {
 	plans   map[string]Plan
 	buckets map[string]*tokenBucket // by customer
--- a/authz/queue.go
+++ b/authz/queue.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// maxQueueLength bounds the requests that wait for a check. More get no result at once.
+// maxQueueLength bounds the requests that wait for a check. Further ones are resolved
+// without a result at once.
 const maxQueueLength = 4096
 
-// requestQueue holds the requests that wait for a check, the next one first.
+// requestQueue is the queue of requests that wait for a check, the next one first.
 type requestQueue struct{ requests []*pendingRequest }
 
 func (q *requestQueue) len() int { return len(q.requests) }
 
-// compareInQueue orders requests: customers within their quota first, then by weight, then those
-// that can't proceed without a result, then the oldest.
+// compareInQueue orders requests: customers within their quota first, then by weight, then
+// classes that fail closed before those that fail open, then the oldest. Requests of a class with
+// the mode Skip are never queued.
 func compareInQueue(a, b *pendingRequest) int {
 	return cmp.Or(
 		compareBool(a.overQuota, b.overQuota),
 		cmp.Compare(b.class.PriorityWeight, a.class.PriorityWeight),
-		cmp.Compare(a.class.Mode, b.class.Mode),
+		compareBool(a.class.Mode == FailOpen, b.class.Mode == FailOpen),
 		a.startedAt.Compare(b.startedAt),
 		cmp.Compare(a.ID, b.ID),
 	)
@@ -52,7 +54,7 @@
 	return q.requests[0]
 }
 
-// remove takes a request out, if it is in the queue.
+// remove removes a request, if it is in the queue.
 func (q *requestQueue) remove(r *pendingRequest) {
 	if !r.queued {
 		return
@@ -63,7 +65,7 @@
 	}
 }
 
-// removeAll empties the queue, and returns what it held in order.
+// removeAll empties the queue, and returns the removed requests in order.
 func (q *requestQueue) removeAll() []*pendingRequest {
 	removed := q.requests
 	q.requests = nil
@@ -73,7 +75,8 @@
 	return removed
 }
 
-// removeLate takes out those whose time left is too short for a check, and returns them in order.
+// removeLate removes the requests whose time left is too short for a check, and returns them in
+// order.
 func (q *requestQueue) removeLate(now time.Time) (late []*pendingRequest) {
 	q.requests = slices.DeleteFunc(q.requests, func(r *pendingRequest) bool {
 		if r.timeLeft(now) >= minCheckTimeout {
--- a/authz/request.go
+++ b/authz/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// noAddress stands for the address of a request that has no check in flight, or had none yet.
+// noAddress is the address of a request that has no check in flight, or had none yet.
 const noAddress = -1
 
 // pendingRequest is a request that is not resolved: it waits in the queue, or has a check in
--- a/authz/settings.go
+++ b/authz/settings.go
@@ -5,7 +5,7 @@
 // Mode says whether requests of a class need the service's permission.
 type Mode int
 
-// The modes. Their order is the order in the queue among requests of equal weight.
+// The modes.
 const (
 	Skip       Mode = iota // the service is not asked
 	FailClosed             // without a result the request is rejected
