--- a/edgenode/config.go
+++ b/edgenode/config.go
@@ -13,7 +13,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Config is what the platform tells an edge node at its start. The JSON keys are the
+// Config is the configuration that the platform gives an edge node at its start. The JSON keys are the
 // platform's. It is not changed after Parse returns it, so any number of goroutines may
 // read it.
 type Config struct {
@@ -28,7 +28,7 @@
 	PeersAll   string   `json:"peers_all"`   // host:port that reaches all peers; "": each is sent to by itself
 	Counter    string   `json:"counter"`     // not used
 
-	Known    json.RawMessage `json:"known"`    // the endpoint list as last held; may be missing
+	Known    json.RawMessage `json:"known"`    // the last known endpoint list; may be missing
 	Settings json.RawMessage `json:"settings"` // the simulator's settings, nested
 
 	Policy            policy.Settings      `json:"-"` // from Settings
--- a/edgenode/drain.go
+++ b/edgenode/drain.go
@@ -9,8 +9,8 @@
 
 // Drain ends the node within the time between SIGTERM and SIGKILL, by planShutdown:
 //
-//   - New connections are accepted for one request each, as long as clients may not have
-//     heard of the shutdown; others are closed as they become idle.
+//   - New connections are accepted for one request each, as long as clients may not know
+//     of the shutdown; others are closed as they become idle.
 //   - Then no new ones are accepted, and Drain waits until all connections are closed.
 //   - Shortly before the end every request still open gets its final response.
 //   - What is left then is cut.
@@ -59,9 +59,7 @@
 func (e *Edge) close() {
 	e.closeListener()
 	e.serving.Wait()
-	for i := len(e.closers) - 1; i >= 0; i-- {
-		e.closers[i]()
-	}
+	e.closers.Close()
 }
 
 // closeListener closes the listener, if it is open.
--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -12,6 +12,7 @@
 	"yardcleat.example/yardcleat/edgenode/discovery"
 	"yardcleat.example/yardcleat/edgenode/protocol"
 	fronthttp "yardcleat.example/yardcleat/front/http1"
+	"yardcleat.example/yardcleat/internal/background"
 	"yardcleat.example/yardcleat/internal/network"
 	"yardcleat.example/yardcleat/internal/pauseclock"
 	"yardcleat.example/yardcleat/node"
@@ -24,10 +25,17 @@
 // Edge is a running edge node. Submit and Reload may be called from any goroutine; Drain is
 // called once.
 //
-// Its goroutines are the pause clock, the pool's connections, the peers' datagrams, the
-// node's loop, the discovery watch and the listener with its connections. The first five
-// are stopped by closers, in the reverse order of their start; the last by closing the
-// listener.
+// Its goroutines, in the order of their start, each with its owner and its end:
+//
+//   - the heartbeat of the pause clock: pauseclock.Clock, ended by its Close;
+//   - connections to servers: pool, ended by its Close;
+//   - the receiver of peers' datagrams: peer.Bare, ended by its Close;
+//   - the loop of the node: background.Go, which cancels its context and waits;
+//   - the discovery watch: stopWatch, called by watchDiscovery;
+//   - the listener and its connections: front, ended by closing the listener; serving waits
+//     for it.
+//
+// Closing the listener comes first. The others are ended by closers, in reverse order.
 type Edge struct {
 	network  network.Network // watched by the pause clock
 	logger   *slog.Logger
@@ -36,9 +44,9 @@
 	front    *fronthttp.Server
 	listener net.Listener
 	serving  sync.WaitGroup // the goroutine that accepts connections
-	closers  []func()
+	closers  background.Closers
 
-	hasEndpoints atomic.Bool // an endpoint list is held
+	hasEndpoints atomic.Bool // there is an endpoint list
 	draining     atomic.Bool // the shutdown has begun
 
 	classes []policy.Class
@@ -49,7 +57,7 @@
 
 	watchMutex       sync.Mutex
 	stopWatch        func() // guarded by watchMutex
-	discoveryAddress string // guarded by watchMutex; "": there is no watch
+	discoveryAddress string // guarded by watchMutex; "": nothing is watched
 }
 
 // Start starts an edge node; only Drain ends it. Its goroutines have the values of ctx, not
@@ -65,7 +73,7 @@
 		open:      openRequests{ids: map[string]bool{}},
 		endpoints: discovery.NewEndpointTable(),
 	}
-	e.onClose(clock.Close)
+	e.closers.Add(clock.Close)
 	options := node.Options{
 		Settings:       cfg.Policy,
 		Logger:         logger,
@@ -83,7 +91,7 @@
 	return e, nil
 }
 
-// start opens everything in order: whoever a part sends to runs before it.
+// start opens everything in order: a part that receives from others runs before them.
 func (e *Edge) start(ctx context.Context, cfg *Config, options node.Options, paused func(since time.Time) bool) error {
 	limits := divideResources(cfg.Limits)
 	e.startPool(cfg, limits, paused)
@@ -97,9 +105,6 @@
 	return e.startFront(cfg, limits)
 }
 
-// onClose adds what close does before all that was added so far.
-func (e *Edge) onClose(f func()) { e.closers = append(e.closers, f) }
-
 func (e *Edge) startPool(cfg *Config, limits resourceLimits, paused func(since time.Time) bool) {
 	e.pool = upstream.New(upstream.Options{
 		Network:     e.network,
@@ -113,10 +118,10 @@
 		TurnedAway:  upstream.TurnedAway{Status: 503, Also: 504, Header: protocol.HeaderRejection, Only: 200},
 		Stood:       paused,
 	})
-	e.onClose(e.pool.Close)
+	e.closers.Add(e.pool.Close)
 }
 
-// startNode starts the node's loop, and first what it sends to peers by.
+// startNode starts the node's loop, and before it the transport to peers.
 func (e *Edge) startNode(ctx context.Context, cfg *Config, options node.Options) (err error) {
 	if options.Seed, err = cfg.seed(); err != nil {
 		return err
@@ -134,7 +139,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	close(started)
-	e.onClose(background(ctx, e.node.Run))
+	e.closers.Go(ctx, e.node.Run)
 	return nil
 }
 
@@ -158,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e.onClose(transport.Close)
+	e.closers.Add(transport.Close)
 	return transport, nil
 }
 
@@ -190,11 +195,12 @@
 	return nil
 }
 
-// ready tells whether the node can decide, and will go on doing so.
+// ready reports whether the node can decide on requests and is not shutting down.
 func (e *Edge) ready() bool { return e.hasEndpoints.Load() && !e.draining.Load() }
 
 // Submit hands a request to the node. One with the ID of a request that is still open
-// fails at once. reply is called once; disconnected says that the client has left.
+// fails at once. reply is called once; the caller calls disconnected when the client has
+// disconnected.
 func (e *Edge) Submit(r *node.Request, reply func(node.FinalResponse)) (disconnected func()) {
 	if !e.open.add(r.Trace) {
 		reply(node.FinalResponse{Kind: node.Failed, Reason: node.ReasonBadRequest, Detail: "a request with this id is open"})
--- a/edgenode/endpoints.go
+++ b/edgenode/endpoints.go
@@ -5,24 +5,25 @@
 	"time"
 
 	"yardcleat.example/yardcleat/edgenode/discovery"
+	"yardcleat.example/yardcleat/internal/background"
 	"yardcleat.example/yardcleat/policy"
 )
 
 // useCachedEndpoints starts with the endpoint list of an earlier run. It makes the node
-// ready only after cachedListDelay: until then discovery may know better.
+// ready only after cachedListDelay: until then discovery may return a newer one.
 func (e *Edge) useCachedEndpoints(cached []discovery.Endpoint) {
 	if len(cached) == 0 {
 		return
 	}
 	e.applyEndpoints(discovery.List{Endpoints: cached}, true)
 	timer := time.AfterFunc(cachedListDelay, func() { e.hasEndpoints.Store(true) })
-	e.onClose(func() { timer.Stop() })
+	e.closers.Add(func() { timer.Stop() })
 }
 
-// applyWatchedList takes in a list of the watch.
+// applyWatchedList applies a list of the watch.
 func (e *Edge) applyWatchedList(l discovery.List) { e.applyEndpoints(l, false) }
 
-// applyEndpoints takes in an endpoint list, or changes of one.
+// applyEndpoints applies an endpoint list, or changes of one.
 func (e *Edge) applyEndpoints(l discovery.List, cached bool) {
 	e.endpointsMutex.Lock()
 	defer e.endpointsMutex.Unlock()
@@ -41,11 +42,11 @@
 // startWatch watches discovery until the node is closed.
 func (e *Edge) startWatch(ctx context.Context, address string) {
 	e.watchDiscovery(ctx, address)
-	e.onClose(func() { e.watchDiscovery(ctx, "") })
+	e.closers.Add(func() { e.watchDiscovery(ctx, "") })
 }
 
-// watchDiscovery watches discovery at an address from now on, in place of the address
-// before; "" ends the watch. It returns when the watch before has ended.
+// watchDiscovery replaces the watch of discovery by one at an address; "" ends the watch. It
+// returns when the previous watch has ended.
 func (e *Edge) watchDiscovery(ctx context.Context, address string) {
 	e.watchMutex.Lock()
 	defer e.watchMutex.Unlock()
@@ -67,7 +68,7 @@
 		Logger:  e.logger,
 		Deliver: e.applyWatchedList,
 	}
-	e.stopWatch = background(ctx, func(ctx context.Context) { discovery.Watch(ctx, options) })
+	e.stopWatch = background.Go(ctx, func(ctx context.Context) { discovery.Watch(ctx, options) })
 }
 
 // Reload applies what a new configuration may change while the node runs: the address of
--- a/edgenode/resource_limits.go
+++ b/edgenode/resource_limits.go
@@ -20,7 +20,7 @@
 	firstRequestTimeout = 2500 * time.Millisecond // from connecting to the first whole request
 	requestTimeout      = 2 * time.Second         // from a request's first byte to its header, and on to its body
 	idleTimeout         = 20 * time.Second        // of a client's connection
-	writeTimeout        = 3 * time.Second         // for a client to take in a response
+	writeTimeout        = 3 * time.Second         // for a client to receive a response
 
 	// minIdleBeforeEviction is how long a client's connection is idle before it may be
 	// closed to make room: the platform allows it from then on.
--- a/edgenode/shutdown.go
+++ b/edgenode/shutdown.go
@@ -22,7 +22,7 @@
 
 const (
 	// acceptTime is how long new connections are accepted: clients may open them for 0.4 s,
-	// and the rest allows for their way here.
+	// and the rest allows for the network.
 	acceptTime = 550 * time.Millisecond
 	// finalResponseTime is how long before SIGKILL final responses are sent, so that they
 	// arrive and clients close their connections.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"yardcleat.example/yardcleat/config"
+	"yardcleat.example/yardcleat/internal/background"
 	"yardcleat.example/yardcleat/internal/network"
 	"yardcleat.example/yardcleat/membership"
 	"yardcleat.example/yardcleat/node"
@@ -67,7 +68,7 @@
 	serving   sync.WaitGroup // of the listeners' goroutines
 	// closes are called in reverse order: what was opened last is closed first, so that each part
 	// can use the earlier ones until it has ended.
-	closes []func()
+	closes background.Closers
 	killed atomic.Bool // nothing may be saved any more
 }
 
@@ -86,18 +87,7 @@
 
 // goUntilClosed runs f in a goroutine. When the gateway closes, its context is canceled and
 // close waits for its end.
-func (g *Gateway) goUntilClosed(f func(context.Context)) {
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		f(ctx)
-	}()
-	g.closes = append(g.closes, func() {
-		cancel()
-		<-ended
-	})
-}
+func (g *Gateway) goUntilClosed(f func(context.Context)) { g.closes.Go(context.Background(), f) }
 
 // Drain shuts down in order: new connections are not accepted, requests under way are finished,
 // then everything is closed. When the context ends first, the requests that are left fail, and
@@ -137,7 +127,5 @@
 func (g *Gateway) close() {
 	g.stopListening()
 	g.serving.Wait()
-	for i := len(g.closes) - 1; i >= 0; i-- {
-		g.closes[i]()
-	}
+	g.closes.Close()
 }
