--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// handleMessage takes a peer message and reports whether it is one of membership. It does not
+// receivePeerMessage takes a peer message and reports whether it is one of membership. It does not
 // block; a malformed announcement is dropped.
-func (l *membershipLoop) handleMessage(from int, message []byte) bool {
+func (l *membershipLoop) receivePeerMessage(from int, message []byte) bool {
 	if len(message) == 0 || message[0] != announcementMark {
 		return false
 	}
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -211,7 +211,7 @@
 	}
 	switch {
 	case g.usageRecorder != nil && g.usageRecorder.receivePeerMessage(from, data):
-	case g.membership != nil && g.membership.handleMessage(from, data):
+	case g.membership != nil && g.membership.receivePeerMessage(from, data):
 	default:
 		g.node.ReceivePeerMessage(from, data)
 	}
