--- a/gateway/customer_snapshots.go
+++ b/gateway/customer_snapshots.go
@@ -15,10 +15,13 @@
 // What the policy knows of the customers' token buckets outlives the process in a file of the
 // state directory.
 const (
+	// customerSnapshotFile is fixed by the stored format. The file contains the token buckets
+	// that are not full.
 	customerSnapshotFile    = "stores"
 	customerSnapshotVersion = 1
 	snapshotInterval        = 2 * time.Second
-	// maxSnapshotAge is how old a snapshot may be. Buckets are full again by then.
+	// maxSnapshotAge is how old a snapshot may be. A bucket whose burst refills within an hour
+	// (Burst/Rate) is full again by then; the fill of a slower one is lost.
 	maxSnapshotAge = time.Hour
 )
 
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -11,7 +11,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// endpointCacheFile is the name of the last good endpoint list in the state directory.
+// endpointCacheFile is the name of a file in the state directory, fixed by the stored format. The
+// file contains the last good endpoint list of the management server.
 const endpointCacheFile = "servers"
 
 // startEndpoints hands the node the endpoint list of the configuration, or starts a client of the
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -22,7 +22,8 @@
 	membershipTickInterval = 250 * time.Millisecond
 
 	// membershipQueueSize is the number of events that wait for the loop. Further ones are
-	// dropped: peers repeat their announcements.
+	// dropped. Peers repeat their announcements, and EndpointsReady comes again with the next
+	// endpoint list; a dropped StartServing, StartDraining or Stop is not repeated.
 	membershipQueueSize = 256
 
 	// resizeTimeout bounds the wait for the node's event loop, which takes no more work
@@ -42,7 +43,7 @@
 // membershipLoop is the goroutine that owns the membership state machine. It feeds roster
 // files and peers' announcements to the state machine and carries out its actions one by one,
 // in order: a snapshot is durable before the policy or a peer learns of what follows from it.
-// Other goroutines call only submit, handleMessage and stop.
+// Other goroutines call only submit, receivePeerMessage and stop.
 type membershipLoop struct {
 	gateway    *Gateway
 	machine    *membership.StateMachine // of the loop's goroutine
@@ -203,7 +204,8 @@
 	l.gateway.options.Log.LogAttrs(ctx, level, n.Message, attributes...)
 }
 
-// membershipSnapshotFile is the name of the snapshot in the state directory.
+// membershipSnapshotFile is the name of a file in the state directory, fixed by the stored format.
+// The file contains the epoch of the accepted roster and whether the change to it is complete.
 const membershipSnapshotFile = "roster-epoch"
 
 // loadMembershipSnapshot reads what an earlier process saved; the zero value where there is none.
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -209,12 +209,13 @@
 	default:
 		return
 	}
-	switch {
-	case g.usageRecorder != nil && g.usageRecorder.receivePeerMessage(from, data):
-	case g.membership != nil && g.membership.receivePeerMessage(from, data):
-	default:
-		g.node.ReceivePeerMessage(from, data)
+	if g.usageRecorder != nil && g.usageRecorder.receivePeerMessage(from, data) {
+		return
+	}
+	if g.membership != nil && g.membership.receivePeerMessage(from, data) {
+		return
 	}
+	g.node.ReceivePeerMessage(from, data)
 }
 
 // openUsage opens the usage counter's client and the stored usage, where a counter is configured.
