--- a/edgenode/open_requests.go
+++ b/edgenode/open_requests.go
@@ -6,7 +6,7 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// openRequests is the set of IDs of requests that the node still does something for. Its
+// openRequests is the set of IDs of requests that the node has not finished. Its
 // methods may be called from any goroutine.
 type openRequests struct {
 	mu  sync.Mutex
@@ -24,7 +24,7 @@
 	return true
 }
 
-// remove takes the ID of a request that is done with out of the set.
+// remove removes the ID of a finished request from the set.
 func (o *openRequests) remove(r *node.Request) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/edgenode/resource_limits.go
+++ b/edgenode/resource_limits.go
@@ -14,20 +14,20 @@
 	maxRequestBody  = 64 << 10 // bytes; the platform's limit
 )
 
-// Times within which clients and servers act.
+// Timeouts of clients' connections, and the margin of responses.
 const (
-	responseMargin      = 15 * time.Millisecond   // responses leave so long before the client gives up
+	responseMargin      = 15 * time.Millisecond   // how long before the client gives up its response is sent
 	firstRequestTimeout = 2500 * time.Millisecond // from connecting to the first whole request
 	requestTimeout      = 2 * time.Second         // from a request's first byte to its header, and on to its body
 	idleTimeout         = 20 * time.Second        // of a client's connection
 	writeTimeout        = 3 * time.Second         // for a client to receive a response
 
 	// minIdleBeforeEviction is how long a client's connection is idle before it may be
-	// closed to make room: the platform allows it from then on.
+	// closed in favor of another: the platform allows it from then on.
 	minIdleBeforeEviction = 2 * time.Second
 
-	// cachedListDelay is how long discovery may stay silent before the cached endpoint
-	// list makes the node ready.
+	// cachedListDelay is how long the node waits for discovery before the cached endpoint
+	// list makes it ready.
 	cachedListDelay = time.Second
 )
 
--- a/edgenode/run.go
+++ b/edgenode/run.go
@@ -19,14 +19,14 @@
 // configVariable is the environment variable that names the configuration file.
 const configVariable = "NODE_CONFIG"
 
-// heapFraction is the part of the memory limit that the heap aims at. The rest is for
+// heapFraction is the part of the memory limit that is set as the heap's limit. The rest is for
 // stacks, the program and the kernel's buffers.
 const heapFraction = 0.6
 
 // maxPendingSignals is how many signals wait while one is handled; more are dropped.
 const maxPendingSignals = 8
 
-// Run runs an edge node by the file that NODE_CONFIG names, until SIGTERM, SIGINT or the
+// Run runs an edge node configured by the file that NODE_CONFIG names, until SIGTERM, SIGINT or the
 // end of ctx begins its shutdown, and returns when that is complete. SIGHUP reloads the
 // file. Warnings go to stderr. The error says that the node could not start, or what Drain
 // returned.
@@ -86,7 +86,7 @@
 	}
 }
 
-// beginDrain begins the shutdown. A second signal does not hurry it.
+// beginDrain begins the shutdown. A second signal does not shorten it.
 func (p *process) beginDrain(ctx context.Context) {
 	if p.drained != nil {
 		return
@@ -96,7 +96,7 @@
 }
 
 // reload reads the configuration again; one that can't be read changes nothing. It works
-// during the shutdown too, whose last attempts go by the endpoint list.
+// during the shutdown too, when last attempts still use the endpoint list.
 func (p *process) reload(ctx context.Context) {
 	cfg, err := Read(p.configPath)
 	if err != nil {
--- a/node/loop.go
+++ b/node/loop.go
@@ -69,8 +69,8 @@
 	return batch
 }
 
-// refreshTime takes the time after the loop slept: that it did not read the clock
-// meanwhile does not mean that the process was paused.
+// refreshTime reads the clock after the loop slept: an idle loop reads no clock, which does
+// not mean that the process was paused.
 func (n *Node) refreshTime() { n.now = max(n.now, n.options.Clock.Now()) }
 
 // untilNextTimer is how long the loop may sleep.
--- a/node/reasons.go
+++ b/node/reasons.go
@@ -21,7 +21,7 @@
 	ReasonCeiling                  Reason = "ceiling"                   // the customer's hard ceiling is reached
 	ReasonLoadShed                 Reason = "shed"                      // shed by admission control; also the reasons that this build does not know
 	ReasonNoServer                 Reason = "no-server"                 // no server could take it in time
-	ReasonNoTime                   Reason = "no-time"                   // too little time was left, or no connection to the server was free
+	ReasonNoTime                   Reason = "no-time"                   // too little time was left, or all connections to servers were in use
 	ReasonQuotaUnknown             Reason = "quota-unknown"             // no leader of the quota responded, and the request was not admitted without one
 	ReasonServerGone               Reason = "server-gone"               // the last attempt's connection failed or was reset
 	ReasonServerError              Reason = "server-error"              // the last attempt ended with an error
