--- a/authz/doc.go
+++ b/authz/doc.go
@@ -11,7 +11,7 @@
 //   - how many checks may be in flight at an address (concurrency_limit.go), and which request
 //     is next when more are wanted (queue.go);
 //   - when an address gets no checks for a while (circuit_breaker.go);
-//   - what takes the place of a result that does not come (fallback.go, cache.go).
+//   - what replaces a result that does not come (fallback.go, cache.go).
 //
 // A check is read-only for the service, so a failed one may be retried at another address; a
 // request has at most one check in flight.
--- a/authz/events.go
+++ b/authz/events.go
@@ -39,8 +39,8 @@
 	// Payload belongs to the caller. It comes back in Resolve.CachedPayload where the result is
 	// used again, and must not change meanwhile.
 	Payload any
-	// ProcessPaused says that this process did not run for a part of the check. A missing result
-	// then says nothing of the address.
+	// ProcessPaused means that this process did not run for a part of the check. A missing
+	// result is then no evidence about the address.
 	ProcessPaused bool
 }
 
@@ -80,7 +80,7 @@
 	Decision Decision
 	// CachedPayload is the payload of the earlier result that is used; else nil.
 	CachedPayload any
-	// FromFallback says that no result came: an earlier one or the mode of the class decides.
+	// FromFallback means that no result came: an earlier one or the mode of the class decides.
 	FromFallback bool
 }
 
--- a/authz/settings.go
+++ b/authz/settings.go
@@ -12,7 +12,7 @@
 	FailOpen               // without a result the request proceeds
 )
 
-// Class is what the decisions need to know of a class of requests.
+// Class configures the decisions on a class of requests.
 type Class struct {
 	// Mode says whether the service is asked, and what happens without its result. The zero
 	// value, Skip, lets all requests of the class proceed unchecked.
@@ -46,7 +46,7 @@
 	// Plans by name. Customers of other plans are never over quota here.
 	Plans map[string]Plan
 	// Addresses is how many addresses the service has; they are counted from 0. With 0 no check
-	// is ever sent: each request gets what its class says for a missing result.
+	// is ever sent: each request is resolved by the fallback of its class.
 	Addresses int
 	// Timeout is the longest time for the checks of one request together. Too short, and a slow
 	// service looks like a failed one; too long, and requests wait for a service that is down.
--- a/config/config.go
+++ b/config/config.go
@@ -118,7 +118,7 @@
 	Weight  float64 // capacity relative to other servers; 0.001 to 1e6, default 1
 }
 
-// Servers says where the list of servers comes from, and what the servers can do.
+// Servers configures the source of the server list, and the servers' abilities.
 type Servers struct {
 	Static     []Server // empty where EDS is the source
 	EDSAddress string   // host:port of an xDS management server; "": Static is the source
--- a/config/mistakes.go
+++ b/config/mistakes.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// mistake adds a mistake at a place; detail says what would be right.
+// mistake adds a mistake at a place; detail describes a valid value.
 func (l *loader) mistake(at hcl.Range, summary, detail string, args ...any) {
 	l.diags = append(l.diags, &hcl.Diagnostic{
 		Severity: hcl.DiagError,
--- a/config/peers.go
+++ b/config/peers.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// roster takes the fleet from the file of a roster, in which this gateway finds its number
-// by its name.
+// roster reads the fleet from the file of a roster, which gives this gateway's number by
+// its name.
 func (l *loader) roster(in *peersBlock, path string) {
 	if len(in.Peers) > 0 {
 		l.mistake(in.DefRange, "Roster and peers", "Give either a roster or peer blocks.")
--- a/edgenode/drain.go
+++ b/edgenode/drain.go
@@ -16,7 +16,7 @@
 //   - What is left then is cut.
 //
 // A ctx that ends sooner cuts all at once. Drain returns when all goroutines of the node
-// have ended. The error says that requests were left unanswered at the end.
+// have ended. The error means that requests were left unanswered at the end.
 func (e *Edge) Drain(ctx context.Context) error {
 	begun := time.Now()
 	plan := planShutdown(e.classes)
--- a/edgenode/run.go
+++ b/edgenode/run.go
@@ -28,8 +28,8 @@
 
 // Run runs an edge node configured by the file that NODE_CONFIG names, until SIGTERM, SIGINT or the
 // end of ctx begins its shutdown, and returns when that is complete. SIGHUP reloads the
-// file. Warnings go to stderr. The error says that the node could not start, or what Drain
-// returned.
+// file. Warnings go to stderr. The error means that the node could not start, or is that of
+// Drain.
 func Run(ctx context.Context, stderr io.Writer) error {
 	logger := slog.New(slog.NewTextHandler(stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	signals := make(chan os.Signal, maxPendingSignals)
--- a/membership/epoch_change.go
+++ b/membership/epoch_change.go
@@ -21,7 +21,7 @@
 		return
 	}
 	// A change that was complete before a restart still is, and the first epoch changes
-	// nothing. In all other cases the shares that others hold are unknown.
+	// nothing. In all other cases the shares in force at other nodes are unknown.
 	completeBeforeRestart := r.Epoch == saved.Epoch && saved.ChangeComplete
 	m.accept(now, r, unknownSize, completeBeforeRestart || r.Epoch == 1)
 }
--- a/membership/roster_errors.go
+++ b/membership/roster_errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// RosterProblem says why a roster is not valid.
+// RosterProblem is the reason why a roster is not valid.
 type RosterProblem int
 
 // The problems. Each names the fields of RosterError that it sets.
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -15,7 +15,7 @@
 	Name string
 
 	// Snapshot is the last one that a process of this node saved; zero where there is none.
-	// A snapshot of an earlier state may let the node claim a share that others hold.
+	// A snapshot of an earlier state may let the node claim a share that is in force at others.
 	Snapshot Snapshot
 
 	// ChangeAnnouncementInterval is the time between announcements to all peers while a
--- a/node/authorizer.go
+++ b/node/authorizer.go
@@ -11,7 +11,7 @@
 )
 
 // AuthorizationResult is the result of an authorization check. An allowed request is
-// changed as the result says before it is forwarded.
+// changed by the fields of the result before it is forwarded.
 type AuthorizationResult struct {
 	Outcome  authz.Outcome
 	Denial   *Response     // with the outcome Denied: the response for the client
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -23,7 +23,7 @@
 	StartTime time.Time // the server's last start by the wall clock; zero: not known
 }
 
-// UpdateEndpoints gives the node the endpoint list or changes to it, as kind says. It
+// UpdateEndpoints gives the node the endpoint list or, depending on kind, changes to it. It
 // may be called from any goroutine and never blocks; the node owns the list from then
 // on.
 func (n *Node) UpdateEndpoints(kind policy.EndpointUpdateKind, list []Endpoint) {
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -22,7 +22,7 @@
 	return func() { n.enqueue(clientDisconnected{r}) }
 }
 
-// arrivalTime is when a request came in. The clock is read in any case, since that
+// arrivalTime is when a request arrived. The clock is read in any case, since that
 // also detects a pause of the process.
 func (n *Node) arrivalTime(request *Request) time.Duration {
 	now := n.options.Clock.Now()
--- a/node/node.go
+++ b/node/node.go
@@ -34,7 +34,7 @@
 	now        time.Duration // since the time origin, as of the last look at the clock
 	timerWheel timers.Wheel
 
-	pausesSeen int64         // the pauses of the process that the loop knows of
+	pausesSeen int64         // number of pauses of the process that the loop has handled
 	barrier    pause.Barrier // raised after a pause, until the sockets are read
 	deferred   []event       // waits for the barrier to be lifted
 
--- a/node/options.go
+++ b/node/options.go
@@ -39,7 +39,7 @@
 	// called in the loop and must not block: the message may be lost instead.
 	SendToPeer func(to int, data []byte)
 
-	// SendToAllPeers says that SendToPeer takes a number below 0 for all other gateways.
+	// SendToAllPeers means that SendToPeer sends to all other gateways for a number below 0.
 	// Default: it is called once for each.
 	SendToAllPeers bool
 
--- a/node/reasons.go
+++ b/node/reasons.go
@@ -53,7 +53,7 @@
 }
 
 // failureReason is the reason of a request that the policy rejects or fails. Where the
-// policy found no way for a further attempt, the result of the last one says more.
+// policy found no way for a further attempt, the result of the last one is more specific.
 func failureReason(decision policy.Reason, attempts int, lastResult policy.ResultCode) Reason {
 	noFurtherAttempt := decision == policy.ReasonAttemptsExhausted ||
 		decision == policy.ReasonNoServer && attempts > 0
--- a/node/response.go
+++ b/node/response.go
@@ -7,7 +7,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// ResponseKind says what a final response promises.
+// ResponseKind is what a client may conclude from a final response.
 type ResponseKind int
 
 // The kinds of final response.
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -7,7 +7,7 @@
 )
 
 // snapshotBatch is how many customers SaveSnapshot copies in one turn of the loop, so
-// that it does not hold up requests.
+// that it does not delay requests.
 const snapshotBatch = 2000
 
 // RestoreSnapshot gives the policy the state that an earlier process saved. It is
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -12,7 +12,7 @@
 	Number        int           // of this attempt; those of a request count from 0
 	Address       string        // host:port of the server
 	ConnectionKey string        // as in Endpoint
-	Timeout       time.Duration // for the server to know; the node ends the attempt itself
+	Timeout       time.Duration // sent to the server; the node ends the attempt itself
 	Request       *Request      // must not be changed
 	DecidedAt     time.Time     // when the policy decided on the attempt
 }
--- a/pause/barrier.go
+++ b/pause/barrier.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// notDrained stands for the time since when sockets are drained while one is not.
+// notDrained is the value of drainedSince while a socket is not drained.
 const notDrained = -1
 
 // minRecheckInterval is the least time after which a raised Barrier asks to be checked again.
--- a/usage/settings.go
+++ b/usage/settings.go
@@ -42,5 +42,5 @@
 // Plan is the token bucket that bounds a customer's usage.
 type Plan struct {
 	Rate  float64 // units per second that are added
-	Burst float64 // units that the full bucket holds
+	Burst float64 // units in the full bucket
 }
--- a/usage/shard_state.go
+++ b/usage/shard_state.go
@@ -36,7 +36,7 @@
 	fnvPrime  = 16777619
 )
 
-// ShardOf returns the index of the shard that holds a customer's totals: an FNV-1a hash of
+// ShardOf returns the index of the shard that stores a customer's totals: an FNV-1a hash of
 // the name. All nodes must agree on it.
 func (t *Tracker) ShardOf(name string) int {
 	hash := uint32(fnvOffset)
@@ -46,7 +46,7 @@
 	return int(hash % uint32(len(t.shards)))
 }
 
-// shardOf returns the shard that holds a total.
+// shardOf returns the shard that stores a total.
 func (t *Tracker) shardOf(total *windowTotal) *shardHealth {
 	return &t.shards[t.ShardOf(total.key.Customer)]
 }
