--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -25,7 +25,8 @@
 	// takes it well under a millisecond.
 	maxTotalsPerSave = 2000
 
-	// usageDatabase is the file's name in the state directory.
+	// usageDatabase is the name of a file in the state directory, fixed by the stored format.
+	// The file contains the usage that the counter may not have yet.
 	usageDatabase = "tally"
 )
 
