--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -32,10 +32,11 @@
 //   - the receiver of peers' datagrams: peer.Bare, ended by its Close;
 //   - the loop of the node: background.Go, which cancels its context and waits;
 //   - the discovery watch: stopWatch, called by watchDiscovery;
-//   - the listener and its connections: front, ended by closing the listener; serving waits
-//     for it.
+//   - the listener: serving, ended by closing the listener;
+//   - clients' connections: front, ended by its Drain.
 //
-// Closing the listener comes first. The others are ended by closers, in reverse order.
+// The listener and clients' connections end first. The others are ended by closers, in
+// reverse order.
 type Edge struct {
 	network  network.Network // watched by the pause clock
 	logger   *slog.Logger
