--- a/authz/events.go
+++ b/authz/events.go
@@ -26,7 +26,7 @@
 	Unreachable // the call failed
 )
 
-// hasResult tells whether the service decided.
+// hasResult reports whether the service decided.
 func (o Outcome) hasResult() bool { return o == Allowed || o == Denied }
 
 // CheckResult is how a check ended.
@@ -39,12 +39,12 @@
 	// Payload belongs to the caller. It comes back in Resolve.CachedPayload where the result is
 	// used again, and must not change meanwhile.
 	Payload any
-	// ProcessPaused says that this process did not run for a part of the check. A missing result
-	// then says nothing of the address.
+	// ProcessPaused means that this process did not run for a part of the check. A missing
+	// result is then no evidence about the address.
 	ProcessPaused bool
 }
 
-// Decision is what is to be done with a request.
+// Decision is the outcome for a request.
 type Decision int
 
 // The decisions.
@@ -74,13 +74,13 @@
 // CancelCheck cancels a request's check in flight. Its result must not be reported.
 type CancelCheck struct{ ID uint64 }
 
-// Resolve says what is to be done with a request. It is the last action for it.
+// Resolve gives the decision on a request. It is the last action for it.
 type Resolve struct {
 	ID       uint64
 	Decision Decision
 	// CachedPayload is the payload of the earlier result that is used; else nil.
 	CachedPayload any
-	// FromFallback says that no result came: an earlier one or the mode of the class decides.
+	// FromFallback means that no result came: an earlier one or the mode of the class decides.
 	FromFallback bool
 }
 
--- a/config/hcl_schema.go
+++ b/config/hcl_schema.go
@@ -3,7 +3,7 @@
 import "github.com/hashicorp/hcl/v2"
 
 // The types below are the blocks of a configuration file as HCL decodes them. Values stay
-// expressions, so that a mistake in one can name its place. The tags are the keys that
+// expressions, so that a mistake can be reported with its place. The tags are the keys that
 // users write; they are part of the interface.
 
 type file struct {
@@ -150,11 +150,11 @@
 }
 
 type counterBlock struct {
-	Addresses      hcl.Expression `hcl:"addresses"`
-	CallsPerSecond hcl.Expression `hcl:"calls_per_second,optional"`
-	Timeout        hcl.Expression `hcl:"limit,optional"`
-	Window         hcl.Expression `hcl:"window,optional"`
-	Retention      hcl.Expression `hcl:"keep,optional"`
+	Addresses         hcl.Expression `hcl:"addresses"`
+	CommandsPerSecond hcl.Expression `hcl:"calls_per_second,optional"`
+	Timeout           hcl.Expression `hcl:"limit,optional"`
+	Window            hcl.Expression `hcl:"window,optional"`
+	Retention         hcl.Expression `hcl:"keep,optional"`
 }
 
 type limitsBlock struct {
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -117,8 +117,8 @@
 		return &AuthorizerError{err}
 	}
 	g.closes = append(g.closes, g.logged("closing the authorization client failed", client.Close))
-	options.Authorizer = client
-	options.Authz = authz.New(authzSettings(g.cfg, g.options.Seed))
+	options.AuthorizationClient = client
+	options.AuthorizationDecider = authz.New(authzSettings(g.cfg, g.options.Seed))
 	return nil
 }
 
@@ -210,12 +210,13 @@
 	default:
 		return
 	}
-	switch {
-	case g.usageRecorder != nil && g.usageRecorder.receivePeerMessage(from, data):
-	case g.membership != nil && g.membership.handleMessage(from, data):
-	default:
-		g.node.ReceivePeerMessage(from, data)
+	if g.usageRecorder != nil && g.usageRecorder.receivePeerMessage(from, data) {
+		return
+	}
+	if g.membership != nil && g.membership.receivePeerMessage(from, data) {
+		return
 	}
+	g.node.ReceivePeerMessage(from, data)
 }
 
 // openUsage opens the usage counter's client and the stored usage, where a counter is configured.
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -15,16 +15,16 @@
 	Name string
 
 	// Snapshot is the last one that a process of this node saved; zero where there is none.
-	// A snapshot of an earlier state may let the node claim a share that others hold.
+	// A snapshot of an earlier state may let the node claim a share that is in force at others.
 	Snapshot Snapshot
 
 	// ChangeAnnouncementInterval is the time between announcements to all peers while a
-	// change is under way; 500 ms by default. Announcements may be lost, so a longer
+	// change is in progress; 500 ms by default. Announcements may be lost, so a longer
 	// interval prolongs changes, and a shorter one costs messages.
 	ChangeAnnouncementInterval time.Duration
 
-	// IdleAnnouncementInterval is the time between announcements while no change is under
-	// way; 10 s by default. It bounds how long a restarted peer takes to learn of this node.
+	// IdleAnnouncementInterval is the time between announcements while no change is in
+	// progress; 10 s by default. It bounds how long a restarted peer takes to learn of this node.
 	IdleAnnouncementInterval time.Duration
 
 	// ReminderInterval is the time between notes that name the nodes a change waits for;
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -22,7 +22,7 @@
 	return func() { n.enqueue(clientDisconnected{r}) }
 }
 
-// arrivalTime is when a request came in. The clock is read in any case, since that
+// arrivalTime is when a request arrived. The clock is read in any case, since that
 // also detects a pause of the process.
 func (n *Node) arrivalTime(request *Request) time.Duration {
 	now := n.options.Clock.Now()
@@ -64,8 +64,8 @@
 	return n.unanswered
 }
 
-// beginRequest is a request's first turn in the loop: it gets its number and its
-// deadline, and is put to the authorizer or the policy.
+// beginRequest is the first step of a request in the loop: it gets its number and its
+// deadline, and goes to the authorization decider or the policy.
 func (n *Node) beginRequest(r *pendingRequest) {
 	n.lastID++
 	r.id = n.lastID
@@ -82,21 +82,21 @@
 		return
 	}
 	r.deadlineTimer = n.timerWheel.Add(r.deadline, func() { n.handleDeadline(r) })
-	if n.options.Authz == nil {
+	if n.options.AuthorizationDecider == nil {
 		n.askPolicy(r)
 		return
 	}
 	n.authorize(r)
 }
 
-// timeToAnswer is how much of the client's timeout the node uses: all but the margin
-// for the way back, and half of it at least.
+// timeToAnswer is the part of the client's timeout that the node uses: all but the margin
+// for the response to reach the client, and half of it at least.
 func (n *Node) timeToAnswer(clientTimeout time.Duration) time.Duration {
 	return max(clientTimeout-n.options.ResponseMargin, clientTimeout/2)
 }
 
 // handleDeadline ensures that a request has its final response at its deadline,
-// whatever authorizer, servers and policy do.
+// whatever the authorization service, the servers and the policy do.
 func (n *Node) handleDeadline(r *pendingRequest) {
 	if r.isAnswered() {
 		return
--- a/node/loop.go
+++ b/node/loop.go
@@ -69,8 +69,8 @@
 	return batch
 }
 
-// refreshTime takes the time after the loop slept: that it did not read the clock
-// meanwhile does not mean that the process was paused.
+// refreshTime reads the clock after the loop slept: an idle loop reads no clock, which does
+// not mean that the process was paused.
 func (n *Node) refreshTime() { n.now = max(n.now, n.options.Clock.Now()) }
 
 // untilNextTimer is how long the loop may sleep.
@@ -82,8 +82,10 @@
 	return next - time.Since(n.timeOrigin)
 }
 
-// detectPause takes the time and raises the barrier where the process was paused, or
-// where the loop alone did not read the clock for too long.
+// detectPause reads the clock and raises the barrier where the process was paused, or
+// where the loop alone did not read the clock for too long. The logged duration is the
+// time since the loop last read the clock, which is not the length of the pause: it may
+// be microseconds where the clock was read between the pause and this call.
 func (n *Node) detectPause() {
 	now := n.options.Clock.Now()
 	pauses := n.options.Clock.Pauses()
@@ -119,7 +121,7 @@
 }
 
 // handleDeferred handles the events that waited behind the barrier, in the order that
-// package pause gives them: what happened in the world goes before the timers that
+// package pause gives them: external events go before the timers that
 // expired meanwhile, and these before new requests.
 func (n *Node) handleDeferred() {
 	deferred := n.deferred
--- a/usage/shard_state.go
+++ b/usage/shard_state.go
@@ -1,12 +1,12 @@
 package usage
 
-// ShardState is what a Tracker believes of a shard of the counter.
+// ShardState is the condition of a shard of the counter, as a Tracker infers it.
 type ShardState int
 
 // The states of a shard.
 const (
 	Unknown      ShardState = iota // no response yet
-	Healthy                        // responses hold every expected entry
+	Healthy                        // responses have every expected entry
 	Unresponsive                   // calls fail
 	Emptied                        // another epoch, all entries gone: restarted empty
 	Replaced                       // another epoch, older entries: another shard in its place
@@ -36,7 +36,7 @@
 	fnvPrime  = 16777619
 )
 
-// ShardOf returns the index of the shard that holds a customer's totals: an FNV-1a hash of
+// ShardOf returns the index of the shard that stores a customer's totals: an FNV-1a hash of
 // the name. All nodes must agree on it.
 func (t *Tracker) ShardOf(name string) int {
 	hash := uint32(fnvOffset)
@@ -46,7 +46,7 @@
 	return int(hash % uint32(len(t.shards)))
 }
 
-// shardOf returns the shard that holds a total.
+// shardOf returns the shard that stores a total.
 func (t *Tracker) shardOf(total *windowTotal) *shardHealth {
 	return &t.shards[t.ShardOf(total.key.Customer)]
 }
