--- a/gateway/start.go
+++ b/gateway/start.go
@@ -57,7 +57,7 @@
 func (g *Gateway) startClock() (clock *pauseclock.Clock, origin time.Time) {
 	origin = time.Now()
 	clock = pauseclock.New(origin, g.options.Network, g.options.Pause)
-	g.closes = append(g.closes, clock.Close)
+	g.closes.Add(clock.Close)
 	g.options.Network = clock.WatchNetwork(g.options.Network)
 	return clock, origin
 }
@@ -88,7 +88,7 @@
 		HTTP2:       g.cfg.Servers.HTTP2,
 		Stood:       clock.PausedSince,
 	})
-	g.closes = append(g.closes, pool.Close)
+	g.closes.Add(pool.Close)
 	if g.options.WrapUpstream != nil {
 		return g.options.WrapUpstream(pool)
 	}
@@ -116,7 +116,7 @@
 	if err != nil {
 		return &AuthorizerError{err}
 	}
-	g.closes = append(g.closes, g.logged("closing the authorization client failed", client.Close))
+	g.closes.Add(g.logged("closing the authorization client failed", client.Close))
 	options.AuthorizationClient = client
 	options.AuthorizationDecider = authz.New(authzSettings(g.cfg, g.options.Seed))
 	return nil
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	g.closes = append(g.closes, transport.Close)
+	g.closes.Add(transport.Close)
 	options.SendToPeer = transport.Tell
 	if g.membership != nil {
 		g.membership.transport = transport
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -66,7 +66,7 @@
 			Retention:  counter.Retention,
 		}),
 	}
-	g.closes = append(g.closes, r.client.Close)
+	g.closes.Add(r.client.Close)
 	r.assignPeers(gateways)
 	if g.cfg.StateDir == "" {
 		return r, nil
@@ -104,7 +104,7 @@
 			"error", moved.Cause, "path", moved.Path, "moved_to", moved.MovedTo)
 	}
 	r.storage = &usageStorage{gateway: g, tracker: r.tracker, store: store}
-	g.closes = append(g.closes, r.storage.close)
+	g.closes.Add(r.storage.close)
 	r.tracker.LoadStored(g.options.WallClock(), contents.Entries)
 	return nil
 }
--- a/node/policy.go
+++ b/node/policy.go
@@ -169,8 +169,9 @@
 	resized := policy.FleetResized{Gateways: gateways, PreviousSize: previous}
 	n.options.Settings.Gateways = gateways
 	n.fleetSize = resized
-	if previous != 0 {
-		n.fleetSize.PreviousSize = -1 // a restarted policy has no share of the size before
+	if previous != policy.ResizeComplete {
+		// A restarted policy held no share of the size before.
+		n.fleetSize.PreviousSize = policy.UnknownPreviousSize
 	}
 	n.queuePolicyEvent(resized)
 	n.runPolicy()
