--- a/edgenode/testbed_test.go
+++ b/edgenode/testbed_test.go
@@ -189,7 +189,17 @@
 // dialHook is the machine's network with a hook for dials.
 type dialHook struct {
 	network.OS
-	dial func(ctx context.Context, addr string) (net.Conn, error)
+	dial     func(ctx context.Context, addr string) (net.Conn, error)
+	listener net.Listener // the node's, open already
+}
+
+// Listen returns the listener that is open already: between the choice of a port and the
+// node's start no other test may take it.
+func (d dialHook) Listen(addr string) (net.Listener, error) {
+	if addr != d.listener.Addr().String() {
+		return nil, fmt.Errorf("the node listens at %s, not at %s", addr, d.listener.Addr())
+	}
+	return d.listener, nil
 }
 
 func (d dialHook) Dial(ctx context.Context, addr string) (net.Conn, error) {
@@ -212,7 +222,8 @@
 // reset.
 func runOnLoopback(t *testing.T, settings *strings.Replacer, d dialHook, respond func(n int, id string) (string, bool), f func(s *testbed)) {
 	t.Helper()
-	s := &testbed{t: t, address: freeAddress(t)}
+	d.listener = listenOnLoopback(t)
+	s := &testbed{t: t, address: d.listener.Addr().String()}
 	list := s.startServers(respond)
 	s.endpointList.Store(&list)
 	discovery := listenOnLoopback(t)
