--- a/edgenode/discovery/watch_test.go
+++ b/edgenode/discovery/watch_test.go
@@ -87,7 +87,13 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		Watch(ctx, Options{Network: n, Address: address, Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
+		deliver := func(l List) {
+			select {
+			case got <- l:
+			case <-ctx.Done(): // the test has ended and reads no more
+			}
+		}
+		Watch(ctx, Options{Network: n, Address: address, Logger: slog.New(slog.DiscardHandler), Deliver: deliver})
 	}()
 	t.Cleanup(func() { cancel(); <-done })
 	return got
