--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -205,7 +205,7 @@
 			l.transport.Send(a.To, encodeAnnouncement(a.Announcement))
 		case membership.PhaseChanged:
 			l.gateway.options.Log.Info("membership phase changed", "phase", a.Phase.String())
-		case membership.OperatorNote:
+		case membership.LogEvent:
 			l.logNote(ctx, a)
 		}
 	}
@@ -242,7 +242,7 @@
 }
 
 // logNote writes a note to the log, as a warning if an operator has to act.
-func (l *membershipLoop) logNote(ctx context.Context, n membership.OperatorNote) {
+func (l *membershipLoop) logNote(ctx context.Context, n membership.LogEvent) {
 	level := slog.LevelInfo
 	if n.NeedsAction {
 		level = slog.LevelWarn
--- a/gateway/membership_test.go
+++ b/gateway/membership_test.go
@@ -62,7 +62,7 @@
 		busy := make(chan struct{})
 		g.node.Do(func() { <-busy })
 		g.membership.submit(func() []membership.Action {
-			return []membership.Action{membership.FleetResized{Gateways: 3}, membership.OperatorNote{Message: "after the resize"}}
+			return []membership.Action{membership.FleetResized{Gateways: 3}, membership.LogEvent{Message: "after the resize"}}
 		})
 		time.Sleep(8 * time.Second)
 		close(busy)
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -173,7 +173,7 @@
 			r.sendToPeer(action.To, r.codec.encode(action.Entries))
 		case usage.RestoreLevel:
 			r.gateway.node.SetUsageLevel(action.Customer, action.Units)
-		case usage.OperatorNote:
+		case usage.ShardStateChanged:
 			r.logShardState(action)
 		}
 	}
@@ -188,7 +188,7 @@
 	})
 }
 
-func (r *usageRecorder) logShardState(note usage.OperatorNote) {
+func (r *usageRecorder) logShardState(note usage.ShardStateChanged) {
 	log := r.gateway.options.Log.Warn
 	if note.State == usage.Healthy {
 		log = r.gateway.options.Log.Info
--- a/membership/actions.go
+++ b/membership/actions.go
@@ -31,8 +31,8 @@
 // PhaseChanged reports that this node has entered a phase.
 type PhaseChanged struct{ Phase Phase }
 
-// OperatorNote is an event for the operators' log.
-type OperatorNote struct {
+// LogEvent is an event for the operators' log.
+type LogEvent struct {
 	Message     string
 	Attributes  []Attribute
 	NeedsAction bool // the event does not resolve without an operator
@@ -49,14 +49,14 @@
 func (SendAnnouncement) action() {}
 func (SaveSnapshot) action()     {}
 func (PhaseChanged) action()     {}
-func (OperatorNote) action()     {}
+func (LogEvent) action()         {}
 
 // note appends an event that resolves by itself, or needs no action.
 func (m *StateMachine) note(message string, attributes ...Attribute) {
-	m.actions = append(m.actions, OperatorNote{Message: message, Attributes: attributes})
+	m.actions = append(m.actions, LogEvent{Message: message, Attributes: attributes})
 }
 
 // warn appends an event that needs an operator.
 func (m *StateMachine) warn(message string, attributes ...Attribute) {
-	m.actions = append(m.actions, OperatorNote{Message: message, Attributes: attributes, NeedsAction: true})
+	m.actions = append(m.actions, LogEvent{Message: message, Attributes: attributes, NeedsAction: true})
 }
--- a/membership/epoch_change_test.go
+++ b/membership/epoch_change_test.go
@@ -13,7 +13,7 @@
 // attribute that holds.
 func hasNote(actions []Action, message string, holds func(Attribute) bool) bool {
 	return slices.ContainsFunc(actions, func(a Action) bool {
-		n, ok := a.(OperatorNote)
+		n, ok := a.(LogEvent)
 		return ok && n.Message == message && slices.ContainsFunc(n.Attributes, holds)
 	})
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -86,7 +86,7 @@
 			h.snapshot = a.Snapshot
 		case SendAnnouncement:
 			f.inFlight = append(f.inFlight, testMessage{h.process.machine.Number(), a.To, a.Announcement})
-		case OperatorNote:
+		case LogEvent:
 			if a.NeedsAction {
 				h.process.needsAction++
 			}
--- a/membership/state_machine_test.go
+++ b/membership/state_machine_test.go
@@ -8,7 +8,7 @@
 // rejection returns the error of the note that a roster was rejected, or nil.
 func rejection(actions []Action) error {
 	for _, a := range actions {
-		n, ok := a.(OperatorNote)
+		n, ok := a.(LogEvent)
 		if !ok || n.Message != "roster rejected" || !n.NeedsAction {
 			continue
 		}
--- a/usage/actions.go
+++ b/usage/actions.go
@@ -66,14 +66,14 @@
 	Units    float64
 }
 
-// OperatorNote reports a change of a shard's state, for the log.
-type OperatorNote struct {
+// ShardStateChanged reports a change of a shard's state, for the log.
+type ShardStateChanged struct {
 	Shard    int
 	State    ShardState
 	Evidence Evidence
 }
 
-func (CounterCall) action()  {}
-func (PeerMessage) action()  {}
-func (RestoreLevel) action() {}
-func (OperatorNote) action() {}
+func (CounterCall) action()       {}
+func (PeerMessage) action()       {}
+func (RestoreLevel) action()      {}
+func (ShardStateChanged) action() {}
--- a/usage/fleet_test.go
+++ b/usage/fleet_test.go
@@ -43,7 +43,7 @@
 	lastEpoch         int
 	messagesDelivered bool
 	truth             map[TotalKey]map[WriterID]MilliUnits // what was forwarded
-	notes             []OperatorNote
+	notes             []ShardStateChanged
 }
 
 // node is one simulated node.
@@ -104,7 +104,7 @@
 			if f.messagesDelivered && len(action.Entries) <= maxEntriesPerMessage {
 				f.nodes[action.To].tracker.MergeFromPeer(f.now, n.index, action.Entries)
 			}
-		case OperatorNote:
+		case ShardStateChanged:
 			f.notes = append(f.notes, action)
 		}
 	}
--- a/usage/shard_health.go
+++ b/usage/shard_health.go
@@ -204,5 +204,5 @@
 		return
 	}
 	shard.state = state
-	t.actions = append(t.actions, OperatorNote{shard.index, state, evidence})
+	t.actions = append(t.actions, ShardStateChanged{shard.index, state, evidence})
 }
--- a/usage/shard_health_test.go
+++ b/usage/shard_health_test.go
@@ -103,7 +103,7 @@
 	shards       []*fakeShard
 	unresponsive int // index of a shard that does not respond, or noShard
 	forwarded    map[string]MilliUnits
-	notes        []OperatorNote
+	notes        []ShardStateChanged
 }
 
 func newShardedCounter(shards int) *shardedCounter {
@@ -125,7 +125,7 @@
 				response = s.shards[action.Shard].execute(action)
 			}
 			s.perform(s.tracker.HandleResponse(s.now, action.ID, response))
-		case OperatorNote:
+		case ShardStateChanged:
 			s.notes = append(s.notes, action)
 		}
 	}
