--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -127,7 +127,7 @@
 		return s.denied(t, *early), nil
 	}
 	if p, ok := peer.FromContext(ctx); ok {
-		t.Arrived = pauseclock.ArrivalTimeOf(p.Addr)
+		t.Arrived = pauseclock.ArrivalTimeForAddr(p.Addr)
 	}
 	if by, ok := ctx.Deadline(); ok {
 		// It counts from when the call was read: what the proxy gave it is as much
--- a/internal/pauseclock/clock_test.go
+++ b/internal/pauseclock/clock_test.go
@@ -78,7 +78,7 @@
 		if arrived := ArrivalTime(conn); arrived.Sub(sent).Abs() > 5*time.Millisecond {
 			t.Errorf("arrived %v after it was sent", arrived.Sub(sent))
 		}
-		if got, want := ArrivalTimeOf(conn.RemoteAddr()), ArrivalTime(conn); !got.Equal(want) {
+		if got, want := ArrivalTimeForAddr(conn.RemoteAddr()), ArrivalTime(conn); !got.Equal(want) {
 			t.Errorf("by its address it arrived at %v, want %v", got, want)
 		}
 	})
@@ -133,7 +133,7 @@
 	if at := ArrivalTime(a); !at.IsZero() {
 		t.Errorf("connection: %v", at)
 	}
-	if at := ArrivalTimeOf(a.RemoteAddr()); !at.IsZero() {
+	if at := ArrivalTimeForAddr(a.RemoteAddr()); !at.IsZero() {
 		t.Errorf("address: %v", at)
 	}
 }
--- a/internal/pauseclock/conn.go
+++ b/internal/pauseclock/conn.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// ArrivalTimeOf returns the ArrivalTime of the connection whose RemoteAddr returned an
+// ArrivalTimeForAddr returns the ArrivalTime of the connection whose RemoteAddr returned an
 // address; zero for other addresses.
-func ArrivalTimeOf(a net.Addr) time.Time {
+func ArrivalTimeForAddr(a net.Addr) time.Time {
 	if a, ok := a.(watchedAddr); ok {
 		return a.conn.arrivalTime()
 	}
@@ -72,7 +72,7 @@
 	return c.socket.clock.TimeOrigin.Add(c.socket.lastArrival.Load())
 }
 
-// RemoteAddr returns the peer's address, which ArrivalTimeOf takes.
+// RemoteAddr returns the peer's address, which ArrivalTimeForAddr takes.
 func (c *watchedConn) RemoteAddr() net.Addr { return watchedAddr{c.Conn.RemoteAddr(), c} }
 
 // Read reads from the connection and dates what it returns.
