--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -18,22 +18,22 @@
 // the attempts must fit one bucket.
 type ceilingFleet struct {
 	*gatewayFleet
-	plan      Plan
-	units     float64 // of each request
-	spread    int
-	clientsAt int // clients use the gateways below this number, in turn
-	asked     float64
-	requested int
-	loadTime  time.Duration
+	plan           Plan
+	units          float64 // of each request
+	spread         int
+	clientGateways int // clients use the gateways below this number, in turn
+	dueUnits       float64
+	requested      int
+	loadDuration   time.Duration
 }
 
 func newCeilingFleet(t *testing.T, gateways int, plan string, units float64) *ceilingFleet {
 	t.Helper()
 	f := &ceilingFleet{
-		gatewayFleet: newGatewayFleet(t, gateways, testServers(40)),
-		units:        units,
-		spread:       gateways,
-		clientsAt:    gateways,
+		gatewayFleet:   newGatewayFleet(t, gateways, testServers(40)),
+		units:          units,
+		spread:         gateways,
+		clientGateways: gateways,
 	}
 	for _, p := range baseSettings().Plans {
 		if p.Name == plan {
@@ -45,9 +45,9 @@
 
 // load sends the requests that are due in one step of 10 ms.
 func (f *ceilingFleet) load(time.Duration) {
-	f.loadTime += 10 * ms
-	for f.asked += ceilingDemand * f.plan.HardRate / 100; f.asked >= f.units; f.asked -= f.units {
-		f.request((f.requested + 1) * 7 % f.clientsAt)
+	f.loadDuration += 10 * ms
+	for f.dueUnits += ceilingDemand * f.plan.HardRate / 100; f.dueUnits >= f.units; f.dueUnits -= f.units {
+		f.request((f.requested + 1) * 7 % f.clientGateways)
 	}
 }
 
@@ -83,7 +83,7 @@
 }
 
 // holders are the gateways that hold a share of the ceiling in a fleet of a size.
-func (f *ceilingFleet) holders(gateways int) []int {
+func (f *ceilingFleet) shareHolders(gateways int) []int {
 	g := f.gateways[0]
 	size := g.fleetSizeOf(gateways)
 	c := &customer{key: customerKey(testCustomer), plan: g.plans[f.plan.Name], requestedSpread: f.spread}
@@ -106,25 +106,25 @@
 // leader is the number of the customer's quota leader.
 func (f *ceilingFleet) leader() int {
 	g := f.gateways[0]
-	return f.holders(g.size.gateways)[0]
+	return f.shareHolders(g.size.gateways)[0]
 }
 
 // check compares the attempts with one bucket for the whole fleet, and what was served with the least share of
 // the ceiling.
-func (f *ceilingFleet) check(least float64) {
+func (f *ceilingFleet) check(minServedShare float64) {
 	f.t.Helper()
-	level, worst, last := f.plan.HardBurst, f.plan.HardBurst, 10*time.Second
-	for _, at := range f.sentAt {
+	level, lowest, last := f.plan.HardBurst, f.plan.HardBurst, 10*time.Second
+	for _, at := range f.startedAt {
 		level = min(f.plan.HardBurst, level+f.plan.HardRate*(at-last).Seconds()) - f.units
 		last = at
-		worst = min(worst, level)
+		lowest = min(lowest, level)
 	}
-	if slack := f.plan.HardRate * ceilingDelay.Seconds(); worst < -slack-1e-9 {
-		f.t.Errorf("the ceiling's bucket of %v fell to %.2f, %.2f allowed", f.plan.HardBurst, worst, -slack)
+	if slack := f.plan.HardRate * ceilingDelay.Seconds(); lowest < -slack-1e-9 {
+		f.t.Errorf("the ceiling's bucket of %v fell to %.2f, %.2f allowed", f.plan.HardBurst, lowest, -slack)
 	}
-	passed := f.plan.HardRate * f.loadTime.Seconds() // the shares of the bucket are empty at the start
-	if served := float64(len(f.sends)) * f.units / passed; served < least {
-		f.t.Errorf("%.2f of what the ceiling lets pass was served, at least %.2f wanted", served, least)
+	available := f.plan.HardRate * f.loadDuration.Seconds() // the shares of the bucket are empty at the start
+	if served := float64(len(f.attempts)) * f.units / available; served < minServedShare {
+		f.t.Errorf("%.2f of what the ceiling lets pass was served, at least %.2f wanted", served, minServedShare)
 	}
 }
 
@@ -140,7 +140,7 @@
 	{"60 gateways", 60, 0.7, func(f *ceilingFleet) { f.advance(20*time.Second, f.load) }},
 	{"150 gateways", 150, 0.7, func(f *ceilingFleet) { f.advance(20*time.Second, f.load) }},
 	{"clients at three of 60", 60, 0.7, func(f *ceilingFleet) {
-		f.spread, f.clientsAt = 3, 3
+		f.spread, f.clientGateways = 3, 3
 		f.advance(20*time.Second, f.load)
 	}},
 	{"clients beyond the customer's three gateways", 60, 0.5, func(f *ceilingFleet) {
@@ -152,22 +152,22 @@
 		f.advance(20*time.Second, f.load)
 	}},
 	{"all messages lost", 60, 0, func(f *ceilingFleet) {
-		f.lost = func(int, int) bool { return true }
+		f.isLost = func(int, int) bool { return true }
 		f.advance(20*time.Second, f.load)
 	}},
 	{"a third cut off", 60, 0.5, func(f *ceilingFleet) {
-		f.lost = func(from, to int) bool { return (from < 20) != (to < 20) }
+		f.isLost = func(from, to int) bool { return (from < 20) != (to < 20) }
 		f.advance(20*time.Second, f.load)
 	}},
 	{"one message in four lost", 60, 0.7, func(f *ceilingFleet) {
 		sent := 0
-		f.lost = func(int, int) bool { sent++; return sent%4 == 0 }
+		f.isLost = func(int, int) bool { sent++; return sent%4 == 0 }
 		f.advance(20*time.Second, f.load)
 	}},
 	{"leader silent", 60, 0.2, func(f *ceilingFleet) {
 		f.advance(5*time.Second, f.load)
 		leader := f.leader()
-		f.lost = func(from, to int) bool { return from == leader || to == leader }
+		f.isLost = func(from, to int) bool { return from == leader || to == leader }
 		f.advance(15*time.Second, f.load)
 	}},
 	{"leader restarted", 60, 0.5, func(f *ceilingFleet) {
@@ -180,7 +180,7 @@
 		for _, size := range []int{20, 60, 8, 60} {
 			f.advance(3*time.Second, f.load)
 			f.resize(size, 10*ms, f.load)
-			f.clientsAt = size
+			f.clientGateways = size
 		}
 		f.advance(3*time.Second, f.load)
 	}},
@@ -207,8 +207,8 @@
 			c.play(f)
 			f.advance(time.Second, nil)
 			f.check(c.least)
-			if len(f.sends)+f.rejected != f.requested {
-				t.Errorf("%d admitted and %d rejected of %d", len(f.sends), f.rejected, f.requested)
+			if len(f.attempts)+f.rejected != f.requested {
+				t.Errorf("%d admitted and %d rejected of %d", len(f.attempts), f.rejected, f.requested)
 			}
 		})
 	}
@@ -230,10 +230,10 @@
 			f.spread = max(c.before, c.after)
 			f.resize(c.before, 0, nil)
 			f.advance(time.Minute, nil)
-			holders := f.holders(c.after)
-			f.burst(slices.DeleteFunc(f.holders(c.before), func(i int) bool { return slices.Contains(holders, i) }))
+			newHolders := f.shareHolders(c.after)
+			f.burst(slices.DeleteFunc(f.shareHolders(c.before), func(i int) bool { return slices.Contains(newHolders, i) }))
 			f.resize(c.after, 0, nil)
-			f.burst(holders)
+			f.burst(newHolders)
 			f.check(0)
 		})
 	}
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-func TestIdleCustomersAreForgotten(t *testing.T) {
-	w := newHarness(t, baseSettings(), testServers(2))
+func TestIdleCustomersAreRemoved(t *testing.T) {
+	h := newHarness(t, baseSettings(), testServers(2))
 	for i := range 50 {
-		acts := w.request("safe", "rate", fmt.Sprint(i), 1)
-		w.finishAttempt(actionsOf[StartAttempt](acts)[0], 0, OK)
-		w.now += 20 * ms
+		actions := h.request("safe", "rate", fmt.Sprint(i), 1)
+		h.finishAttempt(actionsOf[StartAttempt](actions)[0], 0, OK)
+		h.now += 20 * ms
 	}
-	w.advance(9 * time.Minute)
-	w.admitUnits(1, "rate")
-	if n := len(w.g.customers.byKey); n != 51 {
+	h.advance(9 * time.Minute)
+	h.admitUnits(1, "rate")
+	if n := len(h.gateway.customers.byKey); n != 51 {
 		t.Fatalf("%d customers known, want 51", n)
 	}
-	w.advance(2 * time.Minute)
-	if n := len(w.g.customers.byKey) + len(w.g.customers.ring) + len(w.g.customers.byHash) + len(w.g.peers[1].customerViews); n != 4 {
+	h.advance(2 * time.Minute)
+	if n := len(h.gateway.customers.byKey) + len(h.gateway.customers.ring) + len(h.gateway.customers.byHash) + len(h.gateway.peers[1].customerViews); n != 4 {
 		t.Fatalf("%d entries are left of customers, want 4", n)
 	}
 }
 
 // Without messages to peers idle customers are forgotten, too.
-func TestIdleCustomersAreForgottenWithoutMessages(t *testing.T) {
+func TestIdleCustomersAreRemovedWithoutPeerMessages(t *testing.T) {
 	s := baseSettings()
 	s.CanMessagePeers = false
-	w := newHarness(t, s, testServers(2))
-	w.admitUnits(1, "rate")
-	w.advance(11 * time.Minute)
-	if n := len(w.g.customers.byKey); n != 0 {
+	h := newHarness(t, s, testServers(2))
+	h.admitUnits(1, "rate")
+	h.advance(11 * time.Minute)
+	if n := len(h.gateway.customers.byKey); n != 0 {
 		t.Errorf("%d customers known", n)
 	}
 }
 
 // A customer whose buckets take long to fill is remembered until they are full: a pause does not give it another
 // bucket at once.
-func TestCustomersWithSlowBucketsAreRemembered(t *testing.T) {
+func TestCustomersWithSlowBucketsAreKept(t *testing.T) {
 	for _, plan := range []Plan{
 		{Name: "slow", Rate: 0.01, Burst: 20},
 		{Name: "slow", HardRate: 0.01, HardBurst: 20},
@@ -46,16 +46,16 @@
 		s := baseSettings()
 		s.Gateways = 1
 		s.Plans = append(s.Plans, plan)
-		w := newHarness(t, s, testServers(8))
-		w.advance(time.Hour) // a share of a ceiling starts empty
-		first := w.admitUnits(30, "slow")
-		w.advance(15 * time.Minute)
-		again := w.admitUnits(30, "slow")
-		if first < 19 || first > 21 || again > 10 {
-			t.Errorf("%+v: %d admitted, and %d a quarter of an hour later", plan, first, again)
+		h := newHarness(t, s, testServers(8))
+		h.advance(time.Hour) // a share of a ceiling starts empty
+		first := h.admitUnits(30, "slow")
+		h.advance(15 * time.Minute)
+		later := h.admitUnits(30, "slow")
+		if first < 19 || first > 21 || later > 10 {
+			t.Errorf("%+v: %d admitted, and %d a quarter of an hour later", plan, first, later)
 		}
-		w.advance(time.Hour)
-		if n := len(w.g.customers.byKey); n != 0 {
+		h.advance(time.Hour)
+		if n := len(h.gateway.customers.byKey); n != 0 {
 			t.Errorf("%+v: %d customers are left once the bucket is full", plan, n)
 		}
 	}
@@ -67,8 +67,8 @@
 	if want := uint64(0x79ba5150b1712e5c); key != want {
 		t.Errorf("key %#x, want %#x", key, want)
 	}
-	if short, want := customerReportHash(key), uint32(0x79ba51); short != want {
-		t.Errorf("short %#x, want %#x", short, want)
+	if reportHash, want := customerReportHash(key), uint32(0x79ba51); reportHash != want {
+		t.Errorf("short %#x, want %#x", reportHash, want)
 	}
 }
 
@@ -92,7 +92,7 @@
 		}
 	}
 	f.advance(20*time.Second, load(first, second))
-	if admitted, quotas := len(f.sends), 2*(10+10*20); admitted > quotas*3/2 {
+	if admitted, quotas := len(f.attempts), 2*(10+10*20); admitted > quotas*3/2 {
 		t.Errorf("%d units admitted of two quotas of %d", admitted, quotas/2)
 	}
 	f.advance(11*time.Minute, func(at time.Duration) {
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -71,15 +71,15 @@
 }
 
 // check sums the shares of each ceiling. A customer of one gateway has no standby leader: that share is nobody's.
-func (f *resizingFleet) check(whole bool, what string) {
+func (f *resizingFleet) check(complete bool, stage string) {
 	f.t.Helper()
 	for _, name := range f.customers {
 		sum := 0.0
 		for _, g := range f.gateways {
 			sum += ceilingShare(g, f.customerAt(g, name))
 		}
-		if sum > 1+1e-9 || whole && sum < 1-standbyCeilingShare-1e-9 {
-			f.t.Fatalf("seed %d, %s: the shares of %s sum to %v", f.seed, what, name, sum)
+		if sum > 1+1e-9 || complete && sum < 1-standbyCeilingShare-1e-9 {
+			f.t.Fatalf("seed %d, %s: the shares of %s sum to %v", f.seed, stage, name, sum)
 		}
 	}
 }
@@ -110,12 +110,12 @@
 // What a gateway knew carries over a change; requests that are queued, or wait for a lease, are answered all the
 // same.
 func TestStateCarriesOverFleetResizes(t *testing.T) {
-	m := &memberDriver{g: newFleetMember(t, 0, 3, 200), owed: map[RequestID]bool{}}
-	g := m.g
+	driver := &memberDriver{gateway: newFleetMember(t, 0, 3, 200), pending: map[RequestID]bool{}}
+	g := driver.gateway
 	admitted := 0
 	for i := range 10 {
 		now := 10*time.Second + time.Duration(i)*time.Millisecond
-		admitted += len(actionsOf[StartAttempt](m.request(now, "c", 0, 3)))
+		admitted += len(actionsOf[StartAttempt](driver.request(now, "c", 0, 3)))
 	}
 	c := g.customers.byKey[customerKey("c")]
 	tokens := c.tokens
@@ -127,11 +127,11 @@
 		t.Errorf("share 1/%v", c.ceilingDivisor)
 	}
 	// Into leader mode and back, with requests that wait for a lease: each ends.
-	m.now = 11 * time.Second
+	driver.now = 11 * time.Second
 	for _, n := range []int{400, 4, 400, 1, 4} {
-		m.resize(n)
-		if len(m.owed) > 0 {
-			t.Fatalf("at %d gateways: %d requests without a response", n, len(m.owed))
+		driver.resize(n)
+		if len(driver.pending) > 0 {
+			t.Fatalf("at %d gateways: %d requests without a response", n, len(driver.pending))
 		}
 	}
 	if math.IsInf(c.ceilingDivisor, 1) || c.ceilingDivisor <= 0 {
@@ -141,15 +141,15 @@
 
 // memberDriver drives one gateway of a fleet whose size changes, with servers that answer at once.
 type memberDriver struct {
-	g      *Gateway
-	now    time.Duration
-	lastID RequestID
-	owed   map[RequestID]bool // a final response
+	gateway *Gateway
+	now     time.Duration
+	lastID  RequestID
+	pending map[RequestID]bool // a final response
 }
 
 func (m *memberDriver) request(now time.Duration, customer string, firstGateway, spread int) []Action {
 	m.lastID++
-	return m.g.Handle(now, Request{ID: m.lastID, Customer: customer, Plan: "p", Class: "lookup", Units: 1,
+	return m.gateway.Handle(now, Request{ID: m.lastID, Customer: customer, Plan: "p", Class: "lookup", Units: 1,
 		Remaining: 2 * time.Second, FirstGateway: firstGateway, GatewaySpread: spread}, nil)
 }
 
@@ -157,29 +157,29 @@
 func (m *memberDriver) resize(size int) {
 	for range 20 {
 		m.now += 5 * time.Millisecond
-		m.owed[m.lastID+1] = true
-		m.settle(m.request(m.now, fmt.Sprint("c", (m.lastID+1)%7), 2, 8))
+		m.pending[m.lastID+1] = true
+		m.handleActions(m.request(m.now, fmt.Sprint("c", (m.lastID+1)%7), 2, 8))
 	}
-	m.settle(m.g.Handle(m.now, FleetResized{Gateways: size, PreviousSize: m.g.size.gateways}, nil))
+	m.handleActions(m.gateway.Handle(m.now, FleetResized{Gateways: size, PreviousSize: m.gateway.size.gateways}, nil))
 	for range 100 {
 		m.now += 25 * time.Millisecond
-		m.settle(m.g.Handle(m.now, TimerFired{Token: tickTimer}, nil))
-		m.settle(m.g.Handle(m.now, TimerFired{Token: leaseTimer}, nil))
+		m.handleActions(m.gateway.Handle(m.now, TimerFired{Token: tickTimer}, nil))
+		m.handleActions(m.gateway.Handle(m.now, TimerFired{Token: leaseTimer}, nil))
 	}
-	m.settle(m.g.Handle(m.now, FleetResized{Gateways: size}, nil))
+	m.handleActions(m.gateway.Handle(m.now, FleetResized{Gateways: size}, nil))
 }
 
 // settle strikes off the requests that are answered.
-func (m *memberDriver) settle(actions []Action) {
+func (m *memberDriver) handleActions(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartAttempt:
-			delete(m.owed, a.ID)
-			m.g.Handle(m.now, AttemptResult{ID: a.ID, Server: a.Server, Code: OK, Latency: time.Millisecond, Answered: true}, nil)
+			delete(m.pending, a.ID)
+			m.gateway.Handle(m.now, AttemptResult{ID: a.ID, Server: a.Server, Code: OK, Latency: time.Millisecond, Answered: true}, nil)
 		case Reject:
-			delete(m.owed, a.ID)
+			delete(m.pending, a.ID)
 		case Fail:
-			delete(m.owed, a.ID)
+			delete(m.pending, a.ID)
 		}
 	}
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -9,14 +9,14 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (all []Action) {
-		w := newHarness(t, baseSettings(), testServers(5))
+		h := newHarness(t, baseSettings(), testServers(5))
 		for i := range 300 {
-			acts := w.request("safe", []string{"both", "rate", "free"}[i%3], fmt.Sprint(i%7), 1)
-			all = append(all, acts...)
-			for _, s := range actionsOf[StartAttempt](acts) {
-				all = append(all, w.finishAttempt(s, 0, ResultCode(i%3))...)
+			actions := h.request("safe", []string{"both", "rate", "free"}[i%3], fmt.Sprint(i%7), 1)
+			all = append(all, actions...)
+			for _, s := range actionsOf[StartAttempt](actions) {
+				all = append(all, h.finishAttempt(s, 0, ResultCode(i%3))...)
 			}
-			all = append(all, w.advance(20*ms)...)
+			all = append(all, h.advance(20*ms)...)
 		}
 		return all
 	}
@@ -25,22 +25,22 @@
 	}
 }
 
-func TestStrayInputChangesNothing(t *testing.T) {
-	w := newHarness(t, baseSettings(), testServers(3))
-	s := w.startAttempt("safe", "free")
-	for _, ev := range []Event{
+func TestUnexpectedEventsAreIgnored(t *testing.T) {
+	h := newHarness(t, baseSettings(), testServers(3))
+	s := h.startAttempt("safe", "free")
+	for _, event := range []Event{
 		AttemptResult{ID: 99, Server: 1, Code: OK}, AttemptResult{ID: s.ID, Attempt: 4, Server: s.Server, Code: Error},
 		ClientDisconnected{ID: 98}, TimerFired{Token: "other"}, ResponseStarted{ID: 97},
 		PeerMessage{From: 1, Data: []byte("rubbish")}, PeerMessage{From: 1}, PeerMessage{From: -3},
 		PeerMessage{From: 55, Data: (&loadReport{}).encode()}, EndpointUpdate{Kind: WatchFailed},
 	} {
-		if acts := w.handle(ev); len(acts) != 0 {
-			t.Errorf("%#v led to %v", ev, acts)
+		if actions := h.handle(event); len(actions) != 0 {
+			t.Errorf("%#v led to %v", event, actions)
 		}
 	}
-	w.finishAttempt(s, 0, OK)
-	if acts := w.finishAttempt(s, 0, OK); len(acts) != 0 || w.g.endpoints.list[0].inFlight+w.g.endpoints.list[1].inFlight+w.g.endpoints.list[2].inFlight != 0 {
-		t.Errorf("a second result led to %v", acts)
+	h.finishAttempt(s, 0, OK)
+	if actions := h.finishAttempt(s, 0, OK); len(actions) != 0 || h.gateway.endpoints.list[0].inFlight+h.gateway.endpoints.list[1].inFlight+h.gateway.endpoints.list[2].inFlight != 0 {
+		t.Errorf("a second result led to %v", actions)
 	}
 }
 
@@ -49,94 +49,94 @@
 func TestOneFinalResponseInTime(t *testing.T) {
 	for _, plan := range []string{"free", "rate", "open", "hard", "both"} {
 		for _, remaining := range []time.Duration{10 * ms, 60 * ms, 300 * ms, 2 * time.Second} {
-			w := newHarness(t, baseSettings(), testServers(2))
-			w.advance(time.Second)
-			ledger := &responseLedger{harness: w, owed: map[RequestID]time.Duration{},
+			h := newHarness(t, baseSettings(), testServers(2))
+			h.advance(time.Second)
+			tracker := &responseTracker{harness: h, deadlines: map[RequestID]time.Duration{},
 				inFlight: map[RequestID]StartAttempt{}, attempts: map[RequestID]int{}}
 			for i := range 1500 {
-				w.now += 2 * ms
+				h.now += 2 * ms
 				if i < 200 && i%4 == 0 {
-					ledger.request(plan, remaining)
+					tracker.request(plan, remaining)
 				}
-				if w.now-w.g.tick.lastAt >= w.g.tick.interval {
-					ledger.record(w.handle(TimerFired{Token: tickTimer}))
+				if h.now-h.gateway.tick.lastAt >= h.gateway.tick.interval {
+					tracker.record(h.handle(TimerFired{Token: tickTimer}))
 				}
-				ledger.checkDeadlines(fmt.Sprint(plan, ", ", remaining))
+				tracker.checkDeadlines(fmt.Sprint(plan, ", ", remaining))
 			}
-			if len(ledger.owed) > 0 {
-				t.Fatalf("%d requests never answered", len(ledger.owed))
+			if len(tracker.deadlines) > 0 {
+				t.Fatalf("%d requests never answered", len(tracker.deadlines))
 			}
 		}
 	}
 }
 
 // responseLedger keeps which requests are owed a final response, and when it is due.
-type responseLedger struct {
+type responseTracker struct {
 	*harness
-	owed     map[RequestID]time.Duration
-	inFlight map[RequestID]StartAttempt
-	attempts map[RequestID]int
+	deadlines map[RequestID]time.Duration
+	inFlight  map[RequestID]StartAttempt
+	attempts  map[RequestID]int
 }
 
-func (l *responseLedger) request(plan string, remaining time.Duration) {
-	l.lastID++
-	l.owed[l.lastID] = l.now + remaining
-	l.record(l.handle(Request{ID: l.lastID, Customer: testCustomer, Plan: plan, Class: "safe", Units: 1,
+func (r *responseTracker) request(plan string, remaining time.Duration) {
+	r.lastID++
+	r.deadlines[r.lastID] = r.now + remaining
+	r.record(r.handle(Request{ID: r.lastID, Customer: testCustomer, Plan: plan, Class: "safe", Units: 1,
 		Remaining: remaining, GatewaySpread: 2}))
 }
 
 // record checks what was done, and lets attempts that are cancelled end.
-func (l *responseLedger) record(actions []Action) {
-	l.t.Helper()
+func (r *responseTracker) record(actions []Action) {
+	r.t.Helper()
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartAttempt:
-			l.recordAttempt(a)
+			r.recordAttempt(a)
 		case CancelAttempt:
-			s := l.inFlight[a.ID]
-			delete(l.inFlight, a.ID)
-			l.record(l.handle(AttemptResult{ID: a.ID, Attempt: a.Attempt, Server: s.Server, Code: Cancelled}))
+			s := r.inFlight[a.ID]
+			delete(r.inFlight, a.ID)
+			r.record(r.handle(AttemptResult{ID: a.ID, Attempt: a.Attempt, Server: s.Server, Code: Cancelled}))
 		case Reject:
-			l.recordFinal(a.ID, a)
+			r.recordFinal(a.ID, a)
 		case Fail:
-			l.recordFinal(a.ID, a)
+			r.recordFinal(a.ID, a)
 		}
 	}
 }
 
-func (l *responseLedger) recordAttempt(a StartAttempt) {
-	l.t.Helper()
-	if _, ok := l.owed[a.ID]; !ok {
-		l.t.Fatalf("%v after its final response", a)
+func (r *responseTracker) recordAttempt(a StartAttempt) {
+	r.t.Helper()
+	if _, ok := r.deadlines[a.ID]; !ok {
+		r.t.Fatalf("%v after its final response", a)
 	}
-	if _, second := l.inFlight[a.ID]; second {
-		l.t.Fatalf("two attempts in flight: %v", a)
+	if _, second := r.inFlight[a.ID]; second {
+		r.t.Fatalf("two attempts in flight: %v", a)
 	}
-	l.inFlight[a.ID] = a
-	l.attempts[a.ID]++
+	r.inFlight[a.ID] = a
+	r.attempts[a.ID]++
 }
 
-func (l *responseLedger) recordFinal(id RequestID, a Action) {
-	l.t.Helper()
-	if _, ok := l.owed[id]; !ok {
-		l.t.Fatalf("second response: %v", a)
+func (r *responseTracker) recordFinal(id RequestID, a Action) {
+	r.t.Helper()
+	if _, ok := r.deadlines[id]; !ok {
+		r.t.Fatalf("second response: %v", a)
 	}
-	delete(l.owed, id)
+	delete(r.deadlines, id)
 }
 
 // checkDeadlines ends the attempts whose deadline has come, and fails for requests that are still owed a
 // response after it.
-func (l *responseLedger) checkDeadlines(what string) {
-	l.t.Helper()
-	for id := RequestID(1); id <= l.lastID; id++ {
-		due, owes := l.owed[id]
-		s, sent := l.inFlight[id]
-		if owes && sent && l.now >= due {
-			delete(l.inFlight, id)
-			l.record(l.handle(AttemptResult{ID: id, Attempt: l.attempts[id] - 1, Server: s.Server, Code: TimedOut}))
+func (r *responseTracker) checkDeadlines(description string) {
+	r.t.Helper()
+	for id := RequestID(1); id <= r.lastID; id++ {
+		deadline, isPending := r.deadlines[id]
+		s, inFlight := r.inFlight[id]
+		if isPending && inFlight && r.now >= deadline {
+			delete(r.inFlight, id)
+			r.record(r.handle(AttemptResult{ID: id, Attempt: r.attempts[id] - 1, Server: s.Server, Code: TimedOut}))
 		}
-		if _, still := l.owed[id]; still && l.now > due+8*ms {
-			l.t.Fatalf("%s: request %d has no response in time", what, id)
+		if _, stillPending := r.deadlines[id]; stillPending && r.now > deadline+8*ms {
+			r.t.Fatalf("%s: request %d has no response in time", description, id)
 		}
 	}
 }
--- a/policy/golden_decisions_test.go
+++ b/policy/golden_decisions_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, s := range scenarios() {
 		t.Run(s.name, func(t *testing.T) {
-			got := play(t, s).summary()
+			got := runScenario(t, s).summary()
 			if *updateGolden {
 				golden[s.name] = got
 				return
@@ -56,7 +56,7 @@
 // Equal scenarios give equal recordings: the golden file does not depend on the run.
 func TestGoldenScenariosAreDeterministic(t *testing.T) {
 	s := scenarios()[0]
-	first, second := play(t, s).summary(), play(t, s).summary()
+	first, second := runScenario(t, s).summary(), runScenario(t, s).summary()
 	if !slices.Equal(first, second) {
 		t.Errorf("scenario %s gave two recordings", s.name)
 	}
@@ -77,7 +77,7 @@
 		"To see it, run on this commit and on the one before, each with its own directory DIR,\n"+
 		"\tgo test -run 'TestGoldenDecisions/%s$' ./policy -decisions-dir DIR\n"+
 		"and compare the two files DIR/%s.txt.",
-		name, goldenFile, lineAt(want, i), lineAt(got, i), blockActions, name, name)
+		name, goldenFile, lineAt(want, i), lineAt(got, i), actionsPerBlock, name, name)
 }
 
 func lineAt(lines []string, i int) string {
--- a/policy/golden_recording_test.go
+++ b/policy/golden_recording_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	blockActions      = 1000 // a running digest is kept after so many actions
+	actionsPerBlock   = 1000 // a running digest is kept after so many actions
 	blockDigestLength = 16   // hexadecimal digits of it that are kept
 )
 
@@ -25,15 +25,15 @@
 // action is one line. The encoding is written out field by field with fixed letters of its own, so
 // that no line depends on the name or the value of an identifier of package policy.
 type recording struct {
-	t       *testing.T
-	digest  hash.Hash
-	line    []byte
-	blocks  []string
-	actions int
-	events  int
-	counts  [len(actionKinds)]int
-	file    *os.File // where the text is asked for
-	text    *bufio.Writer
+	t          *testing.T
+	digest     hash.Hash
+	line       []byte
+	blocks     []string
+	actions    int
+	events     int
+	counts     [len(actionKinds)]int
+	file       *os.File // where the text is asked for
+	textWriter *bufio.Writer
 }
 
 // actionKinds names the kinds of action in the golden file; a kind's number is its place here.
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.file, r.text = file, bufio.NewWriter(file)
+		r.file, r.textWriter = file, bufio.NewWriter(file)
 	}
 	return r
 }
@@ -57,7 +57,7 @@
 	if r.file == nil {
 		return
 	}
-	if err := r.text.Flush(); err != nil {
+	if err := r.textWriter.Flush(); err != nil {
 		r.t.Error(err)
 	}
 	if err := r.file.Close(); err != nil {
@@ -86,7 +86,7 @@
 	case policy.ResponseStarted:
 		r.letter('s').unsigned(uint64(e.ID)).integer(e.Attempt).unsigned(uint64(e.Server))
 	case policy.AttemptResult:
-		r.letter('o').unsigned(uint64(e.ID)).integer(e.Attempt).unsigned(uint64(e.Server)).letter(codeLetter(e.Code)).
+		r.letter('o').unsigned(uint64(e.ID)).integer(e.Attempt).unsigned(uint64(e.Server)).letter(resultCodeLetter(e.Code)).
 			duration(e.Latency).boolean(e.Answered).float(e.ActualUnits).floats(e.LoadMetrics)
 	case policy.ClientDisconnected:
 		r.letter('g').unsigned(uint64(e.ID))
@@ -95,11 +95,11 @@
 	case policy.PeerMessage:
 		r.letter('p').integer(e.From).hex(e.Data)
 	case policy.EndpointUpdate:
-		r.letter('m').letter(membersLetter(e.Kind)).servers(e.Servers)
+		r.letter('m').letter(updateKindLetter(e.Kind)).servers(e.Servers)
 	case policy.UsageLevel:
 		r.letter('l').quote(e.Customer).float(e.Units)
 	case policy.RestoreSnapshot:
-		r.letter('r').duration(e.Age).memories(e.Customers)
+		r.letter('r').duration(e.Age).snapshots(e.Customers)
 	case policy.FleetResized:
 		r.letter('f').integer(e.Gateways).integer(e.PreviousSize)
 	default:
@@ -143,15 +143,15 @@
 	r.end()
 	r.counts[kind]++
 	r.actions++
-	if r.actions%blockActions == 0 {
+	if r.actions%actionsPerBlock == 0 {
 		sum := hex.EncodeToString(r.digest.Sum(nil))[:blockDigestLength]
 		r.blocks = append(r.blocks, fmt.Sprintf("block %d %s", r.actions, sum))
 	}
 }
 
 // remembered records a page of what a gateway gives for keeping over a restart.
-func (r *recording) remembered(now time.Duration, number int, page []policy.CustomerSnapshot, next int) {
-	r.begin('k').duration(now).integer(number).integer(next).memories(page).end()
+func (r *recording) snapshotPage(now time.Duration, number int, page []policy.CustomerSnapshot, next int) {
+	r.begin('k').duration(now).integer(number).integer(next).snapshots(page).end()
 }
 
 func (r *recording) begin(letter byte) *recording {
@@ -162,10 +162,10 @@
 func (r *recording) end() {
 	r.line = append(r.line, '\n')
 	r.digest.Write(r.line)
-	if r.text == nil {
+	if r.textWriter == nil {
 		return
 	}
-	if _, err := r.text.Write(r.line); err != nil {
+	if _, err := r.textWriter.Write(r.line); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -224,21 +224,21 @@
 func (r *recording) servers(servers []policy.Server) *recording {
 	r.integer(len(servers))
 	for _, s := range servers {
-		r.unsigned(uint64(s.ID)).quote(s.Zone).integer(s.Cell).letter(stateLetter(s.State)).
+		r.unsigned(uint64(s.ID)).quote(s.Zone).integer(s.Cell).letter(serverStateLetter(s.State)).
 			boolean(s.HasStartTime).duration(s.StartedAt).float(s.Weight)
 	}
 	return r
 }
 
-func (r *recording) memories(memories []policy.CustomerSnapshot) *recording {
-	r.integer(len(memories))
-	for _, m := range memories {
-		r.unsigned(m.Key).quote(m.Plan).integer(m.FirstGateway).integer(m.GatewaySpread).float(m.Tokens)
+func (r *recording) snapshots(snapshots []policy.CustomerSnapshot) *recording {
+	r.integer(len(snapshots))
+	for _, snapshot := range snapshots {
+		r.unsigned(snapshot.Key).quote(snapshot.Plan).integer(snapshot.FirstGateway).integer(snapshot.GatewaySpread).float(snapshot.Tokens)
 	}
 	return r
 }
 
-func codeLetter(code policy.ResultCode) byte {
+func resultCodeLetter(code policy.ResultCode) byte {
 	switch code {
 	case policy.OK:
 		return 'o'
@@ -284,7 +284,7 @@
 	return '?'
 }
 
-func membersLetter(kind policy.EndpointUpdateKind) byte {
+func updateKindLetter(kind policy.EndpointUpdateKind) byte {
 	switch kind {
 	case policy.DeltaUpdate:
 		return 'c'
@@ -298,7 +298,7 @@
 	return '?'
 }
 
-func stateLetter(state policy.ServerState) byte {
+func serverStateLetter(state policy.ServerState) byte {
 	switch state {
 	case policy.Running:
 		return 'r'
--- a/policy/golden_scenarios_test.go
+++ b/policy/golden_scenarios_test.go
@@ -9,24 +9,24 @@
 
 // scenario says what a run of a simulated fleet is made of.
 type scenario struct {
-	name          string
-	seed          uint64
-	gateways      int
-	servers       int
-	customers     int
-	length        time.Duration
-	requestRate   float64 // first tries a second, over all gateways
-	quietFrom     time.Duration
-	quietUntil    time.Duration // no requests come in between the two
-	healthy       float64       // share of the servers that behave well at a time
-	brokenServers int           // the first so many servers refuse all connections
-	serviceTime   time.Duration // mean latency of an idle server
-	messageLoss   float64       // share of the peer messages that are lost
-	fleetChanges  []fleetChange
-	restartEvery  time.Duration // a gateway restarts this often; 0: none does
-	levelEvery    time.Duration // a store level is told this often; 0: never
-	mutedGateways int           // the first so many gateways neither hear nor tell, for the middle third
-	settings      func(*policy.Settings)
+	name               string
+	seed               uint64
+	gateways           int
+	servers            int
+	customers          int
+	length             time.Duration
+	requestRate        float64 // first tries a second, over all gateways
+	idleFrom           time.Duration
+	idleUntil          time.Duration // no requests come in between the two
+	healthyShare       float64       // share of the servers that behave well at a time
+	brokenServers      int           // the first so many servers refuse all connections
+	serviceTime        time.Duration // mean latency of an idle server
+	messageLoss        float64       // share of the peer messages that are lost
+	fleetChanges       []fleetChange
+	restartInterval    time.Duration // a gateway restarts this often; 0: none does
+	usageLevelInterval time.Duration // a store level is told this often; 0: never
+	isolatedGateways   int           // the first so many gateways neither hear nor tell, for the middle third
+	adjustSettings     func(*policy.Settings)
 }
 
 // fleetChange sets a new number of gateways.
@@ -40,30 +40,30 @@
 func scenarios() []scenario {
 	return []scenario{
 		{name: "mesh-3", seed: 1, gateways: 3, servers: 8, customers: 40, length: 20 * time.Second, requestRate: 150,
-			healthy: 0.6, serviceTime: 60 * time.Millisecond, messageLoss: 0.02, restartEvery: 4 * time.Second},
+			healthyShare: 0.6, serviceTime: 60 * time.Millisecond, messageLoss: 0.02, restartInterval: 4 * time.Second},
 		{name: "mesh-12-overload", seed: 2, gateways: 12, servers: 6, customers: 60, length: 12 * time.Second, requestRate: 600,
-			healthy: 0.7, serviceTime: 120 * time.Millisecond, messageLoss: 0.05, settings: withoutCancel},
+			healthyShare: 0.7, serviceTime: 120 * time.Millisecond, messageLoss: 0.05, adjustSettings: withoutCancel},
 		{name: "mesh-12-calm", seed: 3, gateways: 12, servers: 20, customers: 60, length: 10 * time.Second, requestRate: 300,
-			healthy: 1, serviceTime: 30 * time.Millisecond},
+			healthyShare: 1, serviceTime: 30 * time.Millisecond},
 		{name: "mesh-3-without-messages", seed: 4, gateways: 3, servers: 6, customers: 20, length: 12 * time.Second, requestRate: 150,
-			healthy: 0.8, serviceTime: 80 * time.Millisecond, levelEvery: 50 * time.Millisecond, settings: withoutMessages},
+			healthyShare: 0.8, serviceTime: 80 * time.Millisecond, usageLevelInterval: 50 * time.Millisecond, adjustSettings: withoutPeerMessages},
 		{name: "mesh-2-idle", seed: 5, gateways: 2, servers: 4, customers: 30, length: 665 * time.Second, requestRate: 40,
-			quietFrom: 8 * time.Second, quietUntil: 650 * time.Second, healthy: 0.8, serviceTime: 60 * time.Millisecond,
-			settings: func(s *policy.Settings) { s.PeerMessagesPerSecond = 4 }},
+			idleFrom: 8 * time.Second, idleUntil: 650 * time.Second, healthyShare: 0.8, serviceTime: 60 * time.Millisecond,
+			adjustSettings: func(s *policy.Settings) { s.PeerMessagesPerSecond = 4 }},
 		{name: "mesh-2-outage", seed: 9, gateways: 2, servers: 6, customers: 14, length: 40 * time.Second, requestRate: 150,
-			healthy: 1, brokenServers: 2, serviceTime: 60 * time.Millisecond, messageLoss: 0.02},
+			healthyShare: 1, brokenServers: 2, serviceTime: 60 * time.Millisecond, messageLoss: 0.02},
 		{name: "leaders-12-slow", seed: 10, gateways: 12, servers: 30, customers: 30, length: 30 * time.Second, requestRate: 400,
-			healthy: 0.8, serviceTime: 110 * time.Millisecond, settings: func(s *policy.Settings) { s.PeerMessagesPerSecond = 20 }},
+			healthyShare: 0.8, serviceTime: 110 * time.Millisecond, adjustSettings: func(s *policy.Settings) { s.PeerMessagesPerSecond = 20 }},
 		{name: "leaders-12-changes", seed: 6, gateways: 12, servers: 10, customers: 40, length: 24 * time.Second, requestRate: 200,
-			healthy: 0.75, serviceTime: 60 * time.Millisecond, messageLoss: 0.03, restartEvery: 3 * time.Second,
+			healthyShare: 0.75, serviceTime: 60 * time.Millisecond, messageLoss: 0.03, restartInterval: 3 * time.Second,
 			fleetChanges: []fleetChange{{4 * time.Second, 15}, {8 * time.Second, 9}, {12 * time.Second, 3}, {16 * time.Second, 14},
 				{19 * time.Second, 1}, {21 * time.Second, 12}},
-			settings: func(s *policy.Settings) { s.PeerMessagesPerSecond = 20 }},
+			adjustSettings: func(s *policy.Settings) { s.PeerMessagesPerSecond = 20 }},
 		{name: "leaders-120", seed: 7, gateways: 120, servers: 40, customers: 40, length: 10 * time.Second, requestRate: 500,
-			healthy: 0.75, serviceTime: 60 * time.Millisecond, messageLoss: 0.02, restartEvery: time.Second},
+			healthyShare: 0.75, serviceTime: 60 * time.Millisecond, messageLoss: 0.02, restartInterval: time.Second},
 		{name: "leaders-120-muted", seed: 8, gateways: 120, servers: 12, customers: 15, length: 12 * time.Second, requestRate: 400,
-			healthy: 0.6, serviceTime: 150 * time.Millisecond, messageLoss: 0.2, mutedGateways: 70,
-			levelEvery: 20 * time.Millisecond, settings: withoutCancel},
+			healthyShare: 0.6, serviceTime: 150 * time.Millisecond, messageLoss: 0.2, isolatedGateways: 70,
+			usageLevelInterval: 20 * time.Millisecond, adjustSettings: withoutCancel},
 	}
 }
 
@@ -73,34 +73,34 @@
 	s.CrossZoneCost, s.MaxAttempts, s.MaxRetryAfter = 0.01, 0, 0
 }
 
-func withoutMessages(s *policy.Settings) {
+func withoutPeerMessages(s *policy.Settings) {
 	s.CanMessagePeers, s.PeerMessagesPerSecond, s.ColdOverloadTime, s.WarmupTime = false, 0, 0, 0
 }
 
 // gatewaySettings are those of one gateway of a scenario.
 func gatewaySettings(s scenario, number, gateways int) policy.Settings {
-	set := policy.Settings{SelfIndex: number, Gateways: gateways, Zone: zoneOf(number),
+	settings := policy.Settings{SelfIndex: number, Gateways: gateways, Zone: zoneOf(number),
 		Classes: classes(), Plans: plans(),
 		Resolution: 2 * time.Millisecond, MaxAttempts: 4, CanCancel: true, CanMessagePeers: true, PeerMessagesPerSecond: 60,
 		MaxRequestUnits: 4, MaxRetryAfter: 400 * time.Millisecond, LoadMetricNames: []string{policy.LoadActive, policy.LoadWaiting},
 		ResponseGrace: 8 * time.Millisecond, InitialCapacity: 0.2, WarmupTime: 5 * time.Second, ColdOverloadFactor: 2, ColdOverloadTime: time.Second}
-	if s.settings != nil {
-		s.settings(&set)
+	if s.adjustSettings != nil {
+		s.adjustSettings(&settings)
 	}
-	return set
+	return settings
 }
 
 func zoneOf(number int) string { return []string{"a", "b"}[number%2] }
 
 func classes() []policy.Class {
-	const aim, deadline, window = 800 * time.Millisecond, 3 * time.Second, 2 * time.Second
+	const objective, deadline, window = 800 * time.Millisecond, 3 * time.Second, 2 * time.Second
 	return []policy.Class{
-		{Name: "safe", LatencyObjective: aim, Deadline: deadline},
-		{Name: "cell", LatencyObjective: aim, Deadline: deadline, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell, DedupWindow: window},
-		{Name: "zone", LatencyObjective: aim / 2, Deadline: deadline, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupZone, DedupWindow: window},
-		{Name: "all", LatencyObjective: aim, Deadline: deadline, Idempotency: policy.IdempotentWithKey, DedupWindow: window / 4},
-		{Name: "once", LatencyObjective: aim * 2, Deadline: deadline, Idempotency: policy.NonIdempotent},
-		{Name: "stream", LatencyObjective: aim, Deadline: deadline, Streaming: true},
+		{Name: "safe", LatencyObjective: objective, Deadline: deadline},
+		{Name: "cell", LatencyObjective: objective, Deadline: deadline, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupCell, DedupWindow: window},
+		{Name: "zone", LatencyObjective: objective / 2, Deadline: deadline, Idempotency: policy.IdempotentWithKey, DedupScope: policy.DedupZone, DedupWindow: window},
+		{Name: "all", LatencyObjective: objective, Deadline: deadline, Idempotency: policy.IdempotentWithKey, DedupWindow: window / 4},
+		{Name: "once", LatencyObjective: objective * 2, Deadline: deadline, Idempotency: policy.NonIdempotent},
+		{Name: "stream", LatencyObjective: objective, Deadline: deadline, Streaming: true},
 	}
 }
 
@@ -118,8 +118,8 @@
 
 // simulatedCustomer asks through spread gateways, counted round from first.
 type simulatedCustomer struct {
-	name, plan    string
-	first, spread int
+	name, plan                  string
+	firstGateway, gatewaySpread int
 }
 
 // newCustomers gives customers of all plans in turn. Few ask much and many ask little: see drawCustomer.
@@ -129,7 +129,7 @@
 	for i := range s.scenario.customers {
 		customers = append(customers, simulatedCustomer{
 			name: "customer-" + string(rune('a'+i%26)) + string(rune('a'+i/26)), plan: list[i%len(list)].Name,
-			first: s.random.IntN(s.scenario.gateways), spread: 1 + s.random.IntN(min(60, s.scenario.gateways))})
+			firstGateway: s.random.IntN(s.scenario.gateways), gatewaySpread: 1 + s.random.IntN(min(60, s.scenario.gateways))})
 	}
 	return customers
 }
@@ -143,76 +143,76 @@
 type behaviour int
 
 const (
-	answers behaviour = iota
-	answersSlowly
-	fails
-	turnsAway
-	turnsAwayOnePlan
-	isSilent
+	respondsNormally behaviour = iota
+	respondsSlowly
+	returnsErrors
+	rejectsRequests
+	rejectsOnePlan
+	neverResponds
 	refusesConnections
 	resetsConnections
-	behaviours // how many there are
+	behaviourCount // how many there are
 )
 
 // simulatedServer takes longer the more attempts it has, and turns away beyond its places.
 type simulatedServer struct {
 	policy.Server
 	behaviour behaviour
-	inUse     int
+	inFlight  int
 }
 
 const (
-	serverPlaces   = 14
-	slowMultiple   = 6
-	coldMultiple   = 3
-	queueSlowdown  = 0.2 // part of the service time that each attempt adds
-	failureShare   = 0.7 // of the attempts at a server that fails or resets
-	connectTime    = 2 * time.Millisecond
-	coldFor        = 4 * time.Second
-	firstByteShare = 0.3 // of a stream's latency
+	serverCapacity     = 14
+	slowLatencyFactor  = 6
+	coldLatencyFactor  = 3
+	latencyPerAttempt  = 0.2 // part of the service time that each attempt adds
+	failureProbability = 0.7 // of the attempts at a server that fails or resets
+	connectTime        = 2 * time.Millisecond
+	coldDuration       = 4 * time.Second
+	firstByteShare     = 0.3 // of a stream's latency
 )
 
-func (s *simulation) newServer(id policy.ServerID, starts bool) *simulatedServer {
+func (s *simulation) newServer(id policy.ServerID, justStarted bool) *simulatedServer {
 	server := &simulatedServer{Server: policy.Server{ID: id, Zone: zoneOf(int(id)), Cell: int(id) / 3,
 		Weight: float64(1 + int(id)%3)}}
-	if starts {
+	if justStarted {
 		server.HasStartTime, server.StartedAt = true, s.now
 	}
 	return server
 }
 
 // answer draws how and when a server answers an attempt.
-func (s *simulation) answer(server *simulatedServer, plan string) (policy.ResultCode, time.Duration) {
-	busy := time.Duration(float64(s.scenario.serviceTime) * (0.6 + 0.8*s.random.Float64()) * (1 + queueSlowdown*float64(server.inUse)))
-	if server.HasStartTime && s.now-server.StartedAt < coldFor {
-		busy *= coldMultiple
+func (s *simulation) drawResult(server *simulatedServer, plan string) (policy.ResultCode, time.Duration) {
+	latency := time.Duration(float64(s.scenario.serviceTime) * (0.6 + 0.8*s.random.Float64()) * (1 + latencyPerAttempt*float64(server.inFlight)))
+	if server.HasStartTime && s.now-server.StartedAt < coldDuration {
+		latency *= coldLatencyFactor
 	}
 	switch {
 	case server.State == policy.Removed || server.behaviour == refusesConnections:
 		return policy.ConnectFailed, connectTime
-	case server.behaviour == turnsAway && s.chance(failureShare), server.inUse >= serverPlaces,
-		server.behaviour == turnsAwayOnePlan && plan == "large":
+	case server.behaviour == rejectsRequests && s.chance(failureProbability), server.inFlight >= serverCapacity,
+		server.behaviour == rejectsOnePlan && plan == "large":
 		return policy.Rejected, connectTime
-	case server.behaviour == isSilent:
+	case server.behaviour == neverResponds:
 		return policy.TimedOut, time.Hour
-	case server.behaviour == fails && s.chance(failureShare):
-		return policy.Error, busy / 4
-	case server.behaviour == resetsConnections && s.chance(failureShare):
-		return policy.Reset, busy / 2
-	case server.behaviour == answersSlowly:
-		busy *= slowMultiple
+	case server.behaviour == returnsErrors && s.chance(failureProbability):
+		return policy.Error, latency / 4
+	case server.behaviour == resetsConnections && s.chance(failureProbability):
+		return policy.Reset, latency / 2
+	case server.behaviour == respondsSlowly:
+		latency *= slowLatencyFactor
 	}
-	return policy.OK, busy
+	return policy.OK, latency
 }
 
 // changeBehaviours draws anew how each server behaves.
 func (s *simulation) changeBehaviours() {
 	for i, server := range s.servers {
-		server.behaviour = answers
+		server.behaviour = respondsNormally
 		if i < s.scenario.brokenServers {
 			server.behaviour = refusesConnections
-		} else if !s.chance(s.scenario.healthy) {
-			server.behaviour = behaviour(1 + s.random.IntN(int(behaviours)-1))
+		} else if !s.chance(s.scenario.healthyShare) {
+			server.behaviour = behaviour(1 + s.random.IntN(int(behaviourCount)-1))
 		}
 	}
 	s.after(1500*time.Millisecond, s.changeBehaviours)
@@ -236,7 +236,7 @@
 	}
 	change := policy.EndpointUpdate{Kind: policy.DeltaUpdate, Servers: []policy.Server{server.Server}}
 	for _, process := range s.processes {
-		s.deliverAfter(s.delay(100*time.Millisecond), process, change)
+		s.deliverAfter(s.drawDelay(100*time.Millisecond), process, change)
 	}
 	s.after(700*time.Millisecond, s.changeServers)
 }
--- a/policy/golden_simulation_test.go
+++ b/policy/golden_simulation_test.go
@@ -14,21 +14,21 @@
 // simulation plays a scenario in virtual time: a queue of events, the gateways, the servers and the
 // clients. All that it draws comes from one seeded source, in the order of the queue.
 type simulation struct {
-	t         *testing.T
-	scenario  scenario
-	random    *rand.Rand
-	recording *recording
-	now       time.Duration
-	queue     eventQueue
-	queued    int
-	gateways  int // in the current fleet
-	processes []*process
-	started   uint64 // processes so far, for their seeds
-	servers   []*simulatedServer
-	customers []simulatedCustomer
-	requests  map[policy.RequestID]*clientRequest
-	lastID    policy.RequestID
-	actions   []policy.Action // reused by deliver
+	t                *testing.T
+	scenario         scenario
+	random           *rand.Rand
+	recording        *recording
+	now              time.Duration
+	queue            eventQueue
+	queuedEvents     int
+	gateways         int // in the current fleet
+	processes        []*process
+	startedProcesses uint64 // processes so far, for their seeds
+	servers          []*simulatedServer
+	customers        []simulatedCustomer
+	requests         map[policy.RequestID]*clientRequest
+	lastID           policy.RequestID
+	actions          []policy.Action // reused by deliver
 }
 
 // process is one run of a gateway. A restart makes another one of the same number.
@@ -40,17 +40,17 @@
 
 // clientRequest is one try of a client at a gateway.
 type clientRequest struct {
-	id        policy.RequestID
-	process   *process
-	customer  simulatedCustomer
-	class     policy.Class
-	units     float64
-	deadline  time.Duration // of this try
-	giveUp    time.Duration // of all tries
-	tries     int
-	finished  bool
-	attempts  int
-	attempted *attempt // the last one
+	id            policy.RequestID
+	process       *process
+	customer      simulatedCustomer
+	class         policy.Class
+	units         float64
+	deadline      time.Duration // of this try
+	giveUpAt      time.Duration // of all tries
+	clientRetries int
+	finished      bool
+	attempts      int
+	lastAttempt   *attempt // the last one
 }
 
 type attempt struct {
@@ -61,19 +61,19 @@
 }
 
 const (
-	startOfRequests = 200 * time.Millisecond
-	mostTries       = 3
-	leaveShare      = 0.04 // of the clients leave before the answer
-	retryShare      = 0.6  // of the clients try again what was refused or failed
-	shortShare      = 0.2  // of the tries wait only a part of the time left
-	mootShare       = 0.01 // of the attempts are called off before they start
-	lateShare       = 0.02 // of the peer messages come late
-	damagedShare    = 0.01 // of them are cut short
-	twiceShare      = 0.02 // of them come twice
+	firstRequestAt               = 200 * time.Millisecond
+	maxClientTries               = 3
+	disconnectProbability        = 0.04 // of the clients leave before the answer
+	clientRetryProbability       = 0.6  // of the clients try again what was refused or failed
+	shortDeadlineProbability     = 0.2  // of the tries wait only a part of the time left
+	tooLateProbability           = 0.01 // of the attempts are called off before they start
+	delayedMessageProbability    = 0.02 // of the peer messages come late
+	truncatedMessageProbability  = 0.01 // of them are cut short
+	duplicatedMessageProbability = 0.02 // of them come twice
 )
 
 // play runs a scenario to its end and returns the recording.
-func play(t *testing.T, s scenario) *recording {
+func runScenario(t *testing.T, s scenario) *recording {
 	t.Helper()
 	sim := &simulation{t: t, scenario: s, random: rand.New(rand.NewPCG(s.seed, 0)), recording: newRecording(t, s.name),
 		gateways: s.gateways, requests: map[policy.RequestID]*clientRequest{}}
@@ -83,28 +83,28 @@
 	}
 	sim.customers = sim.newCustomers()
 	for number := range s.gateways {
-		sim.start(number, s.gateways)
+		sim.startProcess(number, s.gateways)
 	}
-	sim.after(startOfRequests, sim.nextRequest)
+	sim.after(firstRequestAt, sim.nextRequest)
 	sim.after(time.Second, sim.changeBehaviours)
-	if s.healthy < 1 {
+	if s.healthyShare < 1 {
 		sim.after(time.Second, sim.changeServers)
 	}
-	sim.plan()
+	sim.scheduleChanges()
 	sim.run()
 	return sim.recording
 }
 
 // plan queues what a scenario has besides requests.
-func (s *simulation) plan() {
+func (s *simulation) scheduleChanges() {
 	for _, change := range s.scenario.fleetChanges {
 		s.after(change.at, func() { s.changeFleet(change.gateways) })
 	}
-	if s.scenario.restartEvery > 0 {
-		s.after(s.scenario.restartEvery, s.restartOne)
+	if s.scenario.restartInterval > 0 {
+		s.after(s.scenario.restartInterval, s.restartGateway)
 	}
-	if s.scenario.levelEvery > 0 {
-		s.after(s.scenario.levelEvery, s.tellLevel)
+	if s.scenario.usageLevelInterval > 0 {
+		s.after(s.scenario.usageLevelInterval, s.sendUsageLevel)
 	}
 }
 
@@ -116,16 +116,16 @@
 	}
 }
 
-func (s *simulation) chance(share float64) bool { return s.random.Float64() < share }
+func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
 // delay draws a time up to a limit.
-func (s *simulation) delay(limit time.Duration) time.Duration {
+func (s *simulation) drawDelay(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(limit)) + 1)
 }
 
 func (s *simulation) after(delay time.Duration, run func()) {
-	s.queued++
-	heap.Push(&s.queue, queuedEvent{s.now + delay, s.queued, run})
+	s.queuedEvents++
+	heap.Push(&s.queue, queuedEvent{s.now + delay, s.queuedEvents, run})
 }
 
 func (s *simulation) deliverAfter(delay time.Duration, to *process, event policy.Event) {
@@ -142,24 +142,24 @@
 	s.actions = to.gateway.Handle(s.now, event, s.actions[:0])
 	for _, action := range s.actions {
 		s.recording.action(action)
-		s.carryOut(to, action)
+		s.execute(to, action)
 	}
 }
 
-func (s *simulation) carryOut(from *process, action policy.Action) {
+func (s *simulation) execute(from *process, action policy.Action) {
 	switch a := action.(type) {
 	case policy.StartAttempt:
-		s.send(a)
+		s.startAttempt(a)
 	case policy.CancelAttempt:
-		s.cancel(a)
+		s.cancelAttempt(a)
 	case policy.Reject:
-		s.finish(a.ID, a.RetryAfter)
+		s.finishRequest(a.ID, a.RetryAfter)
 	case policy.Fail:
-		s.finish(a.ID, 0)
+		s.finishRequest(a.ID, 0)
 	case policy.SetTimer:
 		s.deliverAfter(a.After, from, policy.TimerFired{Token: a.Token})
 	case policy.SendPeerMessage:
-		s.carryMessage(from.number, a)
+		s.sendPeerMessage(from.number, a)
 	case policy.WatchEndpoints:
 		s.answerWatch(from)
 	}
@@ -177,9 +177,9 @@
 // Gateways.
 
 // start starts a process of a gateway, with the server list as an earlier one might have kept it.
-func (s *simulation) start(number, gateways int) *process {
-	s.started++
-	gateway, err := policy.New(gatewaySettings(s.scenario, number, gateways), s.scenario.seed<<32+s.started)
+func (s *simulation) startProcess(number, gateways int) *process {
+	s.startedProcesses++
+	gateway, err := policy.New(gatewaySettings(s.scenario, number, gateways), s.scenario.seed<<32+s.startedProcesses)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -193,17 +193,17 @@
 }
 
 // restartOne stops a gateway and starts it again with what it remembered of its customers.
-func (s *simulation) restartOne() {
-	s.after(s.scenario.restartEvery, s.restartOne)
+func (s *simulation) restartGateway() {
+	s.after(s.scenario.restartInterval, s.restartGateway)
 	old := s.processes[s.random.IntN(s.gateways)]
 	if old.stopped {
 		return
 	}
-	var kept []policy.CustomerSnapshot
+	var snapshots []policy.CustomerSnapshot
 	for from := 0; ; {
 		page, next := old.gateway.SaveSnapshot(s.now, from, 16, nil)
-		s.recording.remembered(s.now, old.number, page, next)
-		kept = append(kept, page...)
+		s.recording.snapshotPage(s.now, old.number, page, next)
+		snapshots = append(snapshots, page...)
 		if from = next; next == 0 {
 			break
 		}
@@ -211,7 +211,7 @@
 	old.stopped = true
 	s.after(300*time.Millisecond, func() {
 		if old.number < s.gateways && s.processes[old.number] == old {
-			s.deliver(s.start(old.number, s.gateways), policy.RestoreSnapshot{Age: 300 * time.Millisecond, Customers: kept})
+			s.deliver(s.startProcess(old.number, s.gateways), policy.RestoreSnapshot{Age: 300 * time.Millisecond, Customers: snapshots})
 		}
 	})
 }
@@ -219,22 +219,22 @@
 // changeFleet sets another number of gateways. Each hears of it at its own time; then all hear that
 // all have heard, and those that leave stop.
 func (s *simulation) changeFleet(gateways int) {
-	was := s.gateways
+	previousSize := s.gateways
 	s.gateways = gateways
-	for _, p := range s.processes[:was] {
-		s.deliverAfter(s.delay(300*time.Millisecond), p, policy.FleetResized{Gateways: gateways, PreviousSize: was})
+	for _, p := range s.processes[:previousSize] {
+		s.deliverAfter(s.drawDelay(300*time.Millisecond), p, policy.FleetResized{Gateways: gateways, PreviousSize: previousSize})
 	}
-	for number := was; number < gateways; number++ {
-		joins := policy.FleetResized{Gateways: gateways, PreviousSize: was}
+	for number := previousSize; number < gateways; number++ {
+		joined := policy.FleetResized{Gateways: gateways, PreviousSize: previousSize}
 		if number%2 == 1 {
-			joins.PreviousSize = -1
+			joined.PreviousSize = -1
 		}
-		s.deliver(s.start(number, gateways), joins)
+		s.deliver(s.startProcess(number, gateways), joined)
 	}
-	s.after(time.Second, func() { s.endFleetChange(gateways) })
+	s.after(time.Second, func() { s.completeFleetChange(gateways) })
 }
 
-func (s *simulation) endFleetChange(gateways int) {
+func (s *simulation) completeFleetChange(gateways int) {
 	for _, p := range s.processes {
 		s.deliver(p, policy.FleetResized{Gateways: gateways})
 		if p.number >= gateways {
@@ -243,48 +243,48 @@
 	}
 }
 
-func (s *simulation) tellLevel() {
-	s.after(s.scenario.levelEvery, s.tellLevel)
+func (s *simulation) sendUsageLevel() {
+	s.after(s.scenario.usageLevelInterval, s.sendUsageLevel)
 	customer := s.drawCustomer()
 	level := policy.UsageLevel{Customer: customer.name, Units: 25*s.random.Float64() - 1}
 	s.deliver(s.processes[s.gatewayOf(customer)], level)
 }
 
 // carryMessage brings a message to one gateway or to all others.
-func (s *simulation) carryMessage(from int, message policy.SendPeerMessage) {
+func (s *simulation) sendPeerMessage(from int, message policy.SendPeerMessage) {
 	for _, to := range s.processes {
 		if to.number != message.To && (message.To >= 0 || to.number == from) {
 			continue
 		}
-		if s.chance(s.scenario.messageLoss) || s.muted(from) || s.muted(to.number) {
+		if s.chance(s.scenario.messageLoss) || s.isIsolated(from) || s.isIsolated(to.number) {
 			continue
 		}
 		event := policy.PeerMessage{From: from, Data: message.Data}
 		if s.scenario.messageLoss > 0 {
-			event = s.disturb(to, event)
+			event = s.injectMessageFaults(to, event)
 		}
-		s.deliverAfter(5*time.Millisecond+s.delay(20*time.Millisecond), to, event)
+		s.deliverAfter(5*time.Millisecond+s.drawDelay(20*time.Millisecond), to, event)
 	}
 }
 
 // disturb brings a message a second time, late, or returns one that is cut short.
-func (s *simulation) disturb(to *process, event policy.PeerMessage) policy.PeerMessage {
-	if s.chance(twiceShare) {
+func (s *simulation) injectMessageFaults(to *process, event policy.PeerMessage) policy.PeerMessage {
+	if s.chance(duplicatedMessageProbability) {
 		s.deliverAfter(30*time.Millisecond, to, event)
 	}
-	if s.chance(lateShare) {
+	if s.chance(delayedMessageProbability) {
 		s.deliverAfter(600*time.Millisecond, to, event)
 	}
-	if s.chance(damagedShare) {
+	if s.chance(truncatedMessageProbability) {
 		event.Data = event.Data[:s.random.IntN(max(1, len(event.Data)))]
 	}
 	return event
 }
 
 // muted tells whether a gateway is cut off from the others.
-func (s *simulation) muted(number int) bool {
+func (s *simulation) isIsolated(number int) bool {
 	third := s.scenario.length / 3
-	return number < s.scenario.mutedGateways && s.now > third && s.now < 2*third
+	return number < s.scenario.isolatedGateways && s.now > third && s.now < 2*third
 }
 
 // Clients.
@@ -292,9 +292,9 @@
 // nextRequest makes a client's first try and queues the next one.
 func (s *simulation) nextRequest() {
 	mean := time.Duration(float64(time.Second) / s.scenario.requestRate)
-	wait := s.delay(2 * mean)
-	if s.now >= s.scenario.quietFrom && s.now < s.scenario.quietUntil {
-		wait = s.scenario.quietUntil - s.now
+	wait := s.drawDelay(2 * mean)
+	if s.now >= s.scenario.idleFrom && s.now < s.scenario.idleUntil {
+		wait = s.scenario.idleUntil - s.now
 	}
 	s.after(wait, s.nextRequest)
 	list := classes()
@@ -303,49 +303,49 @@
 		class.Name = "unlisted"
 	}
 	s.request(&clientRequest{customer: s.drawCustomer(), class: class, units: float64(1 + s.random.IntN(4)*s.random.IntN(2)),
-		giveUp: s.now + class.Deadline})
+		giveUpAt: s.now + class.Deadline})
 }
 
 // gatewayOf draws one of the gateways that a customer comes in through.
 func (s *simulation) gatewayOf(c simulatedCustomer) int {
-	return (c.first + s.random.IntN(min(c.spread, s.gateways))) % s.gateways
+	return (c.firstGateway + s.random.IntN(min(c.gatewaySpread, s.gateways))) % s.gateways
 }
 
 // request makes a try; the client waits for it only part of its time now and then.
 func (s *simulation) request(r *clientRequest) {
 	r.process = s.processes[s.gatewayOf(r.customer)]
-	remaining := r.giveUp - s.now
+	remaining := r.giveUpAt - s.now
 	if remaining <= 0 || r.process.stopped {
 		return
 	}
-	if s.chance(shortShare) {
-		remaining = s.delay(remaining)
+	if s.chance(shortDeadlineProbability) {
+		remaining = s.drawDelay(remaining)
 	}
 	s.lastID++
 	r.id, r.deadline = s.lastID, s.now+remaining
 	s.requests[r.id] = r
-	s.after(remaining, func() { s.leave(r) })
-	if s.chance(leaveShare) {
-		s.after(s.delay(remaining), func() { s.leave(r) })
+	s.after(remaining, func() { s.disconnect(r) })
+	if s.chance(disconnectProbability) {
+		s.after(s.drawDelay(remaining), func() { s.disconnect(r) })
 	}
 	s.deliver(r.process, policy.Request{ID: r.id, Customer: r.customer.name, Plan: r.customer.plan, Class: r.class.Name,
-		Units: r.units, Remaining: remaining, FirstGateway: r.customer.first, GatewaySpread: r.customer.spread, ClientRetry: r.tries > 0})
+		Units: r.units, Remaining: remaining, FirstGateway: r.customer.firstGateway, GatewaySpread: r.customer.gatewaySpread, ClientRetry: r.clientRetries > 0})
 }
 
 // leave makes the client go without an answer; what it waits for is called off.
-func (s *simulation) leave(r *clientRequest) {
+func (s *simulation) disconnect(r *clientRequest) {
 	if r.finished {
 		return
 	}
 	r.finished = true
 	s.deliver(r.process, policy.ClientDisconnected{ID: r.id})
-	if r.attempted != nil && !r.attempted.ended {
-		s.after(time.Millisecond, func() { s.endAttempt(r, r.attempted, policy.Cancelled) })
+	if r.lastAttempt != nil && !r.lastAttempt.ended {
+		s.after(time.Millisecond, func() { s.endAttempt(r, r.lastAttempt, policy.Cancelled) })
 	}
 }
 
 // find gives the request of an action.
-func (s *simulation) find(id policy.RequestID) *clientRequest {
+func (s *simulation) requestByID(id policy.RequestID) *clientRequest {
 	r := s.requests[id]
 	if r == nil {
 		s.t.Fatalf("scenario %s: an action for request %d, which was never made", s.scenario.name, id)
@@ -354,53 +354,53 @@
 }
 
 // finish takes the final answer; the client may try again.
-func (s *simulation) finish(id policy.RequestID, retryAfter time.Duration) {
-	r := s.find(id)
+func (s *simulation) finishRequest(id policy.RequestID, retryAfter time.Duration) {
+	r := s.requestByID(id)
 	if r.finished {
 		s.t.Fatalf("scenario %s: request %d has a second final answer, or one after its client left", s.scenario.name, id)
 	}
 	r.finished = true
-	if r.tries+1 >= mostTries || !s.chance(retryShare) {
+	if r.clientRetries+1 >= maxClientTries || !s.chance(clientRetryProbability) {
 		return
 	}
-	next := &clientRequest{customer: r.customer, class: r.class, units: r.units, giveUp: r.giveUp, tries: r.tries + 1}
-	s.after(retryAfter+s.delay(200*time.Millisecond), func() { s.request(next) })
+	next := &clientRequest{customer: r.customer, class: r.class, units: r.units, giveUpAt: r.giveUpAt, clientRetries: r.clientRetries + 1}
+	s.after(retryAfter+s.drawDelay(200*time.Millisecond), func() { s.request(next) })
 }
 
 // send starts an attempt at a server.
-func (s *simulation) send(a policy.StartAttempt) {
-	r := s.find(a.ID)
+func (s *simulation) startAttempt(a policy.StartAttempt) {
+	r := s.requestByID(a.ID)
 	if a.Server < 1 || int(a.Server) > len(s.servers) {
 		s.t.Fatalf("scenario %s: an attempt at server %d, which is in no list", s.scenario.name, a.Server)
 	}
 	server := s.servers[a.Server-1]
 	started := &attempt{number: r.attempts, server: server, sentAt: s.now}
 	r.attempts++
-	r.attempted = started
-	code, latency := s.answer(server, r.customer.plan)
-	server.inUse++
+	r.lastAttempt = started
+	code, latency := s.drawResult(server, r.customer.plan)
+	server.inFlight++
 	limit := cmp.Or(a.Timeout, r.deadline-s.now)
 	if latency > limit {
 		code, latency = policy.TimedOut, limit
 	}
-	if s.chance(mootShare) {
+	if s.chance(tooLateProbability) {
 		code, latency = policy.TooLate, time.Millisecond
 	}
 	if r.class.Streaming && code == policy.OK {
-		s.after(time.Duration(firstByteShare*float64(latency)), func() { s.beginStream(r, started) })
+		s.after(time.Duration(firstByteShare*float64(latency)), func() { s.startResponse(r, started) })
 	}
 	s.after(latency, func() { s.endAttempt(r, started, code) })
 }
 
-func (s *simulation) beginStream(r *clientRequest, a *attempt) {
+func (s *simulation) startResponse(r *clientRequest, a *attempt) {
 	if !a.ended {
 		s.deliver(r.process, policy.ResponseStarted{ID: r.id, Attempt: a.number, Server: a.server.ID})
 	}
 }
 
-func (s *simulation) cancel(c policy.CancelAttempt) {
-	r := s.find(c.ID)
-	if a := r.attempted; a != nil && a.number == c.Attempt {
+func (s *simulation) cancelAttempt(c policy.CancelAttempt) {
+	r := s.requestByID(c.ID)
+	if a := r.lastAttempt; a != nil && a.number == c.Attempt {
 		s.after(time.Millisecond, func() { s.endAttempt(r, a, policy.Cancelled) })
 	}
 }
@@ -411,13 +411,13 @@
 		return
 	}
 	a.ended = true
-	a.server.inUse--
+	a.server.inFlight--
 	if code == policy.OK {
 		r.finished = true
 	}
 	outcome := policy.AttemptResult{ID: r.id, Attempt: a.number, Server: a.server.ID, Code: code, Latency: s.now - a.sentAt, Answered: r.finished}
 	if code == policy.OK {
-		outcome.LoadMetrics = []float64{float64(a.server.inUse), 0}
+		outcome.LoadMetrics = []float64{float64(a.server.inFlight), 0}
 		if s.chance(0.2) {
 			outcome.ActualUnits = float64(1 + s.random.IntN(6))
 		}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -15,10 +15,10 @@
 
 // harness drives one gateway of two: it keeps the clock and numbers the requests.
 type harness struct {
-	t      *testing.T
-	g      *Gateway
-	now    time.Duration
-	lastID RequestID
+	t       *testing.T
+	gateway *Gateway
+	now     time.Duration
+	lastID  RequestID
 }
 
 // baseSettings has a class of each kind of idempotency and a plan of each kind of quota.
@@ -48,97 +48,97 @@
 
 // testServers lists n servers of one zone, two in each cell.
 func testServers(n int) []Server {
-	var l []Server
+	var servers []Server
 	for i := range n {
-		l = append(l, Server{ID: ServerID(i + 1), Zone: "a", Cell: i / 2, Weight: 1})
+		servers = append(servers, Server{ID: ServerID(i + 1), Zone: "a", Cell: i / 2, Weight: 1})
 	}
-	return l
+	return servers
 }
 
-func newHarness(t *testing.T, s Settings, servers []Server) *harness {
+func newHarness(t *testing.T, settings Settings, servers []Server) *harness {
 	t.Helper()
-	g, err := New(s, 7)
+	gateway, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &harness{t: t, g: g, now: time.Second}
-	w.handle(EndpointUpdate{Kind: CachedUpdate, Servers: servers})
-	return w
+	h := &harness{t: t, gateway: gateway, now: time.Second}
+	h.handle(EndpointUpdate{Kind: CachedUpdate, Servers: servers})
+	return h
 }
 
 // restart replaces the gateway by a new one that remembers nothing.
-func (w *harness) restart(s Settings, seed uint64) {
-	w.t.Helper()
-	g, err := New(s, seed)
+func (h *harness) restart(settings Settings, seed uint64) {
+	h.t.Helper()
+	gateway, err := New(settings, seed)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.g = g
-	w.handle(EndpointUpdate{Kind: CachedUpdate, Servers: testServers(8)})
+	h.gateway = gateway
+	h.handle(EndpointUpdate{Kind: CachedUpdate, Servers: testServers(8)})
 }
 
-func (w *harness) handle(ev Event) []Action { return w.g.Handle(w.now, ev, nil) }
+func (h *harness) handle(event Event) []Action { return h.gateway.Handle(h.now, event, nil) }
 
 // advance lets time go by, with the gateway's ticks, and returns what was done.
-func (w *harness) advance(d time.Duration) (acts []Action) {
-	for end := w.now + d; w.now < end; {
-		w.now += min(w.g.tick.interval, end-w.now)
-		acts = append(acts, w.handle(TimerFired{Token: tickTimer})...)
+func (h *harness) advance(d time.Duration) (actions []Action) {
+	for end := h.now + d; h.now < end; {
+		h.now += min(h.gateway.tick.interval, end-h.now)
+		actions = append(actions, h.handle(TimerFired{Token: tickTimer})...)
 	}
-	return acts
+	return actions
 }
 
 // request sends a request and returns what was done.
-func (w *harness) request(class, plan, customer string, units float64) []Action {
-	w.lastID++
-	return w.handle(Request{ID: w.lastID, Customer: customer, Plan: plan, Class: class, Units: units,
+func (h *harness) request(class, plan, customer string, units float64) []Action {
+	h.lastID++
+	return h.handle(Request{ID: h.lastID, Customer: customer, Plan: plan, Class: class, Units: units,
 		Remaining: 2 * time.Second, GatewaySpread: 2})
 }
 
 // startAttempt sends a request that must lead to an attempt at once.
-func (w *harness) startAttempt(class, plan string) StartAttempt {
-	w.t.Helper()
-	acts := w.request(class, plan, testCustomer, 1)
-	s := actionsOf[StartAttempt](acts)
-	if len(s) != 1 {
-		w.t.Fatalf("want one attempt, got %v", acts)
+func (h *harness) startAttempt(class, plan string) StartAttempt {
+	h.t.Helper()
+	actions := h.request(class, plan, testCustomer, 1)
+	attempts := actionsOf[StartAttempt](actions)
+	if len(attempts) != 1 {
+		h.t.Fatalf("want one attempt, got %v", actions)
 	}
-	return s[0]
+	return attempts[0]
 }
 
 // finishAttempt gives the gateway the result of an attempt.
-func (w *harness) finishAttempt(s StartAttempt, attempt int, code ResultCode) []Action {
-	return w.handle(AttemptResult{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
+func (h *harness) finishAttempt(s StartAttempt, attempt int, code ResultCode) []Action {
+	return h.handle(AttemptResult{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
 		Answered: code == OK})
 }
 
 // admitUnits sends n requests of one unit and counts those admitted.
-func (w *harness) admitUnits(n int, plan string) int {
+func (h *harness) admitUnits(n int, plan string) int {
 	admitted := 0
 	for range n {
-		acts := w.request("safe", plan, testCustomer, 1)
-		for _, s := range actionsOf[StartAttempt](acts) {
+		actions := h.request("safe", plan, testCustomer, 1)
+		for _, s := range actionsOf[StartAttempt](actions) {
 			admitted++
-			w.finishAttempt(s, 0, OK)
+			h.finishAttempt(s, 0, OK)
 		}
 	}
 	return admitted
 }
 
 // receiveReport gives the gateway a complete report of the test peer.
-func (w *harness) receiveReport(incarnation, sequence uint32, customers ...reportedCustomer) {
-	m := loadReport{incarnation: incarnation, sequence: sequence, complete: true, customers: customers}
-	w.handle(PeerMessage{From: testPeer, Data: m.encode()})
+func (h *harness) receiveReport(incarnation, sequence uint32, customers ...reportedCustomer) {
+	report := loadReport{incarnation: incarnation, sequence: sequence, complete: true, customers: customers}
+	h.handle(PeerMessage{From: testPeer, Data: report.encode()})
 }
 
 func testCustomerHash() uint32 { return customerReportHash(customerKey(testCustomer)) }
 
 // actionsOf returns the actions of one type.
-func actionsOf[T Action](acts []Action) (l []T) {
-	for _, a := range acts {
-		if x, ok := a.(T); ok {
-			l = append(l, x)
+func actionsOf[T Action](actions []Action) (matching []T) {
+	for _, a := range actions {
+		if match, ok := a.(T); ok {
+			matching = append(matching, match)
 		}
 	}
-	return l
+	return matching
 }
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -8,12 +8,12 @@
 // Load that no report covers shows in the latencies; a part of the requests is then shed.
 func TestOverloadShedsLoad(t *testing.T) {
 	admitted := func(latency time.Duration) (n int) {
-		w := newHarness(t, baseSettings(), testServers(20))
+		h := newHarness(t, baseSettings(), testServers(20))
 		for i := range 400 {
-			w.advance(25 * ms)
-			acts := w.request("safe", "free", "c", 1)
-			for _, s := range actionsOf[StartAttempt](acts) {
-				w.handle(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, Latency: latency})
+			h.advance(25 * ms)
+			actions := h.request("safe", "free", "c", 1)
+			for _, s := range actionsOf[StartAttempt](actions) {
+				h.handle(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, Latency: latency})
 				if i >= 200 {
 					n++
 				}
@@ -21,8 +21,8 @@
 		}
 		return n
 	}
-	if calm, overloaded := admitted(50*ms), admitted(700*ms); calm < 200 || overloaded > 100 {
-		t.Fatalf("%d of 200 admitted when calm, %d when overloaded", calm, overloaded)
+	if normal, overloaded := admitted(50*ms), admitted(700*ms); normal < 200 || overloaded > 100 {
+		t.Fatalf("%d of 200 admitted when calm, %d when overloaded", normal, overloaded)
 	}
 }
 
--- a/policy/peer_messages_test.go
+++ b/policy/peer_messages_test.go
@@ -98,15 +98,15 @@
 	f.Add((&loadReport{incarnation: 1, sequence: 2, complete: true, servers: []reportedServer{{1, 2}},
 		customers: []reportedCustomer{{hash: 3}, {hash: 5}}}).encode())
 	f.Add([]byte{1})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		w := newHarness(t, baseSettings(), testServers(2))
-		w.request("safe", "hard", "c", 1)
-		w.handle(PeerMessage{From: 1, Data: b})
-		if m, ok := decodeLoadReport(b); ok {
-			if len(b) > maxMessageBytes {
+	f.Fuzz(func(t *testing.T, data []byte) {
+		h := newHarness(t, baseSettings(), testServers(2))
+		h.request("safe", "hard", "c", 1)
+		h.handle(PeerMessage{From: 1, Data: data})
+		if report, ok := decodeLoadReport(data); ok {
+			if len(data) > maxMessageBytes {
 				t.Fatal("too long")
 			}
-			if m2, ok := decodeLoadReport(m.encode()); !ok || !reflect.DeepEqual(m, m2) {
+			if decoded, ok := decodeLoadReport(report.encode()); !ok || !reflect.DeepEqual(report, decoded) {
 				t.Fatal("a report does not survive its own encoding")
 			}
 		}
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNewNamesTheInvalidSetting(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+	for key, invalidate := range map[string]func(*Settings){
 		"Resolution":                  func(s *Settings) { s.Resolution = 0 },
 		"Plans":                       func(s *Settings) { s.Plans = nil },
 		"Plans[1].Name":               func(s *Settings) { s.Plans[1].Name = "" },
@@ -17,7 +17,7 @@
 		"SelfIndex":                   func(s *Settings) { s.SelfIndex = 2 },
 	} {
 		s := baseSettings()
-		spoil(&s)
+		invalidate(&s)
 		_, err := New(s, 1)
 		if err == nil || !strings.Contains(err.Error(), key+":") {
 			t.Errorf("%s: %v", key, err)
@@ -31,17 +31,17 @@
 
 // Messages name a plan and a class in one byte each: settings with more are not accepted.
 func TestNewBoundsPlansAndClasses(t *testing.T) {
-	for _, more := range []int{0, 1} {
+	for _, excess := range []int{0, 1} {
 		for field, fill := range map[string]func(*Settings){
-			"Plans":   func(s *Settings) { s.Plans = slices.Repeat(s.Plans[:1], 256+more) },
-			"Classes": func(s *Settings) { s.Classes = slices.Repeat(s.Classes[:1], 256+more) },
+			"Plans":   func(s *Settings) { s.Plans = slices.Repeat(s.Plans[:1], 256+excess) },
+			"Classes": func(s *Settings) { s.Classes = slices.Repeat(s.Classes[:1], 256+excess) },
 		} {
 			s := baseSettings()
 			fill(&s)
 			_, err := New(s, 1)
 			var setting *SettingError
-			if isRefused := errors.As(err, &setting) && setting.Field == field; isRefused != (more > 0) {
-				t.Errorf("%d %s: %v", 256+more, field, err)
+			if isRejected := errors.As(err, &setting) && setting.Field == field; isRejected != (excess > 0) {
+				t.Errorf("%d %s: %v", 256+excess, field, err)
 			}
 		}
 	}
--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -36,8 +36,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i, l := range strings.Split(string(b), "\n") {
-			if len([]rune(strings.ReplaceAll(l, "\t", "    "))) > 110 {
+		for i, line := range strings.Split(string(b), "\n") {
+			if len([]rune(strings.ReplaceAll(line, "\t", "    "))) > 110 {
 				t.Errorf("%s:%d is longer than 110 characters", name, i+1)
 			}
 		}
@@ -53,10 +53,10 @@
 			t.Fatal(err)
 		}
 		named := constantLines(t, f, b)
-		for i, l := range strings.Split(string(b), "\n") {
-			code, _, _ := strings.Cut(l, "//")
+		for i, line := range strings.Split(string(b), "\n") {
+			code, _, _ := strings.Cut(line, "//")
 			if !named[i+1] && tuned.MatchString(code) {
-				t.Errorf("%s:%d holds a tuned value: %s", f, i+1, strings.TrimSpace(l))
+				t.Errorf("%s:%d holds a tuned value: %s", f, i+1, strings.TrimSpace(line))
 			}
 		}
 	}
@@ -71,9 +71,9 @@
 		t.Fatal(err)
 	}
 	lines := map[int]bool{}
-	for _, d := range file.Decls {
-		if d, ok := d.(*ast.GenDecl); ok && d.Tok == token.CONST {
-			for i := files.Position(d.Pos()).Line; i <= files.Position(d.End()).Line; i++ {
+	for _, decl := range file.Decls {
+		if decl, ok := decl.(*ast.GenDecl); ok && decl.Tok == token.CONST {
+			for i := files.Position(decl.Pos()).Line; i <= files.Position(decl.End()).Line; i++ {
 				lines[i] = true
 			}
 		}
