--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// Requests beyond the in-flight cap are queued, and the oldest one is released first.
 func TestQueuesBeyondInFlightCapInOrder(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(8))
 	var attempts []StartAttempt
@@ -25,6 +26,7 @@
 	}
 }
 
+// A client retry is rejected, with advice to retry later, while the servers are saturated.
 func TestClientRetriesYieldDuringServerShortage(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(1))
 	for range 50 {
@@ -34,11 +36,11 @@
 	actions := h.handle(Request{ID: h.lastID, Customer: "c", Plan: "free", Class: "safe", Units: 1,
 		Remaining: 2 * time.Second, GatewaySpread: 2, ClientRetry: true})
 	if r := actionsOf[Reject](actions); len(r) != 1 || r[0].RetryAfter != 500*ms {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want a rejection with a Retry-After of 500 ms, got %v", actions)
 	}
 }
 
-// A bucket that is low is left to first attempts.
+// Client retries are rejected when the bucket is low, so that its tokens are left to first attempts.
 func TestClientRetriesYieldWhenTokensAreLow(t *testing.T) {
 	for spent, want := range map[int]int{0: 1, 8: 0} {
 		h := newHarness(t, baseSettings(), testServers(8))
@@ -48,18 +50,18 @@
 		actions := h.handle(Request{ID: h.lastID, Customer: "c", Plan: "rate", Class: "safe", Units: 1,
 			Remaining: 2 * time.Second, GatewaySpread: 2, ClientRetry: true})
 		if n := len(actionsOf[StartAttempt](actions)); n != want {
-			t.Errorf("%d retries admitted after %d of 10 units, want %d", n, spent, want)
+			t.Errorf("%d client retries admitted after %d of 10 units were used, want %d", n, spent, want)
 		}
 	}
 }
 
-// A request without time left is rejected at once: it cannot wait for its leader.
+// A request whose deadline has come is rejected at once, since it cannot wait for a lease.
 func TestRequestWithoutTimeIsRejected(t *testing.T) {
 	fleet := newGatewayFleet(t, 100, testServers(10))
 	for i := range 20 {
 		fleet.handle(i, Request{ID: RequestID(i + 1), Customer: "k", Plan: "rate", Class: "safe", Units: 1, GatewaySpread: 100})
 	}
 	if fleet.rejected != 20 || len(fleet.attempts) > 0 {
-		t.Errorf("%d rejected, %d sent", fleet.rejected, len(fleet.attempts))
+		t.Errorf("%d requests rejected, want 20; %d attempts, want none", fleet.rejected, len(fleet.attempts))
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// One request with its result, all decisions made.
+// BenchmarkHandle measures the handling of a request, its lease in leader mode, and its attempt's result.
 func BenchmarkHandle(b *testing.B) {
 	for _, gateways := range []int{3, 200} {
 		for _, customers := range []int{50, 50_000} {
@@ -63,8 +63,8 @@
 	return g
 }
 
-// grantLeases answers the lease requests among actions at once, as their leader would, and returns what
-// follows, or the actions themselves where there is none.
+// grantLeases grants the first lease request among actions, as its leader would, and returns the actions that
+// follow. If there is no lease request it returns actions.
 func grantLeases(g *Gateway, now time.Duration, actions []Action) []Action {
 	for _, a := range actions {
 		sent, ok := a.(SendPeerMessage)
--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// ceilingDemand is how many times its ceiling a customer requests.
+// ceilingDemand is a customer's demand as a multiple of its ceiling.
 const ceilingDemand = 5
 
-// ceilingDelay is the time by which an attempt may come later than the grant of its lease: the bucket of the
-// whole fleet may be exceeded by what the ceiling lets pass in this time.
+// ceilingDelay is the longest time from the grant of a lease to the start of its attempt. The attempts may exceed
+// the bucket of the whole fleet by the units that it gains in this time.
 const ceilingDelay = 250 * ms
 
-// ceilingFleet is a fleet that receives requests of one customer far above its ceiling. Whatever else happens,
-// the attempts must fit one bucket.
+// ceilingFleet is a fleet that receives far more requests of one customer than its ceiling permits. Under all
+// conditions the attempts must fit one bucket of the ceiling's rate and burst.
 type ceilingFleet struct {
 	*gatewayFleet
 	plan           Plan
 	units          float64 // of each request
 	spread         int
-	clientGateways int // clients use the gateways below this number, in turn
-	dueUnits       float64
-	requested      int
+	clientGateways int     // clients send their requests to the gateways below this number, in turn
+	dueUnits       float64 // units that are due and not yet requested
+	requested      int     // number of requests sent
 	loadDuration   time.Duration
 }
 
@@ -43,7 +43,7 @@
 	return f
 }
 
-// load sends the requests that are due in one step of 10 ms.
+// load sends the requests that are due in one step of 10 ms of gatewayFleet.advance.
 func (f *ceilingFleet) load(time.Duration) {
 	f.loadDuration += 10 * ms
 	for f.dueUnits += ceilingDemand * f.plan.HardRate / 100; f.dueUnits >= f.units; f.dueUnits -= f.units {
@@ -51,14 +51,15 @@
 	}
 }
 
-// request sends a gateway a request.
+// request sends a gateway a request of the customer.
 func (f *ceilingFleet) request(gateway int) {
 	f.requested++
 	f.handle(gateway, Request{ID: RequestID(f.requested), Customer: testCustomer, Plan: f.plan.Name, Class: "safe",
 		Units: f.units, Remaining: 2 * time.Second, GatewaySpread: f.spread})
 }
 
-// resize has the gateways hear of a new size one after the other, in two stages.
+// resize sends the gateways the start of a change of size and then its end, to one gateway after the other with
+// the given time between two of them.
 func (f *ceilingFleet) resize(to int, between time.Duration, step func(time.Duration)) {
 	before := f.gateways[0].size.gateways
 	for _, previous := range []int{before, ResizeComplete} {
@@ -69,7 +70,7 @@
 	}
 }
 
-// restart replaces a gateway by a new process that knows what the snapshot of the one before holds.
+// restart replaces a gateway by a new process that restores the snapshot of the old one.
 func (f *ceilingFleet) restart(i int) {
 	f.t.Helper()
 	saved, _ := f.gateways[i].SaveSnapshot(f.now, 0, allQueued, nil)
@@ -82,7 +83,7 @@
 	f.handle(i, EndpointUpdate{Kind: CachedUpdate, Servers: testServers(40)})
 }
 
-// holders are the gateways that hold a share of the ceiling in a fleet of a size.
+// shareHolders returns the gateways that hold a share of the ceiling in a fleet of the given size.
 func (f *ceilingFleet) shareHolders(gateways int) []int {
 	g := f.gateways[0]
 	size := g.fleetSizeOf(gateways)
@@ -94,7 +95,7 @@
 	return leaders
 }
 
-// burst sends each of some gateways more requests than the ceiling's bucket holds.
+// burst sends each of the gateways requests of twice the units that the ceiling's bucket holds.
 func (f *ceilingFleet) burst(gateways []int) {
 	for _, i := range gateways {
 		for range int(2 * f.plan.HardBurst / f.units) {
@@ -103,14 +104,14 @@
 	}
 }
 
-// leader is the number of the customer's quota leader.
+// leader returns the number of the customer's quota leader.
 func (f *ceilingFleet) leader() int {
 	g := f.gateways[0]
 	return f.shareHolders(g.size.gateways)[0]
 }
 
-// check compares the attempts with one bucket for the whole fleet, and what was served with the least share of
-// the ceiling.
+// check fails the test if the attempts exceed one bucket for the whole fleet, or if less than minServedShare of
+// the units that the ceiling permits was served.
 func (f *ceilingFleet) check(minServedShare float64) {
 	f.t.Helper()
 	level, lowest, last := f.plan.HardBurst, f.plan.HardBurst, 10*time.Second
@@ -120,20 +121,20 @@
 		lowest = min(lowest, level)
 	}
 	if slack := f.plan.HardRate * ceilingDelay.Seconds(); lowest < -slack-1e-9 {
-		f.t.Errorf("the ceiling's bucket of %v fell to %.2f, %.2f allowed", f.plan.HardBurst, lowest, -slack)
+		f.t.Errorf("the ceiling's bucket of %v units fell to %.2f, want at least %.2f", f.plan.HardBurst, lowest, -slack)
 	}
-	available := f.plan.HardRate * f.loadDuration.Seconds() // the shares of the bucket are empty at the start
+	available := f.plan.HardRate * f.loadDuration.Seconds() // without the burst: the shares of the bucket are empty at the start
 	if served := float64(len(f.attempts)) * f.units / available; served < minServedShare {
-		f.t.Errorf("%.2f of what the ceiling lets pass was served, at least %.2f wanted", served, minServedShare)
+		f.t.Errorf("%.2f of the units that the ceiling permits was served, want at least %.2f", served, minServedShare)
 	}
 }
 
-// ceilingCases are what happens to a fleet in TestCeilingAloneHoldsInFleets.
+// ceilingCases are the fleets and faults of TestCeilingAloneHoldsInFleets.
 var ceilingCases = []struct {
 	name     string
 	gateways int
-	least    float64 // of the ceiling
-	play     func(*ceilingFleet)
+	minShare float64 // of the ceiling, that must be served
+	run      func(*ceilingFleet)
 }{
 	{"full mesh", 3, 0.7, func(f *ceilingFleet) { f.advance(20*time.Second, f.load) }},
 	{"24 gateways", 24, 0.7, func(f *ceilingFleet) { f.advance(20*time.Second, f.load) }},
@@ -155,7 +156,7 @@
 		f.isLost = func(int, int) bool { return true }
 		f.advance(20*time.Second, f.load)
 	}},
-	{"a third cut off", 60, 0.5, func(f *ceilingFleet) {
+	{"a third partitioned", 60, 0.5, func(f *ceilingFleet) {
 		f.isLost = func(from, to int) bool { return (from < 20) != (to < 20) }
 		f.advance(20*time.Second, f.load)
 	}},
@@ -164,7 +165,7 @@
 		f.isLost = func(int, int) bool { sent++; return sent%4 == 0 }
 		f.advance(20*time.Second, f.load)
 	}},
-	{"leader silent", 60, 0.2, func(f *ceilingFleet) {
+	{"leader partitioned", 60, 0.2, func(f *ceilingFleet) {
 		f.advance(5*time.Second, f.load)
 		leader := f.leader()
 		f.isLost = func(from, to int) bool { return from == leader || to == leader }
@@ -198,24 +199,24 @@
 	}},
 }
 
-// A customer under a ceiling alone is admitted no more than the ceiling by the whole fleet, and is served where
-// messages arrive.
+// The plan of the customer has a hard ceiling and no other quota. The whole fleet together admits no more than
+// the ceiling and, unless all messages are lost, serves a part of it.
 func TestCeilingAloneHoldsInFleets(t *testing.T) {
 	for _, c := range ceilingCases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newCeilingFleet(t, c.gateways, "hard", 1)
-			c.play(f)
+			c.run(f)
 			f.advance(time.Second, nil)
-			f.check(c.least)
+			f.check(c.minShare)
 			if len(f.attempts)+f.rejected != f.requested {
-				t.Errorf("%d admitted and %d rejected of %d", len(f.attempts), f.rejected, f.requested)
+				t.Errorf("%d requests admitted and %d rejected of %d", len(f.attempts), f.rejected, f.requested)
 			}
 		})
 	}
 }
 
-// Gateways that get a larger share of a ceiling by a change of the fleet start with it empty, also for customers
-// that they have not seen: those who held the share before may have used it up.
+// Gateways whose share of a ceiling grows when the fleet is resized start with an empty share, also for customers
+// that are new to them: the gateways that held the share before may have used it up.
 func TestCeilingShareIsEmptyAfterResize(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -223,7 +224,7 @@
 	}{
 		{"into leader mode", 20, 60},
 		{"out of leader mode", 60, 20},
-		{"growing", 4, 8},
+		{"within full mesh", 4, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newCeilingFleet(t, max(c.before, c.after), "hard", 1)
@@ -239,8 +240,8 @@
 	}
 }
 
-// Requests of fractions of a unit, and of many units, count in full against the ceiling of the whole fleet and
-// against the rate quota.
+// Requests of a fraction of a unit or of several units count in full against the ceiling of the whole fleet, with
+// and without a rate quota or a cap beside it.
 func TestCeilingCountsFractionsOfAUnit(t *testing.T) {
 	for _, gateways := range []int{3, 60} {
 		for _, plan := range []string{"hard", "hard and rate", "hard and open"} {
@@ -256,7 +257,8 @@
 	}
 }
 
-// A leader that restarts again and again, with the snapshot of its rate quotas, grants no more than the ceiling.
+// The snapshot of a leader holds its rate quotas, not the ceilings. A leader that restarts repeatedly still grants
+// no more than the ceiling.
 func TestCeilingHoldsOverRestartsWithSnapshots(t *testing.T) {
 	for _, gateways := range []int{3, 60} {
 		f := newCeilingFleet(t, gateways, "hard and rate", 1)
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// A customer without requests for more than ten minutes is removed from all tables.
 func TestIdleCustomersAreRemoved(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(2))
 	for i := range 50 {
@@ -20,11 +21,11 @@
 	}
 	h.advance(2 * time.Minute)
 	if n := len(h.gateway.customers.byKey) + len(h.gateway.customers.ring) + len(h.gateway.customers.byHash) + len(h.gateway.peers[1].customerViews); n != 4 {
-		t.Fatalf("%d entries are left of customers, want 4", n)
+		t.Fatalf("%d entries of customers are left in all tables, want 4", n)
 	}
 }
 
-// Without messages to peers idle customers are forgotten, too.
+// Idle customers are also removed when the gateway cannot message its peers.
 func TestIdleCustomersAreRemovedWithoutPeerMessages(t *testing.T) {
 	s := baseSettings()
 	s.CanMessagePeers = false
@@ -32,12 +33,12 @@
 	h.admitUnits(1, "rate")
 	h.advance(11 * time.Minute)
 	if n := len(h.gateway.customers.byKey); n != 0 {
-		t.Errorf("%d customers known", n)
+		t.Errorf("%d customers known, want none", n)
 	}
 }
 
-// A customer whose buckets take long to fill is remembered until they are full: a pause does not give it another
-// bucket at once.
+// A customer whose buckets fill slowly is kept until they are full. If it were removed earlier, it would get a full
+// bucket again after an idle time.
 func TestCustomersWithSlowBucketsAreKept(t *testing.T) {
 	for _, plan := range []Plan{
 		{Name: "slow", Rate: 0.01, Burst: 20},
@@ -47,12 +48,12 @@
 		s.Gateways = 1
 		s.Plans = append(s.Plans, plan)
 		h := newHarness(t, s, testServers(8))
-		h.advance(time.Hour) // a share of a ceiling starts empty
+		h.advance(time.Hour) // until the share of a ceiling, which is empty at the start, is full
 		first := h.admitUnits(30, "slow")
 		h.advance(15 * time.Minute)
 		later := h.admitUnits(30, "slow")
 		if first < 19 || first > 21 || later > 10 {
-			t.Errorf("%+v: %d admitted, and %d a quarter of an hour later", plan, first, later)
+			t.Errorf("%+v: %d units admitted at first, want 19 to 21; %d units 15 minutes later, want at most 10", plan, first, later)
 		}
 		h.advance(time.Hour)
 		if n := len(h.gateway.customers.byKey); n != 0 {
@@ -61,19 +62,19 @@
 	}
 }
 
-// Customers are named by the same hashes at all gateways, of whatever build.
+// Messages identify customers by hashes, which must be the same at gateways of all versions.
 func TestCustomerHashesAreGolden(t *testing.T) {
 	key := customerKey("bibl-a")
 	if want := uint64(0x79ba5150b1712e5c); key != want {
 		t.Errorf("key %#x, want %#x", key, want)
 	}
 	if reportHash, want := customerReportHash(key), uint32(0x79ba51); reportHash != want {
-		t.Errorf("short %#x, want %#x", reportHash, want)
+		t.Errorf("report hash %#x, want %#x", reportHash, want)
 	}
 }
 
-// Customers that share a report hash do not pass their quota many times for it, and the one that is left when
-// the other is forgotten is reported again.
+// Load reports leave out customers that share a report hash. Such customers are still admitted at most one and a
+// half times their quotas, and the one that remains when the other is removed is reported again.
 func TestCustomersThatShareAReportHash(t *testing.T) {
 	first, second := collidingCustomers()
 	f := newGatewayFleet(t, 3, testServers(20))
@@ -93,7 +94,7 @@
 	}
 	f.advance(20*time.Second, load(first, second))
 	if admitted, quotas := len(f.attempts), 2*(10+10*20); admitted > quotas*3/2 {
-		t.Errorf("%d units admitted of two quotas of %d", admitted, quotas/2)
+		t.Errorf("%d units admitted under two quotas of %d each", admitted, quotas/2)
 	}
 	f.advance(11*time.Minute, func(at time.Duration) {
 		if at%(10*time.Second) == 0 {
@@ -103,12 +104,12 @@
 	for i, g := range f.gateways {
 		c := g.customers.byHash[customerReportHash(customerKey(first))]
 		if c == nil || c.key != customerKey(first) || len(g.customers.byKey) != 1 || len(g.customers.sharing) != 0 {
-			t.Errorf("gateway %d: %d customers known, the first one is named: %v", i, len(g.customers.byKey), c != nil)
+			t.Errorf("gateway %d: %d customers known, want 1; a customer found by the report hash: %v", i, len(g.customers.byKey), c != nil)
 		}
 	}
 }
 
-// collidingCustomers returns two names with one report hash.
+// collidingCustomers returns two customer names with the same report hash.
 func collidingCustomers() (first, second string) {
 	names := map[uint32]string{}
 	for i := 0; ; i++ {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -12,14 +12,14 @@
 	}{
 		{"draining", EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: 1, State: Draining}}}},
 		{"removed", EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: 1, State: Removed}}}},
-		{"not in the whole list", EndpointUpdate{Kind: SnapshotUpdate, Servers: testServers(4)[1:]}},
+		{"not in the snapshot update", EndpointUpdate{Kind: SnapshotUpdate, Servers: testServers(4)[1:]}},
 	} {
 		h := newHarness(t, baseSettings(), testServers(4))
 		h.handle(c.update)
 		for range 100 {
 			s := h.startAttempt("safe", "free")
 			if s.Server == 1 {
-				t.Fatalf("%s: sent", c.name)
+				t.Fatalf("%s: a new attempt went to the server", c.name)
 			}
 			h.now += 30 * ms
 			h.finishAttempt(s, 0, OK)
@@ -27,8 +27,8 @@
 	}
 }
 
-// Servers that were replaced are forgotten once nothing is out at them, by either
-// kind of list; an attempt that is out at one still ends as it should.
+// Servers that were replaced are deleted once they have no attempts in flight, by delta and by snapshot updates.
+// The result of an attempt at such a server is still handled.
 func TestReplacedServersAreDeleted(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(4))
 	openAttempt := h.startAttempt("safe", "free")
@@ -44,24 +44,25 @@
 	}
 	h.handle(EndpointUpdate{Kind: SnapshotUpdate, Servers: testServers(4)[:2]})
 	if maxServers := 3; len(h.gateway.endpoints.list) > maxServers || len(h.gateway.endpoints.byID) != len(h.gateway.endpoints.list) {
-		t.Errorf("%d servers known, %d listed", len(h.gateway.endpoints.byID), len(h.gateway.endpoints.list))
+		t.Errorf("%d servers in the index, %d in the list", len(h.gateway.endpoints.byID), len(h.gateway.endpoints.list))
 	}
 	actions := h.handle(AttemptResult{ID: openAttempt.ID, Server: openAttempt.Server, Code: Reset, Latency: h.now})
 	if len(actions) == 0 {
-		t.Error("an attempt at a server that has gone ended, and nothing was decided")
+		t.Error("the result of an attempt at a removed server led to no action")
 	}
 }
 
+// With MustWatchEndpoints a gateway requests the server list at its start, and again after a failure.
 func TestWatchesEndpointsWhereRequired(t *testing.T) {
 	s := baseSettings()
 	s.MustWatchEndpoints = true
 	g, _ := New(s, 1)
 	h := &harness{t: t, gateway: g, now: time.Second}
 	if n := len(actionsOf[WatchEndpoints](h.handle(EndpointUpdate{Kind: CachedUpdate}))); n != 1 {
-		t.Fatalf("%d requests at the start", n)
+		t.Fatalf("%d watches at the start, want 1", n)
 	}
 	h.handle(EndpointUpdate{Kind: WatchFailed})
 	if n := len(actionsOf[WatchEndpoints](h.advance(3 * time.Second))); n != 1 {
-		t.Fatalf("%d requests after a failed one", n)
+		t.Fatalf("%d watches after a failed one, want 1", n)
 	}
 }
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// gatewayFleet drives hundreds of gateways. A message takes 20 ms, an attempt 50 ms.
+// gatewayFleet simulates a fleet of up to hundreds of gateways. A peer message takes 20 ms, an attempt 50 ms.
 type gatewayFleet struct {
 	t         *testing.T
 	now       time.Duration
@@ -13,11 +13,11 @@
 	inTransit []messageInTransit
 	isLost    func(from, to int) bool
 
-	messages         int // one for each receiver
+	messages         int // peer messages sent, counted once for each receiver
 	attempts         []StartAttempt
 	attemptGateways  []int
 	startedAt        []time.Duration
-	finishedAttempts int // attempts that have ended
+	finishedAttempts int // number of attempts that have ended; these are the first of attempts
 	rejected         int
 }
 
@@ -48,7 +48,7 @@
 		switch a := a.(type) {
 		case SendPeerMessage:
 			if len(a.Data) > 256 || a.To >= len(f.gateways) || a.To == i {
-				f.t.Fatalf("gateway %d sends %d a message of %d bytes", i, a.To, len(a.Data))
+				f.t.Fatalf("gateway %d sent gateway %d a message of %d bytes", i, a.To, len(a.Data))
 			}
 			for to := range f.gateways {
 				if to == a.To || a.To < 0 && to != i {
@@ -66,7 +66,7 @@
 	}
 }
 
-// advance lets time go by in steps of 10 ms, and calls step in each.
+// advance moves the simulated time on by d in steps of 10 ms, at the end of which it calls step unless that is nil.
 func (f *gatewayFleet) advance(d time.Duration, step func(at time.Duration)) {
 	for end := f.now + d; f.now < end; {
 		f.now += 10 * ms
@@ -98,7 +98,8 @@
 		Remaining: 2 * time.Second, GatewaySpread: spread})
 }
 
-// newFleetMember returns one of n gateways that can receive so many messages a second.
+// newFleetMember returns gateway selfIndex of a fleet of n gateways, each of which can receive messagesPerSecond
+// peer messages.
 func newFleetMember(t *testing.T, selfIndex, n int, messagesPerSecond float64) *Gateway {
 	t.Helper()
 	g, err := New(Settings{SelfIndex: selfIndex, Gateways: n, Resolution: time.Millisecond, MaxAttempts: 2, CanCancel: true, CanMessagePeers: true,
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ceilingShare is the part of a customer's ceiling that a gateway may grant.
+// ceilingShare returns the share of a customer's ceiling that a gateway may grant.
 func ceilingShare(g *Gateway, c *customer) float64 {
 	if g.previousSize.gateways != 0 {
 		return 1 / c.ceilingDivisor
@@ -16,20 +16,20 @@
 	return 1 / g.ceilingDivisorIn(c, g.size)
 }
 
-// A fleet changes its size, into leader mode and out of it, again and again; each gateway hears of it at its own
-// time. At no moment do the shares of any ceiling sum to more than the whole, and once all have heard they sum
-// to it again, but for the standby leader's where there is none.
+// A fleet is resized repeatedly, into leader mode and out of it, and its gateways receive each change one after the
+// other. The shares of a ceiling never sum to more than 1. Once all gateways have received the change they sum to
+// 1 again, less the share of the standby leader if there is none.
 func TestCeilingSharesNeverExceedTheWhole(t *testing.T) {
 	for seed := range uint64(60) {
 		f := newResizingFleet(t, seed)
-		f.check(true, "at first")
+		f.check(true, "before all changes")
 		for change := range 5 {
 			f.resize(change, 1+f.rng.IntN(14))
 		}
 	}
 }
 
-// resizingFleet is a fleet with some customers, whose gateways hear of a new size one after the other.
+// resizingFleet is a fleet with some customers whose gateways receive a new size one after the other.
 type resizingFleet struct {
 	t                 *testing.T
 	seed              uint64
@@ -38,7 +38,7 @@
 	size              int
 	gateways          map[int]*Gateway
 	customers         []string
-	spreads           map[string][2]int // first gateway, and number of gateways
+	spreads           map[string][2]int // by customer: first gateway and number of gateways
 }
 
 func newResizingFleet(t *testing.T, seed uint64) *resizingFleet {
@@ -70,7 +70,8 @@
 	return g.addCustomer(customerKey(name), g.plans["p"], f.spreads[name][0], f.spreads[name][1])
 }
 
-// check sums the shares of each ceiling. A customer of one gateway has no standby leader: that share is nobody's.
+// check fails the test if the shares of a ceiling sum to more than 1 or, between changes, to less than 1 without
+// the share of the standby leader. A customer of one gateway has no standby leader, so that share is unused.
 func (f *resizingFleet) check(complete bool, stage string) {
 	f.t.Helper()
 	for _, name := range f.customers {
@@ -87,28 +88,28 @@
 func (f *resizingFleet) resize(change, size int) {
 	f.t.Helper()
 	before := f.size
-	for i := before; i < size; i++ { // those that join start in the middle of the change
+	for i := before; i < size; i++ { // the gateways that join start during the change
 		f.gateways[i] = newFleetMember(f.t, i, size, f.messagesPerSecond)
 		joined := FleetResized{Gateways: size, PreviousSize: []int{before, -1}[f.rng.IntN(2)]}
 		f.gateways[i].Handle(0, joined, nil)
 	}
 	for _, i := range f.rng.Perm(before) {
 		f.gateways[i].Handle(time.Second, FleetResized{Gateways: size, PreviousSize: before}, nil)
-		f.check(false, fmt.Sprint("change ", change, " from ", before, " to ", size, ", hearing"))
+		f.check(false, fmt.Sprint("change ", change, " from ", before, " to ", size, ", change received by some"))
 	}
 	for i := size; i < before; i++ {
 		delete(f.gateways, i)
 	}
 	for _, i := range f.rng.Perm(size) {
 		f.gateways[i].Handle(2*time.Second, FleetResized{Gateways: size}, nil)
-		f.check(false, fmt.Sprint("change ", change, ", over at some"))
+		f.check(false, fmt.Sprint("change ", change, ", end received by some"))
 	}
-	f.check(true, fmt.Sprint("change ", change, " over"))
+	f.check(true, fmt.Sprint("change ", change, ", end received by all"))
 	f.size = size
 }
 
-// What a gateway knew carries over a change; requests that are queued, or wait for a lease, are answered all the
-// same.
+// A gateway keeps the buckets and totals of its customers when the fleet is resized. Requests that are queued or
+// wait for a lease get a final response as usual.
 func TestStateCarriesOverFleetResizes(t *testing.T) {
 	driver := &memberDriver{gateway: newFleetMember(t, 0, 3, 200), pending: map[RequestID]bool{}}
 	g := driver.gateway
@@ -121,30 +122,30 @@
 	tokens := c.tokens
 	g.Handle(10*time.Second+20*time.Millisecond, FleetResized{Gateways: 4, PreviousSize: 3}, nil)
 	if c.tokens < tokens || c.tokens > tokens+1 || c.admittedUnits != uint16(admitted) || len(c.peerViews) != 2 {
-		t.Errorf("tokens %v, was %v; admitted %d of %d; %d views", c.tokens, tokens, c.admittedUnits, admitted, len(c.peerViews))
+		t.Errorf("tokens %v, before the change %v; running total %d, want %d; %d peer views, want 2", c.tokens, tokens, c.admittedUnits, admitted, len(c.peerViews))
 	}
 	if c.ceilingDivisor != 3 {
-		t.Errorf("share 1/%v", c.ceilingDivisor)
+		t.Errorf("share of the ceiling 1/%v, want 1/3", c.ceilingDivisor)
 	}
-	// Into leader mode and back, with requests that wait for a lease: each ends.
+	// Into leader mode and back, with requests that wait for a lease: each gets a response.
 	driver.now = 11 * time.Second
 	for _, n := range []int{400, 4, 400, 1, 4} {
 		driver.resize(n)
 		if len(driver.pending) > 0 {
-			t.Fatalf("at %d gateways: %d requests without a response", n, len(driver.pending))
+			t.Fatalf("resized to %d gateways: %d requests without a response", n, len(driver.pending))
 		}
 	}
 	if math.IsInf(c.ceilingDivisor, 1) || c.ceilingDivisor <= 0 {
-		t.Errorf("share 1/%v", c.ceilingDivisor)
+		t.Errorf("share of the ceiling 1/%v, want a finite one above 0", c.ceilingDivisor)
 	}
 }
 
-// memberDriver drives one gateway of a fleet whose size changes, with servers that answer at once.
+// memberDriver drives one gateway of a fleet whose size changes, with servers that respond at once.
 type memberDriver struct {
 	gateway *Gateway
 	now     time.Duration
 	lastID  RequestID
-	pending map[RequestID]bool // a final response
+	pending map[RequestID]bool // requests without a final response
 }
 
 func (m *memberDriver) request(now time.Duration, customer string, firstGateway, spread int) []Action {
@@ -153,7 +154,7 @@
 		Remaining: 2 * time.Second, FirstGateway: firstGateway, GatewaySpread: spread}, nil)
 }
 
-// resize sends requests, changes the size and lets time go by until all are over.
+// resize sends requests, changes the size of the fleet, and moves the time on until all requests must have ended.
 func (m *memberDriver) resize(size int) {
 	for range 20 {
 		m.now += 5 * time.Millisecond
@@ -169,7 +170,7 @@
 	m.handleActions(m.gateway.Handle(m.now, FleetResized{Gateways: size}, nil))
 }
 
-// settle strikes off the requests that are answered.
+// handleActions reports the attempts as successful, and removes the requests with a final response from pending.
 func (m *memberDriver) handleActions(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// Two gateways with the same seed and the same events decide on the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (all []Action) {
 		h := newHarness(t, baseSettings(), testServers(5))
@@ -21,10 +22,12 @@
 		return all
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Fatal("equal events gave other actions")
+		t.Fatal("the same events led to different actions")
 	}
 }
 
+// Events about unknown requests, attempts, timers and peers, messages that cannot be decoded, and repeated results
+// lead to no action.
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(3))
 	s := h.startAttempt("safe", "free")
@@ -40,12 +43,12 @@
 	}
 	h.finishAttempt(s, 0, OK)
 	if actions := h.finishAttempt(s, 0, OK); len(actions) != 0 || h.gateway.endpoints.list[0].inFlight+h.gateway.endpoints.list[1].inFlight+h.gateway.endpoints.list[2].inFlight != 0 {
-		t.Errorf("a second result led to %v", actions)
+		t.Errorf("a second result of an attempt led to %v, or left attempts in flight", actions)
 	}
 }
 
-// Every request gets one final response before its deadline, with servers that answer none, and with
-// no room at servers at all.
+// Every request gets exactly one final response in time, even if the servers respond to no attempt and become
+// saturated.
 func TestOneFinalResponseInTime(t *testing.T) {
 	for _, plan := range []string{"free", "rate", "open", "hard", "both"} {
 		for _, remaining := range []time.Duration{10 * ms, 60 * ms, 300 * ms, 2 * time.Second} {
@@ -64,16 +67,16 @@
 				tracker.checkDeadlines(fmt.Sprint(plan, ", ", remaining))
 			}
 			if len(tracker.deadlines) > 0 {
-				t.Fatalf("%d requests never answered", len(tracker.deadlines))
+				t.Fatalf("%d requests without a final response", len(tracker.deadlines))
 			}
 		}
 	}
 }
 
-// responseLedger keeps which requests are owed a final response, and when it is due.
+// responseTracker checks that each request gets one final response in time, and at most one attempt at a time.
 type responseTracker struct {
 	*harness
-	deadlines map[RequestID]time.Duration
+	deadlines map[RequestID]time.Duration // of the requests without a final response
 	inFlight  map[RequestID]StartAttempt
 	attempts  map[RequestID]int
 }
@@ -85,7 +88,7 @@
 		Remaining: remaining, GatewaySpread: 2}))
 }
 
-// record checks what was done, and lets attempts that are cancelled end.
+// record checks the gateway's actions, and ends the attempts that it cancels.
 func (r *responseTracker) record(actions []Action) {
 	r.t.Helper()
 	for _, a := range actions {
@@ -107,10 +110,10 @@
 func (r *responseTracker) recordAttempt(a StartAttempt) {
 	r.t.Helper()
 	if _, ok := r.deadlines[a.ID]; !ok {
-		r.t.Fatalf("%v after its final response", a)
+		r.t.Fatalf("attempt after the final response of its request: %v", a)
 	}
 	if _, second := r.inFlight[a.ID]; second {
-		r.t.Fatalf("two attempts in flight: %v", a)
+		r.t.Fatalf("second attempt of a request while one is in flight: %v", a)
 	}
 	r.inFlight[a.ID] = a
 	r.attempts[a.ID]++
@@ -119,13 +122,13 @@
 func (r *responseTracker) recordFinal(id RequestID, a Action) {
 	r.t.Helper()
 	if _, ok := r.deadlines[id]; !ok {
-		r.t.Fatalf("second response: %v", a)
+		r.t.Fatalf("second final response: %v", a)
 	}
 	delete(r.deadlines, id)
 }
 
-// checkDeadlines ends the attempts whose deadline has come, and fails for requests that are still owed a
-// response after it.
+// checkDeadlines ends the attempts whose deadline has come, and fails the test if a request has no final response
+// more than 8 ms after its deadline.
 func (r *responseTracker) checkDeadlines(description string) {
 	r.t.Helper()
 	for id := RequestID(1); id <= r.lastID; id++ {
@@ -136,7 +139,7 @@
 			r.record(r.handle(AttemptResult{ID: id, Attempt: r.attempts[id] - 1, Server: s.Server, Code: TimedOut}))
 		}
 		if _, stillPending := r.deadlines[id]; stillPending && r.now > deadline+8*ms {
-			r.t.Fatalf("%s: request %d has no response in time", description, id)
+			r.t.Fatalf("%s: request %d has no final response more than 8 ms after its deadline", description, id)
 		}
 	}
 }
--- a/policy/golden_decisions_test.go
+++ b/policy/golden_decisions_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// goldenFile holds, for each scenario, the digests and counts of all decisions.
+// goldenFile holds the digests and counts of all decisions of each scenario.
 const goldenFile = "testdata/decisions.golden"
 
 var (
@@ -18,9 +18,10 @@
 	decisionsDir = flag.String("decisions-dir", "", "write each scenario's recording as text to a file in this directory")
 )
 
-// TestGoldenDecisions plays each scenario in virtual time and compares every decision, byte for byte,
-// with those recorded in the golden file. A change that is not meant to change decisions must leave
-// the file as it is; one that is meant to rewrites it with -update and says so in its commit.
+// TestGoldenDecisions runs each scenario in virtual time and compares every decision, byte for byte,
+// with those recorded in the golden file. A commit that is not meant to change decisions must leave
+// the file as it is. A commit that is meant to change them rewrites the file with -update and states
+// so in its message.
 //
 // The file is recorded on amd64. On an architecture where the compiler fuses multiplications and
 // additions, or where package math has other assembly code, floating-point results may differ in
@@ -48,17 +49,17 @@
 	}
 	for name := range golden {
 		if !slices.ContainsFunc(scenarios(), func(s scenario) bool { return s.name == name }) {
-			t.Errorf("%s holds scenario %s, which is not played", goldenFile, name)
+			t.Errorf("%s holds scenario %s, which is not among the scenarios of the test", goldenFile, name)
 		}
 	}
 }
 
-// Equal scenarios give equal recordings: the golden file does not depend on the run.
+// Two runs of one scenario give equal recordings: the golden file does not depend on the run.
 func TestGoldenScenariosAreDeterministic(t *testing.T) {
 	s := scenarios()[0]
 	first, second := runScenario(t, s).summary(), runScenario(t, s).summary()
 	if !slices.Equal(first, second) {
-		t.Errorf("scenario %s gave two recordings", s.name)
+		t.Errorf("two runs of scenario %s gave different recordings", s.name)
 	}
 }
 
@@ -87,7 +88,8 @@
 	return "(no further line)"
 }
 
-// readGolden reads the lines of each scenario. On an error the map is empty, not nil.
+// readGolden returns the lines of the golden file by scenario. On an error the map may be incomplete, but is
+// never nil.
 func readGolden() (map[string][]string, error) {
 	golden := map[string][]string{}
 	text, err := os.ReadFile(goldenFile)
--- a/policy/golden_recording_test.go
+++ b/policy/golden_recording_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	actionsPerBlock   = 1000 // a running digest is kept after so many actions
-	blockDigestLength = 16   // hexadecimal digits of it that are kept
+	actionsPerBlock   = 1000 // number of actions after which the digest so far is recorded
+	blockDigestLength = 16   // number of its hexadecimal digits that are recorded
 )
 
-// recording is the text of a run, of which it keeps only digests and counts. Each event and each
-// action is one line. The encoding is written out field by field with fixed letters of its own, so
-// that no line depends on the name or the value of an identifier of package policy.
+// recording encodes the events and actions of a run as text, one line each, and retains only digests
+// and counts of it. Each field is encoded explicitly, and kinds and codes as letters that are fixed
+// here, so that no line depends on the name or the value of an identifier of package policy.
 type recording struct {
 	t          *testing.T
 	digest     hash.Hash
@@ -32,11 +32,11 @@
 	actions    int
 	events     int
 	counts     [len(actionKinds)]int
-	file       *os.File // where the text is asked for
+	file       *os.File // receives the text; nil unless -decisions-dir is set
 	textWriter *bufio.Writer
 }
 
-// actionKinds names the kinds of action in the golden file; a kind's number is its place here.
+// actionKinds are the names of the kinds of action in the golden file. A kind's number is its index here.
 var actionKinds = [...]string{"sends", "cancels", "refusals", "failures", "timers", "messages", "watches", "logs"}
 
 func newRecording(t *testing.T, name string) *recording {
@@ -52,7 +52,7 @@
 	return r
 }
 
-// close ends the text file, if there is one.
+// close flushes and closes the text file, if there is one.
 func (r *recording) close() {
 	if r.file == nil {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// summary gives the lines of the golden file: the blocks in order, the counts, the digest of all.
+// summary returns the lines for the golden file: the blocks in order, the counts, the digest of the whole run.
 func (r *recording) summary() []string {
 	lines := append([]string{}, r.blocks...)
 	lines = append(lines, fmt.Sprintf("events %d", r.events))
@@ -75,7 +75,7 @@
 	return append(lines, "digest "+hex.EncodeToString(r.digest.Sum(nil)))
 }
 
-// event records what gateway number is told.
+// event records an event that the gateway with the given number handles.
 func (r *recording) event(now time.Duration, number int, event policy.Event) {
 	r.events++
 	r.begin('e').duration(now).integer(number)
@@ -108,7 +108,7 @@
 	r.end()
 }
 
-// action records what a gateway wants done.
+// action records an action that follows from the last event, and the digest after each block of actions.
 func (r *recording) action(action policy.Action) {
 	kind := 0
 	r.begin('a')
@@ -149,7 +149,7 @@
 	}
 }
 
-// remembered records a page of what a gateway gives for keeping over a restart.
+// snapshotPage records one page of the snapshot that a gateway saves before a restart.
 func (r *recording) snapshotPage(now time.Duration, number int, page []policy.CustomerSnapshot, next int) {
 	r.begin('k').duration(now).integer(number).integer(next).snapshots(page).end()
 }
@@ -185,13 +185,13 @@
 	return r
 }
 
-// duration is written in nanoseconds.
+// duration encodes a duration in nanoseconds.
 func (r *recording) duration(value time.Duration) *recording {
 	r.line = strconv.AppendInt(append(r.line, ' '), value.Nanoseconds(), 10)
 	return r
 }
 
-// float is written as its bits: no rounding, no choice of format.
+// float encodes the bits of the value, so that nothing depends on rounding or on a text format.
 func (r *recording) float(value float64) *recording {
 	r.line = strconv.AppendUint(append(r.line, ' '), math.Float64bits(value), 16)
 	return r
--- a/policy/golden_scenarios_test.go
+++ b/policy/golden_scenarios_test.go
@@ -7,7 +7,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// scenario says what a run of a simulated fleet is made of.
+// scenario describes one run of a simulated fleet.
 type scenario struct {
 	name               string
 	seed               uint64
@@ -15,28 +15,28 @@
 	servers            int
 	customers          int
 	length             time.Duration
-	requestRate        float64 // first tries a second, over all gateways
+	requestRate        float64 // first requests a second, without client retries, over all gateways
 	idleFrom           time.Duration
-	idleUntil          time.Duration // no requests come in between the two
-	healthyShare       float64       // share of the servers that behave well at a time
-	brokenServers      int           // the first so many servers refuse all connections
+	idleUntil          time.Duration // no first requests arrive between the two times
+	healthyShare       float64       // share of the servers that respond normally at any time
+	brokenServers      int           // this many servers, from the first on, refuse all connections
 	serviceTime        time.Duration // mean latency of an idle server
 	messageLoss        float64       // share of the peer messages that are lost
 	fleetChanges       []fleetChange
-	restartInterval    time.Duration // a gateway restarts this often; 0: none does
-	usageLevelInterval time.Duration // a store level is told this often; 0: never
-	isolatedGateways   int           // the first so many gateways neither hear nor tell, for the middle third
+	restartInterval    time.Duration // interval between restarts of a random gateway; 0: no restarts
+	usageLevelInterval time.Duration // interval between UsageLevel events; 0: none
+	isolatedGateways   int           // this many gateways, from the first on, exchange no peer messages in the middle third of the run
 	adjustSettings     func(*policy.Settings)
 }
 
-// fleetChange sets a new number of gateways.
+// fleetChange is a change of the number of gateways.
 type fleetChange struct {
 	at       time.Duration
 	gateways int
 }
 
-// scenarios lists the recorded runs. Fleets up to 12 gateways report from all to all where the mail
-// rate allows it; with fewer messages a second, or 120 gateways, quotas have a leader.
+// scenarios returns the scenarios of the golden file. Fleets of up to 12 gateways are a full mesh if
+// PeerMessagesPerSecond permits it. With fewer messages a second, or 120 gateways, they are in leader mode.
 func scenarios() []scenario {
 	return []scenario{
 		{name: "mesh-3", seed: 1, gateways: 3, servers: 8, customers: 40, length: 20 * time.Second, requestRate: 150,
@@ -67,7 +67,8 @@
 	}
 }
 
-// withoutCancel takes away Cancel, and lets servers have sizes and crossing zones a price.
+// withoutCancel disables CanCancel. It also lets weights be capacities and crossing zones have a cost, makes
+// gateways watch the endpoints, and removes the limit on attempts and the advice to retry later.
 func withoutCancel(s *policy.Settings) {
 	s.CanCancel, s.MustWatchEndpoints, s.WeightIsCapacity = false, true, true
 	s.CrossZoneCost, s.MaxAttempts, s.MaxRetryAfter = 0.01, 0, 0
@@ -77,7 +78,7 @@
 	s.CanMessagePeers, s.PeerMessagesPerSecond, s.ColdOverloadTime, s.WarmupTime = false, 0, 0, 0
 }
 
-// gatewaySettings are those of one gateway of a scenario.
+// gatewaySettings returns the settings of one gateway of a scenario.
 func gatewaySettings(s scenario, number, gateways int) policy.Settings {
 	settings := policy.Settings{SelfIndex: number, Gateways: gateways, Zone: zoneOf(number),
 		Classes: classes(), Plans: plans(),
@@ -116,13 +117,14 @@
 	}
 }
 
-// simulatedCustomer asks through spread gateways, counted round from first.
+// simulatedCustomer sends its requests through gatewaySpread gateways from firstGateway on, where gateway 0
+// follows the last one.
 type simulatedCustomer struct {
 	name, plan                  string
 	firstGateway, gatewaySpread int
 }
 
-// newCustomers gives customers of all plans in turn. Few ask much and many ask little: see drawCustomer.
+// newCustomers returns customers with the plans in turn.
 func (s *simulation) newCustomers() []simulatedCustomer {
 	list := plans()
 	var customers []simulatedCustomer
@@ -134,12 +136,13 @@
 	return customers
 }
 
+// drawCustomer draws the customer of a request. The first customers are drawn far more often than the last.
 func (s *simulation) drawCustomer() simulatedCustomer {
 	rank := math.Floor(float64(len(s.customers)) * s.random.Float64() * s.random.Float64())
 	return s.customers[int(rank)]
 }
 
-// behaviour is how a simulated server answers for a time.
+// behaviour is how a simulated server responds until the next change of behaviours.
 type behaviour int
 
 const (
@@ -151,10 +154,11 @@
 	neverResponds
 	refusesConnections
 	resetsConnections
-	behaviourCount // how many there are
+	behaviourCount // number of behaviours
 )
 
-// simulatedServer takes longer the more attempts it has, and turns away beyond its places.
+// simulatedServer has a latency that grows with its attempts in flight, and rejects attempts beyond
+// serverCapacity.
 type simulatedServer struct {
 	policy.Server
 	behaviour behaviour
@@ -165,11 +169,11 @@
 	serverCapacity     = 14
 	slowLatencyFactor  = 6
 	coldLatencyFactor  = 3
-	latencyPerAttempt  = 0.2 // part of the service time that each attempt adds
-	failureProbability = 0.7 // of the attempts at a server that fails or resets
+	latencyPerAttempt  = 0.2 // share of the service time that each attempt in flight adds
+	failureProbability = 0.7 // of an attempt at a server that returns errors, rejects requests or resets connections
 	connectTime        = 2 * time.Millisecond
 	coldDuration       = 4 * time.Second
-	firstByteShare     = 0.3 // of a stream's latency
+	firstByteShare     = 0.3 // part of a stream's latency before its first byte
 )
 
 func (s *simulation) newServer(id policy.ServerID, justStarted bool) *simulatedServer {
@@ -181,7 +185,7 @@
 	return server
 }
 
-// answer draws how and when a server answers an attempt.
+// drawResult draws the result and the latency of an attempt at a server.
 func (s *simulation) drawResult(server *simulatedServer, plan string) (policy.ResultCode, time.Duration) {
 	latency := time.Duration(float64(s.scenario.serviceTime) * (0.6 + 0.8*s.random.Float64()) * (1 + latencyPerAttempt*float64(server.inFlight)))
 	if server.HasStartTime && s.now-server.StartedAt < coldDuration {
@@ -205,7 +209,7 @@
 	return policy.OK, latency
 }
 
-// changeBehaviours draws anew how each server behaves.
+// changeBehaviours draws a new behaviour for each server.
 func (s *simulation) changeBehaviours() {
 	for i, server := range s.servers {
 		server.behaviour = respondsNormally
@@ -218,7 +222,8 @@
 	s.after(1500*time.Millisecond, s.changeBehaviours)
 }
 
-// changeServers drains a server, removes one that drains, restarts one or adds one, and tells all gateways.
+// changeServers drains, removes, restarts, adds or leaves as it is a server drawn at random, and sends all
+// gateways the update.
 func (s *simulation) changeServers() {
 	server := s.servers[s.random.IntN(len(s.servers))]
 	switch draw := s.random.IntN(4); {
--- a/policy/golden_simulation_test.go
+++ b/policy/golden_simulation_test.go
@@ -11,8 +11,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// simulation plays a scenario in virtual time: a queue of events, the gateways, the servers and the
-// clients. All that it draws comes from one seeded source, in the order of the queue.
+// simulation runs a scenario in virtual time, with a queue of events, the gateways, the servers and the
+// clients. All random numbers come from one seeded source, drawn in the order of the queue.
 type simulation struct {
 	t                *testing.T
 	scenario         scenario
@@ -23,7 +23,7 @@
 	queuedEvents     int
 	gateways         int // in the current fleet
 	processes        []*process
-	startedProcesses uint64 // processes so far, for their seeds
+	startedProcesses uint64 // number of processes started so far, from which each gets its seed
 	servers          []*simulatedServer
 	customers        []simulatedCustomer
 	requests         map[policy.RequestID]*clientRequest
@@ -31,26 +31,26 @@
 	actions          []policy.Action // reused by deliver
 }
 
-// process is one run of a gateway. A restart makes another one of the same number.
+// process is one process of a gateway. After a restart another process has the same number.
 type process struct {
 	number  int
 	gateway *policy.Gateway
 	stopped bool
 }
 
-// clientRequest is one try of a client at a gateway.
+// clientRequest is one request of a client to a gateway. A client retry is another clientRequest.
 type clientRequest struct {
 	id            policy.RequestID
 	process       *process
 	customer      simulatedCustomer
 	class         policy.Class
 	units         float64
-	deadline      time.Duration // of this try
-	giveUpAt      time.Duration // of all tries
+	deadline      time.Duration // of this request
+	giveUpAt      time.Duration // when the client gives up and makes no further retry
 	clientRetries int
 	finished      bool
 	attempts      int
-	lastAttempt   *attempt // the last one
+	lastAttempt   *attempt // the latest attempt
 }
 
 type attempt struct {
@@ -61,18 +61,18 @@
 }
 
 const (
-	firstRequestAt               = 200 * time.Millisecond
-	maxClientTries               = 3
-	disconnectProbability        = 0.04 // of the clients leave before the answer
-	clientRetryProbability       = 0.6  // of the clients try again what was refused or failed
-	shortDeadlineProbability     = 0.2  // of the tries wait only a part of the time left
-	tooLateProbability           = 0.01 // of the attempts are called off before they start
-	delayedMessageProbability    = 0.02 // of the peer messages come late
-	truncatedMessageProbability  = 0.01 // of them are cut short
-	duplicatedMessageProbability = 0.02 // of them come twice
+	firstRequestAt           = 200 * time.Millisecond
+	maxClientTries           = 3
+	disconnectProbability    = 0.04 // that a client disconnects before its response
+	clientRetryProbability   = 0.6  // that a client retries a request that was rejected or failed
+	shortDeadlineProbability = 0.2  // that a request may take only part of the time left
+	tooLateProbability       = 0.01 // that an attempt ends with TooLate
+	lateDuplicateProbability = 0.02 // that a peer message arrives again, with a long delay
+	truncationProbability    = 0.01 // that a peer message is truncated
+	duplicateProbability     = 0.02 // that a peer message arrives again, with a short delay
 )
 
-// play runs a scenario to its end and returns the recording.
+// runScenario runs a scenario to its end and returns the recording.
 func runScenario(t *testing.T, s scenario) *recording {
 	t.Helper()
 	sim := &simulation{t: t, scenario: s, random: rand.New(rand.NewPCG(s.seed, 0)), recording: newRecording(t, s.name),
@@ -95,7 +95,7 @@
 	return sim.recording
 }
 
-// plan queues what a scenario has besides requests.
+// scheduleChanges queues the scenario's changes of the fleet, restarts and usage levels.
 func (s *simulation) scheduleChanges() {
 	for _, change := range s.scenario.fleetChanges {
 		s.after(change.at, func() { s.changeFleet(change.gateways) })
@@ -118,11 +118,12 @@
 
 func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
-// delay draws a time up to a limit.
+// drawDelay draws a time up to a limit.
 func (s *simulation) drawDelay(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(limit)) + 1)
 }
 
+// after queues run for the time after a delay.
 func (s *simulation) after(delay time.Duration, run func()) {
 	s.queuedEvents++
 	heap.Push(&s.queue, queuedEvent{s.now + delay, s.queuedEvents, run})
@@ -132,8 +133,8 @@
 	s.after(delay, func() { s.deliver(to, event) })
 }
 
-// deliver tells a gateway an event, records both and carries out the actions. These only queue
-// further events, so that the list of actions can be reused.
+// deliver lets a gateway handle an event, records the event and its actions, and executes the actions. They
+// only queue further events, so the slice of actions can be reused.
 func (s *simulation) deliver(to *process, event policy.Event) {
 	if to.stopped {
 		return
@@ -165,7 +166,7 @@
 	}
 }
 
-// answerWatch brings the server list; one time in four asking for it fails.
+// answerWatch sends the gateway the server list, or in one of four cases a failure of the watch.
 func (s *simulation) answerWatch(to *process) {
 	if s.chance(0.25) {
 		s.deliverAfter(50*time.Millisecond, to, policy.EndpointUpdate{Kind: policy.WatchFailed})
@@ -176,7 +177,7 @@
 
 // Gateways.
 
-// start starts a process of a gateway, with the server list as an earlier one might have kept it.
+// startProcess starts a process of a gateway with a cached server list, which is up to date.
 func (s *simulation) startProcess(number, gateways int) *process {
 	s.startedProcesses++
 	gateway, err := policy.New(gatewaySettings(s.scenario, number, gateways), s.scenario.seed<<32+s.startedProcesses)
@@ -192,7 +193,8 @@
 	return to
 }
 
-// restartOne stops a gateway and starts it again with what it remembered of its customers.
+// restartGateway stops a gateway drawn at random and starts it again 300 ms later with the snapshot that the
+// old process saved.
 func (s *simulation) restartGateway() {
 	s.after(s.scenario.restartInterval, s.restartGateway)
 	old := s.processes[s.random.IntN(s.gateways)]
@@ -216,8 +218,8 @@
 	})
 }
 
-// changeFleet sets another number of gateways. Each hears of it at its own time; then all hear that
-// all have heard, and those that leave stop.
+// changeFleet changes the number of gateways. Each gateway receives the change after a delay of its own; later
+// all receive the end of the change, and those that leave the fleet stop.
 func (s *simulation) changeFleet(gateways int) {
 	previousSize := s.gateways
 	s.gateways = gateways
@@ -250,7 +252,7 @@
 	s.deliver(s.processes[s.gatewayOf(customer)], level)
 }
 
-// carryMessage brings a message to one gateway or to all others.
+// sendPeerMessage sends a message to one gateway or to all others. It may be lost, duplicated or truncated.
 func (s *simulation) sendPeerMessage(from int, message policy.SendPeerMessage) {
 	for _, to := range s.processes {
 		if to.number != message.To && (message.To >= 0 || to.number == from) {
@@ -267,21 +269,22 @@
 	}
 }
 
-// disturb brings a message a second time, late, or returns one that is cut short.
+// injectMessageFaults delivers some messages once more, soon or late, and returns the message, truncated in some
+// cases.
 func (s *simulation) injectMessageFaults(to *process, event policy.PeerMessage) policy.PeerMessage {
-	if s.chance(duplicatedMessageProbability) {
+	if s.chance(duplicateProbability) {
 		s.deliverAfter(30*time.Millisecond, to, event)
 	}
-	if s.chance(delayedMessageProbability) {
+	if s.chance(lateDuplicateProbability) {
 		s.deliverAfter(600*time.Millisecond, to, event)
 	}
-	if s.chance(truncatedMessageProbability) {
+	if s.chance(truncationProbability) {
 		event.Data = event.Data[:s.random.IntN(max(1, len(event.Data)))]
 	}
 	return event
 }
 
-// muted tells whether a gateway is cut off from the others.
+// isIsolated reports whether a gateway exchanges no peer messages now.
 func (s *simulation) isIsolated(number int) bool {
 	third := s.scenario.length / 3
 	return number < s.scenario.isolatedGateways && s.now > third && s.now < 2*third
@@ -289,7 +292,7 @@
 
 // Clients.
 
-// nextRequest makes a client's first try and queues the next one.
+// nextRequest sends the first request of a client and schedules that of the next one.
 func (s *simulation) nextRequest() {
 	mean := time.Duration(float64(time.Second) / s.scenario.requestRate)
 	wait := s.drawDelay(2 * mean)
@@ -306,12 +309,12 @@
 		giveUpAt: s.now + class.Deadline})
 }
 
-// gatewayOf draws one of the gateways that a customer comes in through.
+// gatewayOf draws one of the gateways that receive a customer's requests.
 func (s *simulation) gatewayOf(c simulatedCustomer) int {
 	return (c.firstGateway + s.random.IntN(min(c.gatewaySpread, s.gateways))) % s.gateways
 }
 
-// request makes a try; the client waits for it only part of its time now and then.
+// request sends a request to a gateway, in some cases with only part of the time left as its deadline.
 func (s *simulation) request(r *clientRequest) {
 	r.process = s.processes[s.gatewayOf(r.customer)]
 	remaining := r.giveUpAt - s.now
@@ -332,7 +335,7 @@
 		Units: r.units, Remaining: remaining, FirstGateway: r.customer.firstGateway, GatewaySpread: r.customer.gatewaySpread, ClientRetry: r.clientRetries > 0})
 }
 
-// leave makes the client go without an answer; what it waits for is called off.
+// disconnect disconnects the client of a request without a response, and cancels its attempt.
 func (s *simulation) disconnect(r *clientRequest) {
 	if r.finished {
 		return
@@ -344,20 +347,20 @@
 	}
 }
 
-// find gives the request of an action.
+// requestByID returns the request that an action refers to.
 func (s *simulation) requestByID(id policy.RequestID) *clientRequest {
 	r := s.requests[id]
 	if r == nil {
-		s.t.Fatalf("scenario %s: an action for request %d, which was never made", s.scenario.name, id)
+		s.t.Fatalf("scenario %s: an action for request %d, which was never sent", s.scenario.name, id)
 	}
 	return r
 }
 
-// finish takes the final answer; the client may try again.
+// finishRequest ends a request with a rejection or a failure. The client may retry it.
 func (s *simulation) finishRequest(id policy.RequestID, retryAfter time.Duration) {
 	r := s.requestByID(id)
 	if r.finished {
-		s.t.Fatalf("scenario %s: request %d has a second final answer, or one after its client left", s.scenario.name, id)
+		s.t.Fatalf("scenario %s: request %d got a second final response, or one after its client disconnected", s.scenario.name, id)
 	}
 	r.finished = true
 	if r.clientRetries+1 >= maxClientTries || !s.chance(clientRetryProbability) {
@@ -367,11 +370,11 @@
 	s.after(retryAfter+s.drawDelay(200*time.Millisecond), func() { s.request(next) })
 }
 
-// send starts an attempt at a server.
+// startAttempt starts an attempt at a server and schedules its end.
 func (s *simulation) startAttempt(a policy.StartAttempt) {
 	r := s.requestByID(a.ID)
 	if a.Server < 1 || int(a.Server) > len(s.servers) {
-		s.t.Fatalf("scenario %s: an attempt at server %d, which is in no list", s.scenario.name, a.Server)
+		s.t.Fatalf("scenario %s: an attempt at server %d, which does not exist", s.scenario.name, a.Server)
 	}
 	server := s.servers[a.Server-1]
 	started := &attempt{number: r.attempts, server: server, sentAt: s.now}
@@ -405,7 +408,7 @@
 	}
 }
 
-// endAttempt tells how an attempt ended, once. An OK is the request's final answer.
+// endAttempt sends the gateway the result of an attempt, unless it has one. OK is the request's final response.
 func (s *simulation) endAttempt(r *clientRequest, a *attempt, code policy.ResultCode) {
 	if a.ended {
 		return
@@ -425,7 +428,8 @@
 	s.deliver(r.process, outcome)
 }
 
-// queuedEvent is something that happens at a time; those of one time keep their order.
+// queuedEvent is a function that runs at a time. Events of the same time run in the order in which they were
+// queued.
 type queuedEvent struct {
 	at    time.Duration
 	order int
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -7,13 +7,13 @@
 
 const ms = time.Millisecond
 
-// testCustomer is the customer of most requests, and testPeer the other gateway of a harness.
+// testCustomer is the customer of most requests, and testPeer the index of the other gateway of a harness.
 const (
 	testCustomer = "c"
 	testPeer     = 1
 )
 
-// harness drives one gateway of two: it keeps the clock and numbers the requests.
+// harness drives one gateway of a fleet of two. It holds the simulated time and numbers the requests.
 type harness struct {
 	t       *testing.T
 	gateway *Gateway
@@ -21,7 +21,7 @@
 	lastID  RequestID
 }
 
-// baseSettings has a class of each kind of idempotency and a plan of each kind of quota.
+// baseSettings returns settings with a class of each kind of idempotency and a plan of each kind of quota.
 func baseSettings() Settings {
 	return Settings{SelfIndex: 0, Gateways: 2, Zone: "a", Resolution: 2 * ms, MaxAttempts: 5, CanCancel: true,
 		CanMessagePeers: true, PeerMessagesPerSecond: 60, MaxRequestUnits: 4, MaxRetryAfter: 500 * ms,
@@ -46,7 +46,7 @@
 		ColdOverloadTime: time.Second}
 }
 
-// testServers lists n servers of one zone, two in each cell.
+// testServers returns n servers of one zone, two in each cell.
 func testServers(n int) []Server {
 	var servers []Server
 	for i := range n {
@@ -66,7 +66,7 @@
 	return h
 }
 
-// restart replaces the gateway by a new one that remembers nothing.
+// restart replaces the gateway by a new one without any state of the old one.
 func (h *harness) restart(settings Settings, seed uint64) {
 	h.t.Helper()
 	gateway, err := New(settings, seed)
@@ -79,7 +79,7 @@
 
 func (h *harness) handle(event Event) []Action { return h.gateway.Handle(h.now, event, nil) }
 
-// advance lets time go by, with the gateway's ticks, and returns what was done.
+// advance moves the simulated time on by d, fires the gateway's ticks in between and returns their actions.
 func (h *harness) advance(d time.Duration) (actions []Action) {
 	for end := h.now + d; h.now < end; {
 		h.now += min(h.gateway.tick.interval, end-h.now)
@@ -88,31 +88,31 @@
 	return actions
 }
 
-// request sends a request and returns what was done.
+// request hands the gateway a request and returns the resulting actions.
 func (h *harness) request(class, plan, customer string, units float64) []Action {
 	h.lastID++
 	return h.handle(Request{ID: h.lastID, Customer: customer, Plan: plan, Class: class, Units: units,
 		Remaining: 2 * time.Second, GatewaySpread: 2})
 }
 
-// startAttempt sends a request that must lead to an attempt at once.
+// startAttempt hands the gateway a request of one unit, which must lead to exactly one attempt at once.
 func (h *harness) startAttempt(class, plan string) StartAttempt {
 	h.t.Helper()
 	actions := h.request(class, plan, testCustomer, 1)
 	attempts := actionsOf[StartAttempt](actions)
 	if len(attempts) != 1 {
-		h.t.Fatalf("want one attempt, got %v", actions)
+		h.t.Fatalf("want exactly one attempt, got %v", actions)
 	}
 	return attempts[0]
 }
 
-// finishAttempt gives the gateway the result of an attempt.
+// finishAttempt hands the gateway the result of an attempt, with a latency of 50 ms.
 func (h *harness) finishAttempt(s StartAttempt, attempt int, code ResultCode) []Action {
 	return h.handle(AttemptResult{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
 		Answered: code == OK})
 }
 
-// admitUnits sends n requests of one unit and counts those admitted.
+// admitUnits hands the gateway n requests of one unit, finishes their attempts and returns the number admitted.
 func (h *harness) admitUnits(n int, plan string) int {
 	admitted := 0
 	for range n {
@@ -125,7 +125,7 @@
 	return admitted
 }
 
-// receiveReport gives the gateway a complete report of the test peer.
+// receiveReport hands the gateway a complete load report of testPeer.
 func (h *harness) receiveReport(incarnation, sequence uint32, customers ...reportedCustomer) {
 	report := loadReport{incarnation: incarnation, sequence: sequence, complete: true, customers: customers}
 	h.handle(PeerMessage{From: testPeer, Data: report.encode()})
@@ -133,7 +133,7 @@
 
 func testCustomerHash() uint32 { return customerReportHash(customerKey(testCustomer)) }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns those of the actions that have type T.
 func actionsOf[T Action](actions []Action) (matching []T) {
 	for _, a := range actions {
 		if match, ok := a.(T); ok {
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Hundreds of gateways, each with few requests of a customer that requests five times its
-// quota, together admit no more than the quota and leave little of it unused, with a few
-// messages for each request.
+// A customer requests five times its quota, or half of it, through hundreds of gateways, each of which receives few
+// of the requests. Together they admit at most 15% more than the quota. They leave at most 23% of it unused if the
+// demand is above it, reject nothing if it is within, and send at most six messages for each request.
 func TestHundredsOfGatewaysKeepTheQuota(t *testing.T) {
 	for _, c := range []struct {
 		name            string
-		stepsPerRequest int // a request in each such step of 10 ms
-		messagesPerLoss int // a message in so many is lost
+		stepsPerRequest int // steps of 10 ms from one request to the next
+		messagesPerLoss int // one of this many messages is lost
 		minAdmitted     int
 	}{
-		{"far above", 2, 1 << 30, 85}, {"far above, messages lost", 2, 12, 85}, {"inside", 20, 1 << 30, 50},
+		{"far above the quota", 2, 1 << 30, 85}, {"far above the quota, messages lost", 2, 12, 85}, {"within the quota", 20, 1 << 30, 50},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			fleet := newGatewayFleet(t, 300, testServers(40))
@@ -30,10 +30,10 @@
 			})
 			admitted := len(fleet.attempts)
 			if quota := 10 + 10*10; admitted > quota*23/20 || admitted < min(c.minAdmitted, requested) {
-				t.Errorf("%d of %d admitted, the quota holds %d", admitted, requested, quota)
+				t.Errorf("%d of %d requests admitted under a quota of %d", admitted, requested, quota)
 			}
 			if admitted+fleet.rejected != requested {
-				t.Errorf("%d admitted and %d rejected of %d", admitted, fleet.rejected, requested)
+				t.Errorf("%d requests admitted and %d rejected of %d", admitted, fleet.rejected, requested)
 			}
 			if fleet.messages > 6*requested {
 				t.Errorf("%d messages for %d requests", fleet.messages, requested)
@@ -42,8 +42,8 @@
 	}
 }
 
-// A leader that answers nothing must not stop its customers: the standby leader grants in its
-// place.
+// Requests of a customer are admitted even if no message reaches its leader or comes from it, since the standby
+// leader grants leases instead.
 func TestStandbyLeaderGrantsWhenLeaderIsLost(t *testing.T) {
 	fleet := newGatewayFleet(t, 100, testServers(20))
 	c := fleet.gateways[0].addCustomer(customerKey("k"), fleet.gateways[0].plans["rate"], 0, 50)
@@ -57,12 +57,12 @@
 		requested++
 	})
 	if n := len(fleet.attempts); n < 45 || n > 120 {
-		t.Errorf("%d admitted with leader %v lost and standby %d, the quota holds 90", n, leaders, standby)
+		t.Errorf("%d requests admitted with leader %v lost and standby leader %d, want 45 to 120", n, leaders, standby)
 	}
 }
 
-// A lease request that comes again is charged once and answered each time: the first response
-// may be lost.
+// A gateway repeats a lease request with the same tag, since the first response may be lost. The leader charges it
+// once and responds each time.
 func TestRepeatedLeaseRequestIsChargedOnce(t *testing.T) {
 	fleet := newGatewayFleet(t, 100, testServers(10))
 	c := fleet.gateways[0].addCustomer(customerKey("k"), fleet.gateways[0].plans["rate"], 0, 50)
@@ -72,12 +72,12 @@
 		fleet.handle(leaders[0], PeerMessage{From: 99, Data: data})
 	}
 	if got := fleet.gateways[leaders[0]].customers.byKey[customerKey("k")].admittedUnits; got != 4 || fleet.messages != 3 {
-		t.Errorf("%d units charged, %d responses", got, fleet.messages)
+		t.Errorf("%d units charged, want 4; %d responses, want 3", got, fleet.messages)
 	}
 }
 
-// Times are rounded on their way: a timer that comes a little before its time
-// must not leave a request with no timer at all.
+// Times are rounded on the way to the timer and back, so a timer may fire slightly early. The request must not be
+// left without a timer then.
 func TestLeaseTimerMayFireEarly(t *testing.T) {
 	fleet := newGatewayFleet(t, 100, testServers(10))
 	c := fleet.gateways[0].addCustomer(customerKey("k"), fleet.gateways[0].plans["rate"], 0, 50)
@@ -90,23 +90,23 @@
 		Remaining: time.Second, GatewaySpread: 50}, nil)
 	timers := actionsOf[SetTimer](actions)
 	if len(timers) != 1 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("want one timer, got %v", actions)
 	}
 	actions = fleet.gateways[i].Handle(fleet.now+timers[0].After-time.Microsecond/2, TimerFired{Token: leaseTimer}, nil)
 	if len(actionsOf[SendPeerMessage](actions)) != 1 || len(actionsOf[SetTimer](actions)) != 1 {
-		t.Errorf("no second lease request: %v", actions)
+		t.Errorf("want a second lease request and a timer for it, got %v", actions)
 	}
 }
 
-// Gateways that hear no leader at all are isolated: customers far below their quotas go on being
-// served there, without waiting for responses. Where a part of the messages is lost the leaders
-// are flooded, and few requests are admitted unheard.
+// Gateways that receive no lease responses at all are isolated: there customers far below their quotas are still
+// served, without waiting for responses. If only part of the messages is lost, the leaders count as overloaded, and
+// fewer requests are admitted without a lease.
 func TestIsolatedGatewaysKeepServing(t *testing.T) {
 	for _, c := range []struct {
 		name               string
-		lostOfFour         int // of four messages
+		lostOfFour         int // number of messages lost of every four
 		minShare, maxShare float64
-	}{{"isolated", 4, 0.7, 1}, {"flooded", 3, 0, 0.75}} {
+	}{{"isolated", 4, 0.7, 1}, {"leaders overloaded", 3, 0, 0.75}} {
 		fleet := newGatewayFleet(t, 60, testServers(20))
 		sent, lossy := 0, false
 		fleet.isLost = func(int, int) bool { sent++; return lossy && sent%4 < c.lostOfFour }
@@ -130,13 +130,13 @@
 		fleet.advance(time.Second, nil)
 		share := float64(len(fleet.attempts)-before) / float64(requested)
 		if share < c.minShare || share > c.maxShare {
-			t.Errorf("%s: %.2f of what was requested far inside the quotas was admitted; %.2f to %.2f wanted", c.name, share, c.minShare, c.maxShare)
+			t.Errorf("%s: %.2f of the requests, far below the quotas, admitted; want %.2f to %.2f", c.name, share, c.minShare, c.maxShare)
 		}
 	}
 }
 
-// A request that no leader answers is rejected for what is in its way here, and for want of a leader only where that
-// is what it lacks.
+// The rejection of a request to which no leader responds has the reason ReasonNoQuotaLeader only if a lease was
+// needed. Otherwise it has the reason that applies at this gateway.
 func TestRejectionWithoutLeaderNamesItsCause(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -165,21 +165,22 @@
 	}
 }
 
-// The fill of a bucket arrives as it was sent, also where the bucket holds less than a unit.
+// The fill of a bucket is decoded to what was encoded, even if its burst is less than a unit.
 func TestSmallBucketFillRoundTrips(t *testing.T) {
 	for _, burst := range []float64{0.25, 0.9, 1, 20} {
 		c := &customer{plan: &customerPlan{Plan: Plan{Rate: 1, Burst: burst}}, tokens: burst / 2}
 		if got := decodeFill(c.fillByte(), burst); got < 0.49*burst || got > 0.51*burst {
-			t.Errorf("a bucket of %v that holds half of it is taken to hold %v", burst, got)
+			t.Errorf("the fill of a half full bucket of %v units was decoded to %v units", burst, got)
 		}
 	}
 	withoutRate := &customer{plan: &customerPlan{}}
 	if got := withoutRate.fillByte(); got != 0 {
-		t.Errorf("fill %v without a rate quota", got)
+		t.Errorf("fill byte %v without a rate quota, want 0", got)
 	}
 }
 
-// A request of more units than a lease request can carry is rejected in leader mode, not counted as less.
+// In leader mode a request of more units than a lease request can carry is rejected. Otherwise the leader would
+// charge it less than its units.
 func TestRequestTooLargeForLeaseIsRejected(t *testing.T) {
 	for units, want := range map[float64]bool{65_535: false, 65_535.5: true, 70_000: true} {
 		f := newCeilingFleet(t, 60, "hard", units)
@@ -190,7 +191,7 @@
 		g.requestLease(r)
 		rejected, leaseRequests := actionsOf[Reject](g.actions), actionsOf[SendPeerMessage](g.actions)
 		if isRejected := len(rejected) == 1 && rejected[0].Reason == ReasonQuotaExceeded; isRejected != want || len(leaseRequests) > 0 == want {
-			t.Errorf("%v units: %+v", units, g.actions)
+			t.Errorf("%v units led to %+v", units, g.actions)
 		}
 	}
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// A server that fails all attempts is ejected, and used again after probes succeed.
 func TestFailingServerIsEjectedAndProbed(t *testing.T) {
 	for _, code := range []ResultCode{Error, ConnectFailed, Reset} {
 		h := newHarness(t, baseSettings(), testServers(6))
@@ -33,32 +34,33 @@
 		}
 		sendRequests(true, 100)
 		if n := sendRequests(true, 400); n > 20 {
-			t.Fatalf("%v: %d of 400 to a failing server", code, n)
+			t.Fatalf("%v: %d attempts of 400 requests at a failing server, want at most 20", code, n)
 		}
 		sendRequests(false, 800)
 		if n := sendRequests(false, 400); n < 20 {
-			t.Fatalf("%v: only %d of 400 to a server that is well again", code, n)
+			t.Fatalf("%v: %d of 400 attempts at a server that has recovered, want at least 20", code, n)
 		}
 	}
 }
 
-// When all servers fail alike, ejections are ignored.
+// If all servers fail, the failures have a shared cause, and ejections are ignored.
 func TestSharedFailureEjectsNoServer(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(9))
 	lateAttempts := map[ServerID]int{}
 	for i := range 300 {
 		h.now += 25 * ms
-		s := h.startAttempt("once", "free") // fails the test when there is none
+		s := h.startAttempt("once", "free") // fails the test if there is no attempt
 		h.finishAttempt(s, 0, Error)
 		if i >= 200 {
 			lateAttempts[s.Server]++
 		}
 	}
 	if len(lateAttempts) < 7 {
-		t.Fatalf("only %d of 9 servers used", len(lateAttempts))
+		t.Fatalf("%d of 9 servers used, want at least 7", len(lateAttempts))
 	}
 }
 
+// Attempts at a server that never responds are cancelled and retried elsewhere, and the server gets few new ones.
 func TestHungServerIsAvoided(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(6))
 	cancelled, lateAttempts := 0, 0
@@ -79,7 +81,7 @@
 		}
 	}
 	if cancelled == 0 || lateAttempts > 6 {
-		t.Fatalf("%d cancelled, %d sent later on", cancelled, lateAttempts)
+		t.Fatalf("%d attempts cancelled, want some; %d later attempts at the server, want at most 6", cancelled, lateAttempts)
 	}
 }
 
@@ -88,12 +90,12 @@
 	s := h.startAttempt("stream", "free")
 	h.handle(ResponseStarted{ID: s.ID, Server: s.Server})
 	if actions := h.advance(10 * time.Second); len(actionsOf[CancelAttempt](actions))+len(actionsOf[Fail](actions))+len(actionsOf[Reject](actions)) > 0 {
-		t.Fatal("a started stream was ended")
+		t.Fatal("the attempt or the request of a started stream was ended")
 	}
 }
 
-// A monitor hears that one class fails on a server and reports it to all; the other classes still go
-// there.
+// A monitor that receives outcome reports of failures of one class on a server ejects the server for this class at
+// all gateways. Requests of other classes still go to the server.
 func TestMonitorEjectsOneClass(t *testing.T) {
 	fleet := newGatewayFleet(t, 100, testServers(10))
 	s := fleet.gateways[0].endpoints.byID[3]
@@ -101,7 +103,7 @@
 	for range 6 {
 		for i := range 12 {
 			from := (s.monitors[0] + 1 + i) % 100
-			fleet.handle(from, PeerMessage{From: s.monitors[0], Data: []byte{shortMessageVersion}}) // foreign: nothing
+			fleet.handle(from, PeerMessage{From: s.monitors[0], Data: []byte{shortMessageVersion}}) // too short: ignored
 			g := fleet.gateways[from]
 			fleet.handle(s.monitors[0], PeerMessage{From: from,
 				Data: outcomeReport{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5}.encode()})
@@ -128,11 +130,12 @@
 		}
 	}
 	if attempts["safe"] > 0 || attempts["once"] < 5 {
-		t.Errorf("sent to a server that fails one class: %v", attempts)
+		t.Errorf("attempts by class at a server that fails class safe: %v", attempts)
 	}
 }
 
-// The monitor may be lost with the server: one that cannot be reached is reported to a second one.
+// A server that cannot be reached is also reported to its second monitor, since the first monitor may be lost
+// together with the server.
 func TestSecondMonitorReportsUnreachableServer(t *testing.T) {
 	fleet := newGatewayFleet(t, 100, testServers(10))
 	s := fleet.gateways[0].endpoints.byID[3]
@@ -150,12 +153,12 @@
 	}
 	fleet.advance(100*ms, nil)
 	if health := fleet.gateways[20].endpoints.byID[3].healthFor(class); !health.ejected {
-		t.Error("a gateway far off has not heard of it")
+		t.Error("gateway 20 has not ejected the server")
 	}
 }
 
-// A server that warms up has longer latencies: its monitor must not take it for a slow one beyond
-// that.
+// A server that warms up has longer latencies. Its monitor allows for the warm fraction, so that the latency ratio
+// stays near 1.
 func TestMonitorAllowsForWarmup(t *testing.T) {
 	servers := testServers(20)
 	servers[0].HasStartTime, servers[0].StartedAt = true, 10*time.Second
@@ -166,11 +169,11 @@
 		g.observeOutcome(s, 0, OK, time.Duration(g.classes["safe"].idleLatency/g.warmFraction(s)*float64(time.Second)))
 	}
 	if s.observedRatio > 1.2 || s.observedRatio < 0.8 {
-		t.Errorf("a latency ratio of %.2f", s.observedRatio)
+		t.Errorf("latency ratio %.2f, want 0.8 to 1.2", s.observedRatio)
 	}
 }
 
-// A server is ejected for any class that fails there, however many classes there are, and the fleet hears of it.
+// A server can be ejected for each of up to 256 classes, and the outlier report carries it to other gateways.
 func TestEjectionForAnyOfManyClasses(t *testing.T) {
 	for _, failing := range []int{0, 7, 8, 40, 255} {
 		s := baseSettings()
@@ -196,7 +199,7 @@
 		}
 		health := other.gateway.endpoints.list[0].health
 		if !health[failing].ejected || health[succeeding].ejected {
-			t.Errorf("class %d fails: ejected %v, and %v for the next one", failing, health[failing].ejected, health[succeeding].ejected)
+			t.Errorf("class %d fails: ejected %v for it, want true, and %v for the next class, want false", failing, health[failing].ejected, health[succeeding].ejected)
 		}
 	}
 }
--- a/policy/peer_messages_test.go
+++ b/policy/peer_messages_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Each message between gateways has exactly these bytes, in both directions.
+// Messages between gateways are encoded to exactly these bytes and decoded from them, so that gateways of different
+// versions can be in one fleet.
 func TestPeerMessagesHaveGoldenBytes(t *testing.T) {
 	for _, c := range []struct {
 		name, bytes string
@@ -32,13 +33,13 @@
 		{"outlier report", "0304" + "01020304" + "05" + "06", outlierReport{Server: 0x01020304, EjectedClasses: 5, LatencyRatio: 6}},
 		{"outlier report, of more than eight classes", "0304" + "01020304" + "05" + "06" + "0008", outlierReport{Server: 0x01020304, EjectedClasses: 5, LatencyRatio: 6, FurtherClasses: []byte{0, 8}}},
 		{"load report", "04" + "01020304" + "11121314" + "01" + "02" + // header, 2 servers
-			"2465" + "ffff" + // hashes of 11 bits, attempts in flight of 5 bits
+			"2465" + "ffff" + // for each server: hash of 11 bits, attempts in flight of 5 bits
 			"a1a2a3" + "4c" + "5152" + "61" + "fa" + // a customer
 			"b1b2b3" + "f0" + "0001" + "7f" + "ff",
 			loadReport{incarnation: 0x01020304, sequence: 0x11121314, complete: true, servers: []reportedServer{{hash: 0x123, inFlight: 5}, {hash: 0x7ff, inFlight: 31}},
 				customers: []reportedCustomer{{hash: 0xa1a2a3, inFlight: 4, queued: 12, admittedUnits: 0x5152, demand: 0x61, fill: 250},
 					{hash: 0xb1b2b3, inFlight: 15, queued: 0, admittedUnits: 1, demand: maxReportedDemand, fill: unknownFill}}}},
-		{"load report, cut short by its size", "04" + "01020304" + "11121314" + "00" + "00",
+		{"load report, incomplete", "04" + "01020304" + "11121314" + "00" + "00",
 			loadReport{incarnation: 0x01020304, sequence: 0x11121314}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,24 +57,24 @@
 	}
 }
 
-// Units of lease requests are never read as less than was sent, and at most 1/128 more; those of gateways that
-// send whole units only are read as sent, and as one where they send 0 for less than one.
+// The units of a lease request are decoded to no less than was encoded, and to at most 1/128 more. Those of gateways
+// that send whole units only are decoded as sent, and 0, which they send for less than one unit, as 1.
 func TestLeaseUnitsAreRoundedUp(t *testing.T) {
 	for _, units := range []float64{0, 1e-9, 0.01, 0.3, 0.5, 0.999, 1, 1.001, 1.5, 3.99, 1000, 65534.01, 65535} {
 		whole, excess := encodeUnits(units)
 		got := decodeUnits(whole, excess)
 		if got < units || got > units+1.0/128 || float64(whole) < units {
-			t.Errorf("%v units are read as %v, by older builds as %v", units, got, whole)
+			t.Errorf("%v units are decoded to %v, and by older versions to %v", units, got, whole)
 		}
 	}
 	for _, whole := range []uint16{0, 1, 2, 65535} {
 		if got, want := decodeUnits(whole, 0), max(1, float64(whole)); got != want {
-			t.Errorf("%v whole units are read as %v", whole, got)
+			t.Errorf("%v whole units are decoded to %v", whole, got)
 		}
 	}
 }
 
-// Numbers that stand for names in messages and stored data keep their values.
+// The numbers of constants that messages and stored data contain must not change.
 func TestCodesOnTheWireKeepTheirValues(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -94,6 +95,8 @@
 	}
 }
 
+// No message of a peer makes a gateway panic, and a load report that can be decoded is the same after it is encoded
+// and decoded again.
 func FuzzPeerMessage(f *testing.F) {
 	f.Add((&loadReport{incarnation: 1, sequence: 2, complete: true, servers: []reportedServer{{1, 2}},
 		customers: []reportedCustomer{{hash: 3}, {hash: 5}}}).encode())
@@ -104,10 +107,10 @@
 		h.handle(PeerMessage{From: 1, Data: data})
 		if report, ok := decodeLoadReport(data); ok {
 			if len(data) > maxMessageBytes {
-				t.Fatal("too long")
+				t.Fatal("decoded a load report above the maximum message size")
 			}
 			if decoded, ok := decodeLoadReport(report.encode()); !ok || !reflect.DeepEqual(report, decoded) {
-				t.Fatal("a report does not survive its own encoding")
+				t.Fatal("a load report differs after it is encoded and decoded")
 			}
 		}
 	})
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -11,10 +11,12 @@
 	h := newHarness(t, baseSettings(), testServers(8))
 	h.receiveReport(1, 1)
 	if n := h.admitUnits(40, "rate"); n < 5 || n > 10 {
-		t.Fatalf("%d units admitted of a bucket of 10", n)
+		t.Fatalf("%d units admitted from a bucket of 10, want 5 to 10", n)
 	}
 }
 
+// Units that a peer reports as admitted are deducted once, even if reports are repeated, lost or overtaken, or the
+// peer has restarted.
 func TestReportedUnitsAreDeducted(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -44,34 +46,37 @@
 			h.receiveReport(1, 1, reportedCustomer{hash: testCustomerHash(), fill: unknownFill})
 			c.report(h)
 			if n := h.admitUnits(30, "rate"); n > c.maxAdmitted || n == 0 && c.maxAdmitted > 3 {
-				t.Fatalf("%d units admitted, at most %d are left", n, c.maxAdmitted)
+				t.Fatalf("%d units admitted, want at most %d", n, c.maxAdmitted)
 			}
 		})
 	}
 }
 
+// A gateway that has just started takes the fill of the bucket from the first report of a peer.
 func TestRestartAdoptsReportedTokens(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(8))
 	h.admitUnits(1, "rate")
 	h.receiveReport(1, 1, reportedCustomer{hash: testCustomerHash(), admittedUnits: 100, fill: 25})
 	if n := h.admitUnits(20, "rate"); n > 1 {
-		t.Fatalf("%d units admitted though a peer knows of one", n)
+		t.Fatalf("%d units admitted, want at most the one that a peer reports as left", n)
 	}
 }
 
+// When a peer goes stale, the attempts that it last reported no longer count, but its share of the in-flight cap
+// is not used by this gateway either.
 func TestStalePeerNeitherFreesNorBlocksTheCap(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(8))
 	h.admitUnits(1, "open")
 	h.receiveReport(1, 1, reportedCustomer{hash: testCustomerHash(), inFlight: 6, queued: 3, fill: unknownFill})
 	h.advance(3 * time.Second)
 	if n := h.admitUnits(1, "open"); n != 1 {
-		t.Fatal("a stale peer's old count blocks the customer")
+		t.Fatal("the attempts that a stale peer last reported block the customer")
 	}
 	first := h.request("safe", "open", "c", 1)
 	second := h.request("safe", "open", "c", 1)
 	actions := append(append(first, second...), h.advance(100*ms)...)
 	if n := len(actionsOf[StartAttempt](actions)); n > 1 {
-		t.Fatalf("a stale peer's places were freed: %d in flight", n)
+		t.Fatalf("%d attempts in flight: this gateway uses the share of a stale peer", n)
 	}
 }
 
@@ -81,11 +86,12 @@
 	s := h.startAttempt("safe", "rate")
 	h.handle(AttemptResult{ID: s.ID, Server: s.Server, Code: OK, Answered: true, ActualUnits: 9})
 	if n := h.admitUnits(5, "rate"); n > 1 {
-		t.Fatalf("%d more admitted after 9 of 10 units were settled", n)
+		t.Fatalf("%d units admitted after an attempt with 9 actual units from a bucket of 10, want at most 1", n)
 	}
 }
 
-// A peer that was never heard keeps its share of the quota.
+// A peer from which no report has arrived is assumed to use a part of the quota, so that this gateway admits only
+// the rest.
 func TestPeerWithoutReportsKeepsItsShare(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(8))
 	h.admitUnits(1, "rate")
@@ -97,20 +103,19 @@
 		admitted += h.admitUnits(3, "rate")
 	}
 	if admitted < 50 || admitted > 85 {
-		t.Fatalf("%d of 100 units admitted beside a peer that was never heard", admitted)
+		t.Fatalf("%d of 100 units admitted without reports of the peer, want 50 to 85", admitted)
 	}
 }
 
-// In a fleet whose gateways cannot message each other each admits its own share of a quota, also
-// where that holds less than one request; together they admit no more than the rate and one
-// request for each of them.
+// In a fleet whose gateways cannot message each other, each gateway admits its own share of a quota, even if that is
+// less than one request. Together they admit no more than the quota and one request for each gateway.
 func TestQuotaSharesBelowOneRequest(t *testing.T) {
 	const gateways = 60
 	for _, c := range []struct {
 		name                     string
-		stepsPerRequest          int // a request in each such step of 10 ms
+		stepsPerRequest          int // steps of 10 ms from one request to the next
 		minAdmitted, maxAdmitted float64
-	}{{"inside the quota", 20, 0.4 * 100, 100}, {"far above it", 2, 0.8 * 200, 200 + gateways}} {
+	}{{"within the quota", 20, 0.4 * 100, 100}, {"far above the quota", 2, 0.8 * 200, 200 + gateways}} {
 		fleet := &gatewayFleet{t: t, now: 10 * time.Second, isLost: func(int, int) bool { return false }}
 		for i := range gateways {
 			s := baseSettings()
@@ -130,15 +135,15 @@
 			}
 		})
 		if admitted := float64(len(fleet.attempts)); admitted < c.minAdmitted || admitted > c.maxAdmitted {
-			t.Errorf("%s: %v of %d admitted, %v to %v wanted", c.name, admitted, next, c.minAdmitted, c.maxAdmitted)
+			t.Errorf("%s: %v of %d requests admitted, want %v to %v", c.name, admitted, next, c.minAdmitted, c.maxAdmitted)
 		}
 		if fleet.messages > 0 {
-			t.Errorf("%d messages", fleet.messages)
+			t.Errorf("%d messages sent, want none", fleet.messages)
 		}
 	}
 }
 
-// A cap on attempts in flight leaves each isolated gateway one attempt.
+// Each isolated gateway may have one attempt in flight, even if its share of the in-flight cap is less.
 func TestIsolatedGatewayKeepsOneAttempt(t *testing.T) {
 	s := baseSettings()
 	s.Gateways, s.CanMessagePeers, s.PeerMessagesPerSecond = 60, false, 0
@@ -157,7 +162,7 @@
 		}
 	}
 	if attempts != 1 {
-		t.Errorf("%d attempts in flight", attempts)
+		t.Errorf("%d attempts in flight, want 1", attempts)
 	}
 }
 
@@ -167,16 +172,16 @@
 	h.finishAttempt(s, 0, OK)
 	h.receiveReport(1, 1, reportedCustomer{hash: testCustomerHash(), inFlight: 6, fill: unknownFill})
 	if actions := h.request("safe", "open", "c", 1); len(actions) != 0 {
-		t.Fatalf("the peer has 2 in flight under a cap of 2, yet %v", actions)
+		t.Fatalf("the peer has attempts in flight for the whole cap of 2, but the request led to %v", actions)
 	}
 	h.receiveReport(1, 2)
 	if got := actionsOf[StartAttempt](h.advance(100 * ms)); len(got) != 1 {
-		t.Fatalf("the peer has none in flight, yet %v", got)
+		t.Fatalf("the peer has no attempts in flight: want one attempt, got %v", got)
 	}
 }
 
-// The gateways' shares of the ceiling never sum to more than the whole, whatever is requested and
-// however often they restart.
+// Two gateways that restart and lose a fifth of their messages never admit more than the ceiling together, since
+// each has a fixed share of it.
 func TestCeilingHoldsOverRestarts(t *testing.T) {
 	s := baseSettings()
 	level, lowest := 20.0, 20.0
@@ -208,25 +213,26 @@
 		lowest = min(lowest, level)
 	}
 	if lowest < 0 {
-		t.Fatalf("the ceiling's bucket fell to %.1f", lowest)
+		t.Fatalf("the ceiling's bucket fell to %.1f, want at least 0", lowest)
 	}
 	if lowest > 12 {
-		t.Fatalf("the bucket never fell below %.1f: the test requests too little", lowest)
+		t.Fatalf("the ceiling's bucket never fell below %.1f: the load of this test is too low", lowest)
 	}
 }
 
-// The gateways of a full mesh count each other's fractions of a unit, and what a report cannot carry at once:
-// such requests use about as much of a quota as those of the same share of it in whole units.
+// The gateways of a full mesh account for each other's fractions of a unit, and for units that exceed what one report
+// can carry. Such requests use about as much of a quota as requests of the same share of it in whole units.
 func TestQuotaCountsFractionsAndManyUnitsInFullMesh(t *testing.T) {
 	for _, c := range []struct{ rate, units float64 }{{10, 0.5}, {10, 1.4}, {10, 3.9}, {100_000, 14_000}, {100_000, 40_000}, {100_000, 70_000}} {
 		got, want := meshQuotaUse(t, c.rate, c.units), meshQuotaUse(t, 100, math.Round(100*c.units/c.rate))
 		if got > want+0.15 || got < want-0.15 {
-			t.Errorf("requests of %v units use %.2f of a quota of %v, others of that share %.2f", c.units, got, c.rate, want)
+			t.Errorf("requests of %v units use %.2f of a quota of %v, those of the same share in whole units %.2f", c.units, got, c.rate, want)
 		}
 	}
 }
 
-// meshQuotaUse is how much of its quota a customer uses that requests five times as much of three gateways.
+// meshQuotaUse returns the share of its quota that a customer uses if it requests five times the quota from three
+// gateways.
 func meshQuotaUse(t *testing.T, rate, units float64) float64 {
 	t.Helper()
 	fleet := newGatewayFleet(t, 3, testServers(20))
@@ -249,8 +255,8 @@
 	return float64(len(fleet.attempts)) * units / (21 * rate)
 }
 
-// A customer whose plan has a hard ceiling, but neither a rate nor a cap, is admitted no more units by all
-// gateways together than its ceiling holds, also in a fleet in leader mode.
+// A fleet in leader mode together admits no more units than the ceiling's burst at one time, for a customer whose
+// plan has a hard ceiling and neither a rate quota nor an in-flight cap.
 func TestCeilingAloneHoldsInLeaderMode(t *testing.T) {
 	const gateways = 60
 	admitted := 0
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -39,19 +39,20 @@
 				got = failed
 			}
 			if got != c.want {
-				t.Fatalf("got %v", actions)
+				t.Fatalf("unexpected actions: %v", actions)
 			}
 			if got == retried && c.class == "cell" && !c.code.NeverRan() &&
 				(attempts[0].Server-1)/2 != (s.Server-1)/2 {
-				t.Fatalf("left the cell: %v then %v", s, attempts[0])
+				t.Fatalf("retry in another cell: %v, then %v", s, attempts[0])
 			}
 			if got == retried && attempts[0].Server == s.Server {
-				t.Fatal("sent to the server that just failed")
+				t.Fatal("retry at the server that has just failed")
 			}
 		})
 	}
 }
 
+// After the dedup window a retry could run the request twice, so the request fails.
 func TestKeyedRequestOutsideDedupWindowFails(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(4))
 	h.lastID++
@@ -61,29 +62,29 @@
 	h.now += 2100 * ms
 	actions = h.finishAttempt(s, 0, Error)
 	if len(actionsOf[Fail](actions)) != 1 || len(actionsOf[StartAttempt](actions))+len(actionsOf[Reject](actions)) != 0 {
-		t.Fatalf("a keyed request past its window was not failed: %v", actions)
+		t.Fatalf("want Fail for a keyed request after its dedup window, got %v", actions)
 	}
 }
 
-// An attempt that was withdrawn since its server drains says nothing of the server: no class counts a failure, and
-// the retry is free.
+// An attempt that was withdrawn because its server drains is no sign of a failing server: it counts as a failure of
+// no class, and its retry costs no budget.
 func TestWithdrawnAttemptIsNoFailureOfItsServer(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(4))
 	h.gateway.retryBudget = 0
 	s := h.startAttempt("once", "free")
 	budget := h.gateway.retryBudget
 	if actions := h.finishAttempt(s, 0, Withdrawn); len(actionsOf[StartAttempt](actions)) != 1 || h.gateway.retryBudget != budget {
-		t.Errorf("%v, budget %v after %v", actions, h.gateway.retryBudget, budget)
+		t.Errorf("want one free retry, got %v and a retry budget of %v after %v", actions, h.gateway.retryBudget, budget)
 	}
 	for i, health := range h.gateway.endpoints.byID[s.Server].health {
 		if health.failureRate != 0 {
-			t.Errorf("failure rate %v for class %d", health.failureRate, i)
+			t.Errorf("failure rate %v for class %d, want 0", health.failureRate, i)
 		}
 	}
 }
 
-// A retry that is refused for want of budget costs nothing: the next first attempts earn one again, and free
-// retries go on.
+// A retry that the retry budget does not cover is not charged, so that the budget stays at least 0 and free retries
+// still take place.
 func TestRefusedRetryIsNotCharged(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(8))
 	h.gateway.retryBudget = 0
@@ -92,7 +93,7 @@
 		h.finishAttempt(s, 0, Error)
 	}
 	if h.gateway.retryBudget < 0 {
-		t.Errorf("the budget fell to %v", h.gateway.retryBudget)
+		t.Errorf("the retry budget fell to %v", h.gateway.retryBudget)
 	}
 	h.gateway.retryBudget = 0
 	s := h.startAttempt("safe", "free")
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// A server that rejects one plan stays in use for the others.
+// A server that rejects a request of one plan gets no more of that plan for a while, but still those of others.
 func TestServerRejectionAppliesToOnePlan(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(2))
 	for range 200 {
@@ -34,6 +34,6 @@
 		}
 	}
 	if rejectedPlan != 1 || otherPlan < 3 {
-		t.Fatalf("%d to the server that rejects the plan, %d of another plan", rejectedPlan, otherPlan)
+		t.Fatalf("at the server that rejects a plan: %d attempts of the plan, want 1; %d of another plan, want at least 3", rejectedPlan, otherPlan)
 	}
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// The error of New contains the path of the invalid setting.
 func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for key, invalidate := range map[string]func(*Settings){
 		"Resolution":                  func(s *Settings) { s.Resolution = 0 },
@@ -24,12 +25,12 @@
 		}
 		var setting *SettingError
 		if !errors.As(err, &setting) || setting.Field != key || setting.Problem == "" {
-			t.Errorf("%s: not a setting error: %#v", key, err)
+			t.Errorf("%s: want a SettingError for it, got %#v", key, err)
 		}
 	}
 }
 
-// Messages name a plan and a class in one byte each: settings with more are not accepted.
+// Messages contain the index of a plan and of a class in one byte each, so New rejects settings with more than 256.
 func TestNewBoundsPlansAndClasses(t *testing.T) {
 	for _, excess := range []int{0, 1} {
 		for field, fill := range map[string]func(*Settings){
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// A cold server gets at most its initial capacity, times its overload factor, of what each warm server gets.
 func TestColdServerBudget(t *testing.T) {
 	servers := testServers(4)
 	servers[0].HasStartTime, servers[0].StartedAt = true, time.Second
@@ -21,11 +22,11 @@
 		}
 	}
 	if perWarmServer := float64(warm) / 3; float64(cold) > 0.2*2*perWarmServer {
-		t.Fatalf("%d to the cold server, %d to the others", cold, warm)
+		t.Fatalf("%d attempts at the cold server, %d at the others", cold, warm)
 	}
 }
 
-// With the warm servers full, the cold one still gets no more than its budget.
+// While the warm servers are saturated, the cold one still gets no more than its budget.
 func TestColdServerBudgetHoldsUnderLoad(t *testing.T) {
 	servers := testServers(4)
 	servers[0].HasStartTime, servers[0].StartedAt = true, time.Second
@@ -44,16 +45,16 @@
 		}
 	}
 	if cold < 1 || cold > 4 {
-		t.Fatalf("%d sent to the cold server", cold)
+		t.Fatalf("%d attempts at the cold server, want 1 to 4", cold)
 	}
 }
 
-// At least one attempt each would let hundreds of gateways together overload a cold server.
+// If each of hundreds of gateways sent a cold server at least one attempt, they would overload it together.
 func TestColdServerShareIsBoundedOverTheFleet(t *testing.T) {
 	servers := testServers(20)
 	servers[0].HasStartTime, servers[0].StartedAt = true, 10*time.Second
 	fleet := newGatewayFleet(t, 300, servers)
-	for _, g := range fleet.gateways { // the warm ones are all slow
+	for _, g := range fleet.gateways { // all warm servers are slow
 		for _, s := range g.endpoints.list[1:] {
 			s.latencyRatio = maxLatencyRatio
 		}
@@ -71,23 +72,23 @@
 			cold++
 		}
 	}
-	// An even share is 60; the server has a fifth of its capacity, and fails at twice that.
+	// An even share is 60. The cold server has a fifth of its capacity, and fails at twice that load.
 	if cold > 24 {
-		t.Errorf("%d of %d sent to a server that bears %d", cold, len(fleet.attempts), 24)
+		t.Errorf("%d of %d attempts at a cold server that can take %d", cold, len(fleet.attempts), 24)
 	}
 }
 
-// What all gateways send a cold server in the window in which it may fail stays under what the
-// settings allow, with a margin for chance, however many gateways there are, and while a part of
-// them has just started and knows nothing of the load.
+// The attempts of all gateways at a cold server, in each window of ColdOverloadTime, stay below the load at which it
+// fails, with a margin for random variation. This holds for any number of gateways, even if a third of them has just
+// started and has no estimate of the load.
 func TestColdServerBudgetHoldsWithManyGateways(t *testing.T) {
-	const servers, serverRate = 20, 25.0 // requests a second that a warm server turns round
+	const servers, serverRate = 20, 25.0 // serverRate: requests a second that a warm server can serve
 	for _, gateways := range []int{3, 12, 22, 23, 30, 300} {
 		list := testServers(servers)
 		fleet := newGatewayFleet(t, gateways, list)
 		nextID := RequestID(0)
 		load := func(time.Duration) {
-			for range 4 { // 400 a second: four fifths of what the fleet bears
+			for range 4 { // 400 a second: four fifths of the capacity of all servers
 				nextID++
 				fleet.request(int(nextID*7919)%gateways, nextID, "k", "free", "safe", gateways)
 			}
@@ -124,9 +125,9 @@
 				worstRatio, worstAllowed = got/allowed, allowed
 			}
 		}
-		t.Logf("%d gateways: %d sent, at most %.2f of %.1f", gateways, len(times), worstRatio, worstAllowed)
+		t.Logf("%d gateways: %d attempts at the cold server, at most %.2f of the %.1f allowed", gateways, len(times), worstRatio, worstAllowed)
 		if worstRatio > 1 || len(times) < 20 {
-			t.Errorf("%d gateways: %d sent, at most %.2f of the %.1f allowed", gateways, len(times), worstRatio, worstAllowed)
+			t.Errorf("%d gateways: %d attempts at the cold server, want at least 20; at most %.2f of the %.1f allowed", gateways, len(times), worstRatio, worstAllowed)
 		}
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A customer's remembered store has exactly these JSON fields.
+// The JSON form of a customer's snapshot must not change, since stored snapshots are read by later versions.
 func TestSnapshotHasGoldenJSON(t *testing.T) {
 	const golden = `{"Key":17446744073709551557,"Plan":"basic","First":2,"Spread":5,"Store":12.5}`
 	want := CustomerSnapshot{Key: 17446744073709551557, Plan: "basic", FirstGateway: 2, GatewaySpread: 5, Tokens: 12.5}
--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// The deploy file names every file that decides.
+// The list "policy" in deploy/balancer.toml must name every source file of this package.
 func TestDeployFileNamesEveryFile(t *testing.T) {
 	b, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
 	if err != nil {
@@ -30,6 +30,7 @@
 	}
 }
 
+// Lines of source files have at most 110 columns, with tabs of four.
 func TestLinesAreShort(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		b, err := os.ReadFile(name)
@@ -44,7 +45,7 @@
 	}
 }
 
-// Tuned values are named: times and shares stand only inside constant declarations.
+// Tunable times and shares must be named constants: their literals may stand only in constant declarations.
 func TestTunedValuesAreNamedConstants(t *testing.T) {
 	tuned := regexp.MustCompile(`[0-9] ?\* ?time\.|\b0\.[0-9]*[1-9]`)
 	for _, f := range sourceFiles(t) {
@@ -56,7 +57,7 @@
 		for i, line := range strings.Split(string(b), "\n") {
 			code, _, _ := strings.Cut(line, "//")
 			if !named[i+1] && tuned.MatchString(code) {
-				t.Errorf("%s:%d holds a tuned value: %s", f, i+1, strings.TrimSpace(line))
+				t.Errorf("%s:%d contains a tunable value outside a constant declaration: %s", f, i+1, strings.TrimSpace(line))
 			}
 		}
 	}
@@ -81,7 +82,7 @@
 	return lines
 }
 
-// sourceFiles lists the package's files but for its tests, in order.
+// sourceFiles returns the sorted names of the package's files other than tests.
 func sourceFiles(t *testing.T) (names []string) {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
