--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// restart replaces a gateway by a new process that restores the snapshot of the old one.
+// restart replaces a gateway with a new process that restores the snapshot of the old one.
 func (f *ceilingFleet) restart(i int) {
 	f.t.Helper()
 	saved, _ := f.gateways[i].SaveSnapshot(f.now, 0, allQueued, nil)
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -98,8 +98,8 @@
 		Remaining: 2 * time.Second, GatewaySpread: spread})
 }
 
-// newFleetMember returns gateway selfIndex of a fleet of n gateways, each of which can receive messagesPerSecond
-// peer messages.
+// newFleetMember returns gateway selfIndex of a fleet of n gateways that can each receive peer messages at the rate
+// messagesPerSecond.
 func newFleetMember(t *testing.T, selfIndex, n int, messagesPerSecond float64) *Gateway {
 	t.Helper()
 	g, err := New(Settings{SelfIndex: selfIndex, Gateways: n, Resolution: time.Millisecond, MaxAttempts: 2, CanCancel: true, CanMessagePeers: true,
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -17,8 +17,8 @@
 }
 
 // A fleet is resized repeatedly, into leader mode and out of it, and its gateways receive each change one after the
-// other. The shares of a ceiling never sum to more than 1. Once all gateways have received the change they sum to
-// 1 again, less the share of the standby leader if there is none.
+// other. The shares of a ceiling never sum to more than 1. Once all gateways have received the end of the change they
+// sum to 1 again, less the share of the standby leader if there is none.
 func TestCeilingSharesNeverExceedTheWhole(t *testing.T) {
 	for seed := range uint64(60) {
 		f := newResizingFleet(t, seed)
--- a/policy/golden_scenarios_test.go
+++ b/policy/golden_scenarios_test.go
@@ -166,14 +166,14 @@
 }
 
 const (
-	serverCapacity     = 14
-	slowLatencyFactor  = 6
-	coldLatencyFactor  = 3
-	latencyPerAttempt  = 0.2 // share of the service time that each attempt in flight adds
-	failureProbability = 0.7 // of an attempt at a server that returns errors, rejects requests or resets connections
-	connectTime        = 2 * time.Millisecond
-	coldDuration       = 4 * time.Second
-	firstByteShare     = 0.3 // part of a stream's latency before its first byte
+	serverCapacity          = 14
+	slowLatencyFactor       = 6
+	coldLatencyFactor       = 3
+	latencyGrowthPerAttempt = 0.2 // share of the service time that each attempt in flight adds
+	failureProbability      = 0.7 // of an attempt at a server that returns errors, rejects requests or resets connections
+	connectTime             = 2 * time.Millisecond
+	coldDuration            = 4 * time.Second
+	firstByteShare          = 0.3 // part of a stream's latency before its first byte
 )
 
 func (s *simulation) newServer(id policy.ServerID, justStarted bool) *simulatedServer {
@@ -187,7 +187,7 @@
 
 // drawResult draws the result and the latency of an attempt at a server.
 func (s *simulation) drawResult(server *simulatedServer, plan string) (policy.ResultCode, time.Duration) {
-	latency := time.Duration(float64(s.scenario.serviceTime) * (0.6 + 0.8*s.random.Float64()) * (1 + latencyPerAttempt*float64(server.inFlight)))
+	latency := time.Duration(float64(s.scenario.serviceTime) * (0.6 + 0.8*s.random.Float64()) * (1 + latencyGrowthPerAttempt*float64(server.inFlight)))
 	if server.HasStartTime && s.now-server.StartedAt < coldDuration {
 		latency *= coldLatencyFactor
 	}
--- a/policy/golden_simulation_test.go
+++ b/policy/golden_simulation_test.go
@@ -62,7 +62,7 @@
 
 const (
 	firstRequestAt           = 200 * time.Millisecond
-	maxClientTries           = 3
+	maxClientTries           = 3    // requests of a client for one purpose, with its retries
 	disconnectProbability    = 0.04 // that a client disconnects before its response
 	clientRetryProbability   = 0.6  // that a client retries a request that was rejected or failed
 	shortDeadlineProbability = 0.2  // that a request may take only part of the time left
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -66,7 +66,7 @@
 	return h
 }
 
-// restart replaces the gateway by a new one without any state of the old one.
+// restart replaces the gateway with a new one that has no state of the old one.
 func (h *harness) restart(settings Settings, seed uint64) {
 	h.t.Helper()
 	gateway, err := New(settings, seed)
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// The rejection of a request to which no leader responds has the reason ReasonNoQuotaLeader only if a lease was
-// needed. Otherwise it has the reason that applies at this gateway.
+// The rejection of a request to which no leader responds has the reason ReasonNoQuotaLeader only if the request could
+// not be admitted without a lease. Otherwise it has the reason that applies at this gateway.
 func TestRejectionWithoutLeaderNamesItsCause(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// The result of an attempt and the idempotency of the class decide whether a request is retried, rejected or failed.
 func TestRetriesByResultAndIdempotency(t *testing.T) {
 	const (
 		retried = iota
