--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// The deploy file names every file that decides.
+// The list "policy" in deploy/balancer.toml must name every source file of this package.
 func TestDeployFileNamesEveryFile(t *testing.T) {
 	b, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
 	if err != nil {
@@ -30,21 +30,22 @@
 	}
 }
 
+// Lines of source files have at most 110 columns, with tabs of four.
 func TestLinesAreShort(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		b, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i, l := range strings.Split(string(b), "\n") {
-			if len([]rune(strings.ReplaceAll(l, "\t", "    "))) > 110 {
+		for i, line := range strings.Split(string(b), "\n") {
+			if len([]rune(strings.ReplaceAll(line, "\t", "    "))) > 110 {
 				t.Errorf("%s:%d is longer than 110 characters", name, i+1)
 			}
 		}
 	}
 }
 
-// Tuned values are named: times and shares stand only inside constant declarations.
+// Tunable times and shares must be named constants: their literals may stand only in constant declarations.
 func TestTunedValuesAreNamedConstants(t *testing.T) {
 	tuned := regexp.MustCompile(`[0-9] ?\* ?time\.|\b0\.[0-9]*[1-9]`)
 	for _, f := range sourceFiles(t) {
@@ -53,10 +54,10 @@
 			t.Fatal(err)
 		}
 		named := constantLines(t, f, b)
-		for i, l := range strings.Split(string(b), "\n") {
-			code, _, _ := strings.Cut(l, "//")
+		for i, line := range strings.Split(string(b), "\n") {
+			code, _, _ := strings.Cut(line, "//")
 			if !named[i+1] && tuned.MatchString(code) {
-				t.Errorf("%s:%d holds a tuned value: %s", f, i+1, strings.TrimSpace(l))
+				t.Errorf("%s:%d contains a tunable value outside a constant declaration: %s", f, i+1, strings.TrimSpace(line))
 			}
 		}
 	}
@@ -71,9 +72,9 @@
 		t.Fatal(err)
 	}
 	lines := map[int]bool{}
-	for _, d := range file.Decls {
-		if d, ok := d.(*ast.GenDecl); ok && d.Tok == token.CONST {
-			for i := files.Position(d.Pos()).Line; i <= files.Position(d.End()).Line; i++ {
+	for _, decl := range file.Decls {
+		if decl, ok := decl.(*ast.GenDecl); ok && decl.Tok == token.CONST {
+			for i := files.Position(decl.Pos()).Line; i <= files.Position(decl.End()).Line; i++ {
 				lines[i] = true
 			}
 		}
@@ -81,7 +82,7 @@
 	return lines
 }
 
-// sourceFiles lists the package's files but for its tests, in order.
+// sourceFiles returns the sorted names of the package's files other than tests.
 func sourceFiles(t *testing.T) (names []string) {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
