--- a/gateway/attempt_outcomes_test.go
+++ b/gateway/attempt_outcomes_test.go
@@ -15,9 +15,9 @@
 
 // serveScripted replaces both servers by a scripted one. handle gets the connection of each
 // request, the request without its body, and its number over both servers from 1.
-func (w *testBed) serveScripted(handle func(c net.Conn, r *http.Request, n int)) (requests *atomic.Int32) {
+func (bed *testBed) serveScripted(handle func(c net.Conn, r *http.Request, n int)) (requests *atomic.Int32) {
 	requests = &atomic.Int32{}
-	w.serveScriptedConnections(func(c net.Conn) {
+	bed.serveScriptedConnections(func(c net.Conn) {
 		br := bufio.NewReader(c)
 		for {
 			req, err := http.ReadRequest(br)
@@ -31,20 +31,20 @@
 }
 
 // How an attempt ends decides, with the class of the request, whether it is retried.
-func TestAttemptOutcomeDecidesOnRetry(t *testing.T) {
-	ends := map[string]func(w *testBed, c net.Conn){
+func TestRetryDependsOnAttemptOutcome(t *testing.T) {
+	ends := map[string]func(bed *testBed, c net.Conn){
 		"reset":  func(_ *testBed, c net.Conn) { c.(interface{ Reset() }).Reset() },
-		"closed": func(w *testBed, c net.Conn) { mustClose(w.t, c) },
-		"half-closed": func(w *testBed, c net.Conn) {
+		"closed": func(bed *testBed, c net.Conn) { mustClose(bed.t, c) },
+		"half-closed": func(bed *testBed, c net.Conn) {
 			if err := c.(interface{ CloseWrite() error }).CloseWrite(); err != nil {
-				w.t.Error(err)
+				bed.t.Error(err)
 			}
 		},
 		"cut in the body":  respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
 		"cut in the head":  respondAndClose("HTTP/1.1 200 OK\r\nConte"),
 		"not HTTP":         respondAndClose("hello\r\n"),
-		"status 500":       func(w *testBed, c net.Conn) { w.respond(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n") },
-		"plain status 503": func(w *testBed, c net.Conn) { w.respond(c, "HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n") },
+		"status 500":       func(bed *testBed, c net.Conn) { bed.respond(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n") },
+		"plain status 503": func(bed *testBed, c net.Conn) { bed.respond(c, "HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n") },
 	}
 	for name, end := range ends {
 		for _, c := range []struct {
@@ -52,15 +52,15 @@
 			again        bool // may be sent again to the other server, of another cell
 		}{{"GET", "/records/1", true}, {"POST", "/loans/1", false}, {"POST", "/notes/1", false}} {
 			t.Run(name+" "+c.path, func(t *testing.T) {
-				runInTestBed(t, "", func(w *testBed) {
-					n := w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
+				runInTestBed(t, "", func(bed *testBed) {
+					n := bed.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 						if n == 1 {
-							end(w, c)
+							end(bed, c)
 							return
 						}
-						w.respondOK(c)
+						bed.respondOK(c)
 					})
-					g := w.do(c.method, c.path, "k-school", "Idempotency-Key", "k")
+					g := bed.do(c.method, c.path, "k-school", "Idempotency-Key", "k")
 					want, sent := 502, int32(1)
 					if c.again {
 						want, sent = 200, 2
@@ -79,9 +79,9 @@
 
 // respondAndClose returns a scripted end of an attempt.
 func respondAndClose(response string) func(*testBed, net.Conn) {
-	return func(w *testBed, c net.Conn) {
-		w.respond(c, response)
-		mustClose(w.t, c)
+	return func(bed *testBed, c net.Conn) {
+		bed.respond(c, response)
+		mustClose(bed.t, c)
 	}
 }
 
@@ -89,24 +89,24 @@
 func TestUnexecutedAttemptsAreRetried(t *testing.T) {
 	for _, path := range []string{"/loans/1", "/notes/1"} {
 		t.Run("turned away "+path, func(t *testing.T) {
-			runInTestBed(t, "", func(w *testBed) {
-				n := w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
+			runInTestBed(t, "", func(bed *testBed) {
+				n := bed.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 					if n == 1 {
-						w.respond(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+						bed.respond(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 						return
 					}
-					w.respondOK(c)
+					bed.respondOK(c)
 				})
-				if g := w.do("POST", path, "k-school", "Idempotency-Key", "k"); g.status != 200 || n.Load() != 2 {
+				if g := bed.do("POST", path, "k-school", "Idempotency-Key", "k"); g.status != 200 || n.Load() != 2 {
 					t.Errorf("status %d after %d attempts", g.status, n.Load())
 				}
 			})
 		})
 		t.Run("not connected "+path, func(t *testing.T) {
-			runInTestBed(t, "", func(w *testBed) {
-				w.servers[0].Kill()
+			runInTestBed(t, "", func(bed *testBed) {
+				bed.servers[0].Kill()
 				for i := range 6 {
-					if g := w.do("POST", path, "k-school", "Idempotency-Key", fmt.Sprint(i)); g.status != 200 {
+					if g := bed.do("POST", path, "k-school", "Idempotency-Key", fmt.Sprint(i)); g.status != 200 {
 						t.Errorf("%+v", g)
 					}
 				}
@@ -119,36 +119,36 @@
 // have been executed and is not retried. Closed before a byte was sent, the same attempt uses a
 // new connection.
 func TestServerClosesIdleConnectionAsARequestIsSent(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
-		n := w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
+	runInTestBed(t, "", func(bed *testBed) {
+		n := bed.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 			switch n {
 			case 1, 2:
-				w.respondOK(c)
+				bed.respondOK(c)
 			case 3:
 				mustClose(t, c) // the request was on its way
 			default:
-				w.respondOK(c)
+				bed.respondOK(c)
 			}
 		})
 		for i := range 2 {
-			if g := w.do("POST", "/notes/1", "k-school"); g.status != 200 {
+			if g := bed.do("POST", "/notes/1", "k-school"); g.status != 200 {
 				t.Fatalf("%d: %+v", i, g)
 			}
 		}
-		if g := w.do("POST", "/notes/1", "k-school"); g.status != 502 || g.header.Get("X-Yardcleat-Reason") != "server-gone" {
+		if g := bed.do("POST", "/notes/1", "k-school"); g.status != 502 || g.header.Get("X-Yardcleat-Reason") != "server-gone" {
 			t.Errorf("%+v", g)
 		}
 		if n.Load() != 3 {
 			t.Errorf("%d attempts, want 3", n.Load())
 		}
 	})
-	runInTestBed(t, "", func(w *testBed) {
-		n := w.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
-			w.respondOK(c)
+	runInTestBed(t, "", func(bed *testBed) {
+		n := bed.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
+			bed.respondOK(c)
 			mustClose(t, c) // idle connections don't last
 		})
 		for i := range 6 {
-			if g := w.do("POST", "/notes/1", "k-school"); g.status != 200 {
+			if g := bed.do("POST", "/notes/1", "k-school"); g.status != 200 {
 				t.Fatalf("%d: %+v", i, g)
 			}
 		}
@@ -161,35 +161,35 @@
 // A response after the timeout is discarded: the next request on the client's connection gets its
 // own.
 func TestLateResponseIsDiscarded(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
-		w.serveScripted(func(c net.Conn, _ *http.Request, n int) {
+	runInTestBed(t, "", func(bed *testBed) {
+		bed.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 			if n == 1 {
 				time.Sleep(time.Second)
-				w.respond(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
+				bed.respond(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 				return
 			}
-			w.respondOK(c)
+			bed.respondOK(c)
 		})
-		g := w.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300")
+		g := bed.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300")
 		if g.status != 504 || g.header.Get("X-Yardcleat-Reason") != "server-late" || g.took > 300*time.Millisecond {
 			t.Errorf("%+v", g)
 		}
 		time.Sleep(2 * time.Second)
-		if g := w.do("POST", "/notes/2", "k-school"); g.body != "ok" {
+		if g := bed.do("POST", "/notes/2", "k-school"); g.body != "ok" {
 			t.Errorf("%+v", g)
 		}
 	})
 }
 
 // A server may respond before it has read the body.
-func TestResponseBeforeTheWholeBody(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
-		w.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
-			w.respondOK(c)
+func TestResponseBeforeEndOfRequestBody(t *testing.T) {
+	runInTestBed(t, "", func(bed *testBed) {
+		bed.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
+			bed.respondOK(c)
 			time.Sleep(10 * time.Second) // and never reads it
 			mustClose(t, c)
 		})
-		res, err := w.client.Do(w.postRequest("/notes/1", strings.NewReader(strings.Repeat("x", 500_000))))
+		res, err := bed.client.Do(bed.postRequest("/notes/1", strings.NewReader(strings.Repeat("x", 500_000))))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/gateway/authorization_test.go
+++ b/gateway/authorization_test.go
@@ -28,33 +28,33 @@
 )
 
 // withTwoAuthorizers runs a test with an authorization service that has two addresses.
-func withTwoAuthorizers(t *testing.T, f func(w *testBed, second *authoriser.Server)) {
+func withTwoAuthorizers(t *testing.T, f func(bed *testBed, second *authoriser.Server)) {
 	t.Helper()
 	runInTestBedWith(t, strings.Replace(testBedConfig, `authoriser { address = "10.0.2.1:80" }`,
-		`authoriser { addresses = ["10.0.2.1:80", "10.0.2.2:80"] }`, 1), func(w *testBed) {
+		`authoriser { addresses = ["10.0.2.1:80", "10.0.2.2:80"] }`, 1), func(bed *testBed) {
 		second := authoriser.New("denied")
-		w.serve(second.Serve, "10.0.2.2:80")
-		f(w, second)
+		bed.serve(second.Serve, "10.0.2.2:80")
+		f(bed, second)
 		second.Kill()
 	})
 }
 
 // One of two addresses fails: requests are checked at the other one, in time.
-func TestFaultyAuthorizerIsReplacedByTheOther(t *testing.T) {
+func TestChecksFailOverFromFaultyAuthorizer(t *testing.T) {
 	for _, fault := range []string{"dead", "silent", "slow"} {
 		t.Run(fault, func(t *testing.T) {
-			withTwoAuthorizers(t, func(w *testBed, second *authoriser.Server) {
+			withTwoAuthorizers(t, func(bed *testBed, second *authoriser.Server) {
 				switch fault {
 				case "dead":
 					second.Kill()
 				case "silent":
-					w.breakAuthorizer(second, "silent", "")
+					bed.setAuthorizerFault(second, "silent", "")
 				case "slow":
-					w.breakAuthorizer(second, "slow", "150ms")
+					bed.setAuthorizerFault(second, "slow", "150ms")
 				}
 				refused := 0
 				for i := range 40 {
-					g := w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint("k", i))
+					g := bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint("k", i))
 					if g.status != 200 {
 						refused++
 					}
@@ -79,7 +79,7 @@
   body = 4
   disallowed_headers = ["cookie"]
 }`, 1)
-	runInTestBedWith(t, src, func(w *testBed) {
+	runInTestBedWith(t, src, func(bed *testBed) {
 		var sent *authv3.CheckRequest
 		a := authoriser.New()
 		option := func(name, value string, add bool) *corev3.HeaderValueOption {
@@ -96,20 +96,20 @@
 				QueryParametersToRemove: []string{"token"},
 				ResponseHeadersToAdd:    []*corev3.HeaderValueOption{option("x-told", "yes", false)}}}}
 		}
-		w.serve(a.Serve, "10.0.2.9:80")
+		bed.serve(a.Serve, "10.0.2.9:80")
 		var got *http.Request
-		w.serveScripted(func(c net.Conn, r *http.Request, _ int) {
+		bed.serveScripted(func(c net.Conn, r *http.Request, _ int) {
 			got = r
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				t.Error(err)
 			}
-			w.respondOK(c)
+			bed.respondOK(c)
 		})
-		req := w.postRequest("/loans/1?token=t&who=x&y=1", strings.NewReader("abcdef"))
+		req := bed.postRequest("/loans/1?token=t&who=x&y=1", strings.NewReader("abcdef"))
 		for k, v := range map[string]string{"Cookie": "secret", "X-Set": "old", "X-More": "1", "X-Drop": "d"} {
 			req.Header.Set(k, v)
 		}
-		res, err := w.client.Do(req)
+		res, err := bed.client.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,22 +138,22 @@
 type accessLogStream = grpc.ClientStreamingClient[alsv3.StreamAccessLogsMessage, alsv3.StreamAccessLogsResponse]
 
 // dialAccessLogs opens a stream of access logs, as a proxy does. done ends it.
-func (w *testBed) dialAccessLogs() (stream accessLogStream, done func()) {
-	w.t.Helper()
+func (bed *testBed) dialAccessLogs() (stream accessLogStream, done func()) {
+	bed.t.Helper()
 	cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return w.host.Dial(ctx, addr) }))
+		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return bed.clientHost.Dial(ctx, addr) }))
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	stream, err = alsv3.NewAccessLogServiceClient(cc).StreamAccessLogs(ctx)
 	if err != nil {
 		cancel()
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	return stream, func() {
 		cancel()
-		mustClose(w.t, cc)
+		mustClose(bed.t, cc)
 	}
 }
 
@@ -191,8 +191,8 @@
 // timeout: the cap is never exceeded, and fewer requests pass.
 func TestLostAccessLogsHoldCapacityUntilTimeout(t *testing.T) {
 	for _, share := range []float64{0, 0.01, 0.1} {
-		runInTestBed(t, cappedPlan, func(w *testBed) {
-			passed, maxInFlight := w.passWithLostAccessLogs(share)
+		runInTestBed(t, cappedPlan, func(bed *testBed) {
+			passed, maxInFlight := bed.runChecksWithLostAccessLogs(share)
 			t.Logf("%.0f%% lost: %d of 600 pass, %d in flight at most", 100*share, passed, maxInFlight)
 			if least := map[float64]int{0: 600, 0.01: 580, 0.1: 450}[share]; passed < least || maxInFlight > 2 {
 				t.Errorf("%.2f lost: %d pass, %d in flight", share, passed, maxInFlight)
@@ -201,15 +201,15 @@
 	}
 }
 
-// passWithLostAccessLogs sends 600 checks, one every 50 ms for 20 ms of work, for which a cap of two
+// runChecksWithLostAccessLogs sends 600 checks, one every 50 ms for 20 ms of work, for which a cap of two
 // is ample. It loses a share of the access logs, and returns how many checks were allowed and how
 // many attempts were in flight at most.
-func (w *testBed) passWithLostAccessLogs(share float64) (passed, maxInFlight int) {
-	w.t.Helper()
+func (bed *testBed) runChecksWithLostAccessLogs(share float64) (passed, maxInFlight int) {
+	bed.t.Helper()
 	const work = 20 * time.Millisecond
-	check, done := w.dialChecks("1000")
+	check, done := bed.dialChecks("1000")
 	defer done()
-	stream, closeStream := w.dialAccessLogs()
+	stream, closeStream := bed.dialAccessLogs()
 	defer closeStream()
 	rng := rand.New(rand.NewPCG(1, 1))
 	inFlight := map[string]time.Time{} // attempts by token, with the end of their work
@@ -220,7 +220,7 @@
 			inFlight[token] = time.Now().Add(work)
 			maxInFlight = max(maxInFlight, len(inFlight))
 			if lost := rng.Float64() < share; !lost {
-				time.AfterFunc(work, func() { sendAccessLog(w.t, stream, accessLogEntry(token)) })
+				time.AfterFunc(work, func() { sendAccessLog(bed.t, stream, accessLogEntry(token)) })
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -231,9 +231,9 @@
 // Headers that are not UTF-8, which gRPC messages can't hold, do not look like failures of the
 // service.
 func TestHeadersThatAreNotUTF8AreSentToTheAuthorizer(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
+	runInTestBed(t, "", func(bed *testBed) {
 		for i := range 20 {
-			got := w.sendRaw(fmt.Sprintf("POST /loans/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nIdempotency-Key: k%d\xff\r\n"+
+			got := bed.sendRaw(fmt.Sprintf("POST /loans/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nIdempotency-Key: k%d\xff\r\n"+
 				"X-Request-Id: \xc3\x28\r\nConnection: close\r\n\r\n", i))
 			if !strings.HasPrefix(got, "HTTP/1.1 200 ") && !strings.HasPrefix(got, "HTTP/1.1 429 ") {
 				t.Fatalf("%q", got)
@@ -245,12 +245,12 @@
 // Access logs come twice, late, out of order, for attempts of other gateways and from two proxies
 // for one attempt: only the first one of an attempt counts, and frees the cap once.
 func TestRepeatedAndForeignAccessLogsCountOnce(t *testing.T) {
-	runInTestBed(t, cappedPlan, func(w *testBed) {
-		check, done := w.dialChecks("3000")
+	runInTestBed(t, cappedPlan, func(bed *testBed) {
+		check, done := bed.dialChecks("3000")
 		defer done()
-		first, closeFirst := w.dialAccessLogs()
+		first, closeFirst := bed.dialAccessLogs()
 		defer closeFirst()
-		second, closeSecond := w.dialAccessLogs()
+		second, closeSecond := bed.dialAccessLogs()
 		defer closeSecond()
 		pass := func() (token string, ok bool) { return attemptToken(check("/records/1")) }
 		old := ""
@@ -296,7 +296,7 @@
 func TestUnavailableChecksAreRetried(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		runInTestBedWith(t, strings.Replace(testBedConfig, `authoriser { address = "10.0.2.1:80" }`,
-			`authoriser { addresses = ["10.0.2.8:80", "10.0.2.9:80"] }`, 1), func(w *testBed) {
+			`authoriser { addresses = ["10.0.2.8:80", "10.0.2.9:80"] }`, 1), func(bed *testBed) {
 			for i := range 2 {
 				rng := rand.New(rand.NewPCG(uint64(i), 1))
 				a := authoriser.New()
@@ -306,12 +306,12 @@
 					}
 					return &authv3.CheckResponse{Status: &rpc.Status{}}
 				}
-				w.serve(a.Serve, fmt.Sprintf("10.0.2.%d:80", 8+i))
-				w.closes = append(w.closes, a.Kill)
+				bed.serve(a.Serve, fmt.Sprintf("10.0.2.%d:80", 8+i))
+				bed.closers = append(bed.closers, a.Kill)
 			}
 			served := 0
 			for i := range 60 {
-				g := w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint("k", i))
+				g := bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint("k", i))
 				if g.status == 200 {
 					served++
 				} else if r := g.header.Get("X-Yardcleat-Reason"); r != "authorisation-unreachable" && r != "authorisation-late" {
@@ -328,11 +328,11 @@
 }
 
 // An earlier result, a denial too, replaces a missing one for as long as the class says.
-func TestCachedAuthorizationReplacesAMissingOne(t *testing.T) {
+func TestCachedAuthorizationIsUsedWhenAuthorizerFails(t *testing.T) {
 	src := strings.Replace(testBedConfig, `authorisation = "refuse"`, "authorisation = \"refuse\"\n  remember = \"10s\"", 1)
-	runInTestBedWith(t, src, func(w *testBed) {
+	runInTestBedWith(t, src, func(bed *testBed) {
 		ask := func(key string) response {
-			return w.do("POST", "/loans/1", key, "Idempotency-Key", fmt.Sprint(time.Now().UnixNano()))
+			return bed.do("POST", "/loans/1", key, "Idempotency-Key", fmt.Sprint(time.Now().UnixNano()))
 		}
 		if g := ask("k-school"); g.status != 200 {
 			t.Fatalf("%+v", g)
@@ -340,14 +340,14 @@
 		if g := ask("k-denied"); g.status != 403 {
 			t.Fatalf("%+v", g)
 		}
-		w.breakAuthorizer(w.auth, "silent", "")
+		bed.setAuthorizerFault(bed.authorizer, "silent", "")
 		if g := ask("k-school"); g.status != 200 {
 			t.Errorf("%+v", g)
 		}
 		if g := ask("k-denied"); g.status != 403 || !strings.Contains(g.body, "no right") {
 			t.Errorf("%+v", g)
 		}
-		if g := w.do("POST", "/loans/2", "k-school", "Idempotency-Key", "x"); g.status != 503 {
+		if g := bed.do("POST", "/loans/2", "k-school", "Idempotency-Key", "x"); g.status != 503 {
 			t.Errorf("another resource: %+v", g)
 		}
 		time.Sleep(11 * time.Second)
@@ -360,16 +360,16 @@
 // A server starts to drain after a request was allowed and before it is sent: the request goes to
 // the other one.
 func TestAllowedRequestAvoidsDrainingServer(t *testing.T) {
-	runInTestBed(t, fmt.Sprintf("node { state_dir = %q }", t.TempDir()), func(w *testBed) {
+	runInTestBed(t, fmt.Sprintf("node { state_dir = %q }", t.TempDir()), func(bed *testBed) {
 		d := discovery.New("c", 0, nil)
-		w.serve(d.Serve, "10.0.3.1:80")
+		bed.serve(d.Serve, "10.0.3.1:80")
 		list := []discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Cell: 1}, {Name: "s2", Address: "10.0.1.2:80", Cell: 2}}
 		d.Set(list)
 		time.Sleep(3 * time.Second)
-		w.breakAuthorizer(w.auth, "slow", "100ms")
+		bed.setAuthorizerFault(bed.authorizer, "slow", "100ms")
 		done := make(chan response, 4)
 		for i := range 4 {
-			go func() { done <- w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
+			go func() { done <- bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
 		}
 		time.Sleep(50 * time.Millisecond) // their checks are sent, not answered yet
 		list[0].Draining = true
@@ -381,7 +381,7 @@
 				t.Errorf("%+v", g)
 			}
 		}
-		for _, s := range w.arrived() {
+		for _, s := range bed.arrivedAttempts() {
 			if s.Server == "s1" && s.At.After(told) {
 				t.Errorf("sent to the draining server: %+v", s)
 			}
@@ -397,20 +397,20 @@
 		{"slow", "250ms", "authorisation-late"}, {"silent", "", "authorisation-late"}, {"dead", "", "authorisation-unreachable"},
 	} {
 		t.Run(c.fault, func(t *testing.T) {
-			runInTestBed(t, "", func(w *testBed) {
+			runInTestBed(t, "", func(bed *testBed) {
 				if c.fault == "dead" {
-					w.auth.Kill()
+					bed.authorizer.Kill()
 				} else {
-					w.breakAuthorizer(w.auth, c.fault, c.arg)
+					bed.setAuthorizerFault(bed.authorizer, c.fault, c.arg)
 				}
-				g := w.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k1")
+				g := bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k1")
 				if g.status != 503 || g.header.Get("X-Yardcleat-Reason") != c.reason || g.took > 250*time.Millisecond {
 					t.Errorf("%+v", g)
 				}
-				if g := w.do("GET", "/records/1", "k-school"); g.status != 200 {
+				if g := bed.do("GET", "/records/1", "k-school"); g.status != 200 {
 					t.Errorf("lookup: %+v", g)
 				}
-				if n := len(w.arrived()); n != 1 {
+				if n := len(bed.arrivedAttempts()); n != 1 {
 					t.Errorf("%d attempts arrived", n)
 				}
 			})
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -141,10 +141,10 @@
 	return g, g.listeners[0].net.Addr().String(), g.listeners[1].net.Addr().String()
 }
 
-// driveWorkers has each worker make one call after the other, b.N calls in all, and reports the rate
+// runWorkers has each worker make one call after the other, b.N calls in all, and reports the rate
 // and the median and 99th percentile of a call's time. open returns the call of one worker, and what
 // ends it.
-func driveWorkers(b *testing.B, workers int, open func() (call func() error, done func(), err error)) {
+func runWorkers(b *testing.B, workers int, open func() (call func() error, done func(), err error)) {
 	b.Helper()
 	var left atomic.Int64
 	left.Store(int64(b.N))
@@ -180,11 +180,11 @@
 	}
 }
 
-// loadHTTP sends requests over connections kept open.
-func loadHTTP(b *testing.B, addr string, conns int) {
+// measureHTTP sends requests over connections kept open.
+func measureHTTP(b *testing.B, addr string, conns int) {
 	b.Helper()
 	request := "GET /records/1 HTTP/1.1\r\nHost: " + addr + "\r\nX-Api-Key: k\r\nUser-Agent: bench\r\nAccept: */*\r\n\r\n"
-	driveWorkers(b, conns, func() (func() error, func(), error) {
+	runWorkers(b, conns, func() (func() error, func(), error) {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			return nil, nil, err
@@ -230,21 +230,21 @@
 // The HTTP listener with all decisions made, against httputil.ReverseProxy and no proxy at all.
 func BenchmarkProxying(b *testing.B) {
 	for _, conns := range []int{1, 64, 1000} {
-		b.Run(fmt.Sprintf("none/%d", conns), func(b *testing.B) { loadHTTP(b, startBackend(b), conns) })
-		b.Run(fmt.Sprintf("ReverseProxy/%d", conns), func(b *testing.B) { loadHTTP(b, startReverseProxy(b, startBackend(b)), conns) })
+		b.Run(fmt.Sprintf("none/%d", conns), func(b *testing.B) { measureHTTP(b, startBackend(b), conns) })
+		b.Run(fmt.Sprintf("ReverseProxy/%d", conns), func(b *testing.B) { measureHTTP(b, startReverseProxy(b, startBackend(b)), conns) })
 		b.Run(fmt.Sprintf("yardcleat/%d", conns), func(b *testing.B) {
 			_, addr, _ := startBenchGateway(b, startManyServers(b)...)
-			loadHTTP(b, addr, conns)
+			measureHTTP(b, addr, conns)
 		})
 	}
 }
 
-// allowing allows every Check.
-type allowing struct {
+// allowAllAuthorizer allows every Check.
+type allowAllAuthorizer struct {
 	authv3.UnimplementedAuthorizationServer
 }
 
-func (allowing) Check(context.Context, *authv3.CheckRequest) (*authv3.CheckResponse, error) {
+func (allowAllAuthorizer) Check(context.Context, *authv3.CheckRequest) (*authv3.CheckResponse, error) {
 	return &authv3.CheckResponse{Status: &rpc.Status{}, HttpResponse: &authv3.CheckResponse_OkResponse{
 		OkResponse: &authv3.OkHttpResponse{}}}, nil
 }
@@ -262,7 +262,7 @@
 		req := &authv3.CheckRequest{Attributes: &authv3.AttributeContext{Request: &authv3.AttributeContext_Request{
 			Http: &authv3.AttributeContext_HttpRequest{Method: "GET", Path: "/records/1", Host: "h",
 				Headers: map[string]string{"x-api-key": "k", "x-envoy-expected-rq-timeout-ms": "20", "user-agent": "bench"}}}}}
-		driveWorkers(b, workers, func() (func() error, func(), error) {
+		runWorkers(b, workers, func() (func() error, func(), error) {
 			return func() error {
 				_, err := auth.Check(context.Background(), req)
 				return err
@@ -272,7 +272,7 @@
 	for _, workers := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("allowing/%d", workers), func(b *testing.B) {
 			s := grpc.NewServer()
-			authv3.RegisterAuthorizationServer(s, allowing{})
+			authv3.RegisterAuthorizationServer(s, allowAllAuthorizer{})
 			run(b, serveUntilCleanup(b, s.Serve, s.Stop), workers)
 		})
 		b.Run(fmt.Sprintf("yardcleat/%d", workers), func(b *testing.B) {
@@ -294,7 +294,7 @@
 				extra = fmt.Sprintf("counter { addresses = [%q] }\nnode { state_dir = %q }\n", addr, dir)
 			}
 			_, addr, _ := startBenchGatewayWith(b, extra, startManyServers(b)...)
-			loadHTTP(b, addr, 64)
+			measureHTTP(b, addr, 64)
 		})
 	}
 }
@@ -346,7 +346,7 @@
 			clients = append(clients, newHTTP2Client(addr))
 		}
 		var next atomic.Int32
-		driveWorkers(b, conns*streams, func() (func() error, func(), error) {
+		runWorkers(b, conns*streams, func() (func() error, func(), error) {
 			client := clients[next.Add(1)%conns]
 			return func() error { return getRecord(client, addr) }, client.CloseIdleConnections, nil
 		})
--- a/gateway/client_disconnect_test.go
+++ b/gateway/client_disconnect_test.go
@@ -9,11 +9,11 @@
 )
 
 // postRequest returns a request of the customer "school" with an idempotency key.
-func (w *testBed) postRequest(path string, body io.Reader) *http.Request {
-	w.t.Helper()
+func (bed *testBed) postRequest(path string, body io.Reader) *http.Request {
+	bed.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://10.0.0.1:80"+path, body)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	req.Header.Set("X-Api-Key", "k-school")
 	req.Header.Set("Idempotency-Key", "k")
@@ -23,60 +23,60 @@
 // A client disconnects, or its timeout expires, while its request waits for the authorization
 // service, in the queue, or with an attempt in flight. Clients that still wait have a response by
 // then, no attempt is sent for those that disconnected, and nothing stays in flight.
-func TestDisconnectedClientsLeaveNothingBehind(t *testing.T) {
-	points := map[string]func(w *testBed){
-		"at the authoriser": func(w *testBed) { w.breakAuthorizer(w.auth, "silent", "") },
-		"attempt out":       func(w *testBed) { w.breakServers("hang") },
-		"in the queue": func(w *testBed) {
-			w.breakServers("hang")
+func TestDisconnectedClientsLeaveNothingInFlight(t *testing.T) {
+	points := map[string]func(bed *testBed){
+		"at the authoriser": func(bed *testBed) { bed.setAuthorizerFault(bed.authorizer, "silent", "") },
+		"attempt out":       func(bed *testBed) { bed.setServerFault("hang") },
+		"in the queue": func(bed *testBed) {
+			bed.setServerFault("hang")
 			for range 12 { // both servers have all they may
-				go w.do("GET", "/records/1", "k-school")
+				go bed.do("GET", "/records/1", "k-school")
 			}
 			time.Sleep(5 * time.Millisecond)
 		},
 	}
 	for name, set := range points {
 		t.Run(name+", time runs out", func(t *testing.T) {
-			runInTestBed(t, "", func(w *testBed) {
-				set(w)
+			runInTestBed(t, "", func(bed *testBed) {
+				set(bed)
 				const patience = 300 * time.Millisecond
-				g := w.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k", "X-Envoy-Expected-Rq-Timeout-Ms", "300")
+				g := bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k", "X-Envoy-Expected-Rq-Timeout-Ms", "300")
 				if g.status != 503 && g.status != 504 && g.status != 429 || g.took > patience {
 					t.Errorf("%+v", g)
 				}
-				w.expectNothingInFlight()
+				bed.expectNothingInFlight()
 			})
 		})
 		t.Run(name+", client leaves", func(t *testing.T) {
-			runInTestBed(t, "", func(w *testBed) {
-				set(w)
+			runInTestBed(t, "", func(bed *testBed) {
+				set(bed)
 				ctx, cancel := context.WithTimeout(context.Background(), 60*time.Millisecond)
 				defer cancel()
-				if res, err := w.client.Do(w.postRequest("/loans/1", nil).WithContext(ctx)); err == nil {
+				if res, err := bed.client.Do(bed.postRequest("/loans/1", nil).WithContext(ctx)); err == nil {
 					mustClose(t, res.Body)
 					t.Errorf("status %d", res.StatusCode)
 				}
 				left := time.Now()
 				time.Sleep(20 * time.Millisecond)
-				w.breakServers("ok")
-				w.breakAuthorizer(w.auth, "ok", "")
+				bed.setServerFault("ok")
+				bed.setAuthorizerFault(bed.authorizer, "ok", "")
 				time.Sleep(5 * time.Second)
-				for _, s := range w.arrived() {
+				for _, s := range bed.arrivedAttempts() {
 					if s.Class == "loan-change" && s.At.Sub(left) > 3*time.Millisecond {
 						t.Errorf("sent after its client left: %+v", s)
 					}
 				}
-				w.expectNothingInFlight()
+				bed.expectNothingInFlight()
 			})
 		})
 	}
 }
 
 // expectNothingInFlight checks that all requests are answered after a while.
-func (w *testBed) expectNothingInFlight() {
-	w.t.Helper()
+func (bed *testBed) expectNothingInFlight() {
+	bed.t.Helper()
 	time.Sleep(5 * time.Second)
-	if n := w.node.node.Unanswered(); n != 0 {
-		w.t.Errorf("%d requests are still open", n)
+	if n := bed.gateway.node.Unanswered(); n != 0 {
+		bed.t.Errorf("%d requests are still open", n)
 	}
 }
--- a/gateway/customer_snapshots.go
+++ b/gateway/customer_snapshots.go
@@ -36,10 +36,10 @@
 	Payload: "stores",
 }
 
-// ForeignSnapshotError says that a file was written by the gateway of another number.
-type ForeignSnapshotError struct{ Got, Want int }
+// SnapshotNodeMismatchError says that a file was written by the gateway of another number.
+type SnapshotNodeMismatchError struct{ Got, Want int }
 
-func (e *ForeignSnapshotError) Error() string {
+func (e *SnapshotNodeMismatchError) Error() string {
 	return fmt.Sprintf("of node %d, not %d", e.Got, e.Want)
 }
 
@@ -50,7 +50,7 @@
 
 // loadCustomerSnapshots returns what an earlier process of this gateway saved, or nothing where
 // there is none or it is too old. Errors are those of package snapshotfile and
-// [*ForeignSnapshotError].
+// [*SnapshotNodeMismatchError].
 func loadCustomerSnapshots(dir string, number int, now time.Time) (policy.RestoreSnapshot, error) {
 	header, customers, err := customerSnapshots.Read(filepath.Join(dir, customerSnapshotFile))
 	switch {
@@ -59,7 +59,7 @@
 	case err != nil:
 		return policy.RestoreSnapshot{}, err
 	case header.Node != number:
-		return policy.RestoreSnapshot{}, &ForeignSnapshotError{Got: header.Node, Want: number}
+		return policy.RestoreSnapshot{}, &SnapshotNodeMismatchError{Got: header.Node, Want: number}
 	}
 	// After the wall clock was set back, a snapshot counts as written now.
 	age := max(0, now.Sub(header.Wrote))
--- a/gateway/customer_snapshots_test.go
+++ b/gateway/customer_snapshots_test.go
@@ -14,15 +14,15 @@
 // A gateway that is killed and started again knows what its customers had used up to two seconds
 // before; without the file it would admit most of a bucket again. After a while it knows that the
 // buckets are full.
-func TestCustomerSnapshotsOutliveAKill(t *testing.T) {
+func TestCustomerSnapshotsSurviveKill(t *testing.T) {
 	run := func(keep bool, away time.Duration) (again int) {
 		dir := t.TempDir()
-		withFakeCounter(t, dir, func(w *testBed, c *counter.Server) {
+		withFakeCounter(t, dir, func(bed *testBed, c *counter.Server) {
 			if err := c.Do("refuse", ""); err != nil { // nothing else knows the usage
 				t.Error(err)
 			}
 			time.Sleep(21 * time.Second)
-			if first := w.countServed(25, "k-slow"); first < 15 || first > 23 {
+			if first := bed.countServed(25, "k-slow"); first < 15 || first > 23 {
 				t.Errorf("%d of a store of 20 passed", first)
 			}
 			time.Sleep(2 * time.Second)
@@ -31,10 +31,10 @@
 					t.Error(err)
 				}
 			}
-			w.node.Kill()
+			bed.gateway.Kill()
 			time.Sleep(away)
-			w.restart()
-			again = w.countServed(25, "k-slow")
+			bed.restart()
+			again = bed.countServed(25, "k-slow")
 		})
 		return again
 	}
--- a/gateway/endpoint_cache_test.go
+++ b/gateway/endpoint_cache_test.go
@@ -25,10 +25,10 @@
 	if err := fleet.SaveCache(filepath.Join(dir, "servers"), list); err != nil {
 		t.Fatal(err)
 	}
-	runInTestBed(t, extra, func(w *testBed) {
+	runInTestBed(t, extra, func(bed *testBed) {
 		served := 0
 		for i := range 8 { // discovery is not there yet
-			switch g := w.do("GET", fmt.Sprint("/records/", i), "k-school"); {
+			switch g := bed.do("GET", fmt.Sprint("/records/", i), "k-school"); {
 			case g.status == 200:
 				served++
 			case g.header.Get("X-Yardcleat-Reason") != "server-gone": // three attempts, three gone
@@ -39,16 +39,16 @@
 			t.Errorf("%d of 8 served", served)
 		}
 		d := discovery.New("c", 0, nil)
-		w.serve(d.Serve, "10.0.3.1:80")
+		bed.serve(d.Serve, "10.0.3.1:80")
 		d.Set([]discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Draining: true}, {Name: "s2", Address: "10.0.1.2:80", Cell: 1}})
 		time.Sleep(3 * time.Second) // the stream is opened again
 		told := time.Now()
 		for i := range 10 {
-			if g := w.do("GET", fmt.Sprint("/records/", i), "k-school"); g.status != 200 {
+			if g := bed.do("GET", fmt.Sprint("/records/", i), "k-school"); g.status != 200 {
 				t.Errorf("%+v", g)
 			}
 		}
-		for _, s := range w.arrived() {
+		for _, s := range bed.arrivedAttempts() {
 			if s.Server == "s1" && s.At.After(told) {
 				t.Errorf("sent to the draining server: %+v", s)
 			}
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -38,7 +38,7 @@
 	if g.cfg.StateDir != "" {
 		options.CachePath = filepath.Join(g.cfg.StateDir, endpointCacheFile)
 	}
-	g.goUntilClosed(func(ctx context.Context) {
+	g.runUntilClosed(func(ctx context.Context) {
 		if err := fleet.Watch(ctx, options); err != nil {
 			g.options.Log.Error("endpoint discovery failed", "error", err)
 		}
--- a/gateway/ext_authz_proxy_test.go
+++ b/gateway/ext_authz_proxy_test.go
@@ -31,11 +31,11 @@
 `
 
 // dialChecks returns a function that sends checks as a proxy does, without access logs.
-func (w *testBed) dialChecks(patience string) (check func(path string) *authv3.CheckResponse, done func()) {
+func (bed *testBed) dialChecks(patience string) (check func(path string) *authv3.CheckResponse, done func()) {
 	cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return w.host.Dial(ctx, addr) }))
+		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return bed.clientHost.Dial(ctx, addr) }))
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	return func(path string) *authv3.CheckResponse {
 		resp, err := authv3.NewAuthorizationClient(cc).Check(context.Background(), &authv3.CheckRequest{
@@ -43,17 +43,17 @@
 				Method: "GET", Path: path, Host: "h", Headers: map[string]string{"x-api-key": "k-capped",
 					"x-envoy-expected-rq-timeout-ms": patience}}}}})
 		if err != nil {
-			w.t.Fatal(err)
+			bed.t.Fatal(err)
 		}
 		return resp
-	}, func() { mustClose(w.t, cc) }
+	}, func() { mustClose(bed.t, cc) }
 }
 
 // A check whose proxy never logs holds its share of the concurrency cap until its timeout, and no
 // longer.
 func TestCheckWithoutAccessLogHoldsCapacityUntilTimeout(t *testing.T) {
-	runInTestBed(t, cappedPlan, func(w *testBed) {
-		check, done := w.dialChecks("1000")
+	runInTestBed(t, cappedPlan, func(bed *testBed) {
+		check, done := bed.dialChecks("1000")
 		defer done()
 		for i := range 2 {
 			if r := check("/records/1"); r.GetOkResponse() == nil {
@@ -73,8 +73,8 @@
 
 // A check that is queued when the gateway drains has its response.
 func TestDrainAnswersQueuedCheck(t *testing.T) {
-	runInTestBed(t, cappedPlan, func(w *testBed) {
-		check, done := w.dialChecks("2000")
+	runInTestBed(t, cappedPlan, func(bed *testBed) {
+		check, done := bed.dialChecks("2000")
 		defer done()
 		for range 2 {
 			check("/records/1")
@@ -86,7 +86,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			drained <- w.node.Drain(ctx)
+			drained <- bed.gateway.Drain(ctx)
 		}()
 		if r := <-answered; r.GetDeniedResponse().GetStatus().GetCode() != 429 {
 			t.Errorf("%v", r)
@@ -100,16 +100,16 @@
 // A proxy that logs frees the concurrency cap at once, and its clients get the same responses as
 // those of the HTTP listener.
 func TestRequestsThroughAnExtAuthzProxy(t *testing.T) {
-	runInTestBed(t, cappedPlan, func(w *testBed) {
-		p, err := proxy.New(proxy.Options{Network: w.host, Gateway: "10.0.0.1:81", Patience: time.Second})
+	runInTestBed(t, cappedPlan, func(bed *testBed) {
+		p, err := proxy.New(proxy.Options{Network: bed.clientHost, Gateway: "10.0.0.1:81", Patience: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.serve(p.Serve, "10.0.4.1:80")
+		bed.serve(p.Serve, "10.0.4.1:80")
 		for i := range 10 {
 			req, _ := http.NewRequest("GET", "http://10.0.4.1:80/records/1", nil)
 			req.Header.Set("X-Api-Key", "k-capped")
-			res, err := w.client.Do(req)
+			res, err := bed.client.Do(req)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -122,12 +122,12 @@
 			}
 			time.Sleep(5 * time.Millisecond) // the log line's way
 		}
-		if n := len(w.arrived()); n != 10 {
+		if n := len(bed.arrivedAttempts()); n != 10 {
 			t.Errorf("%d attempts arrived", n)
 		}
 		p.Kill()
-		w.expectNothingInFlight()
-		if got := fmt.Sprint(w.node.node.Unanswered()); got != "0" {
+		bed.expectNothingInFlight()
+		if got := fmt.Sprint(bed.gateway.node.Unanswered()); got != "0" {
 			t.Error(got)
 		}
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -66,9 +66,9 @@
 	running   chan struct{}
 	listeners []listener
 	serving   sync.WaitGroup // of the listeners' goroutines
-	// closes are called in reverse order: what was opened last is closed first, so that each part
+	// closers are called in reverse order: what was opened last is closed first, so that each part
 	// can use the earlier ones until it has ended.
-	closes    background.Closers
+	closers   background.Closers
 	killed    atomic.Bool // nothing may be saved any more
 	accepting atomic.Bool // the listeners are open
 }
@@ -86,9 +86,9 @@
 	return g, nil
 }
 
-// goUntilClosed runs f in a goroutine. When the gateway closes, its context is canceled and
+// runUntilClosed runs f in a goroutine. When the gateway closes, its context is canceled and
 // close waits for its end.
-func (g *Gateway) goUntilClosed(f func(context.Context)) { g.closes.Go(context.Background(), f) }
+func (g *Gateway) runUntilClosed(f func(context.Context)) { g.closers.Go(context.Background(), f) }
 
 // Drain shuts down in order: new connections are not accepted, requests under way are finished,
 // then everything is closed. When the context ends first, the requests that are left fail, and
@@ -129,5 +129,5 @@
 func (g *Gateway) close() {
 	g.stopListening()
 	g.serving.Wait()
-	g.closes.Close()
+	g.closers.Close()
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -6,24 +6,24 @@
 )
 
 func TestRequestIsAuthorizedAndServed(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
-		if g := w.do("GET", "/records/1", "k-school"); g.status != 200 || !strings.Contains(g.body, `"class":"lookup"`) {
+	runInTestBed(t, "", func(bed *testBed) {
+		if g := bed.do("GET", "/records/1", "k-school"); g.status != 200 || !strings.Contains(g.body, `"class":"lookup"`) {
 			t.Errorf("lookup: %+v", g)
 		}
-		if g := w.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k1"); g.status != 200 {
+		if g := bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k1"); g.status != 200 {
 			t.Errorf("loan-change: %+v", g)
 		}
-		if n := w.auth.Checks(); n != 1 {
+		if n := bed.authorizer.Checks(); n != 1 {
 			t.Errorf("%d Checks, want 1: lookup is not put to the authoriser", n)
 		}
-		if n := len(w.arrived()); n != 2 {
+		if n := len(bed.arrivedAttempts()); n != 2 {
 			t.Errorf("%d attempts arrived, want 2", n)
 		}
 	})
 }
 
 func TestInvalidRequestsAreRejectedBeforeThePolicy(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
+	runInTestBed(t, "", func(bed *testBed) {
 		for _, c := range []struct {
 			method, path, key string
 			fields            []string
@@ -40,13 +40,13 @@
 			{"GET", "/records/1", "k-school", []string{"X-Envoy-Expected-Rq-Timeout-Ms", "soon"}, 400, "bad-request"},
 			{"POST", "/loans/1", "k-denied", []string{"Idempotency-Key", "k"}, 403, "authorisation-denied"},
 		} {
-			g := w.do(c.method, c.path, c.key, c.fields...)
+			g := bed.do(c.method, c.path, c.key, c.fields...)
 			if g.status != c.status || g.header.Get("X-Yardcleat-Reason") != c.reason {
 				t.Errorf("%s %s: status %d, reason %q; want %d, %q", c.method, c.path, g.status,
 					g.header.Get("X-Yardcleat-Reason"), c.status, c.reason)
 			}
 		}
-		if n := len(w.arrived()); n != 0 {
+		if n := len(bed.arrivedAttempts()); n != 0 {
 			t.Errorf("%d attempts arrived", n)
 		}
 	})
@@ -54,10 +54,10 @@
 
 // A customer beyond its quota is told so, with the time to come back.
 func TestCustomerOverQuotaIsRejectedWithRetryAfter(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
+	runInTestBed(t, "", func(bed *testBed) {
 		served, refused := 0, 0
 		for range 60 {
-			switch g := w.do("GET", "/records/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "500"); {
+			switch g := bed.do("GET", "/records/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "500"); {
 			case g.status == 200:
 				served++
 			case g.status == 429 && g.header.Get("Retry-After") != "" && g.header.Get("X-Yardcleat-Reason") == "quota" &&
--- a/gateway/http2_upstream_test.go
+++ b/gateway/http2_upstream_test.go
@@ -21,17 +21,17 @@
 }
 
 func TestServersOverHTTP2(t *testing.T) {
-	runInTestBedWith(t, http2ServersConfig(), func(w *testBed) {
+	runInTestBedWith(t, http2ServersConfig(), func(bed *testBed) {
 		done := make(chan response, 12)
 		for i := range 12 {
-			go func() { done <- w.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
+			go func() { done <- bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
 		}
 		for range 12 {
 			if g := <-done; g.status != 200 {
 				t.Errorf("%+v", g)
 			}
 		}
-		res, err := w.client.Do(w.postRequest("/notes/1", strings.NewReader(strings.Repeat("x", 300_000))))
+		res, err := bed.client.Do(bed.postRequest("/notes/1", strings.NewReader(strings.Repeat("x", 300_000))))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,12 +39,12 @@
 		if res.StatusCode != 200 {
 			t.Errorf("status %d", res.StatusCode)
 		}
-		w.breakServers("hang")
-		if g := w.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300"); g.status != 504 {
+		bed.setServerFault("hang")
+		if g := bed.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300"); g.status != 504 {
 			t.Errorf("%+v", g)
 		}
 		time.Sleep(100 * time.Millisecond)
-		if s := w.arrived()[len(w.arrived())-1]; s.End.Sub(s.At) > 310*time.Millisecond || s.Answered {
+		if s := bed.arrivedAttempts()[len(bed.arrivedAttempts())-1]; s.End.Sub(s.At) > 310*time.Millisecond || s.Answered {
 			t.Errorf("the stream was not reset: %+v", s)
 		}
 	})
@@ -52,7 +52,7 @@
 
 // How a stream ends decides whether a non-idempotent request is retried: only REFUSED_STREAM and a
 // GOAWAY below the stream prove that it was not executed.
-func TestHTTP2StreamErrorDecidesOnRetry(t *testing.T) {
+func TestHTTP2RetryDependsOnStreamError(t *testing.T) {
 	for name, c := range map[string]struct {
 		end   func(fr *http2.Framer, nc net.Conn, id uint32) error
 		retry bool
@@ -76,15 +76,15 @@
 		"data before headers": {func(fr *http2.Framer, _ net.Conn, id uint32) error { return fr.WriteData(id, true, []byte("x")) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runInTestBedWith(t, http2ServersConfig(), func(w *testBed) {
+			runInTestBedWith(t, http2ServersConfig(), func(bed *testBed) {
 				requests := 0
-				w.serveScriptedHTTP2(func(fr *http2.Framer, nc net.Conn, id uint32) error {
+				bed.serveScriptedHTTP2(func(fr *http2.Framer, nc net.Conn, id uint32) error {
 					if requests++; requests == 1 {
 						return c.end(fr, nc, id)
 					}
 					return respondOKOverHTTP2(fr, id)
 				})
-				g := w.do("POST", "/notes/1", "k-school")
+				g := bed.do("POST", "/notes/1", "k-school")
 				want, sent := 502, 1
 				if c.retry {
 					want, sent = 200, 2
@@ -113,33 +113,33 @@
 
 // serveScriptedHTTP2 puts scripted HTTP/2 connections in the place of both servers. handle is called
 // for each request, when its headers have come.
-func (w *testBed) serveScriptedHTTP2(handle func(fr *http2.Framer, nc net.Conn, id uint32) error) {
-	w.serveScriptedConnections(func(nc net.Conn) {
+func (bed *testBed) serveScriptedHTTP2(handle func(fr *http2.Framer, nc net.Conn, id uint32) error) {
+	bed.serveScriptedConnections(func(nc net.Conn) {
 		if _, err := io.ReadFull(nc, make([]byte, len(http2.ClientPreface))); err != nil {
 			return // a connection that was not used
 		}
 		fr := http2.NewFramer(nc, nc)
 		fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-		w.logError(fr.WriteSettings())
+		bed.logError(fr.WriteSettings())
 		for {
 			f, err := fr.ReadFrame()
 			if err != nil {
 				return
 			}
 			if headers, ok := f.(*http2.MetaHeadersFrame); ok {
-				w.logError(handle(fr, nc, headers.StreamID))
+				bed.logError(handle(fr, nc, headers.StreamID))
 			}
 		}
 	})
 }
 
 // serveScriptedConnections puts scripted connections in the place of both servers.
-func (w *testBed) serveScriptedConnections(serve func(net.Conn)) {
+func (bed *testBed) serveScriptedConnections(serve func(net.Conn)) {
 	synctest.Wait()
-	for i, s := range w.servers {
+	for i, s := range bed.servers {
 		s.Kill()
-		l := w.listen(fmt.Sprintf("10.0.1.%d:80", i+1))
-		w.closes = append(w.closes, func() { mustClose(w.t, l) })
+		l := bed.listen(fmt.Sprintf("10.0.1.%d:80", i+1))
+		bed.closers = append(bed.closers, func() { mustClose(bed.t, l) })
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -149,7 +149,7 @@
 				go func() {
 					serve(c)
 					if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-						w.t.Error(err)
+						bed.t.Error(err)
 					}
 				}()
 			}
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -15,15 +15,15 @@
 
 // A drain ends what is held, refuses what is new, and leaves nothing behind.
 func TestDrainFinishesRequestsInFlight(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
+	runInTestBed(t, "", func(bed *testBed) {
 		done := make(chan response, 3)
 		for range 3 {
-			go func() { done <- w.do("GET", "/records/1", "k-school") }()
+			go func() { done <- bed.do("GET", "/records/1", "k-school") }()
 		}
 		time.Sleep(10 * time.Millisecond)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		if err := w.node.Drain(ctx); err != nil {
+		if err := bed.gateway.Drain(ctx); err != nil {
 			t.Error(err)
 		}
 		for range 3 {
@@ -31,7 +31,7 @@
 				t.Errorf("%+v", g)
 			}
 		}
-		if g := w.do("GET", "/records/1", "k-school"); g.status != -1 {
+		if g := bed.do("GET", "/records/1", "k-school"); g.status != -1 {
 			t.Errorf("after the drain: %+v", g)
 		}
 	})
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// heldBodies is how many bodies of the largest size one HTTP/2 connection may keep in memory.
-	heldBodies = 4
-	// minHeldBodyBytes stands for the largest size where that is configured to be smaller.
-	minHeldBodyBytes = 64 << 10
+	// maxBufferedBodies is how many bodies of the largest size one HTTP/2 connection may keep in memory.
+	maxBufferedBodies = 4
+	// minBufferedBodyBytes stands for the largest size where that is configured to be smaller.
+	minBufferedBodyBytes = 64 << 10
 	// seedBits of the seed in a trace id keep those of two processes apart.
 	seedBits = 24
 )
@@ -107,7 +107,7 @@
 		HeaderBytes: limits.MaxHeaderBytes,
 		Fields:      limits.MaxHeaderFields,
 		Body:        limits.MaxRequestBody,
-		Held:        heldBodies * max(limits.MaxRequestBody, minHeldBodyBytes),
+		Held:        maxBufferedBodies * max(limits.MaxRequestBody, minBufferedBodyBytes),
 		Streams:     limits.MaxStreams,
 		Abuse:       limits.FrameBudget,
 		HeaderTime:  limits.HeaderTimeout,
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -44,7 +44,7 @@
 	gateway    *Gateway
 	machine    *membership.StateMachine // of the loop's goroutine
 	transport  *peer.Mail
-	commands   chan membershipEvent
+	events     chan membershipEvent
 	rosterFile []byte // content as last read
 
 	phaseSteps  chan struct{} // signaled when there are steps in queuedSteps
@@ -62,9 +62,9 @@
 		g.options.Log.Warn("membership snapshot unreadable; enforcing no quota share until a membership change completes", "error", err)
 	}
 	return &membershipLoop{
-		gateway:  g,
-		machine:  membership.NewStateMachine(membership.Settings{Name: g.cfg.Name, Snapshot: snapshot}),
-		commands: make(chan membershipEvent, membershipQueueSize),
+		gateway: g,
+		machine: membership.NewStateMachine(membership.Settings{Name: g.cfg.Name, Snapshot: snapshot}),
+		events:  make(chan membershipEvent, membershipQueueSize),
 
 		phaseSteps:     make(chan struct{}, 1),
 		restartedPeers: map[int]bool{},
@@ -83,7 +83,7 @@
 			for _, step := range l.takePhaseSteps() {
 				l.execute(ctx, step())
 			}
-		case event := <-l.commands:
+		case event := <-l.events:
 			l.execute(ctx, event())
 		case <-tick.C:
 			l.reloadRoster(ctx)
@@ -98,7 +98,7 @@
 // submit returns false.
 func (l *membershipLoop) submit(event membershipEvent) bool {
 	select {
-	case l.commands <- event:
+	case l.events <- event:
 		return true
 	default:
 		return false
@@ -143,7 +143,7 @@
 // receivePeerMessage takes a peer message and reports whether it is one of membership. It does not
 // block; a malformed announcement is dropped.
 func (l *membershipLoop) receivePeerMessage(from int, message []byte) bool {
-	if len(message) == 0 || message[0] != announcementMark {
+	if len(message) == 0 || message[0] != announcementMessageType {
 		return false
 	}
 	if a, ok := decodeAnnouncement(message); ok {
--- a/gateway/membership_messages.go
+++ b/gateway/membership_messages.go
@@ -9,14 +9,14 @@
 // An announcement is encoded as one byte each of mark, phase and stage, and the epoch in 8
 // bytes, big-endian. Peers of other versions read the same bytes.
 const (
-	announcementMark = 'M' // first byte; the other kinds of peer messages begin differently
-	announcementSize = 1 + 1 + 1 + 8
+	announcementMessageType = 'M' // first byte; the other kinds of peer messages begin differently
+	announcementSize        = 1 + 1 + 1 + 8
 )
 
 // encodeAnnouncement returns the bytes of an announcement.
 func encodeAnnouncement(a membership.Announcement) []byte {
 	b := make([]byte, 0, announcementSize)
-	b = append(b, announcementMark, byte(a.Phase), byte(a.Stage))
+	b = append(b, announcementMessageType, byte(a.Phase), byte(a.Stage))
 	return binary.BigEndian.AppendUint64(b, a.Epoch)
 }
 
--- a/gateway/membership_test.go
+++ b/gateway/membership_test.go
@@ -84,7 +84,7 @@
 }
 
 // A node whose first endpoint list comes after its listeners have opened serves from then on.
-func TestNodeServesOnceItsFirstEndpointsCome(t *testing.T) {
+func TestNodeServesAfterFirstEndpointList(t *testing.T) {
 	withRosterGateway(t, func(g *Gateway) {
 		g.updateEndpoints(policy.SnapshotUpdate, nil)
 		time.Sleep(time.Second)
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -58,7 +58,7 @@
 func (g *Gateway) startClock() (clock *pauseclock.Clock, origin time.Time) {
 	origin = time.Now()
 	clock = pauseclock.New(origin, g.options.Network, g.options.Pause)
-	g.closes.Add(clock.Close)
+	g.closers.Add(clock.Close)
 	g.options.Network = clock.WatchNetwork(g.options.Network)
 	return clock, origin
 }
@@ -89,7 +89,7 @@
 		HTTP2:       g.cfg.Servers.HTTP2,
 		PausedSince: clock.PausedSince,
 	})
-	g.closes.Add(pool.Close)
+	g.closers.Add(pool.Close)
 	if g.options.WrapUpstream != nil {
 		return g.options.WrapUpstream(pool)
 	}
@@ -117,14 +117,14 @@
 	if err != nil {
 		return &AuthorizerError{err}
 	}
-	g.closes.Add(g.logged("closing the authorization client failed", client.Close))
+	g.closers.Add(g.withErrorLogged("closing the authorization client failed", client.Close))
 	options.AuthorizationClient = client
 	options.AuthorizationDecider = authz.New(authzSettings(g.cfg, g.options.Seed))
 	return nil
 }
 
-// logged returns a function that calls another one and logs its error.
-func (g *Gateway) logged(message string, f func() error) func() {
+// withErrorLogged returns a function that calls another one and logs its error.
+func (g *Gateway) withErrorLogged(message string, f func() error) func() {
 	return func() {
 		if err := f(); err != nil {
 			g.options.Log.Warn(message, "error", err)
@@ -196,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	g.closes.Add(transport.Close)
+	g.closers.Add(transport.Close)
 	options.SendToPeer = transport.Send
 	if g.membership != nil {
 		g.membership.transport = transport
@@ -246,7 +246,7 @@
 	}
 	g.node = n
 	close(g.running)
-	g.goUntilClosed(n.Run)
+	g.runUntilClosed(n.Run)
 	return nil
 }
 
@@ -254,12 +254,12 @@
 func (g *Gateway) startBackground() {
 	if g.cfg.StateDir != "" {
 		g.restoreCustomerSnapshots()
-		g.goUntilClosed(g.saveSnapshotsPeriodically)
+		g.runUntilClosed(g.saveSnapshotsPeriodically)
 	}
 	if g.usageRecorder != nil {
-		g.goUntilClosed(g.usageRecorder.run)
+		g.runUntilClosed(g.usageRecorder.run)
 	}
 	if g.membership != nil {
-		g.goUntilClosed(g.membership.run)
+		g.runUntilClosed(g.membership.run)
 	}
 }
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -26,20 +26,20 @@
 // testBed is a gateway in a bubble of virtual time, with two fake servers and a fake authorization
 // service.
 type testBed struct {
-	t        *testing.T
-	mem      *network.Memory
-	rack     *catalogue.Rack
-	servers  []*catalogue.Server
-	auth     *authoriser.Server
-	node     *Gateway
-	client   *http.Client
-	host     *network.Host // the clients'
-	nodeHost *network.Host
-	closes   []func()
-	src      string // the node's configuration
+	t            *testing.T
+	network      *network.Memory
+	rack         *catalogue.Rack
+	servers      []*catalogue.Server
+	authorizer   *authoriser.Server
+	gateway      *Gateway
+	client       *http.Client
+	clientHost   *network.Host // the clients'
+	gatewayHost  *network.Host
+	closers      []func()
+	configSource string // the node's configuration
 
-	mu   sync.Mutex
-	seen []audit.Seen
+	mu       sync.Mutex
+	arrivals []audit.Seen
 }
 
 const testBedConfig = `
@@ -106,7 +106,7 @@
 
 // runInTestBed runs a test in a bubble, with more configuration. Every goroutine that it starts must
 // have ended when it returns: synctest fails it otherwise.
-func runInTestBed(t *testing.T, extra string, f func(w *testBed)) {
+func runInTestBed(t *testing.T, extra string, f func(bed *testBed)) {
 	t.Helper()
 	src := testBedConfig
 	if strings.Contains(extra, "state_dir") && !strings.Contains(extra, "counter {") { // the list comes by discovery
@@ -117,62 +117,62 @@
 }
 
 // runInTestBedWith is runInTestBed with a complete configuration.
-func runInTestBedWith(t *testing.T, src string, f func(w *testBed)) {
+func runInTestBedWith(t *testing.T, src string, f func(bed *testBed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &testBed{t: t, mem: network.NewMemory(time.Millisecond, 1), rack: &catalogue.Rack{Name: "r", Window: 2 * time.Second}}
+		bed := &testBed{t: t, network: network.NewMemory(time.Millisecond, 1), rack: &catalogue.Rack{Name: "r", Window: 2 * time.Second}}
 		for i := 1; i <= 2; i++ {
-			s := catalogue.New(catalogue.Options{Name: fmt.Sprint("s", i), Rack: w.rack, Cores: 2, Queue: 8,
+			s := catalogue.New(catalogue.Options{Name: fmt.Sprint("s", i), Rack: bed.rack, Cores: 2, Queue: 8,
 				Classes: []catalogue.Class{
 					{Name: "lookup", Method: "GET", Prefix: "/records/", Work: 50 * time.Millisecond},
 					{Name: "loan-change", Method: "POST", Prefix: "/loans/", Work: 30 * time.Millisecond, Keyed: true},
 					{Name: "note", Method: "POST", Prefix: "/notes/", Work: 30 * time.Millisecond}},
 				Record: func(s audit.Seen) {
-					w.mu.Lock()
-					defer w.mu.Unlock()
-					w.seen = append(w.seen, s)
+					bed.mu.Lock()
+					defer bed.mu.Unlock()
+					bed.arrivals = append(bed.arrivals, s)
 				}})
-			w.serve(s.Serve, fmt.Sprintf("10.0.1.%d:80", i))
-			w.servers = append(w.servers, s)
+			bed.serve(s.Serve, fmt.Sprintf("10.0.1.%d:80", i))
+			bed.servers = append(bed.servers, s)
 		}
-		w.auth = authoriser.New("denied")
-		w.serve(w.auth.Serve, "10.0.2.1:80")
-		w.src = src
-		cfg, err := config.Parse([]byte(w.src), "test.hcl")
+		bed.authorizer = authoriser.New("denied")
+		bed.serve(bed.authorizer.Serve, "10.0.2.1:80")
+		bed.configSource = src
+		cfg, err := config.Parse([]byte(bed.configSource), "test.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.nodeHost = w.mem.Host("node")
-		w.node, err = Start(cfg, Options{Network: w.nodeHost, Log: slog.New(slog.NewTextHandler(t.Output(), nil)), Seed: 1})
+		bed.gatewayHost = bed.network.Host("node")
+		bed.gateway, err = Start(cfg, Options{Network: bed.gatewayHost, Log: slog.New(slog.NewTextHandler(t.Output(), nil)), Seed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.host = w.mem.Host("client")
-		w.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
-			return w.host.Dial(ctx, addr)
+		bed.clientHost = bed.network.Host("client")
+		bed.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
+			return bed.clientHost.Dial(ctx, addr)
 		}}}
-		f(w)
-		w.client.CloseIdleConnections()
-		w.node.Kill()
-		for _, c := range w.closes {
+		f(bed)
+		bed.client.CloseIdleConnections()
+		bed.gateway.Kill()
+		for _, c := range bed.closers {
 			c()
 		}
-		for _, s := range w.servers {
+		for _, s := range bed.servers {
 			s.Kill()
 		}
-		w.auth.Kill()
+		bed.authorizer.Kill()
 		time.Sleep(time.Minute) // timers of what was closed run out
 	})
 }
 
 // serve runs a fake until it is closed; an earlier end is an error of the test.
-func (w *testBed) serve(serve func(net.Listener) error, address string) {
-	w.t.Helper()
-	l := w.listen(address)
+func (bed *testBed) serve(serve func(net.Listener) error, address string) {
+	bed.t.Helper()
+	l := bed.listen(address)
 	go func() {
 		err := serve(l)
 		if err != nil && !isServerStopped(err) {
-			w.t.Errorf("fake at %s: %v", address, err)
+			bed.t.Errorf("fake at %s: %v", address, err)
 		}
 	}()
 }
@@ -182,33 +182,33 @@
 	return errors.Is(err, http.ErrServerClosed) || errors.Is(err, grpc.ErrServerStopped)
 }
 
-// breakAuthorizer sets a fault of an authorization service.
-func (w *testBed) breakAuthorizer(a *authoriser.Server, fault, arg string) {
-	w.t.Helper()
+// setAuthorizerFault sets a fault of an authorization service.
+func (bed *testBed) setAuthorizerFault(a *authoriser.Server, fault, arg string) {
+	bed.t.Helper()
 	if err := a.Do(fault, arg); err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 }
 
 // logError logs the error of a write to a connection that the gateway may close at any time. A
 // write that had to succeed shows in what the gateway does.
-func (w *testBed) logError(err error) {
-	w.t.Helper()
+func (bed *testBed) logError(err error) {
+	bed.t.Helper()
 	if err != nil {
-		w.t.Logf("not written: %v", err)
+		bed.t.Logf("not written: %v", err)
 	}
 }
 
 // respond writes the response of a scripted server.
-func (w *testBed) respond(c net.Conn, response string) {
-	w.t.Helper()
+func (bed *testBed) respond(c net.Conn, response string) {
+	bed.t.Helper()
 	_, err := io.WriteString(c, response)
-	w.logError(err)
+	bed.logError(err)
 }
 
 // respondOK writes a response with the body "ok".
-func (w *testBed) respondOK(c net.Conn) {
-	w.respond(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+func (bed *testBed) respondOK(c net.Conn) {
+	bed.respond(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 }
 
 // mustClose closes what must be open.
@@ -236,10 +236,10 @@
 	return content
 }
 
-func (w *testBed) listen(addr string) net.Listener {
-	l, err := w.mem.Host(addr).Listen(addr)
+func (bed *testBed) listen(addr string) net.Listener {
+	l, err := bed.network.Host(addr).Listen(addr)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	return l
 }
@@ -254,11 +254,11 @@
 // do sends a request with the headers in fields, names and values in turn, and returns the response.
 // Status -1 stands for a request without a response. It may be called from any goroutine, and
 // therefore reports what the test itself does wrong with Error, not with Fatal.
-func (w *testBed) do(method, path, key string, fields ...string) response {
-	w.t.Helper()
+func (bed *testBed) do(method, path, key string, fields ...string) response {
+	bed.t.Helper()
 	req, err := http.NewRequest(method, "http://10.0.0.1:80"+path, nil)
 	if err != nil {
-		w.t.Error(err)
+		bed.t.Error(err)
 		return response{status: -1, body: err.Error()}
 	}
 	req.Header.Set("X-Api-Key", key)
@@ -266,29 +266,29 @@
 		req.Header.Set(fields[i], fields[i+1])
 	}
 	start := time.Now()
-	res, err := w.client.Do(req)
+	res, err := bed.client.Do(req)
 	if err != nil {
 		return response{status: -1, body: err.Error(), took: time.Since(start)}
 	}
 	b, err := io.ReadAll(res.Body)
 	if err := errors.Join(err, res.Body.Close()); err != nil {
-		w.t.Error(err)
+		bed.t.Error(err)
 		return response{status: -1, body: err.Error(), took: time.Since(start)}
 	}
 	return response{res.StatusCode, res.Header, string(b), time.Since(start)}
 }
 
-func (w *testBed) arrived() []audit.Seen {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.seen
+func (bed *testBed) arrivedAttempts() []audit.Seen {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	return bed.arrivals
 }
 
-// breakServers sets a fault of both servers.
-func (w *testBed) breakServers(fault string) {
-	for _, s := range w.servers {
+// setServerFault sets a fault of both servers.
+func (bed *testBed) setServerFault(fault string) {
+	for _, s := range bed.servers {
 		if err := s.Do(fault, ""); err != nil {
-			w.t.Fatal(err)
+			bed.t.Fatal(err)
 		}
 	}
 }
--- a/gateway/tls_test.go
+++ b/gateway/tls_test.go
@@ -51,9 +51,9 @@
 
 // newTLSClient returns Go's own client, which offers one protocol in ALPN. It does not verify the
 // certificate: the test looks at the serial number.
-func (w *testBed) newTLSClient(protocol string) *http.Client {
+func (bed *testBed) newTLSClient(protocol string) *http.Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
-		conn, err := w.host.Dial(ctx, "10.0.0.1:443")
+		conn, err := bed.clientHost.Dial(ctx, "10.0.0.1:443")
 		if err != nil {
 			return nil, err
 		}
@@ -66,26 +66,26 @@
 
 // getOverTLS sends a request, which must succeed, and returns the protocol of its response and the
 // serial number of the connection's certificate.
-func (w *testBed) getOverTLS(client *http.Client) (protocol string, serial int64) {
-	w.t.Helper()
+func (bed *testBed) getOverTLS(client *http.Client) (protocol string, serial int64) {
+	bed.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "https://gateway/records/1", nil)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	req.Header.Set("X-Api-Key", "k-school")
 	res, err := client.Do(req)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	_, err = io.Copy(io.Discard, res.Body)
 	if err := errors.Join(err, res.Body.Close()); err != nil {
-		w.t.Error(err)
+		bed.t.Error(err)
 	}
 	if res.StatusCode != http.StatusOK {
-		w.t.Errorf("status %d", res.StatusCode)
+		bed.t.Errorf("status %d", res.StatusCode)
 	}
 	if res.TLS == nil {
-		w.t.Fatal("the response came without TLS")
+		bed.t.Fatal("the response came without TLS")
 	}
 	return res.Proto, res.TLS.PeerCertificates[0].SerialNumber.Int64()
 }
@@ -98,27 +98,27 @@
 	files.write(t, 1)
 	listener := fmt.Sprintf("listener \"https\" \"all\" {\n address = \"10.0.0.1:443\"\n cert_file = %q\n key_file = %q\n}\n",
 		files.certificate, files.key)
-	runInTestBed(t, listener, func(w *testBed) {
-		h2, h1 := w.newTLSClient("h2"), w.newTLSClient("http/1.1")
-		if protocol, serial := w.getOverTLS(h2); protocol != "HTTP/2.0" || serial != 1 {
+	runInTestBed(t, listener, func(bed *testBed) {
+		h2, h1 := bed.newTLSClient("h2"), bed.newTLSClient("http/1.1")
+		if protocol, serial := bed.getOverTLS(h2); protocol != "HTTP/2.0" || serial != 1 {
 			t.Errorf("%s, certificate %d", protocol, serial)
 		}
-		if protocol, serial := w.getOverTLS(h1); protocol != "HTTP/1.1" || serial != 1 {
+		if protocol, serial := bed.getOverTLS(h1); protocol != "HTTP/1.1" || serial != 1 {
 			t.Errorf("%s, certificate %d", protocol, serial)
 		}
 		time.Sleep(2 * time.Second)
 		writeFile(t, files.certificate, []byte("torn"))
-		other := w.newTLSClient("h2")
-		if _, serial := w.getOverTLS(other); serial != 1 {
+		other := bed.newTLSClient("h2")
+		if _, serial := bed.getOverTLS(other); serial != 1 {
 			t.Errorf("certificate %d after a torn one", serial)
 		}
 		time.Sleep(2 * time.Second)
 		files.write(t, 2)
-		if _, serial := w.getOverTLS(h2); serial != 1 {
+		if _, serial := bed.getOverTLS(h2); serial != 1 {
 			t.Errorf("the open connection has certificate %d", serial)
 		}
-		fresh := w.newTLSClient("h2")
-		if _, serial := w.getOverTLS(fresh); serial != 2 {
+		fresh := bed.newTLSClient("h2")
+		if _, serial := bed.getOverTLS(fresh); serial != 2 {
 			t.Errorf("a new connection has certificate %d", serial)
 		}
 		for _, c := range []*http.Client{h2, h1, other, fresh} {
--- a/gateway/untrusted_clients_test.go
+++ b/gateway/untrusted_clients_test.go
@@ -10,12 +10,12 @@
 )
 
 // sendRaw sends bytes and returns what comes back until the end.
-func (w *testBed) sendRaw(parts ...string) string {
-	c, err := w.host.Dial(context.Background(), "10.0.0.1:80")
+func (bed *testBed) sendRaw(parts ...string) string {
+	c, err := bed.clientHost.Dial(context.Background(), "10.0.0.1:80")
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	defer mustClose(w.t, c)
+	defer mustClose(bed.t, c)
 	for i, p := range parts {
 		if i > 0 {
 			time.Sleep(time.Second)
@@ -25,15 +25,15 @@
 		}
 	}
 	if err := c.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
-		w.t.Error(err)
+		bed.t.Error(err)
 	}
 	b, _ := io.ReadAll(c)
 	return string(b)
 }
 
 // Slow and endless clients are cut off in time; others are served meanwhile.
-func TestSlowClientsAreCutOff(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
+func TestSlowClientsTimeOut(t *testing.T) {
+	runInTestBed(t, "", func(bed *testBed) {
 		done := make(chan struct{})
 		const key = "X-Api-Key: k-school\r\n"
 		slow := map[string][]string{
@@ -44,7 +44,7 @@
 		}
 		for name, parts := range slow {
 			go func() {
-				got := w.sendRaw(parts...)
+				got := bed.sendRaw(parts...)
 				if name != "nothing" && !strings.HasPrefix(got, "HTTP/1.1 408 ") {
 					t.Errorf("%s: %q", name, got)
 				}
@@ -52,7 +52,7 @@
 			}()
 		}
 		for range 10 {
-			if g := w.do("GET", "/records/1", "k-school"); g.status != 200 {
+			if g := bed.do("GET", "/records/1", "k-school"); g.status != 200 {
 				t.Errorf("%+v", g)
 			}
 			time.Sleep(time.Second)
@@ -60,7 +60,7 @@
 		for range slow {
 			<-done
 		}
-		if n := len(w.arrived()); n != 10 {
+		if n := len(bed.arrivedAttempts()); n != 10 {
 			t.Errorf("%d attempts, want 10", n)
 		}
 	})
@@ -68,13 +68,13 @@
 
 // Pipelined requests have their responses in order; 100 Continue comes before the body.
 func TestPipelinedRequestsAndExpectContinue(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
+	runInTestBed(t, "", func(bed *testBed) {
 		one := "GET /records/%d HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nX-Request-Id: r%d\r\n\r\n"
 		var in string
 		for i := range 5 {
 			in += fmt.Sprintf(one, i, i)
 		}
-		got := w.sendRaw(in + "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+		got := bed.sendRaw(in + "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		at := 0
 		for i := range 5 {
 			k := strings.Index(got[at:], fmt.Sprintf("X-Request-Id: r%d\r\n", i))
@@ -86,7 +86,7 @@
 		if !strings.Contains(got[at:], "HTTP/1.1 401 ") || strings.Count(got, "HTTP/1.1 ") != 6 {
 			t.Errorf("%q", got)
 		}
-		got = w.sendRaw("POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nExpect: 100-continue\r\n"+
+		got = bed.sendRaw("POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nExpect: 100-continue\r\n"+
 			"Content-Length: 3\r\nConnection: close\r\n\r\n", "abc")
 		if !strings.HasPrefix(got, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 ") {
 			t.Errorf("%q", got)
@@ -113,24 +113,24 @@
 		"HTTP/1.0 chunked":    "POST /notes/1 HTTP/1.0\r\nHost: h\r\nX-Api-Key: k-school\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
 	} {
 		t.Run(name, func(t *testing.T) {
-			runInTestBed(t, "", func(w *testBed) {
-				got := w.sendRaw(in)
+			runInTestBed(t, "", func(bed *testBed) {
+				got := bed.sendRaw(in)
 				if !strings.HasPrefix(got, "HTTP/1.1 400 ") || strings.Count(got, "HTTP/1.1 ") != 1 || !strings.Contains(got, "Connection: close\r\n") {
 					t.Errorf("%q", got)
 				}
-				if n := len(w.arrived()); n != 0 {
+				if n := len(bed.arrivedAttempts()); n != 0 {
 					t.Errorf("%d attempts reached a server", n)
 				}
 			})
 		})
 	}
 	// A body is a body: what stands in it reaches the server as such.
-	runInTestBed(t, "", func(w *testBed) {
-		got := w.sendRaw(head + fmt.Sprintf("Connection: close\r\nContent-Length: %d\r\n\r\n", len(hidden)) + hidden)
+	runInTestBed(t, "", func(bed *testBed) {
+		got := bed.sendRaw(head + fmt.Sprintf("Connection: close\r\nContent-Length: %d\r\n\r\n", len(hidden)) + hidden)
 		if !strings.HasPrefix(got, "HTTP/1.1 200 ") || strings.Count(got, "HTTP/1.1 ") != 1 {
 			t.Errorf("%q", got)
 		}
-		if n := len(w.arrived()); n != 1 {
+		if n := len(bed.arrivedAttempts()); n != 1 {
 			t.Errorf("%d attempts, want 1", n)
 		}
 	})
@@ -138,8 +138,8 @@
 
 // Over HTTP/1.1, the overhead of chunks is bounded in proportion to their content.
 func TestChunkOverheadIsBounded(t *testing.T) {
-	runInTestBed(t, "", func(w *testBed) {
-		nc, err := w.host.Dial(context.Background(), "10.0.0.1:80")
+	runInTestBed(t, "", func(bed *testBed) {
+		nc, err := bed.clientHost.Dial(context.Background(), "10.0.0.1:80")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -66,7 +66,7 @@
 			Retention:  counter.Retention,
 		}),
 	}
-	g.closes.Add(r.client.Close)
+	g.closers.Add(r.client.Close)
 	r.assignPeers(gateways)
 	if g.cfg.StateDir == "" {
 		return r, nil
@@ -104,7 +104,7 @@
 			"error", moved.Cause, "path", moved.Path, "moved_to", moved.MovedTo)
 	}
 	r.storage = &usageStorage{gateway: g, tracker: r.tracker, store: store}
-	g.closes.Add(r.storage.close)
+	g.closers.Add(r.storage.close)
 	r.tracker.LoadStored(g.options.WallClock(), contents.Entries)
 	return nil
 }
@@ -129,7 +129,7 @@
 // RequestSeen implements node.UsageRecorder.
 func (r *usageRecorder) RequestSeen(request *node.Request) {
 	peers := r.peersByCustomer[request.Customer]
-	r.perform(r.tracker.RecordRequest(r.gateway.options.WallClock(), request.Customer, request.Plan, peers))
+	r.execute(r.tracker.RecordRequest(r.gateway.options.WallClock(), request.Customer, request.Plan, peers))
 }
 
 // RequestForwarded implements node.UsageRecorder.
@@ -155,7 +155,7 @@
 			return
 		}
 		//nolint:contextcheck // calls to the counter end at their own timeout, or when the client is closed
-		r.gateway.node.Do(func() { r.perform(r.tracker.Tick(r.gateway.options.WallClock())) })
+		r.gateway.node.Do(func() { r.execute(r.tracker.Tick(r.gateway.options.WallClock())) })
 		if r.storage != nil && time.Since(savedAt) >= usageSaveInterval {
 			savedAt = time.Now()
 			r.storage.save(ctx)
@@ -163,8 +163,8 @@
 	}
 }
 
-// perform carries out the tracker's actions.
-func (r *usageRecorder) perform(actions []usage.Action) {
+// execute carries out the tracker's actions.
+func (r *usageRecorder) execute(actions []usage.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case usage.CounterCall:
@@ -183,7 +183,7 @@
 func (r *usageRecorder) call(call usage.CounterCall) {
 	r.client.Do(call, func(response usage.CounterResponse) {
 		r.gateway.node.DoWithResponse(func() {
-			r.perform(r.tracker.HandleResponse(r.gateway.options.WallClock(), call.ID, response))
+			r.execute(r.tracker.HandleResponse(r.gateway.options.WallClock(), call.ID, response))
 		})
 	})
 }
--- a/gateway/usage_messages.go
+++ b/gateway/usage_messages.go
@@ -14,9 +14,9 @@
 // of that process: hash of the customer's name (8), window (4) and units in thousandths (8).
 // Numbers are big-endian.
 const (
-	// usageMessageMark is the first byte. Messages of the policy begin with their version,
+	// usageMessageType is the first byte. Messages of the policy begin with their version,
 	// which is smaller.
-	usageMessageMark = 'T'
+	usageMessageType = 'T'
 
 	usageMessageHeaderSize = 1 + 8
 	usageMessageEntrySize  = 8 + 4 + 8
@@ -45,13 +45,13 @@
 
 // isUsageMessage tells whether a peer's message is about usage.
 func isUsageMessage(message []byte) bool {
-	return len(message) > 0 && message[0] == usageMessageMark
+	return len(message) > 0 && message[0] == usageMessageType
 }
 
 // encode makes a message of entries of this process.
 func (c usageMessageCodec) encode(entries []usage.CounterEntry) []byte {
 	message := make([]byte, 0, usageMessageHeaderSize+usageMessageEntrySize*len(entries))
-	message = append(message, usageMessageMark)
+	message = append(message, usageMessageType)
 	message = binary.BigEndian.AppendUint64(message, c.incarnation)
 	for _, entry := range entries {
 		message = binary.BigEndian.AppendUint64(message, xxhash.Sum64String(entry.Key.Customer))
--- a/gateway/usage_test.go
+++ b/gateway/usage_test.go
@@ -33,41 +33,41 @@
 
 // withFakeCounter runs a test in a test bed with a counter. stateDir is the node's state
 // directory, or "" for none.
-func withFakeCounter(t *testing.T, stateDir string, test func(w *testBed, c *counter.Server)) {
+func withFakeCounter(t *testing.T, stateDir string, test func(bed *testBed, c *counter.Server)) {
 	t.Helper()
 	extra := counterBlock
 	if stateDir != "" {
 		extra += fmt.Sprintf("node { state_dir = %q }\n", stateDir)
 	}
-	runInTestBed(t, extra, func(w *testBed) {
+	runInTestBed(t, extra, func(bed *testBed) {
 		c := counter.New()
-		w.serve(c.Serve, "10.0.5.1:80")
-		test(w, c)
-		w.node.Kill()
+		bed.serve(c.Serve, "10.0.5.1:80")
+		test(bed, c)
+		bed.gateway.Kill()
 		c.Kill()
 	})
 }
 
 // restart kills the node and starts it again.
-func (w *testBed) restart() {
-	w.t.Helper()
-	w.node.Kill()
-	w.client.CloseIdleConnections()
-	cfg, err := config.Parse([]byte(w.src), "test.hcl")
+func (bed *testBed) restart() {
+	bed.t.Helper()
+	bed.gateway.Kill()
+	bed.client.CloseIdleConnections()
+	cfg, err := config.Parse([]byte(bed.configSource), "test.hcl")
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.node, err = Start(cfg, Options{Network: w.mem.Host("node"), Log: slog.New(slog.NewTextHandler(w.t.Output(), nil)), Seed: 2})
+	bed.gateway, err = Start(cfg, Options{Network: bed.network.Host("node"), Log: slog.New(slog.NewTextHandler(bed.t.Output(), nil)), Seed: 2})
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 }
 
 // countServed sends requests and returns how many were served.
-func (w *testBed) countServed(n int, key string) int {
+func (bed *testBed) countServed(n int, key string) int {
 	served := 0
 	for i := range n {
-		if g := w.do("GET", fmt.Sprint("/records/", i), key); g.status == 200 {
+		if g := bed.do("GET", fmt.Sprint("/records/", i), key); g.status == 200 {
 			served++
 		}
 	}
@@ -85,7 +85,7 @@
 
 // The counter holds what was forwarded, in spite of its own faults, and no request waits
 // for it.
-func TestCounterHoldsWhatWasForwardedAfterFaults(t *testing.T) {
+func TestCounterTotalsMatchForwardedRequestsAfterFaults(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		before, after counterFault // what happens to the counter before and after requests
@@ -99,12 +99,12 @@
 		{"old copy", counterFault{name: "save"}, counterFault{name: "restore"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			withFakeCounter(t, "", func(w *testBed, server *counter.Server) {
-				forwarded := w.countServed(5, "k-school")
+			withFakeCounter(t, "", func(bed *testBed, server *counter.Server) {
+				forwarded := bed.countServed(5, "k-school")
 				time.Sleep(time.Second)
 				applyFault(t, server, c.before)
 				start := time.Now()
-				forwarded += w.countServed(8, "k-school")
+				forwarded += bed.countServed(8, "k-school")
 				if took := time.Since(start); took > 8*100*time.Millisecond {
 					t.Errorf("requests waited for the counter: %v", took)
 				}
@@ -137,15 +137,15 @@
 // its storage.
 func TestKilledNodeRestoresUnconfirmedUsageFromStorage(t *testing.T) {
 	dir := t.TempDir()
-	withFakeCounter(t, dir, func(w *testBed, c *counter.Server) {
-		forwarded := w.countServed(5, "k-school")
+	withFakeCounter(t, dir, func(bed *testBed, c *counter.Server) {
+		forwarded := bed.countServed(5, "k-school")
 		time.Sleep(2 * time.Second)
 		applyFault(t, c, counterFault{name: "silent"})
-		forwarded += w.countServed(6, "k-school")
+		forwarded += bed.countServed(6, "k-school")
 		time.Sleep(2 * time.Second) // saved, not in the counter
-		w.restart()
+		bed.restart()
 		applyFault(t, c, counterFault{name: "ok"})
-		forwarded += w.countServed(3, "k-school")
+		forwarded += bed.countServed(3, "k-school")
 		time.Sleep(15 * time.Second)
 		if got, want := storedUnits(c, "school"), int64(1000*forwarded); got != want {
 			t.Errorf("the counter holds %d, %d forwarded", got, want)
@@ -155,7 +155,7 @@
 
 // A restarted node knows from the counter what a customer has used. Without the counter it
 // would admit most of a bucket a second time.
-func TestRestartedNodeKnowsUsedQuota(t *testing.T) {
+func TestRestartedNodeRestoresUsedQuota(t *testing.T) {
 	with := servedAfterRestart(t, true)
 	without := servedAfterRestart(t, false)
 	t.Logf("served after the restart: %d with the counter, %d without", with, without)
@@ -168,32 +168,32 @@
 // further requests are served.
 func servedAfterRestart(t *testing.T, counterUp bool) (served int) {
 	t.Helper()
-	withFakeCounter(t, "", func(w *testBed, c *counter.Server) {
+	withFakeCounter(t, "", func(bed *testBed, c *counter.Server) {
 		if !counterUp {
 			applyFault(t, c, counterFault{name: "refuse"})
 		}
 		time.Sleep(21 * time.Second) // the time to fill the bucket: the first process knows it
-		if first := w.countServed(25, "k-slow"); first < 15 || first > 23 {
+		if first := bed.countServed(25, "k-slow"); first < 15 || first > 23 {
 			t.Errorf("%d of a bucket of 20 served", first)
 		}
 		time.Sleep(time.Second)
-		w.restart()
-		served = w.countServed(25, "k-slow")
+		bed.restart()
+		served = bed.countServed(25, "k-slow")
 	})
 	return served
 }
 
 // A save goes on behind totals that have not changed, however many there are.
-func TestSaveGoesOnBehindTotalsWithoutChanges(t *testing.T) {
-	runInTestBed(t, counterBlock, func(w *testBed) {
+func TestSaveContinuesPastUnchangedTotals(t *testing.T) {
+	runInTestBed(t, counterBlock, func(bed *testBed) {
 		path := filepath.Join(t.TempDir(), "tally")
 		store, _, err := storage.Open(path, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Now()
-		tracker := usage.New(usageSettings(w.node.cfg, 1, 1))
-		window := now.Unix() / int64(w.node.cfg.Counter.Window/time.Second)
+		tracker := usage.New(usageSettings(bed.gateway.cfg, 1, 1))
+		window := now.Unix() / int64(bed.gateway.cfg.Counter.Window/time.Second)
 		var loaded []usage.CounterEntry
 		for i := range 2 * maxTotalsPerSave {
 			key := usage.TotalKey{Customer: fmt.Sprint("c", i), Window: window}
@@ -201,7 +201,7 @@
 		}
 		tracker.LoadStored(now, loaded)
 		tracker.RecordForwarded(now, "school", "basic", nil, 3)
-		s := &usageStorage{gateway: w.node, tracker: tracker, store: store}
+		s := &usageStorage{gateway: bed.gateway, tracker: tracker, store: store}
 		s.save(context.Background())
 		s.close()
 		store, contents, err := storage.Open(path, 0)
@@ -214,6 +214,6 @@
 		if len(contents.Entries) != 1 || contents.Entries[0].Key.Customer != "school" || contents.Entries[0].Units != 3000 {
 			t.Errorf("saved %v", contents.Entries)
 		}
-		w.node.Kill()
+		bed.gateway.Kill()
 	})
 }
