--- a/authz/address.go
+++ b/authz/address.go
@@ -118,12 +118,12 @@
 	return best
 }
 
-// allOpen reports whether the breakers of all addresses are open.
-func (d *Decider) allOpen() bool {
+// allBreakersOpen reports whether the breakers of all addresses are open.
+func (d *Decider) allBreakersOpen() bool {
 	return !slices.ContainsFunc(d.addresses, func(a *address) bool { return !a.breaker.open(d.now) })
 }
 
-// hasHealthyBeside reports whether an address other than one is healthy.
-func (d *Decider) hasHealthyBeside(one *address) bool {
+// hasOtherHealthyAddress reports whether an address other than one is healthy.
+func (d *Decider) hasOtherHealthyAddress(one *address) bool {
 	return slices.ContainsFunc(d.addresses, func(a *address) bool { return a != one && a.breaker.healthy(d.now) })
 }
--- a/authz/concurrency_limit_test.go
+++ b/authz/concurrency_limit_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestConcurrencyLimitKeepsToItsBounds(t *testing.T) {
+func TestConcurrencyLimitStaysWithinBounds(t *testing.T) {
 	l := newConcurrencyLimit(17)
 	for range 100 {
 		l.recordResult(0.010, 17)
@@ -44,7 +44,7 @@
 }
 
 // A limit that is configured below the usual floor is kept, whatever the results are.
-func TestConcurrencyLimitBelowTheFloorIsKept(t *testing.T) {
+func TestConcurrencyLimitBelowDefaultMinimumIsKept(t *testing.T) {
 	for maxInFlight := 1; maxInFlight < minConcurrency; maxInFlight++ {
 		for name, record := range map[string]func(*concurrencyLimit){
 			"failures":     (*concurrencyLimit).recordFailure,
--- a/authz/decider.go
+++ b/authz/decider.go
@@ -113,7 +113,7 @@
 	}
 	asked := d.addresses[r.address]
 	r.address = noAddress
-	d.noteBreaker(asked, asked.checkEnded(now, r.isProbe, result, d.settings.Timeout, d.rng))
+	d.reportBreakerChange(asked, asked.checkEnded(now, r.isProbe, result, d.settings.Timeout, d.rng))
 	if result.Outcome.hasResult() {
 		if ttl := cmp.Or(result.CacheTTL, r.class.CacheTTL); ttl > 0 {
 			d.cache.put(now, r.cacheKey(), result, ttl)
@@ -192,7 +192,7 @@
 // retryOrFallBack goes on with a request whose check gave no result. The retry goes to another
 // address, where one is healthy.
 func (d *Decider) retryOrFallBack(r *pendingRequest, asked *address) {
-	if r.attempts < maxAttempts && r.timeLeft(d.now) >= minCheckTimeout && d.hasHealthyBeside(asked) {
+	if r.attempts < maxAttempts && r.timeLeft(d.now) >= minCheckTimeout && d.hasOtherHealthyAddress(asked) {
 		d.queue.push(r)
 	} else {
 		d.resolveByFallback(r)
@@ -204,7 +204,7 @@
 	for r := d.queue.first(); r != nil; r = d.queue.first() {
 		a := d.pickAddress(r)
 		if a == nil {
-			if d.allOpen() {
+			if d.allBreakersOpen() {
 				d.resolveUnreachable()
 			}
 			return
@@ -220,7 +220,7 @@
 
 func (d *Decider) sendCheck(r *pendingRequest, a *address) {
 	timeout := r.timeLeft(d.now)
-	if r.attempts == 0 && d.hasHealthyBeside(a) {
+	if r.attempts == 0 && d.hasOtherHealthyAddress(a) {
 		timeout = time.Duration(firstCheckShare * float64(timeout))
 	}
 	attempt := r.attempts
@@ -239,7 +239,7 @@
 	}
 }
 
-func (d *Decider) noteBreaker(a *address, change breakerChange) {
+func (d *Decider) reportBreakerChange(a *address, change breakerChange) {
 	switch change {
 	case breakerOpened:
 		d.emit(OperatorNote{Address: a.index, Text: "authorization address failed repeatedly; circuit breaker opened"})
--- a/authz/fallback_test.go
+++ b/authz/fallback_test.go
@@ -44,7 +44,7 @@
 }
 
 // The time that the service states for a result comes before that of the class.
-func TestStatedTimeOfAResultComesFirst(t *testing.T) {
+func TestCacheTTLOfServiceOverridesClass(t *testing.T) {
 	d := New(testSettings(1))
 	d.StartRequest(testStart, Request{ID: 1, Class: "cached", Customer: "a", Resource: "x", Remaining: time.Second})
 	d.FinishCheck(testStart, 1, 0, CheckResult{Outcome: Allowed, CacheTTL: 2 * time.Second})
--- a/authz/queue_test.go
+++ b/authz/queue_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestLateRequestsLeaveTheQueue(t *testing.T) {
+func TestLateRequestsAreRemovedFromQueue(t *testing.T) {
 	var q requestQueue
 	class := newClassState(Class{Mode: FailClosed})
 	late := &pendingRequest{Request: Request{ID: 1}, class: class, deadline: testStart.Add(minCheckTimeout - 1)}
--- a/authz/slow_service_test.go
+++ b/authz/slow_service_test.go
@@ -52,17 +52,17 @@
 // simService is a simulated authorization service with a number of cores. It works on a check
 // even when nobody waits for it any more.
 type simService struct {
-	sim      *simulation
-	cores    int
-	busy     int
-	queue    []func()
-	workTime func(now time.Duration) time.Duration
+	sim         *simulation
+	cores       int
+	busy        int
+	queue       []func()
+	serviceTime func(now time.Duration) time.Duration
 }
 
 func (v *simService) check(done func()) {
 	start := func() {
-		v.sim.after(v.workTime(v.sim.now), func() {
-			v.coreFree()
+		v.sim.after(v.serviceTime(v.sim.now), func() {
+			v.releaseCore()
 			done()
 		})
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (v *simService) coreFree() {
+func (v *simService) releaseCore() {
 	if len(v.queue) == 0 {
 		v.busy--
 		return
@@ -101,9 +101,9 @@
 	lastArrival   = 40 * time.Second
 	simulationEnd = 60 * time.Second
 
-	simRate         = 300.0 // requests a second
-	simKeyedShare   = 0.4   // of requests that must not proceed unchecked
-	simCheckTimeout = 200 * time.Millisecond
+	simRate            = 300.0 // requests a second
+	simFailClosedShare = 0.4   // of requests that must not proceed unchecked
+	simCheckTimeout    = 200 * time.Millisecond
 )
 
 // requestCounts is what came of the requests that started in a phase.
@@ -111,20 +111,20 @@
 
 // simRequest is a request of the simulation.
 type simRequest struct {
-	keyed   bool // must not proceed unchecked
-	allowed bool // by the service
-	counts  *requestCounts
+	failsClosed bool // must not proceed unchecked
+	allowed     bool // by the service
+	counts      *requestCounts
 }
 
 func (r *simRequest) proceed() {
 	r.counts.proceeded++
-	if r.keyed && !r.allowed {
+	if r.failsClosed && !r.allowed {
 		r.counts.unchecked++
 	}
 }
 
-// slowService simulates a service that becomes slow and recovers.
-type slowService struct {
+// slowServiceSimulation simulates a service that becomes slow and recovers.
+type slowServiceSimulation struct {
 	sim      *simulation
 	service  *simService
 	client   clientKind
@@ -141,9 +141,9 @@
 func simulateSlowService(slowTime time.Duration, client clientKind) (during, after requestCounts) {
 	const normalTime = 5 * time.Millisecond
 	sim := &simulation{}
-	w := &slowService{
+	w := &slowServiceSimulation{
 		sim: sim,
-		service: &simService{sim: sim, cores: 4, workTime: func(now time.Duration) time.Duration {
+		service: &simService{sim: sim, cores: 4, serviceTime: func(now time.Duration) time.Duration {
 			if now >= slowFrom && now < slowUntil {
 				return slowTime
 			}
@@ -164,7 +164,7 @@
 }
 
 // countsNow are those of the phase in which a request starts now.
-func (w *slowService) countsNow() *requestCounts {
+func (w *slowServiceSimulation) countsNow() *requestCounts {
 	switch {
 	case w.sim.now < slowFrom:
 		return &w.before
@@ -175,16 +175,16 @@
 	}
 }
 
-func (w *slowService) clock() time.Time { return testStart.Add(w.sim.now) }
+func (w *slowServiceSimulation) clock() time.Time { return testStart.Add(w.sim.now) }
 
-func (w *slowService) arrive() {
+func (w *slowServiceSimulation) arrive() {
 	w.lastID++
-	r := &simRequest{keyed: w.rng.Float64() < simKeyedShare, counts: w.countsNow()}
+	r := &simRequest{failsClosed: w.rng.Float64() < simFailClosedShare, counts: w.countsNow()}
 	w.requests[w.lastID] = r
 	r.counts.started++
 	if w.client == withDecider {
 		class := "safe"
-		if r.keyed {
+		if r.failsClosed {
 			class = "keyed"
 		}
 		w.carryOut(w.decider.StartRequest(w.clock(), Request{ID: w.lastID, Class: class, Customer: "a", Remaining: time.Second}))
@@ -196,7 +196,7 @@
 	}
 }
 
-func (w *slowService) checkWithFixedTimeout(r *simRequest) {
+func (w *slowServiceSimulation) checkWithFixedTimeout(r *simRequest) {
 	r.counts.checks++
 	finished := false
 	w.sim.after(simCheckTimeout, func() {
@@ -219,7 +219,7 @@
 	})
 }
 
-func (w *slowService) carryOut(actions []Action) {
+func (w *slowServiceSimulation) carryOut(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendCheck:
@@ -236,7 +236,7 @@
 	}
 }
 
-func (w *slowService) sendCheck(a SendCheck) {
+func (w *slowServiceSimulation) sendCheck(a SendCheck) {
 	r := w.requests[a.ID]
 	r.counts.checks++
 	startedAt := w.sim.now
@@ -257,7 +257,7 @@
 // The service slows from 5 ms to 50 ms or 2 s, and recovers. Requests that fail open proceed, none
 // that fails closed does unchecked; once the service is back, so are the requests, without a
 // second overload by checks that nobody waits for.
-func TestSlowServiceTermOpening(t *testing.T) {
+func TestRequestsProceedWhileServiceIsSlowAndAfterwards(t *testing.T) {
 	for _, slowTime := range []time.Duration{50 * time.Millisecond, 2 * time.Second} {
 		for _, client := range []clientKind{withDecider, fixedFailClosed, fixedFailOpen} {
 			during, after := simulateSlowService(slowTime, client)
--- a/internal/pauseclock/clock_test.go
+++ b/internal/pauseclock/clock_test.go
@@ -41,7 +41,7 @@
 }
 
 // A process is paused for 2 s; a peer sends in the middle of it.
-func TestClockFindsPauseAndDatesWhatArrivedInIt(t *testing.T) {
+func TestClockDetectsPauseAndArrivalTimesDuringIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host, clock, conn, peer := watchedPair(t)
 		time.Sleep(time.Second)
@@ -85,7 +85,7 @@
 }
 
 // A socket counts as unread until its reader is back in a read, and has handled what it read.
-func TestSocketIsUnreadWhileItsReaderIsAtWork(t *testing.T) {
+func TestSocketIsUnreadWhileReaderProcessesData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host, clock, conn, peer := watchedPair(t)
 		time.Sleep(time.Second)
@@ -124,7 +124,7 @@
 	})
 }
 
-func TestArrivalTimeOfWhatIsNotWatchedIsZero(t *testing.T) {
+func TestArrivalTimeIsZeroForUnwatchedConnection(t *testing.T) {
 	a, b := net.Pipe()
 	defer func() {
 		_ = a.Close()
--- a/internal/pauseclock/tcp_linux_test.go
+++ b/internal/pauseclock/tcp_linux_test.go
@@ -34,7 +34,7 @@
 	// The first socket of a machine that asks for timestamps has them only a moment later.
 	dated := false
 	for attempts := 0; attempts < 20 && !dated; attempts++ {
-		dated = lateReadIsDated(t, peer, conn, buffer)
+		dated = lateReadHasArrivalTime(t, peer, conn, buffer)
 	}
 	if !dated {
 		t.Error("no late read has the time at which its bytes arrived")
@@ -50,9 +50,9 @@
 	}
 }
 
-// lateReadIsDated sends, reads 100 ms later, and reports whether the read is dated to when its
+// lateReadHasArrivalTime sends, reads 100 ms later, and reports whether the read is dated to when its
 // bytes were sent.
-func lateReadIsDated(t *testing.T, peer, conn net.Conn, buffer []byte) bool {
+func lateReadHasArrivalTime(t *testing.T, peer, conn net.Conn, buffer []byte) bool {
 	t.Helper()
 	if _, err := peer.Write([]byte("late")); err != nil {
 		t.Fatal(err)
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -6,9 +6,9 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// startAttempt carries out the policy's decision to send a request to a server. Where
-// the request is answered or its deadline has passed, nothing is sent and the attempt
-// ends as TooLate, which proves that it never ran.
+// startAttempt carries out the policy's decision to send a request to a server. If the
+// request is answered or its deadline has passed, nothing is sent and the attempt ends with
+// TooLate, which proves that it never ran.
 func (n *Node) startAttempt(action policy.StartAttempt) {
 	r := n.requests[action.ID]
 	if r == nil {
@@ -35,8 +35,8 @@
 	n.sendUpstream(r, timeout)
 }
 
-// permitForward lets the proxy that asked make the current attempt itself. That is the
-// final response; the attempt stays active until the proxy reports its result.
+// permitForward answers a Proxied request with a permit for the proxy to make the current
+// attempt. The attempt stays active until the proxy reports its result.
 func (n *Node) permitForward(r *pendingRequest, timeout time.Duration) {
 	n.respond(r, FinalResponse{Kind: Served, Permit: &ForwardPermit{
 		ID:            r.id,
@@ -47,7 +47,7 @@
 	}})
 }
 
-// sendUpstream makes the current attempt. Its result comes back as an event.
+// sendUpstream makes the current attempt. Its result is enqueued as an event.
 func (n *Node) sendUpstream(r *pendingRequest, timeout time.Duration) {
 	number := r.attempts.current()
 	endpoint := n.endpoints[r.attempts.server]
@@ -67,14 +67,14 @@
 	r.work.withdraw = outgoing.Withdraw
 }
 
-// FinishProxiedAttempt reports the result of an attempt that a ForwardPermit let a
-// proxy make. It may be called from any goroutine and never blocks. A report of any
-// other attempt, or a second one, changes nothing.
+// FinishProxiedAttempt reports the result of an attempt that a proxy made with a
+// ForwardPermit. It may be called from any goroutine and never blocks. Reports of other
+// attempts, and further reports of the same attempt, are ignored.
 func (n *Node) FinishProxiedAttempt(id policy.RequestID, attempt int, result Result) {
 	n.enqueue(proxiedAttemptFinished{id: id, attempt: attempt, result: result})
 }
 
-// handleProxiedAttemptFinished handles the report of a proxy.
+// handleProxiedAttemptFinished handles a proxy's report, unless the attempt was ended before.
 func (n *Node) handleProxiedAttemptFinished(e proxiedAttemptFinished) {
 	r := n.requests[e.id]
 	if r != nil && r.request.Proxied && r.attempts.isActive(e.attempt) {
@@ -99,15 +99,15 @@
 	}
 }
 
-// timeOutAttempt ends the attempt that is active where its time has run out.
+// timeOutAttempt ends the active attempt because its time has run out.
 func (n *Node) timeOutAttempt(r *pendingRequest) {
 	n.finishAttempt(r, Result{Code: policy.TimedOut, Detail: "attempt timed out"})
 }
 
-// finishAttempt ends the active attempt with its result and passes the result to the
-// policy; without an active attempt it does nothing. A server's response becomes the final
-// one. The work on the connection ends before the policy handles the result, so that a
-// next attempt starts after this one has ended.
+// finishAttempt ends the active attempt and passes its result to the policy; without an
+// active attempt it does nothing. A server's response becomes the final response. The work
+// on the connection ends before the policy handles the result, so that the next attempt
+// starts only after this one has ended.
 func (n *Node) finishAttempt(r *pendingRequest, result Result) {
 	if !r.attempts.active {
 		return
@@ -135,7 +135,7 @@
 	n.releaseIfDone(r)
 }
 
-// serveResponse answers with a server's response, unless the request is answered.
+// serveResponse answers a request with a server's response, unless it is already answered.
 func (n *Node) serveResponse(r *pendingRequest, response *Response) {
 	if r.isAnswered() {
 		return
--- a/node/authorization.go
+++ b/node/authorization.go
@@ -5,8 +5,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// authorizationPruneInterval is how many requests are begun between two removals of
-// the authorization results that have expired.
+// authorizationPruneInterval is the number of requests between two removals of expired
+// authorization results.
 const authorizationPruneInterval = 4096
 
 // authorize submits a request to the authorization decider.
@@ -48,8 +48,8 @@
 	}
 }
 
-// startCheck sends an authorization check. Its result comes back as an event, or its
-// timer expires.
+// startCheck sends an authorization check. It ends when its result is handled as an event,
+// or when its timer expires.
 func (n *Node) startCheck(action authz.SendCheck) {
 	r := n.requests[policy.RequestID(action.ID)]
 	r.authorization.number = action.Attempt
@@ -62,8 +62,8 @@
 	})
 }
 
-// finishCheck hands the result of the running check to the authorization decider. Only
-// the first result of a check counts.
+// finishCheck passes the result of the running check to the authorization decider. Only
+// the first result of a check is used.
 func (n *Node) finishCheck(r *pendingRequest, check int, result AuthorizationResult) {
 	if r.state != stateAuthorizing || !r.work.isRunning() || r.authorization.number != check {
 		return
@@ -81,8 +81,8 @@
 	}))
 }
 
-// abandonCheck ends the authorization of a request that is about to be answered.
-func (n *Node) abandonCheck(r *pendingRequest) {
+// cancelAuthorization cancels the authorization of a request that is about to be answered.
+func (n *Node) cancelAuthorization(r *pendingRequest) {
 	if r.state != stateAuthorizing {
 		return
 	}
@@ -91,9 +91,9 @@
 	n.executeAuthorization(n.options.AuthorizationDecider.CancelRequest(n.wallTime(), uint64(r.id)))
 }
 
-// concludeAuthorization ends the authorization of a request as the decider resolved it:
-// by the last check or, where that gave no result, by a cached result or the default of
-// the class.
+// concludeAuthorization carries out the decider's decision on a request. The decision is
+// based on the last check or, if that gave no result, on a cached result or the mode of the
+// class.
 func (n *Node) concludeAuthorization(action authz.Resolve) {
 	r := n.requests[policy.RequestID(action.ID)]
 	if r == nil || r.state != stateAuthorizing {
@@ -110,7 +110,7 @@
 	if reason == ReasonNone {
 		result.apply(&r.request.HTTP)
 		r.authorization.granted = result
-		n.askPolicy(r)
+		n.submitToPolicy(r)
 		return
 	}
 	response := FinalResponse{Kind: Rejected, Reason: reason}
--- a/node/authorizer.go
+++ b/node/authorizer.go
@@ -10,12 +10,12 @@
 	"yardcleat.example/yardcleat/internal/http1"
 )
 
-// AuthorizationResult is the result of an authorization check. An allowed request is
-// changed by the fields of the result before it is forwarded.
+// AuthorizationResult is the result of an authorization check. Its header and query changes
+// are applied to an allowed request before it is forwarded.
 type AuthorizationResult struct {
 	Outcome  authz.Outcome
-	Denial   *Response     // with the outcome Denied: the response for the client
-	CacheTTL time.Duration // how long the result may be used again; 0: the service did not say
+	Denial   *Response     // the response for the client, if Outcome is Denied
+	CacheTTL time.Duration // how long the result may be reused; 0 if the service did not specify it
 	Detail   string        // for the log
 
 	SetHeaders    http1.Header // replace the client's fields of the same name
@@ -30,13 +30,13 @@
 
 // Authorizer makes checks with the external authorization service.
 type Authorizer interface {
-	// Check asks the service at the address with that index, from 0. It is called in the
-	// loop and must not block. It calls done once, from any goroutine, unless cancel is
-	// called first. The node ends the check after the timeout.
+	// Check sends a check to the service. address is the index of the service's address,
+	// from 0. Check is called in the loop and must not block. It calls done once, from any
+	// goroutine, unless cancel is called first. The node ends the check after the timeout.
 	Check(address int, request *Request, timeout time.Duration, done func(AuthorizationResult)) (cancel func())
 }
 
-// apply changes a request as the authorization service asks for.
+// apply makes the changes to a request that the authorization service specified.
 func (r *AuthorizationResult) apply(request *HTTPRequest) {
 	for _, name := range r.RemoveHeaders {
 		request.Header.Del(name)
@@ -50,8 +50,8 @@
 	}
 }
 
-// applyToQuery returns a target with query parameters set and removed. The others keep
-// their place and their encoding.
+// applyToQuery returns a target with query parameters set and removed. The other parameters
+// keep their order and their encoding.
 func (r *AuthorizationResult) applyToQuery(target string) string {
 	path, query, _ := strings.Cut(target, "?")
 	var parameters []string
--- a/node/drain.go
+++ b/node/drain.go
@@ -7,7 +7,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// UnansweredError is the error of Drain where its context ends too early.
+// UnansweredError is returned by Drain if its context ends before all requests are answered.
 type UnansweredError struct {
 	Requests int   // requests without a final response; at least 1
 	Cause    error // the error of the context
@@ -20,9 +20,9 @@
 // Unwrap returns the error of the context.
 func (e *UnansweredError) Unwrap() error { return e.Cause }
 
-// Drain rejects further requests, for good, and waits until all accepted ones have
-// their final response. Where the context ends first, it returns an *UnansweredError;
-// the requests then go on. Any goroutine but the loop's may call it, one at a time.
+// Drain permanently rejects further requests and waits until all accepted requests have
+// their final response. If the context ends first, it returns an *UnansweredError; the
+// requests then continue. It must not be called in the loop, nor concurrently with itself.
 func (n *Node) Drain(ctx context.Context) error {
 	for {
 		unanswered := n.closeForRequests()
@@ -37,7 +37,7 @@
 	}
 }
 
-// closeForRequests rejects further requests and returns how many are unanswered.
+// closeForRequests makes the node reject further requests, and returns how many are unanswered.
 func (n *Node) closeForRequests() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,8 +45,8 @@
 	return n.unanswered
 }
 
-// AbortRequests rejects further requests, for good, and has the loop answer all that
-// are unanswered at once: they are rejected where nothing was sent, so that a retry is
+// AbortRequests permanently rejects further requests and has the loop answer all unanswered
+// ones immediately. A request is rejected if nothing of it was sent, since a retry is then
 // harmless, and failed otherwise. It may be called from any goroutine and never blocks.
 func (n *Node) AbortRequests() {
 	n.mu.Lock()
@@ -55,7 +55,7 @@
 	n.enqueueLocked(requestsAborted{})
 }
 
-// abortRequests answers every request, and cancels attempts in flight.
+// abortRequests answers every unanswered request and cancels its attempt in flight.
 func (n *Node) abortRequests() {
 	for _, r := range n.requests {
 		if !r.isAnswered() {
@@ -65,7 +65,7 @@
 }
 
 func (n *Node) abortRequest(r *pendingRequest) {
-	n.abandonCheck(r)
+	n.cancelAuthorization(r)
 	response := FinalResponse{Kind: Failed, Reason: ReasonDraining}
 	if r.attempts.count == 0 {
 		response.Kind = Rejected
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -6,26 +6,24 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Endpoint is one entry of the endpoint list: a server as the policy sees it, and its
-// address.
+// Endpoint is one entry of the endpoint list: the policy's description of a server, and the
+// server's address.
 type Endpoint struct {
-	// Server is for the policy. HasStartTime and StartedAt are set by the node, from
-	// StartTime.
+	// Server is passed to the policy. The node sets HasStartTime and StartedAt from StartTime.
 	policy.Server
 
 	Address string // host:port
 
-	// ConnectionKey names the server and its start. HTTP/1.1 connections are shared only
-	// by attempts with the same key; HTTP/2 connections are shared by address. Empty: the
-	// address is the key.
+	// ConnectionKey identifies the server and its start. HTTP/1.1 connections are shared only
+	// by attempts with the same key; HTTP/2 connections are shared by address. If it is
+	// empty, the address is the key.
 	ConnectionKey string
 
-	StartTime time.Time // the server's last start by the wall clock; zero: not known
+	StartTime time.Time // the server's last start by the wall clock; zero if unknown
 }
 
-// UpdateEndpoints gives the node the endpoint list or, depending on kind, changes to it. It
-// may be called from any goroutine and never blocks; the node owns the list from then
-// on.
+// UpdateEndpoints passes the endpoint list or, depending on kind, changes to it to the node.
+// It may be called from any goroutine and never blocks. The node takes ownership of list.
 func (n *Node) UpdateEndpoints(kind policy.EndpointUpdateKind, list []Endpoint) {
 	n.enqueue(endpointsUpdated{kind: kind, endpoints: list})
 }
@@ -53,16 +51,16 @@
 	n.withdrawUnsentAttempts()
 }
 
-// withdrawUnsentAttempts ends the attempts at servers that accept no more work, as far
-// as their requests have not been written yet: a slow dial may succeed long after its
-// server began to drain.
+// withdrawUnsentAttempts ends the attempts at servers that accept no more work if their
+// requests have not been written yet: a slow dial may succeed long after the server began
+// to drain.
 func (n *Node) withdrawUnsentAttempts() {
 	for _, r := range n.requests {
 		if !r.attempts.active || n.acceptsWork(r.attempts.server) {
 			continue
 		}
 		if r.work.tryWithdraw() {
-			n.finishAttempt(r, Result{Code: policy.Withdrawn, Detail: "server left before the request was sent"})
+			n.finishAttempt(r, Result{Code: policy.Withdrawn, Detail: "server draining or removed before the request was sent"})
 		}
 	}
 }
--- a/node/events.go
+++ b/node/events.go
@@ -5,11 +5,11 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// event is something that happened outside the loop and waits to be handled by it.
-// Any goroutine may enqueue one; only the loop handles it.
+// event is an input from outside the loop. Any goroutine may enqueue one; only the loop
+// handles it.
 type event interface {
-	// pauseKind decides which events go first among those received while the
-	// process was paused. Without a pause, events are handled in order of arrival.
+	// pauseKind determines the order of the events received while the process was paused.
+	// Without a pause, events are handled in order of arrival.
 	pauseKind() pause.EventKind
 }
 
@@ -19,7 +19,7 @@
 // clientDisconnected reports that the client of a request has disconnected.
 type clientDisconnected struct{ request *pendingRequest }
 
-// peerMessageReceived carries a message of another gateway.
+// peerMessageReceived carries a message from another gateway.
 type peerMessageReceived struct {
 	from int
 	data []byte
@@ -31,34 +31,34 @@
 	endpoints []Endpoint
 }
 
-// attemptFinished is the result of an attempt that the Upstream made.
+// attemptFinished carries the result of an attempt made by the Upstream.
 type attemptFinished struct {
 	request *pendingRequest
 	attempt int
 	result  Result
 }
 
-// proxiedAttemptFinished is the result of an attempt that a proxy made.
+// proxiedAttemptFinished carries the result of an attempt made by a proxy.
 type proxiedAttemptFinished struct {
 	id      policy.RequestID
 	attempt int
 	result  Result
 }
 
-// checkFinished is the result of an authorization check.
+// checkFinished carries the result of an authorization check.
 type checkFinished struct {
 	request *pendingRequest
 	check   int
 	result  AuthorizationResult
 }
 
-// requestsAborted asks for a final response to every request at once.
+// requestsAborted requests that every unanswered request be answered immediately.
 type requestsAborted struct{}
 
-// functionCall is a function to be called in the loop.
+// functionCall carries a function to call in the loop.
 type functionCall struct{ function func() }
 
-// responseCall is a function to be called in the loop with the response of an external service.
+// responseCall carries a function that handles the response of an external service.
 type responseCall struct{ function func() }
 
 func (requestSubmitted) pauseKind() pause.EventKind       { return pause.RequestArrived }
@@ -98,7 +98,7 @@
 	}
 }
 
-// enqueue hands an event to the loop. It never blocks.
+// enqueue appends an event to the loop's queue. It never blocks.
 func (n *Node) enqueue(e event) {
 	n.mu.Lock()
 	n.enqueueLocked(e)
@@ -113,8 +113,8 @@
 	}
 }
 
-// signal wakes the receiver of a channel with room for one signal; a signal that
-// has not been received yet is enough.
+// signal wakes the receiver of a channel with a buffer of one. It does nothing if an earlier
+// signal has not been received yet.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -122,21 +122,22 @@
 	}
 }
 
-// ReceivePeerMessage hands the policy a message of another gateway. It may be called
-// from any goroutine and never blocks; the node owns data from then on.
+// ReceivePeerMessage passes a message from another gateway to the policy. It may be called
+// from any goroutine and never blocks. The node takes ownership of data.
 func (n *Node) ReceivePeerMessage(from int, data []byte) {
 	n.enqueue(peerMessageReceived{from: from, data: data})
 }
 
-// Do calls f in the loop, in order with all other events, and returns at once. It may
-// be called from any goroutine; f must not block.
+// Do schedules a call of f in the loop, in order with all other events, and returns
+// immediately. It may be called from any goroutine; f must not block.
 func (n *Node) Do(f func()) { n.enqueue(functionCall{f}) }
 
-// DoWithResponse calls f in the loop as Do does. After a pause of the process it goes before the
-// timers that expired meanwhile, as other responses that came from outside.
+// DoWithResponse is like Do, for an f that handles the response of an external service. After
+// a pause of the process f is called before the timers that expired meanwhile fire, as for
+// all events received from outside.
 func (n *Node) DoWithResponse(f func()) { n.enqueue(responseCall{f}) }
 
-// InjectPolicyPanic makes the policy panic at its next event; for tests.
+// InjectPolicyPanic makes the policy panic at its next event. It is for tests only.
 func (n *Node) InjectPolicyPanic() {
 	n.Do(func() {
 		n.policy = nil
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -6,10 +6,10 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Submit hands a request to the node. The node calls reply once with the final
-// response: in the loop, or before Submit returns where the request is rejected at
-// once. Reply must not block. The caller calls the function returned when the client
-// has disconnected; it may be called from any goroutine, at any time, and never blocks.
+// Submit passes a request to the node. The node calls reply once with the final response:
+// in the loop, or before Submit returns if the request is rejected immediately. reply must
+// not block. The caller must call the returned function when the client disconnects; it may
+// be called from any goroutine, at any time, and never blocks.
 //
 // Submit may be called from any goroutine and never blocks. The request belongs to the
 // node until Options.OnRequestDone is called with it.
@@ -22,8 +22,8 @@
 	return func() { n.enqueue(clientDisconnected{r}) }
 }
 
-// arrivalTime is when a request arrived. The clock is read in any case, since that
-// also detects a pause of the process.
+// arrivalTime returns when a request arrived. It always reads the clock, since that also
+// detects a pause of the process.
 func (n *Node) arrivalTime(request *Request) time.Duration {
 	now := n.options.Clock.Now()
 	if request.Arrived.IsZero() {
@@ -32,8 +32,9 @@
 	return request.Arrived.Sub(n.timeOrigin)
 }
 
-// accept enqueues a request, or returns why it can't be accepted. Both happen under
-// one lock: once closing is set, the loop empties the queue for the last time.
+// accept enqueues a request, or returns the reason why it can't be accepted. It checks
+// closing and enqueues under the same lock: after closing is set, the loop empties the queue
+// for the last time, and a request enqueued later would never be answered.
 func (n *Node) accept(r *pendingRequest) Reason {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,20 +57,20 @@
 	reply(response)
 }
 
-// Unanswered is the number of requests that were accepted and have no final response.
-// It may be called from any goroutine.
+// Unanswered returns the number of accepted requests that have no final response. It may
+// be called from any goroutine.
 func (n *Node) Unanswered() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.unanswered
 }
 
-// beginRequest is the first step of a request in the loop: it gets its number and its
-// deadline, and goes to the authorization decider or the policy.
+// beginRequest is the first step of a request in the loop: it assigns the ID and the
+// deadline, and submits the request to the authorization decider or to the policy.
 func (n *Node) beginRequest(r *pendingRequest) {
 	n.lastID++
 	r.id = n.lastID
-	r.deadline = r.receivedAt + n.timeToAnswer(r.request.ClientTimeout)
+	r.deadline = r.receivedAt + n.responseTimeout(r.request.ClientTimeout)
 	n.requests[r.id] = r
 	if r.clientDisconnected {
 		n.respond(r, FinalResponse{Kind: Failed, Reason: ReasonClientDisconnected})
@@ -83,20 +84,20 @@
 	}
 	r.deadlineTimer = n.timerWheel.Add(r.deadline, func() { n.handleDeadline(r) })
 	if n.options.AuthorizationDecider == nil {
-		n.askPolicy(r)
+		n.submitToPolicy(r)
 		return
 	}
 	n.authorize(r)
 }
 
-// timeToAnswer is the part of the client's timeout that the node uses: all but the margin
-// for the response to reach the client, and half of it at least.
-func (n *Node) timeToAnswer(clientTimeout time.Duration) time.Duration {
+// responseTimeout returns the time within which the node must respond: the client timeout
+// minus the response margin, but at least half of the client timeout.
+func (n *Node) responseTimeout(clientTimeout time.Duration) time.Duration {
 	return max(clientTimeout-n.options.ResponseMargin, clientTimeout/2)
 }
 
-// handleDeadline ensures that a request has its final response at its deadline,
-// whatever the authorization service, the servers and the policy do.
+// handleDeadline ensures that a request has its final response at its deadline, even if the
+// authorization service, the servers or the policy have not produced one.
 func (n *Node) handleDeadline(r *pendingRequest) {
 	if r.isAnswered() {
 		return
@@ -104,14 +105,14 @@
 	if r.attempts.active {
 		n.timeOutAttempt(r)
 	}
-	// The policy answers requests whose last attempt has timed out, also where the
-	// attempt's own timer expired in the same step of the wheel.
+	// The policy decides on a request whose last attempt has timed out, also if the attempt's
+	// own timer expired in the same step of the timer wheel.
 	n.runPolicy()
 	if r.isAnswered() {
 		return
 	}
 	if r.state == stateAuthorizing {
-		n.abandonCheck(r)
+		n.cancelAuthorization(r)
 		n.respond(r, FinalResponse{Kind: Rejected, Reason: ReasonAuthorizationTimeout, RetryAfter: n.options.Settings.MaxRetryAfter})
 		n.release(r)
 		return
@@ -126,9 +127,9 @@
 	n.releaseIfDone(r)
 }
 
-// handleClientDisconnect ends a request whose client has gone before the final
-// response. An attempt in flight runs to its end, unless its request has not been
-// written yet: a slow dial must not start work for a client that left long ago.
+// handleClientDisconnect ends a request whose client disconnected before the final
+// response. An attempt in flight runs to its end, unless its request has not been written
+// yet: a slow dial must not start work for a client that disconnected long before.
 func (n *Node) handleClientDisconnect(r *pendingRequest) {
 	if r.id == 0 {
 		r.clientDisconnected = true
@@ -137,7 +138,7 @@
 	if r.isAnswered() {
 		return
 	}
-	n.abandonCheck(r)
+	n.cancelAuthorization(r)
 	n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
 	n.respond(r, FinalResponse{Kind: Failed, Reason: ReasonClientDisconnected})
 	if r.attempts.active && r.work.tryWithdraw() {
@@ -146,7 +147,7 @@
 	n.releaseIfDone(r)
 }
 
-// respond gives a request its final response; only the first one counts.
+// respond gives a request its final response. It does nothing if the request already has one.
 func (n *Node) respond(r *pendingRequest, response FinalResponse) {
 	if r.isAnswered() {
 		return
@@ -162,7 +163,7 @@
 	n.countAnswered()
 }
 
-// countAnswered wakes Drain with the last request that was unanswered.
+// countAnswered counts an answered request, and wakes Drain if no unanswered request is left.
 func (n *Node) countAnswered() {
 	n.mu.Lock()
 	n.unanswered--
@@ -180,7 +181,7 @@
 	}
 }
 
-// release drops a request from the loop's state.
+// release removes a request from the loop's state and calls Options.OnRequestDone.
 func (n *Node) release(r *pendingRequest) {
 	r.deadlineTimer.Stop()
 	delete(n.requests, r.id)
--- a/node/logging.go
+++ b/node/logging.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// responseLogDetails are the logged facts of a final response that neither the request
-// nor the response contains.
+// responseLogDetails holds the logged values of a final response that are part of neither
+// the request nor the response.
 type responseLogDetails struct {
 	attempts int
 	elapsed  time.Duration // from the request's arrival to its response
-	detail   string        // of the last result; "": none
+	detail   string        // detail of the last result; empty if none
 }
 
-// logFinalResponse writes the one log line of a request. Its keys and the values of
-// answer and reason are listed on the operators' page.
+// logFinalResponse writes the log line of a final response. The operators' documentation
+// lists its keys and the values of answer and reason.
 func (n *Node) logFinalResponse(request *Request, response FinalResponse, details responseLogDetails) {
 	if !n.options.Logger.Enabled(n.logContext, slog.LevelInfo) {
 		return
@@ -39,8 +39,8 @@
 	n.options.Logger.LogAttrs(n.logContext, slog.LevelInfo, "answer", attrs...)
 }
 
-// loggedKind is the kind of a response in the log, which distinguishes a permit to forward
-// from a server's response.
+// loggedKind returns the kind of a response as logged. Unlike ResponseKind, it distinguishes
+// a forward permit from a server's response.
 func loggedKind(response FinalResponse) string {
 	if response.Permit != nil {
 		return "let pass"
--- a/node/loop.go
+++ b/node/loop.go
@@ -7,12 +7,11 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// maxIdleWait is how long the loop sleeps where no timer is set.
+// maxIdleWait is how long the loop sleeps if no timer is set.
 const maxIdleWait = time.Hour
 
-// Run is the loop: it handles events and timers until the context ends. Requests
-// that have no final response by then are failed. Run is called once; its goroutine owns
-// loopState.
+// Run handles events and timers until the context ends, then fails the requests that have
+// no final response. It must be called only once; its goroutine owns loopState.
 func (n *Node) Run(ctx context.Context) {
 	timer := time.NewTimer(maxIdleWait)
 	defer timer.Stop()
@@ -45,8 +44,8 @@
 	n.failRemaining()
 }
 
-// sleep waits until the time has passed or wake is signaled. It reports false where
-// the context ended first. A nil wake is never signaled.
+// sleep waits until the duration has passed or wake is signaled. It returns false if the
+// context ended first. A nil wake is never signaled.
 func sleep(ctx context.Context, timer *time.Timer, duration time.Duration, wake <-chan struct{}) bool {
 	timer.Reset(duration)
 	select {
@@ -59,8 +58,8 @@
 	}
 }
 
-// takeQueue returns the events that wait, and leaves the storage of the batch before
-// as the empty queue.
+// takeQueue returns the queued events. The storage of handled, the previous batch, is
+// reused for the new, empty queue.
 func (n *Node) takeQueue(handled []event) []event {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -69,11 +68,11 @@
 	return batch
 }
 
-// refreshTime reads the clock after the loop slept: an idle loop reads no clock, which does
-// not mean that the process was paused.
+// refreshTime updates the loop's time after the loop slept. A sleeping loop does not read
+// the clock; without this update detectPause would take that gap for a pause.
 func (n *Node) refreshTime() { n.now = max(n.now, n.options.Clock.Now()) }
 
-// untilNextTimer is how long the loop may sleep.
+// untilNextTimer returns how long the loop may sleep.
 func (n *Node) untilNextTimer() time.Duration {
 	next, ok := n.timerWheel.Next()
 	if !ok {
@@ -82,36 +81,36 @@
 	return next - time.Since(n.timeOrigin)
 }
 
-// detectPause reads the clock and raises the barrier where the process was paused, or
-// where the loop alone did not read the clock for too long.
+// detectPause reads the clock and raises the barrier if the process was paused, or if only
+// the loop did not read the clock for longer than a pause.
 func (n *Node) detectPause() {
 	now := n.options.Clock.Now()
 	pauses := n.options.Clock.Pauses()
-	sinceLastLook := now - n.now
-	if pauses != n.pausesSeen || sinceLastLook > n.options.Pause.MinPause {
+	sinceLastReading := now - n.now
+	if pauses != n.pausesHandled || sinceLastReading > n.options.Pause.MinPause {
 		n.options.Logger.Warn("process was paused; reading sockets before handling requests",
-			"duration", max(sinceLastLook, n.pausedTimeSince(n.pauseCheckedAt, now)))
-		n.pausesSeen = pauses
+			"duration", max(sinceLastReading, n.pausedTimeSince(n.pauseCheckedAt, now)))
+		n.pausesHandled = pauses
 		n.barrier.Raise(now)
 	}
 	n.pauseCheckedAt = now
 	n.now = max(n.now, now)
 }
 
-// pausedTimeSince is how long the process was paused between two times.
+// pausedTimeSince returns how long the process was paused between two times.
 func (n *Node) pausedTimeSince(from, to time.Duration) time.Duration {
 	return to - from - n.options.Clock.ActiveTime(from, to)
 }
 
-// expireTimers fires the timers that are due. They go before the events of a turn, so
-// that no work is done for requests that are too late.
+// expireTimers fires the timers that are due. In each iteration of the loop it runs before
+// the events are handled, so that no work is done for requests whose deadline has passed.
 func (n *Node) expireTimers() {
 	n.timerWheel.Advance(n.now)
 	n.runPolicy()
 }
 
-// handleEvents handles events in order, as long as the process runs. Those after a
-// pause are deferred until the barrier is lifted.
+// handleEvents handles events in order. If it detects a pause of the process, it defers
+// the remaining events until the barrier is lifted.
 func (n *Node) handleEvents(batch []event) {
 	for i, e := range batch {
 		n.detectPause()
@@ -125,9 +124,8 @@
 	clear(batch)
 }
 
-// handleDeferred handles the events that waited behind the barrier, in the order that
-// package pause gives them: external events go before the timers that
-// expired meanwhile, and these before new requests.
+// handleDeferred handles the events that waited behind the barrier, in the order defined by
+// package pause: external events, then the timers that expired meanwhile, then new requests.
 func (n *Node) handleDeferred() {
 	deferred := n.deferred
 	n.deferred = nil
@@ -141,8 +139,8 @@
 	n.handleEvents(deferred[beforeTimers:])
 }
 
-// failRemaining handles the events that still wait and fails every request without a
-// final response. No event is handled after it.
+// failRemaining handles the remaining events and fails every request without a final
+// response. No event is handled afterwards.
 func (n *Node) failRemaining() {
 	n.mu.Lock()
 	n.closing = true
--- a/node/node.go
+++ b/node/node.go
@@ -10,49 +10,49 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Node is one running gateway. New makes one; the zero value can't be used. Its methods
-// may be called from any goroutine, but for those that say otherwise.
+// Node is one running gateway. Use New to create one; the zero value is not usable. Its
+// methods may be called from any goroutine unless their documentation says otherwise.
 type Node struct {
 	options    Options
 	timeOrigin time.Time
-	logContext context.Context // for the log's handler: requests bring no context of their own
+	logContext context.Context // passed to the log handler: requests have no context of their own
 
 	wake        chan struct{} // signaled when the queue is no longer empty
-	allAnswered chan struct{} // signaled when no request is unanswered any more
+	allAnswered chan struct{} // signaled when the last unanswered request is answered
 
 	mu         sync.Mutex // guards the fields of this block
-	queue      []event    // waits for the loop
+	queue      []event    // events that the loop has not taken yet
 	closing    bool       // no further request is accepted
-	unanswered int        // requests accepted that have no final response
+	unanswered int        // accepted requests without a final response
 
 	loopState
 }
 
-// loopState is what belongs to the loop: only the goroutine of Run reads or writes it,
-// and needs no lock for that.
+// loopState is the state owned by the loop. Only the goroutine of Run accesses it, so it
+// needs no lock.
 type loopState struct {
-	now        time.Duration // since the time origin, as of the last look at the clock
+	now        time.Duration // time since the time origin when the loop last read the clock
 	timerWheel timers.Wheel
 
-	pausesSeen     int64         // number of pauses of the process that the loop has handled
-	pauseCheckedAt time.Duration // when the loop last looked for one
+	pausesHandled  int64         // number of pauses of the process that the loop has handled
+	pauseCheckedAt time.Duration // when the loop last checked for a pause
 	barrier        pause.Barrier // raised after a pause, until the sockets are read
-	deferred       []event       // waits for the barrier to be lifted
+	deferred       []event       // events held until the barrier is lifted
 
-	requests  map[policy.RequestID]*pendingRequest // without those that are answered and done
-	lastID    policy.RequestID                     // of the request begun last
-	endpoints map[policy.ServerID]Endpoint         // the endpoint list, without removed servers
+	requests  map[policy.RequestID]*pendingRequest // requests that are not released
+	lastID    policy.RequestID                     // ID of the most recently begun request
+	endpoints map[policy.ServerID]Endpoint         // the endpoint list without removed servers
 
 	policy          *policy.Gateway
-	seed            uint64              // of the policy; counts up with each restart of it
-	fleetSize       policy.FleetResized // the last one, for a policy that is restarted; zero: none
-	policyEvents    []policy.Event      // for the policy; those before nextPolicyEvent are handled
+	seed            uint64              // seed of the policy; incremented at each restart of the policy
+	fleetSize       policy.FleetResized // passed to a restarted policy; the zero value means none was received
+	policyEvents    []policy.Event      // events for the policy; those before nextPolicyEvent are handled
 	nextPolicyEvent int
 	policyActions   []policy.Action // storage for the actions of one event
 }
 
-// New returns a node that accepts requests and does nothing else until Run is called.
-// The error is of the policy, for settings that it can't use.
+// New returns a node that accepts requests; nothing is done for them until Run is called.
+// It returns the policy's error if the settings are invalid.
 func New(options Options) (*Node, error) {
 	gateway, err := policy.New(options.Settings, options.Seed)
 	if err != nil {
@@ -75,10 +75,10 @@
 	}, nil
 }
 
-// wallTime is the loop's time as a time of day.
+// wallTime returns the loop's current time as a time.Time.
 func (n *Node) wallTime() time.Time { return n.timeOrigin.Add(n.now) }
 
-// activeTimeSince is how long the process has run since a time; pauses don't count.
+// activeTimeSince returns how long the process has run since start, without pauses.
 func (n *Node) activeTimeSince(start time.Duration) time.Duration {
 	return n.options.Clock.ActiveTime(start, n.now)
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -15,14 +15,14 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// usageRecorder counts the requests that were put to the policy.
+// usageRecorder counts the requests that were submitted to the policy.
 type usageRecorder struct{ seen int }
 
 func (u *usageRecorder) RequestSeen(*Request) { u.seen++ }
 
 func (*usageRecorder) RequestForwarded(*Request) {}
 
-// newNode returns a node of one gateway without servers, whose loop does not run.
+// newNode returns the node of a fleet of one, without servers. Its loop does not run.
 func newNode(t *testing.T, usage UsageRecorder) *Node {
 	t.Helper()
 	n, err := New(Options{
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestDisconnectDuringPauseGoesBeforeRequest(t *testing.T) {
+func TestDisconnectDuringPauseIsHandledBeforeRequest(t *testing.T) {
 	usage := &usageRecorder{}
 	n := newNode(t, usage)
 	var responses []FinalResponse
@@ -87,11 +87,11 @@
 		t.Errorf("responses %+v", responses)
 	}
 	if usage.seen != 0 {
-		t.Error("the policy was asked for a client that had gone")
+		t.Error("a request whose client had disconnected was submitted to the policy")
 	}
 }
 
-func TestExpiredTimersGoBeforeFunctionCalls(t *testing.T) {
+func TestExpiredTimersFireBeforeFunctionCalls(t *testing.T) {
 	n := newNode(t, nil)
 	n.refreshTime()
 	var order []string
@@ -138,7 +138,8 @@
 
 func (withdrawableUpstream) Withdraw() bool { return true }
 
-// An attempt at a server that begins to drain is withdrawn, which the policy does not take for the server's failure.
+// If a server begins to drain before the request of an attempt is written, the attempt ends as Withdrawn, a result
+// that the policy does not count as a failure of the server.
 func TestAttemptAtADrainingServerIsWithdrawn(t *testing.T) {
 	n := newNode(t, nil)
 	n.options.Upstream = withdrawableUpstream{}
@@ -159,8 +160,8 @@
 	}
 }
 
-// A request that is left when a drain runs out of time fails since the node is shutting down.
-func TestRequestLeftByADrainFailsAsDraining(t *testing.T) {
+// A request that is still unanswered when the loop ends, as after a drain that timed out, fails with ReasonDraining.
+func TestRequestUnansweredAfterDrainFailsAsDraining(t *testing.T) {
 	n := newNode(t, nil)
 	var final FinalResponse
 	n.Submit(newRequest(), func(r FinalResponse) { final = r })
@@ -171,7 +172,7 @@
 	}
 }
 
-// pausedClock is the clock of a process that was paused for a while, which somebody noticed before the loop.
+// pausedClock is the clock of a process that was paused, when the pause was detected outside the loop.
 type pausedClock struct {
 	now, paused time.Duration
 	pauses      int64
@@ -185,7 +186,7 @@
 
 func (*pausedClock) UnreadSockets() int { return 0 }
 
-// The log line of a pause has its length, also where the loop slept through it.
+// The log line of a pause contains its duration, also if the loop was sleeping during the pause.
 func TestPauseIsLoggedWithItsLength(t *testing.T) {
 	n := newNode(t, nil)
 	var log bytes.Buffer
@@ -201,8 +202,8 @@
 	}
 }
 
-// The response of an external service that came during a pause goes before the timers that expired meanwhile.
-func TestResponseDuringPauseGoesBeforeTimers(t *testing.T) {
+// The response of an external service that arrived during a pause is handled before the timers that expired meanwhile.
+func TestResponseDuringPauseIsHandledBeforeTimers(t *testing.T) {
 	n := newNode(t, nil)
 	n.refreshTime()
 	var order []string
--- a/node/pending_request.go
+++ b/node/pending_request.go
@@ -7,17 +7,17 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// requestState is the state of a request between Submit and its release. It changes only
-// in the methods of pendingRequest below:
+// requestState is the state of a request between Submit and its release. Only the methods
+// of pendingRequest below change it:
 //
 //	authorizing → deciding → inFlight → answered
 //	                  ↑_________|
 //
-// Every state may also go straight to answered, which is final.
+// Every state may also change directly to answered, which is final.
 type requestState int
 
 const (
-	stateAuthorizing requestState = iota // waits for the authorization service, or for its first turn in the loop
+	stateAuthorizing requestState = iota // waits for the authorization service, or to be begun by the loop
 	stateDeciding                        // waits for the policy's decision
 	stateInFlight                        // waits for the result of an attempt
 	stateAnswered                        // has its final response; a proxied attempt may still be in flight
@@ -30,12 +30,12 @@
 	request *Request
 	reply   func(FinalResponse)
 	state   requestState
-	detail  string // explains the last result, for the log
+	detail  string // description of the last result, for the log
 
-	receivedAt         time.Duration // since the node's time origin, as is deadline
-	deadline           time.Duration // the final response is given no later
-	deadlineTimer      *timers.Timer // nil where the request is answered as it begins
-	clientDisconnected bool          // before the request was begun
+	receivedAt         time.Duration // since the node's time origin, like deadline
+	deadline           time.Duration // when the final response is due at the latest
+	deadlineTimer      *timers.Timer // nil if the request is answered when it is begun
+	clientDisconnected bool          // the client disconnected before the request was begun
 
 	authorization authorizationCheck
 	attempts      attemptHistory
@@ -44,13 +44,13 @@
 
 // authorizationCheck is the last authorization check of a request and its result.
 type authorizationCheck struct {
-	number    int           // of the last check started
+	number    int           // number of the last check started
 	startedAt time.Duration // since the node's time origin
 	result    AuthorizationResult
-	granted   AuthorizationResult // the result by which the request was let through
+	granted   AuthorizationResult // the result that permitted the request
 }
 
-// attemptHistory is the number of attempts of a request, and the state of the last one.
+// attemptHistory counts the attempts of a request and holds the state of the last one.
 type attemptHistory struct {
 	count      int // attempts started; they are numbered from 0
 	active     bool
@@ -59,24 +59,24 @@
 	lastResult policy.ResultCode
 }
 
-// current is the number of the last attempt.
+// current returns the number of the last attempt.
 func (h *attemptHistory) current() int { return h.count - 1 }
 
-// isActive reports whether an attempt is the one in flight.
+// isActive reports whether the attempt with the given number is in flight.
 func (h *attemptHistory) isActive(attempt int) bool { return h.active && attempt == h.current() }
 
-// outgoingWork is the authorization check or the attempt in flight: a request never
-// has both. The zero value is none.
+// outgoingWork is the authorization check or the attempt in flight; a request never has
+// both. The zero value means that nothing is in flight.
 type outgoingWork struct {
 	timeout  *timers.Timer
-	cancel   func()      // nil where nothing is to be canceled
+	cancel   func()      // nil if there is nothing to cancel
 	withdraw func() bool // see OutgoingAttempt; nil for checks and proxied attempts
 }
 
-// isRunning reports whether there is work in flight.
+// isRunning reports whether a check or an attempt is in flight.
 func (w *outgoingWork) isRunning() bool { return w.timeout != nil }
 
-// stop ends the work; it does nothing where there is none.
+// stop ends the work in flight, if there is any.
 func (w *outgoingWork) stop() {
 	w.timeout.Stop()
 	if w.cancel != nil {
@@ -85,21 +85,21 @@
 	*w = outgoingWork{}
 }
 
-// completed notes that the work ended by itself, so that there is nothing to cancel.
+// completed records that the work ended by itself, so that stop does not cancel it.
 func (w *outgoingWork) completed() { w.cancel, w.withdraw = nil, nil }
 
-// tryWithdraw ends an attempt that has not begun to write its request, and reports
-// whether it did.
+// tryWithdraw ends the attempt if it has not begun to write its request, and reports whether
+// it ended the attempt.
 func (w *outgoingWork) tryWithdraw() bool { return w.withdraw != nil && w.withdraw() }
 
-// awaitAuthorization begins the state of a request that waits for its check.
+// awaitAuthorization moves the request to the state in which it waits for its check.
 func (r *pendingRequest) awaitAuthorization() { r.state = stateAuthorizing }
 
-// awaitDecision begins the state of a request that waits for the policy.
+// awaitDecision moves the request to the state in which it waits for the policy.
 func (r *pendingRequest) awaitDecision() { r.state = stateDeciding }
 
-// beginAttempt counts an attempt, whether or not it can still be sent, and returns its
-// number.
+// beginAttempt counts a new attempt, even if it turns out to be too late to send it, and
+// returns its number.
 func (r *pendingRequest) beginAttempt(server policy.ServerID, now time.Duration) int {
 	r.attempts.server = server
 	r.attempts.startedAt = now
@@ -108,11 +108,11 @@
 	return r.attempts.current()
 }
 
-// awaitAttempt waits for the result of the attempt that is being sent.
+// awaitAttempt moves the request to the state in which it waits for an attempt's result.
 func (r *pendingRequest) awaitAttempt() { r.state = stateInFlight }
 
-// endAttempt records the result of the active attempt. A request that is not answered
-// goes back to the policy.
+// endAttempt records the result of the active attempt. If the request is not answered, it
+// then waits for the policy again.
 func (r *pendingRequest) endAttempt(result Result) {
 	r.attempts.active = false
 	r.attempts.lastResult = result.Code
@@ -124,11 +124,11 @@
 	}
 }
 
-// markAnswered is the final state.
+// markAnswered moves the request to its final state.
 func (r *pendingRequest) markAnswered() { r.state = stateAnswered }
 
 // isAnswered reports whether the request has its final response.
 func (r *pendingRequest) isAnswered() bool { return r.state == stateAnswered }
 
-// isDone reports whether nothing more happens to the request.
+// isDone reports whether the request is answered and has no attempt in flight.
 func (r *pendingRequest) isDone() bool { return r.isAnswered() && !r.attempts.active }
--- a/node/policy.go
+++ b/node/policy.go
@@ -9,13 +9,13 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Details in the responses when every request is failed.
+// Details in the responses when the node fails all requests.
 const (
 	detailPolicyPanicked = "panic in a decision"
 	detailStopped        = "stopped"
 )
 
-// policyPanic is a panic of the policy, recovered.
+// policyPanic is the error for a recovered panic of the policy.
 type policyPanic struct {
 	value any
 	stack []byte
@@ -23,8 +23,8 @@
 
 func (p *policyPanic) Error() string { return fmt.Sprintf("%v\n%s", p.value, p.stack) }
 
-// askPolicy puts a request to the policy.
-func (n *Node) askPolicy(r *pendingRequest) {
+// submitToPolicy submits a request to the policy.
+func (n *Node) submitToPolicy(r *pendingRequest) {
 	r.awaitDecision()
 	request := r.request
 	if n.options.UsageRecorder != nil {
@@ -43,11 +43,11 @@
 	})
 }
 
-// queuePolicyEvent has the policy handle an event when runPolicy is called next.
+// queuePolicyEvent queues an event for the next call of runPolicy.
 func (n *Node) queuePolicyEvent(event policy.Event) { n.policyEvents = append(n.policyEvents, event) }
 
-// runPolicy gives the policy its events one by one and carries out the actions of each
-// before the next, until no event is left.
+// runPolicy passes the queued events to the policy, one by one, and carries out the actions
+// of each event before the next. It returns when no event is left.
 func (n *Node) runPolicy() {
 	for n.nextPolicyEvent < len(n.policyEvents) {
 		event := n.policyEvents[n.nextPolicyEvent]
@@ -69,8 +69,8 @@
 	n.nextPolicyEvent = 0
 }
 
-// callPolicy has the policy handle one event. The error is a *policyPanic. The actions
-// are valid until the next call.
+// callPolicy passes one event to the policy and returns its actions, which are valid until
+// the next call. If the policy panics, it returns a *policyPanic.
 func (n *Node) callPolicy(event policy.Event) (actions []policy.Action, err error) {
 	defer func() {
 		if value := recover(); value != nil {
@@ -81,8 +81,8 @@
 	return n.policyActions, nil
 }
 
-// restartPolicy replaces a policy that panicked, whose state can't be trusted: every
-// request is failed, and a new policy starts as after a restart of the process, with
+// restartPolicy replaces a policy that panicked, since its state may be inconsistent. All
+// requests fail, and a new policy starts as it would after a restart of the process, with
 // the current endpoint list.
 func (n *Node) restartPolicy(event policy.Event, cause error) {
 	n.options.Logger.Error("policy panicked; failing all requests and restarting policy",
@@ -101,11 +101,11 @@
 	}
 }
 
-// failAll fails and releases every request, and ends all work in flight: a result that is on its
-// way comes too late.
+// failAll fails and releases every request and ends all work in flight. Results that arrive
+// later are ignored.
 func (n *Node) failAll(reason Reason, detail string) {
 	for _, r := range n.requests {
-		n.abandonCheck(r)
+		n.cancelAuthorization(r)
 		n.respond(r, FinalResponse{Kind: Failed, Reason: reason, Detail: detail})
 		r.work.stop()
 		r.endAttempt(Result{Code: policy.Cancelled, Detail: detail})
@@ -113,8 +113,8 @@
 	}
 }
 
-// cachedEndpoints is the endpoint list for a policy that has none, ordered by server so
-// that the policy's decisions don't depend on the order of a map.
+// cachedEndpoints returns the endpoint list as an update for a restarted policy. It is sorted
+// by server ID, so that the policy's decisions don't depend on the iteration order of a map.
 func (n *Node) cachedEndpoints() policy.EndpointUpdate {
 	update := policy.EndpointUpdate{Kind: policy.CachedUpdate}
 	for _, endpoint := range n.endpoints {
@@ -152,8 +152,8 @@
 	}
 }
 
-// setPolicyTimer sets a timer of the policy. It does not fire into another policy, which has set
-// timers of its own.
+// setPolicyTimer sets a timer of the policy. If the policy is restarted before the timer
+// expires, the timer is ignored: the new policy sets its own timers.
 func (n *Node) setPolicyTimer(action policy.SetTimer) {
 	owner := n.policy
 	n.timerWheel.Add(n.now+action.After, func() {
@@ -163,7 +163,7 @@
 	})
 }
 
-// sendPeerMessage sends a message to one gateway, or to all others where To is below 0.
+// sendPeerMessage sends a message to one gateway, or to all others if To is negative.
 func (n *Node) sendPeerMessage(action policy.SendPeerMessage) {
 	if action.To >= 0 || n.options.SendToAllPeers {
 		n.options.SendToPeer(action.To, action.Data)
@@ -176,22 +176,23 @@
 	}
 }
 
-// Resize gives the policy the number of gateways. previous is the size before; 0: the
-// change is complete; negative: unknown. It is called in the loop only; see Do.
+// Resize sets the number of gateways in the policy. previous is the number before the
+// change; 0 means that the change is complete, and a negative number that it is unknown.
+// Resize must be called in the loop; see Do.
 func (n *Node) Resize(gateways, previous int) {
 	resized := policy.FleetResized{Gateways: gateways, PreviousSize: previous}
 	n.options.Settings.Gateways = gateways
 	n.fleetSize = resized
 	if previous != policy.ResizeComplete {
-		// A restarted policy held no share of the size before.
+		// A restarted policy held no quota share of the previous size.
 		n.fleetSize.PreviousSize = policy.UnknownPreviousSize
 	}
 	n.queuePolicyEvent(resized)
 	n.runPolicy()
 }
 
-// SetUsageLevel gives the policy the units that a customer's quota has left according to
-// the external usage counter. It is called in the loop only; see Do.
+// SetUsageLevel sets the number of units that a customer's quota has left according to the
+// external usage counter. It must be called in the loop; see Do.
 func (n *Node) SetUsageLevel(customer string, units float64) {
 	n.queuePolicyEvent(policy.UsageLevel{Customer: customer, Units: units})
 }
--- a/node/policy_panic_test.go
+++ b/node/policy_panic_test.go
@@ -9,41 +9,41 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// openUpstream keeps the functions that end its attempts.
-type openUpstream struct{ done []func(Result) }
+// fakeUpstream records the done callbacks of its attempts.
+type fakeUpstream struct{ done []func(Result) }
 
-func (u *openUpstream) Start(_ Attempt, done func(Result)) OutgoingAttempt {
+func (u *fakeUpstream) Start(_ Attempt, done func(Result)) OutgoingAttempt {
 	u.done = append(u.done, done)
-	return openAttempt{}
+	return fakeAttempt{}
 }
 
-// openAttempt is an attempt whose result is on its way already.
-type openAttempt struct{}
+// fakeAttempt is an attempt that can be neither canceled nor withdrawn, since its result is already being delivered.
+type fakeAttempt struct{}
 
-func (openAttempt) Cancel() {}
+func (fakeAttempt) Cancel() {}
 
-func (openAttempt) Withdraw() bool { return false }
+func (fakeAttempt) Withdraw() bool { return false }
 
-// openAuthorizer keeps the functions that end its checks.
-type openAuthorizer struct{ done []func(AuthorizationResult) }
+// fakeAuthorizer records the done callbacks of its checks.
+type fakeAuthorizer struct{ done []func(AuthorizationResult) }
 
-func (a *openAuthorizer) Check(_ int, _ *Request, _ time.Duration, done func(AuthorizationResult)) (cancel func()) {
+func (a *fakeAuthorizer) Check(_ int, _ *Request, _ time.Duration, done func(AuthorizationResult)) (cancel func()) {
 	a.done = append(a.done, done)
 	return func() {}
 }
 
-// panicBed is a node with a server, whose loop is driven by hand.
-type panicBed struct {
+// policyPanicFixture is a node with one server. The test runs the steps of its loop.
+type policyPanicFixture struct {
 	*Node
-	upstream   *openUpstream
-	authorizer *openAuthorizer
-	responses  map[string]int // final responses, by request
-	released   map[string]int // calls of OnRequestDone
+	upstream   *fakeUpstream
+	authorizer *fakeAuthorizer
+	responses  map[string]int // number of final responses, by trace
+	released   map[string]int // number of calls of OnRequestDone, by trace
 }
 
-func newPanicBed(t *testing.T) *panicBed {
+func newPolicyPanicFixture(t *testing.T) *policyPanicFixture {
 	t.Helper()
-	b := &panicBed{upstream: &openUpstream{}, authorizer: &openAuthorizer{}, responses: map[string]int{}, released: map[string]int{}}
+	b := &policyPanicFixture{upstream: &fakeUpstream{}, authorizer: &fakeAuthorizer{}, responses: map[string]int{}, released: map[string]int{}}
 	var err error
 	b.Node, err = New(Options{
 		Settings: policy.Settings{
@@ -67,36 +67,36 @@
 		t.Fatal(err)
 	}
 	b.UpdateEndpoints(policy.SnapshotUpdate, []Endpoint{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
-	b.turn()
+	b.runLoopOnce()
 	return b
 }
 
-// turn handles what is queued.
-func (b *panicBed) turn() {
+// runLoopOnce fires the expired timers and handles the queued events.
+func (b *policyPanicFixture) runLoopOnce() {
 	b.refreshTime()
 	b.expireTimers()
 	b.handleEvents(b.takeQueue(nil))
 }
 
-// submit submits a request under a name.
-func (b *panicBed) submit(name, class string, isProxied bool) {
+// submit submits a request with name as its trace.
+func (b *policyPanicFixture) submit(name, class string, isProxied bool) {
 	r := newRequest()
 	r.Trace, r.Class, r.Proxied = name, class, isProxied
 	b.Submit(r, func(FinalResponse) { b.responses[name]++ })
-	b.turn()
+	b.runLoopOnce()
 }
 
-// panicInPolicy has the policy panic, and a new one start.
-func (b *panicBed) panicInPolicy() {
+// panicInPolicy makes the policy panic, upon which the node starts a new one.
+func (b *policyPanicFixture) panicInPolicy() {
 	b.policy = nil
 	b.queuePolicyEvent(policy.TimerFired{})
-	b.turn()
+	b.runLoopOnce()
 }
 
-// A panic of the policy ends every request once, whatever it waited for: what comes in for it afterwards changes
-// nothing.
+// A panic of the policy gives every request one final response and releases it once, whatever its state. Results that
+// arrive afterwards are ignored.
 func TestPanicEndsEachRequestOnce(t *testing.T) {
-	b := newPanicBed(t)
+	b := newPolicyPanicFixture(t)
 	b.submit("in flight", "read", false)
 	b.submit("proxied", "read", true)
 	b.submit("queued", "read", false)
@@ -109,7 +109,7 @@
 	b.upstream.done[0](Result{Code: policy.OK, Response: &Response{Status: 200}})
 	b.authorizer.done[0](AuthorizationResult{Outcome: authz.Allowed})
 	b.FinishProxiedAttempt(proxied, 0, Result{Code: policy.OK})
-	b.turn()
+	b.runLoopOnce()
 	for _, name := range []string{"in flight", "proxied", "queued", "authorizing"} {
 		if b.responses[name] != 1 || b.released[name] != 1 {
 			t.Errorf("%s: %d final responses, released %d times", name, b.responses[name], b.released[name])
@@ -120,9 +120,9 @@
 	}
 }
 
-// The timers of a policy that panicked do not fire into the new one: each has one timer for its ticks.
+// The timers of a policy that panicked send no events to the new one. Otherwise each panic would add a timer for ticks.
 func TestPanicEndsTheTimersOfThePolicy(t *testing.T) {
-	b := newPanicBed(t)
+	b := newPolicyPanicFixture(t)
 	for range 3 {
 		b.panicInPolicy()
 	}
--- a/node/reasons.go
+++ b/node/reasons.go
@@ -5,8 +5,9 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Reason says why a request was not served. The values appear in response bodies and
-// in the log; clients and operators rely on them. This is the whole list.
+// Reason is the reason why a request was not served. The values appear in response bodies
+// and in the log; clients and operators rely on them. The constants below are the complete
+// list.
 type Reason string
 
 // The reasons.
@@ -14,14 +15,14 @@
 	ReasonNone                     Reason = ""                          // served
 	ReasonBadRequest               Reason = "bad-request"               // malformed
 	ReasonTooLarge                 Reason = "too-large"                 // header or body above the limits
-	ReasonUnknownKey               Reason = "unknown-key"               // the API key names no customer
-	ReasonNoRoute                  Reason = "no-route"                  // no class has a route for it
+	ReasonUnknownKey               Reason = "unknown-key"               // the API key belongs to no customer
+	ReasonNoRoute                  Reason = "no-route"                  // no route matches the request
 	ReasonQuota                    Reason = "quota"                     // the customer's rate quota is used up
-	ReasonInFlightLimit            Reason = "open-cap"                  // the customer has too many attempts in flight, or its queue was lost with a quota leader
+	ReasonInFlightLimit            Reason = "open-cap"                  // the customer has too many attempts in flight, or its queue was lost with the state of a quota leader
 	ReasonCeiling                  Reason = "ceiling"                   // the customer's hard ceiling is reached
-	ReasonLoadShed                 Reason = "shed"                      // shed by admission control; also the reasons that this build does not know
-	ReasonNoServer                 Reason = "no-server"                 // no server could take it in time
-	ReasonNoTime                   Reason = "no-time"                   // too little time was left
+	ReasonLoadShed                 Reason = "shed"                      // rejected by load shedding, or for a reason that this version does not know
+	ReasonNoServer                 Reason = "no-server"                 // no server was available in time
+	ReasonNoTime                   Reason = "no-time"                   // too little time was left before the deadline
 	ReasonQuotaUnknown             Reason = "quota-unknown"             // no leader of the quota responded, and the request was not admitted without one
 	ReasonServerGone               Reason = "server-gone"               // the last attempt's connection failed or was reset
 	ReasonServerError              Reason = "server-error"              // the last attempt ended with an error
@@ -36,10 +37,10 @@
 	ReasonClientDisconnected       Reason = "client-gone"               // in logs only
 )
 
-// authorizationFailure is the reason of a rejection by the authorization decider, and
-// ReasonNone for a request that it lets through.
-func authorizationFailure(step authz.Decision) Reason {
-	switch step {
+// authorizationFailure returns the reason for a rejection by the authorization decider, or
+// ReasonNone if the decider permits the request.
+func authorizationFailure(decision authz.Decision) Reason {
+	switch decision {
 	case authz.Deny:
 		return ReasonAuthorizationDenied
 	case authz.RejectTimedOut:
@@ -52,8 +53,8 @@
 	return ReasonNone
 }
 
-// failureReason is the reason of a request that the policy rejects or fails. Where the
-// policy found no way for a further attempt, the result of the last one is more specific.
+// failureReason returns the reason for a request that the policy rejects or fails. If the
+// policy could not start a further attempt, the result of the last attempt is more specific.
 func failureReason(decision policy.Reason, attempts int, lastResult policy.ResultCode) Reason {
 	noFurtherAttempt := decision == policy.ReasonAttemptsExhausted ||
 		decision == policy.ReasonNoServer && attempts > 0
@@ -76,13 +77,13 @@
 	case policy.ReasonNoQuotaLeader:
 		return ReasonQuotaUnknown
 	}
-	// ReasonLoadShed also stands for every other reason: those of load shedding, and those
-	// of a newer version of the policy, which a quota leader may send.
+	// All other reasons map to ReasonLoadShed: the policy's reasons for load shedding, and
+	// unknown reasons, which a quota leader with a newer version of the policy may send.
 	return ReasonLoadShed
 }
 
-// attemptFailure is the reason that the result of an attempt gives, and ReasonNone for
-// an attempt that succeeded.
+// attemptFailure returns the reason that corresponds to the result of an attempt, or
+// ReasonNone for an attempt that succeeded.
 func attemptFailure(result policy.ResultCode) Reason {
 	switch result {
 	case policy.TimedOut, policy.Cancelled:
--- a/node/reasons_test.go
+++ b/node/reasons_test.go
@@ -42,15 +42,15 @@
 }
 
 func TestAuthorizationFailure(t *testing.T) {
-	for step, want := range map[authz.Decision]Reason{
+	for decision, want := range map[authz.Decision]Reason{
 		authz.Proceed:           ReasonNone,
 		authz.Deny:              "authorisation-denied",
 		authz.RejectTimedOut:    "authorisation-late",
 		authz.RejectUnreachable: "authorisation-unreachable",
 		authz.RejectOverQuota:   "quota",
 	} {
-		if got := authorizationFailure(step); got != want {
-			t.Errorf("step %d: %q, want %q", step, got, want)
+		if got := authorizationFailure(decision); got != want {
+			t.Errorf("decision %d: %q, want %q", decision, got, want)
 		}
 	}
 }
--- a/node/request.go
+++ b/node/request.go
@@ -15,29 +15,29 @@
 	Body   []byte
 }
 
-// Request is one request of a client, whatever its protocol. The node changes the field
-// HTTP as the authorization service asks for; the others stay as they were submitted.
+// Request is a client's request, independent of its protocol. The node changes only the
+// field HTTP, as specified by the authorization service.
 type Request struct {
 	Trace    string  // request ID, for logs and records
 	Class    string  // name of a class of the policy's settings
-	Customer string  // whose quotas apply
+	Customer string  // the customer whose quotas apply
 	Plan     string  // name of a plan of the policy's settings
-	Units    float64 // what the request counts against the customer's quota
+	Units    float64 // cost counted against the customer's quota
 
-	// FirstGateway and GatewaySpread name the gateways that receive the customer's
-	// requests: GatewaySpread of them, at least one, counted from FirstGateway on.
+	// FirstGateway and GatewaySpread identify the gateways that receive the customer's
+	// requests: GatewaySpread consecutive gateways, at least one, starting at FirstGateway.
 	FirstGateway  int
 	GatewaySpread int
 
-	Arrived       time.Time     // when the request was received; zero: when it is submitted
-	ClientTimeout time.Duration // how long after Arrived the client gives up
+	Arrived       time.Time     // when the request was received; zero means when it is submitted
+	ClientTimeout time.Duration // how long after Arrived the client stops waiting
 	ClientRetry   bool          // the client marked the request as a retry
 
-	// Proxied requests are forwarded by the proxy that asked: they are answered with a
-	// ForwardPermit in place of a server's response.
+	// Proxied means that the request is forwarded by the proxy that submitted it. It is
+	// answered with a ForwardPermit instead of a server's response.
 	Proxied bool
 
 	HTTP          HTTPRequest
-	ClientAddress string // host:port of the client; "": not known
-	LocalAddress  string // host:port that the client connected to; "": not known
+	ClientAddress string // host:port of the client; empty if unknown
+	LocalAddress  string // host:port that the client connected to; empty if unknown
 }
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -9,20 +9,20 @@
 // Attempt is one attempt at a server.
 type Attempt struct {
 	ID            policy.RequestID
-	Number        int           // of this attempt; those of a request count from 0
+	Number        int           // number of this attempt within its request, from 0
 	Address       string        // host:port of the server
 	ConnectionKey string        // as in Endpoint
-	Timeout       time.Duration // sent to the server; the node ends the attempt itself
+	Timeout       time.Duration // sent to the server; the node itself ends the attempt after it
 	Request       *Request      // must not be changed
 	DecidedAt     time.Time     // when the policy decided on the attempt
 }
 
-// Result says how an attempt ended. The node owns Response from then on.
+// Result describes how an attempt ended. The node takes ownership of Response.
 type Result struct {
 	Code     policy.ResultCode
-	Response *Response     // with OK, and with Error where the server responded
+	Response *Response     // with OK, and with Error if the server responded
 	Detail   string        // for the log
-	Latency  time.Duration // from DecidedAt to the result; 0: the node measures it
+	Latency  time.Duration // from DecidedAt to the result; if 0, the node measures it
 }
 
 // Upstream makes attempts.
@@ -32,13 +32,13 @@
 	Start(attempt Attempt, done func(Result)) OutgoingAttempt
 }
 
-// OutgoingAttempt is an attempt in flight. Its methods are called in the loop. When they
-// return, nothing more of the attempt is sent.
+// OutgoingAttempt is an attempt in flight. Its methods are called in the loop. After one of
+// them has ended the attempt, nothing more of it is sent.
 type OutgoingAttempt interface {
-	// Cancel ends the attempt. It does nothing where the attempt has ended.
+	// Cancel ends the attempt. It does nothing if the attempt has already ended.
 	Cancel()
 
-	// Withdraw ends the attempt and returns true where its request has not begun to be
-	// written, and so can't have run. Otherwise it does nothing and returns false.
+	// Withdraw ends the attempt and returns true if no part of its request has been written,
+	// so that the request can't have run. Otherwise it does nothing and returns false.
 	Withdraw() bool
 }
