--- a/authz/address.go
+++ b/authz/address.go
@@ -9,14 +9,15 @@
 const (
 	// latencyWeight is the weight of one result in the moving average of an address's latency.
 	latencyWeight = 0.2
-	// minScoreSeconds is added to the latency in a score, so that addresses without results
-	// still differ by their checks in flight.
+	// minScoreSeconds is added to the latency in a score, so that the scores of addresses
+	// without results still depend on their checks in flight.
 	minScoreSeconds = 1e-4
-	// scoreJitter spreads scores by this share up and down, so that equal addresses take turns.
+	// scoreJitter is the relative random variation of scores in both directions, so that the
+	// checks are distributed over equal addresses.
 	scoreJitter = 0.1
 )
 
-// address is the state of one address of the service.
+// address is the state of one address of the authorization service.
 type address struct {
 	index          int
 	inFlight       int
@@ -29,12 +30,12 @@
 	return &address{index: index, limit: newConcurrencyLimit(maxInFlight)}
 }
 
-// accepts reports whether one more check may be sent now.
+// accepts reports whether another check may be sent now.
 func (a *address) accepts(now time.Time) bool {
 	return a.breaker.allows(now) && a.limit.allows(a.inFlight)
 }
 
-// checkSent counts a check, and reports whether it is a probe.
+// checkSent counts a check that is being sent, and reports whether it is a probe.
 func (a *address) checkSent() (isProbe bool) {
 	a.inFlight++
 	return a.breaker.checkSent()
@@ -47,7 +48,7 @@
 	}
 }
 
-// breakerChange is what the end of a check did to the breaker of its address.
+// breakerChange is the effect of a check's end on the circuit breaker of its address.
 type breakerChange int
 
 const (
@@ -56,8 +57,8 @@
 	breakerClosed
 )
 
-// checkEnded records the result of a check. One that was sent before the breaker opened is no probe,
-// and leaves the one in flight alone.
+// checkEnded records the result of a check. A check that was sent before the breaker opened is
+// not a probe and does not end the probe in flight.
 func (a *address) checkEnded(now time.Time, isProbe bool, result CheckResult, timeout time.Duration, rng *rand.Rand) breakerChange {
 	a.inFlight--
 	if isProbe {
@@ -91,7 +92,7 @@
 	return breakerClosed
 }
 
-// score is the expected time of one more check; lower is better.
+// score estimates how long another check would take; lower is better.
 func (a *address) score(rng *rand.Rand) float64 {
 	score := a.latencySeconds + minScoreSeconds
 	score *= float64(1 + a.inFlight)
@@ -100,14 +101,14 @@
 	return score
 }
 
-// pickAddress returns the address with the lowest score of those that accept a check for a
-// request, or nil. A retry goes to another address than the latest check, where there are two.
+// pickAddress returns the address with the lowest score among those that accept a check for a
+// request, or nil. If there are several addresses, a retry uses another one than the last check.
 func (d *Decider) pickAddress(r *pendingRequest) *address {
 	var best *address
 	lowest := 0.0
 	for _, a := range d.addresses {
-		retriesSame := a.index == r.lastAddress && len(d.addresses) > 1
-		if retriesSame || !a.accepts(d.now) {
+		wasTriedLast := a.index == r.lastAddress && len(d.addresses) > 1
+		if wasTriedLast || !a.accepts(d.now) {
 			continue
 		}
 		if score := a.score(d.rng); best == nil || score < lowest {
@@ -123,7 +124,7 @@
 	return !slices.ContainsFunc(d.addresses, func(a *address) bool { return !a.breaker.open(d.now) })
 }
 
-// hasOtherHealthyAddress reports whether an address other than one is healthy.
-func (d *Decider) hasOtherHealthyAddress(one *address) bool {
-	return slices.ContainsFunc(d.addresses, func(a *address) bool { return a != one && a.breaker.healthy(d.now) })
+// hasOtherHealthyAddress reports whether an address other than excluded is healthy.
+func (d *Decider) hasOtherHealthyAddress(excluded *address) bool {
+	return slices.ContainsFunc(d.addresses, func(a *address) bool { return a != excluded && a.breaker.healthy(d.now) })
 }
--- a/authz/cache.go
+++ b/authz/cache.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// maxCacheEntries bounds the memory for cached results.
+// maxCacheEntries is the maximum number of cached results.
 const maxCacheEntries = 65536
 
 type cacheKey struct{ customer, class, resource string }
 
-// cachedResult is a result of the service, Allowed or Denied.
+// cachedResult is a cached result of the service, Allowed or Denied.
 type cachedResult struct {
 	key       cacheKey
 	outcome   Outcome
 	expiresAt time.Time
 	payload   any
-	index     int // in expiryQueue
+	index     int // position in expiryQueue
 }
 
-// resultCache caches results for requests whose own check gives none.
+// resultCache caches results, for use in place of missing results of later checks.
 type resultCache struct {
 	entries  map[cacheKey]*cachedResult
 	byExpiry expiryQueue
@@ -27,8 +27,8 @@
 
 func newResultCache() *resultCache { return &resultCache{entries: map[cacheKey]*cachedResult{}} }
 
-// put stores a result for a time. When the cache is full, the entry that expires first is evicted, or has
-// expired already.
+// put stores a result for the given time. If the cache is full, it evicts the entry with the
+// earliest expiry, which may have expired already.
 func (c *resultCache) put(now time.Time, key cacheKey, result CheckResult, ttl time.Duration) {
 	entry := c.entries[key]
 	if entry == nil {
@@ -45,7 +45,7 @@
 	heap.Fix(&c.byExpiry, entry.index)
 }
 
-// get returns a result that is not expired, or nil.
+// get returns the cached result for a key if it has not expired, otherwise nil.
 func (c *resultCache) get(now time.Time, key cacheKey) *cachedResult {
 	if entry := c.entries[key]; entry != nil && now.Before(entry.expiresAt) {
 		return entry
@@ -53,21 +53,21 @@
 	return nil
 }
 
-// removeExpired frees the memory of expired results.
+// removeExpired removes expired results to free their memory.
 func (c *resultCache) removeExpired(now time.Time) {
 	for len(c.byExpiry) > 0 && c.byExpiry[0].expiresAt.Before(now) {
 		c.evictFirst()
 	}
 }
 
-// evictFirst removes the entry that expires first. There must be one.
+// evictFirst removes the entry with the earliest expiry. The cache must not be empty.
 func (c *resultCache) evictFirst() {
 	first := c.byExpiry[0]
 	heap.Remove(&c.byExpiry, 0)
 	delete(c.entries, first.key)
 }
 
-// expiryQueue is a heap of entries; the first one expires first.
+// expiryQueue is a heap of entries; the first entry has the earliest expiry.
 type expiryQueue []*cachedResult
 
 // Len implements heap.Interface.
--- a/authz/cache_test.go
+++ b/authz/cache_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A full cache evicts an expired result before one that still stands in.
+// A full cache evicts expired results before valid ones.
 func TestFullCacheEvictsExpiredResultsFirst(t *testing.T) {
 	const expired = 1000
 	c := newResultCache()
@@ -19,7 +19,7 @@
 		c.put(testStart, key(i), CheckResult{}, ttl)
 	}
 	now := testStart.Add(time.Minute)
-	c.put(now, key(1), CheckResult{}, time.Hour) // is there already: nothing has to go
+	c.put(now, key(1), CheckResult{}, time.Hour) // replaces an existing entry: nothing is evicted
 	for i := range expired {
 		c.put(now, key(maxCacheEntries+i), CheckResult{}, time.Hour)
 	}
--- a/authz/circuit_breaker.go
+++ b/authz/circuit_breaker.go
@@ -6,28 +6,30 @@
 )
 
 const (
-	// openAfterFailures in a row open a breaker, when there was no result for openAfterTimeouts
-	// times the timeout of a check: a few failures among many results do not.
+	// A breaker opens after openAfterFailures consecutive failures if there was no result for
+	// openAfterTimeouts times the timeout of a check. A few failures among many results do not
+	// open it.
 	openAfterFailures = 5
 	openAfterTimeouts = 2
-	// minOpenTime is how long a breaker is open at first; it doubles with each failed probe up to
-	// maxOpenTime.
+	// minOpenTime is the initial open time of a breaker. The open time doubles with each failed
+	// probe, up to maxOpenTime.
 	minOpenTime = 250 * time.Millisecond
 	maxOpenTime = 4 * time.Second
-	// openJitter spreads the open time by this share up and down, so that gateways do not probe
-	// all at once.
+	// openJitter is the relative random variation of the open time in both directions, so that
+	// the gateways do not probe at the same time.
 	openJitter = 0.2
-	// closeAfterProbes is how many consecutive successful probes close a breaker.
+	// closeAfterProbes is the number of consecutive successful probes that close a breaker.
 	closeAfterProbes = 3
 )
 
-// circuitBreaker keeps checks from an address that gives no results. Closed, it lets all pass.
-// Open, it lets none pass. After the open time it is half-open and lets one check at a time pass
-// as a probe: enough successful ones close it, a failed one opens it for longer.
+// circuitBreaker blocks checks to an address that gives no results. While closed it allows all
+// checks, while open it allows none. After the open time it is half-open and allows one check at
+// a time as a probe: closeAfterProbes successful probes close it, a failed probe opens it for
+// longer.
 type circuitBreaker struct {
-	failures       int // in a row
+	failures       int // consecutive
 	lastResultAt   time.Time
-	tripped        bool // open or half-open
+	tripped        bool // the breaker is open or half-open
 	openUntil      time.Time
 	openTime       time.Duration
 	probeSuccesses int
@@ -39,19 +41,19 @@
 // allows reports whether a check may be sent now.
 func (b *circuitBreaker) allows(now time.Time) bool { return !b.open(now) && !b.probeInFlight }
 
-// healthy reports whether the breaker is closed and the latest check had a result.
+// healthy reports whether the breaker is closed and no check has failed since the last result.
 func (b *circuitBreaker) healthy(now time.Time) bool {
 	return !b.open(now) && b.failures == 0 && !b.tripped
 }
 
-// checkSent must be called for each check, and reports whether it is a probe.
+// checkSent must be called for each check that is sent. It reports whether the check is a probe.
 func (b *circuitBreaker) checkSent() (isProbe bool) {
 	b.probeInFlight = b.tripped
 	return b.probeInFlight
 }
 
-// checkEnded must be called for each probe that ended or was canceled; for another check it
-// changes nothing, unless a probe is in flight. It reports whether there was one.
+// checkEnded must be called for each probe that ended or was canceled. For another check it must
+// not be called while a probe is in flight. It reports whether a probe was in flight.
 func (b *circuitBreaker) checkEnded() (probe bool) {
 	probe = b.probeInFlight
 	b.probeInFlight = false
--- a/authz/circuit_breaker_test.go
+++ b/authz/circuit_breaker_test.go
@@ -26,7 +26,7 @@
 	passCheck(b, now)
 	for range 2 * openAfterFailures {
 		if failCheck(b, now.Add(breakerTestTimeout), rng) {
-			t.Fatal("opened while results came lately")
+			t.Fatal("opened although there was a recent result")
 		}
 	}
 	now = now.Add(openAfterTimeouts*breakerTestTimeout + 1)
@@ -50,7 +50,7 @@
 		}
 		now = b.openUntil
 		if failCheck(b, now, rng) {
-			t.Error("a failed probe reported as an opening")
+			t.Error("a failed probe was reported as opening a closed breaker")
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-// A check that was sent before the breaker opened does not end the probe in flight, nor count as a failed one.
+// A check that was sent before the breaker opened neither ends the probe in flight nor counts as a failed probe.
 func TestEarlierCheckDoesNotEndTheProbe(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for name, end := range map[string]func(a *address, now time.Time, isProbe bool){
--- a/authz/concurrency_limit.go
+++ b/authz/concurrency_limit.go
@@ -3,33 +3,35 @@
 import "time"
 
 const (
-	// minConcurrency is what failures and slow results reduce a limit to at most, so that an
-	// address can still show that it has recovered; less where MaxInFlight is lower.
+	// minConcurrency is the lower bound of a limit, so that an address still gets enough checks
+	// to detect its recovery. If MaxInFlight is lower, MaxInFlight is the lower bound.
 	minConcurrency = 4.0
-	// initialConcurrency is the limit of a new address, where MaxInFlight is not lower.
+	// initialConcurrency is the initial limit of an address, unless MaxInFlight is lower.
 	initialConcurrency = 16.0
 
-	// A result is slow, which shows a queue at the service, when it took slowFactor times the
-	// baseline and slowMargin more than it.
+	// A result is slow if its latency is above slowFactor times the baseline and more than
+	// slowMargin above the baseline. A slow result indicates a queue at the service.
 	slowFactor = 3.0
 	slowMargin = 5 * time.Millisecond
-	// slowDecrease and failureDecrease multiply the limit after a slow result and after none.
+	// slowDecrease multiplies the limit after a slow result, failureDecrease after a check
+	// without a result.
 	slowDecrease    = 0.95
 	failureDecrease = 0.7
 	// growUsage is the share of the limit that must be in use for it to grow.
 	growUsage = 0.5
-	// baselineDrift moves the baseline towards each latency, so that the lowest ones of long ago
-	// lose their effect.
+	// baselineDrift is the share by which the baseline moves towards each latency, so that the
+	// lowest latencies of the past lose their effect over time.
 	baselineDrift = 0.01
 )
 
-// concurrencyLimit adapts how many checks may be in flight at an address: additive increase while
-// results are quick and the limit is in use, multiplicative decrease when they are slow or missing.
+// concurrencyLimit is an adaptive limit of the checks in flight at an address: additive increase
+// while results are fast and enough of the limit is in use, multiplicative decrease when results
+// are slow or missing.
 type concurrencyLimit struct {
 	limit           float64
 	minLimit        float64
 	maxLimit        float64
-	baselineSeconds float64 // latency without a queue; 0: not known
+	baselineSeconds float64 // estimated latency without a queue; 0 if unknown
 }
 
 func newConcurrencyLimit(maxInFlight int) concurrencyLimit {
@@ -41,13 +43,13 @@
 	}
 }
 
-// allows reports whether one more may be in flight.
+// allows reports whether another check may be sent while inFlight are in flight.
 func (l *concurrencyLimit) allows(inFlight int) bool { return float64(inFlight) < max(1, l.limit) }
 
 // recordFailure records a check without a result.
 func (l *concurrencyLimit) recordFailure() { l.limit = max(l.minLimit, l.limit*failureDecrease) }
 
-// recordResult records the latency of a result, and how many other checks are in flight.
+// recordResult records the latency of a result, and the number of other checks in flight.
 func (l *concurrencyLimit) recordResult(latencySeconds float64, inFlight int) {
 	if l.baselineSeconds == 0 || latencySeconds < l.baselineSeconds {
 		l.baselineSeconds = latencySeconds
@@ -62,5 +64,5 @@
 	}
 }
 
-// reset starts again from the lowest limit, so that an address that has recovered is not flooded.
+// reset sets the limit to its lower bound, so that an address that has recovered is not overloaded.
 func (l *concurrencyLimit) reset() { l.limit = l.minLimit }
--- a/authz/concurrency_limit_test.go
+++ b/authz/concurrency_limit_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// A limit that is configured below the usual floor is kept, whatever the results are.
+// A configured limit below minConcurrency is never exceeded nor reduced, whatever the results are.
 func TestConcurrencyLimitBelowDefaultMinimumIsKept(t *testing.T) {
 	for maxInFlight := 1; maxInFlight < minConcurrency; maxInFlight++ {
 		for name, record := range map[string]func(*concurrencyLimit){
--- a/authz/decider.go
+++ b/authz/decider.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxAttempts is how many checks one request may have, one after the other.
+	// maxAttempts is the maximum number of checks of one request.
 	maxAttempts = 2
-	// tickSlack is added to the time of a tick, so that it comes after the moment that it is for.
+	// tickSlack is added to the delay of a tick, so that the tick does not come too early.
 	tickSlack = time.Millisecond
-	// rngStream separates the random numbers from those of other users of the same seed.
+	// rngStream makes the random numbers differ from those of other components with the same seed.
 	rngStream = 3
 )
 
-// Decider decides for one gateway. Its methods for events return the actions that follow, valid
-// until the next call, and must be called with times that do not go back. They do not block, and
-// are not safe for concurrent use.
+// Decider makes the decisions of one gateway. The methods that handle events return the
+// resulting actions, which are valid until the next call. The times passed to them must not
+// decrease. The methods do not block and are not safe for concurrent use.
 type Decider struct {
 	settings  Settings
 	rng       *rand.Rand
@@ -27,14 +27,14 @@
 	queue     requestQueue
 	cache     *resultCache
 	quota     *quotaEstimator
-	tickAt    time.Time // of the tick that was asked for; zero: none
+	tickAt    time.Time // time of the scheduled tick; zero if none is scheduled
 
-	// Of the event that is handled now.
+	// These belong to the event being handled.
 	now     time.Time
 	actions []Action
 }
 
-// New returns a Decider without requests. It keeps the maps of the settings.
+// New returns a Decider without requests. It keeps references to the maps in the settings.
 func New(s Settings) *Decider {
 	d := &Decider{
 		settings: s,
@@ -65,8 +65,8 @@
 // QueueLength returns the number of requests that wait for a check.
 func (d *Decider) QueueLength() int { return d.queue.len() }
 
-// StartRequest handles a new request. One [Resolve] follows for it, now or later, unless
-// [Decider.CancelRequest] comes first.
+// StartRequest handles a new request. This or a later call returns one [Resolve] for it, unless
+// [Decider.CancelRequest] is called first.
 func (d *Decider) StartRequest(now time.Time, request Request) []Action {
 	d.beginEvent(now)
 	class := d.classes[request.Class]
@@ -89,7 +89,7 @@
 	case checkTime < minCheckTimeout:
 		d.resolveByFallback(r)
 	case r.overQuota && d.queue.len() > 0:
-		// The service is short of capacity, which is reserved for customers within their quota.
+		// A queue means that the service lacks capacity. It is reserved for customers within their quota.
 		d.resolve(r, Resolve{Decision: RejectOverQuota})
 	case d.queue.len() >= maxQueueLength:
 		d.resolveByFallback(r)
@@ -111,9 +111,9 @@
 	if r == nil || !r.inFlight() || attempt != r.attempts-1 {
 		return nil
 	}
-	asked := d.addresses[r.address]
+	checkedAddress := d.addresses[r.address]
 	r.address = noAddress
-	d.reportBreakerChange(asked, asked.checkEnded(now, r.isProbe, result, d.settings.Timeout, d.rng))
+	d.reportBreakerChange(checkedAddress, checkedAddress.checkEnded(now, r.isProbe, result, d.settings.Timeout, d.rng))
 	if result.Outcome.hasResult() {
 		if ttl := cmp.Or(result.CacheTTL, r.class.CacheTTL); ttl > 0 {
 			d.cache.put(now, r.cacheKey(), result, ttl)
@@ -121,14 +121,14 @@
 		d.resolveByResult(r, result.Outcome)
 	} else {
 		r.unreachable = r.unreachable || result.Outcome == Unreachable
-		d.retryOrFallBack(r, asked)
+		d.retryOrFallBack(r, checkedAddress)
 	}
 	d.endEvent()
 	return d.actions
 }
 
-// CancelRequest withdraws a request that needs no decision any more. The only action that may
-// follow for it is [CancelCheck], where a check is in flight.
+// CancelRequest drops a request that no longer needs a decision. The only action returned for
+// it is [CancelCheck], if a check is in flight.
 func (d *Decider) CancelRequest(now time.Time, id uint64) []Action {
 	d.beginEvent(now)
 	r := d.requests[id]
@@ -146,8 +146,8 @@
 	return d.actions
 }
 
-// Tick must be called when [ScheduleTick] asked for it. Requests that have waited too long get no
-// result; addresses whose breakers became half-open are probed.
+// Tick must be called at the time given by [ScheduleTick]. It resolves the requests that have
+// waited too long for a check, and sends probes to addresses whose breakers became half-open.
 func (d *Decider) Tick(now time.Time) []Action {
 	d.beginEvent(now)
 	if !now.Before(d.tickAt) {
@@ -168,7 +168,7 @@
 }
 
 // RemoveExpired frees the memory of expired results and of idle customers. It should be called
-// now and then; decisions do not depend on it.
+// periodically; decisions do not depend on it.
 func (d *Decider) RemoveExpired(now time.Time) {
 	d.cache.removeExpired(now)
 	d.quota.removeIdle(now)
@@ -179,7 +179,7 @@
 	d.actions = nil
 }
 
-// endEvent uses the capacity that an event has freed.
+// endEvent sends checks with the capacity that an event has freed, and schedules the next tick.
 func (d *Decider) endEvent() {
 	d.sendChecks()
 	if d.tickAt.IsZero() {
@@ -189,17 +189,17 @@
 
 func (d *Decider) emit(a Action) { d.actions = append(d.actions, a) }
 
-// retryOrFallBack goes on with a request whose check gave no result. The retry goes to another
-// address, where one is healthy.
-func (d *Decider) retryOrFallBack(r *pendingRequest, asked *address) {
-	if r.attempts < maxAttempts && r.timeLeft(d.now) >= minCheckTimeout && d.hasOtherHealthyAddress(asked) {
+// retryOrFallBack handles a request whose check gave no result. It queues the request for a
+// retry if another address is healthy and enough time is left, and otherwise resolves it.
+func (d *Decider) retryOrFallBack(r *pendingRequest, checkedAddress *address) {
+	if r.attempts < maxAttempts && r.timeLeft(d.now) >= minCheckTimeout && d.hasOtherHealthyAddress(checkedAddress) {
 		d.queue.push(r)
 	} else {
 		d.resolveByFallback(r)
 	}
 }
 
-// sendChecks sends checks for requests in the queue, as far as the addresses accept them.
+// sendChecks sends checks for queued requests as long as an address accepts them.
 func (d *Decider) sendChecks() {
 	for r := d.queue.first(); r != nil; r = d.queue.first() {
 		a := d.pickAddress(r)
@@ -231,7 +231,8 @@
 	d.emit(SendCheck{ID: r.ID, Attempt: attempt, Address: a.index, Timeout: timeout})
 }
 
-// resolveUnreachable empties the queue when no address may be asked: waiting would not help.
+// resolveUnreachable resolves all queued requests. It is used when the breakers of all addresses
+// are open, since waiting would not help then.
 func (d *Decider) resolveUnreachable() {
 	for _, r := range d.queue.removeAll() {
 		r.unreachable = true
@@ -248,8 +249,8 @@
 	}
 }
 
-// scheduleTick asks for a tick when the first request in the queue runs out of time, or an open
-// breaker becomes half-open, unless an earlier one was asked for.
+// scheduleTick schedules a tick for the time at which the first queued request runs out of time
+// or an open breaker becomes half-open, unless an earlier tick is already scheduled.
 func (d *Decider) scheduleTick() {
 	if d.queue.len() == 0 {
 		return
--- a/authz/decider_test.go
+++ b/authz/decider_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// rapid draws the same sequences in every run, long enough for the queue to fill.
+// A fixed seed makes rapid draw the same sequences in every run. 200 steps are enough to fill the
+// queue.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.steps": "200"} {
 		if err := flag.Set(name, value); err != nil {
@@ -48,8 +49,9 @@
 	return found, false
 }
 
-// Whatever happens: each request is resolved once and in time; it has one check in flight at most;
-// checks in flight keep to the limits; a class that fails closed never proceeds without a result.
+// For random sequences of events: each request is resolved once and in time, and has at most one
+// check in flight; the checks in flight stay within the limits; a request of a class that fails
+// closed and has no cache never proceeds without a result.
 func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		addresses := rapid.IntRange(1, 3).Draw(t, "addresses")
@@ -74,16 +76,16 @@
 	})
 }
 
-// modelRequest is what the test knows of an unresolved request.
+// modelRequest is the expected state of an unresolved request.
 type modelRequest struct {
 	class        string
 	deadline     time.Time
 	inFlight     bool
 	attempt      int
-	checkTimeout time.Time // of the check in flight
+	checkTimeout time.Time // when the check in flight times out
 }
 
-// invariantModel carries out the actions of a Decider, and checks each of them.
+// invariantModel carries out the actions of a Decider and verifies each of them.
 type invariantModel struct {
 	decider     *Decider
 	addresses   int
@@ -95,7 +97,7 @@
 	allowed     map[uint64]bool // the service allowed it
 }
 
-// find returns the oldest unresolved request of a kind.
+// find returns the oldest unresolved request that accept returns true for.
 func (m *invariantModel) find(accept func(*modelRequest) bool) (uint64, *modelRequest) {
 	for id := uint64(1); id <= m.lastID; id++ {
 		if r := m.unresolved[id]; r != nil && accept(r) {
@@ -203,7 +205,7 @@
 func (m *invariantModel) checkSent(t *rapid.T, a SendCheck) {
 	r := m.unresolved[a.ID]
 	if r == nil || r.inFlight {
-		t.Fatalf("%+v for a request that is resolved, or has one in flight", a)
+		t.Fatalf("%+v for a request that is resolved or has a check in flight", a)
 	}
 	timesOutAt := m.now.Add(a.Timeout)
 	if a.Timeout <= 0 || a.Timeout > 200*time.Millisecond || timesOutAt.After(r.deadline) || a.Address >= m.addresses {
--- a/authz/events.go
+++ b/authz/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Request is a client's request that waits for permission.
+// Request is a client's request that needs a decision.
 type Request struct {
 	// ID is unique among the requests that are not resolved.
 	ID       uint64
@@ -10,9 +10,9 @@
 	Customer string
 	Plan     string
 	Units    float64 // cost, as counted against the plan's rate
-	// Resource is what the request is for. Results are cached by customer, class and resource.
+	// Resource identifies what is requested. Results are cached by customer, class and resource.
 	Resource string
-	// Remaining is the time until the request's deadline, for the check and the servers together.
+	// Remaining is the time until the request's deadline, for checks and attempts together.
 	Remaining time.Duration
 }
 
@@ -27,30 +27,30 @@
 	Unreachable // the call failed
 )
 
-// hasResult reports whether the service decided.
+// hasResult reports whether the service returned a result.
 func (o Outcome) hasResult() bool { return o == Allowed || o == Denied }
 
-// CheckResult is how a check ended.
+// CheckResult describes how a check ended.
 type CheckResult struct {
 	Outcome Outcome
 	// Latency is how long the check took.
 	Latency time.Duration
-	// CacheTTL is the time that the service states for its result. 0: it states none.
+	// CacheTTL is the time for which the service permits caching its result; 0 if it specified none.
 	CacheTTL time.Duration
-	// Payload belongs to the caller. It comes back in Resolve.CachedPayload where the result is
-	// used again, and must not change meanwhile.
+	// Payload belongs to the caller. It is returned in Resolve.CachedPayload if the result is
+	// reused, and must not be changed.
 	Payload any
-	// ProcessPaused means that this process did not run for a part of the check. A missing
-	// result is then no evidence about the address.
+	// ProcessPaused means that this process was paused during the check. A missing result is
+	// then not counted as a failure of the address.
 	ProcessPaused bool
 }
 
-// Decision is the outcome for a request.
+// Decision is the decision on a request.
 type Decision int
 
 // The decisions.
 const (
-	Proceed           Decision = iota // hand it to the policy
+	Proceed           Decision = iota // submit it to the policy
 	Deny                              // respond with the service's denial
 	RejectTimedOut                    // reject: no result in time
 	RejectUnreachable                 // reject: the service can't be reached
@@ -60,35 +60,36 @@
 // Action is something that the caller must carry out, in the order of the returned slice.
 type Action interface{ action() }
 
-// SendCheck sends a check to an address. [Decider.FinishCheck] must follow once, unless
-// [CancelCheck] comes first.
+// SendCheck sends a check to an address. [Decider.FinishCheck] must be called once for it,
+// unless [CancelCheck] is returned first.
 type SendCheck struct {
 	ID uint64
-	// Attempt counts the checks of one request from 0.
+	// Attempt is the number of the check within its request, from 0.
 	Attempt int
 	// Address is the index of the address, from 0.
 	Address int
-	// Timeout is positive. After it the check must be reported as TimedOut.
+	// Timeout is positive. A check without a result by then must be reported as TimedOut.
 	Timeout time.Duration
 }
 
 // CancelCheck cancels a request's check in flight. Its result must not be reported.
 type CancelCheck struct{ ID uint64 }
 
-// Resolve gives the decision on a request. It is the last action for it.
+// Resolve reports the decision on a request. It is the last action for that request.
 type Resolve struct {
 	ID       uint64
 	Decision Decision
-	// CachedPayload is the payload of the earlier result that is used; else nil.
+	// CachedPayload is the payload of the cached result that is used; otherwise nil.
 	CachedPayload any
-	// FromFallback means that no result came: an earlier one or the mode of the class decides.
+	// FromFallback means that there was no result: the decision is based on a cached result or
+	// on the mode of the class.
 	FromFallback bool
 }
 
-// ScheduleTick asks for a call of [Decider.Tick] after a time.
+// ScheduleTick requests a call of [Decider.Tick] after a delay.
 type ScheduleTick struct{ After time.Duration }
 
-// OperatorNote is a warning for the operators about an address.
+// OperatorNote is a warning about an address, to be logged for operators.
 type OperatorNote struct {
 	Address int
 	Text    string
--- a/authz/fallback.go
+++ b/authz/fallback.go
@@ -1,11 +1,11 @@
 package authz
 
-// resolveByResult resolves a request as the service decided.
+// resolveByResult resolves a request by the service's result.
 func (d *Decider) resolveByResult(r *pendingRequest, outcome Outcome) {
 	d.resolve(r, Resolve{Decision: decisionOf(outcome)})
 }
 
-// decisionOf maps Allowed and Denied to decisions.
+// decisionOf returns the decision for Allowed or Denied.
 func decisionOf(outcome Outcome) Decision {
 	if outcome == Denied {
 		return Deny
@@ -13,8 +13,8 @@
 	return Proceed
 }
 
-// resolveByFallback resolves a request that has no result: by a cached one, a denial too, else by
-// the mode of its class.
+// resolveByFallback resolves a request without a result. It uses a cached result, which may be a
+// denial, or otherwise the mode of the request's class.
 func (d *Decider) resolveByFallback(r *pendingRequest) {
 	d.queue.remove(r)
 	if cached := d.cache.get(d.now, r.cacheKey()); cached != nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-// resolve is the last step of a request.
+// resolve removes a request and emits its decision.
 func (d *Decider) resolve(r *pendingRequest, action Resolve) {
 	action.ID = r.ID
 	delete(d.requests, r.ID)
--- a/authz/fallback_test.go
+++ b/authz/fallback_test.go
@@ -16,8 +16,8 @@
 	return firstAction[Resolve](d.FinishCheck(now.Add(time.Millisecond), c.ID, c.Attempt, result))
 }
 
-// A recent result, a denial too, takes the place of one that does not come, until it expires;
-// else the mode of the class decides.
+// Until it expires, a cached result (also a denial) replaces a missing one. Without a cached
+// result, the mode of the class determines the decision.
 func TestCachedResultReplacesAMissingOne(t *testing.T) {
 	d := New(testSettings(1))
 	if r, ok := checkOnce(d, testStart, 1, "cached", Allowed); !ok || r.Decision != Proceed || r.FromFallback {
@@ -43,16 +43,16 @@
 	}
 }
 
-// The time that the service states for a result comes before that of the class.
+// The cache TTL specified by the service overrides the TTL of the class.
 func TestCacheTTLOfServiceOverridesClass(t *testing.T) {
 	d := New(testSettings(1))
 	d.StartRequest(testStart, Request{ID: 1, Class: "cached", Customer: "a", Resource: "x", Remaining: time.Second})
 	d.FinishCheck(testStart, 1, 0, CheckResult{Outcome: Allowed, CacheTTL: 2 * time.Second})
 	if r, ok := checkOnce(d, testStart.Add(time.Second), 2, "cached", TimedOut); !ok || r.Decision != Proceed || !r.FromFallback {
-		t.Errorf("within the stated time: %+v", r)
+		t.Errorf("within the service's TTL: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(3*time.Second), 3, "cached", TimedOut); !ok || r.Decision != RejectTimedOut {
-		t.Errorf("after the stated time: %+v", r)
+		t.Errorf("after the service's TTL: %+v", r)
 	}
 }
 
@@ -66,7 +66,7 @@
 	}
 	c.removeExpired(testStart.Add(time.Second))
 	if len(c.entries) != maxCacheEntries {
-		t.Errorf("%d entries left in the moment of expiry", len(c.entries))
+		t.Errorf("%d entries left at the time of expiry", len(c.entries))
 	}
 	c.removeExpired(testStart.Add(2 * time.Second))
 	if len(c.entries) != 0 {
--- a/authz/over_quota.go
+++ b/authz/over_quota.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// overQuotaFactor times its plan's rate is what a customer may request before it is over
-	// quota here. It is above 1 because the policy counts exactly, after the check; here only
-	// those that would waste much of the service's capacity wait behind others.
+	// overQuotaFactor multiplies the rate of a plan: above the product, a customer is over quota
+	// here. The factor is above 1 because the policy enforces the exact quota after the check;
+	// here only customers that would waste much of the service's capacity lose priority.
 	overQuotaFactor = 2.0
-	// bucketIdleTime after its last request a customer's bucket is dropped.
+	// bucketIdleTime is how long a customer's bucket is kept after its last request.
 	bucketIdleTime = time.Minute
 )
 
-// tokenBucket counts the units that a customer may use now.
+// tokenBucket is a customer's token bucket, in units.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt time.Time
 }
 
-// quotaEstimator finds the customers that send far more requests than their plans allow.
+// quotaEstimator detects customers that request far more units than their plans allow.
 type quotaEstimator struct {
 	plans   map[string]Plan
 	buckets map[string]*tokenBucket // by customer
@@ -27,7 +27,7 @@
 	return &quotaEstimator{plans: plans, buckets: map[string]*tokenBucket{}}
 }
 
-// take counts a request of so many units, and reports whether its customer is over quota.
+// take counts a request of the given units, and reports whether its customer is over quota.
 func (e *quotaEstimator) take(now time.Time, customer, planName string, units float64) (overQuota bool) {
 	plan := e.plans[planName]
 	if plan.Rate <= 0 {
@@ -49,7 +49,7 @@
 	return false
 }
 
-// removeIdle drops the buckets of customers that have not been seen for a while.
+// removeIdle removes the buckets of customers without a request for bucketIdleTime.
 func (e *quotaEstimator) removeIdle(now time.Time) {
 	for customer, b := range e.buckets {
 		if now.Sub(b.updatedAt) > bucketIdleTime {
--- a/authz/over_quota_test.go
+++ b/authz/over_quota_test.go
@@ -22,15 +22,15 @@
 	}
 	refilled := testStart.Add(100 * time.Millisecond) // one token at twice the rate of 5
 	if e.take(refilled, "a", "p", 1) || !e.take(refilled, "a", "p", 1) {
-		t.Error("not one token after the time for one")
+		t.Error("the bucket was not refilled by exactly one token")
 	}
 	e.removeIdle(refilled.Add(bucketIdleTime))
 	if len(e.buckets) != 1 {
-		t.Errorf("%d buckets, want that of a alone", len(e.buckets))
+		t.Errorf("%d buckets, want only the bucket of customer a", len(e.buckets))
 	}
 }
 
-// Requests count with their units, as the plan's rate does.
+// A request takes as many tokens as it has units.
 func TestQuotaEstimateCountsUnits(t *testing.T) {
 	e := newQuotaEstimator(map[string]Plan{"p": {Rate: 5, Burst: 3}})
 	for i := range 7 {
--- a/authz/queue.go
+++ b/authz/queue.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxQueueLength bounds the requests that wait for a check. Further ones are resolved
-// without a result at once.
+// maxQueueLength is the maximum number of requests that wait for a check. Further requests are
+// resolved by the fallback immediately.
 const maxQueueLength = 4096
 
 // requestQueue is the queue of requests that wait for a check, the next one first.
@@ -15,9 +15,9 @@
 
 func (q *requestQueue) len() int { return len(q.requests) }
 
-// compareInQueue orders requests: customers within their quota first, then by weight, then
-// classes that fail closed before those that fail open, then the oldest. Requests of a class with
-// the mode Skip are never queued.
+// compareInQueue orders requests: customers within their quota first, then the highest priority
+// weight, then classes that fail closed before classes that fail open, then the oldest request.
+// Requests of classes with the mode Skip are never queued.
 func compareInQueue(a, b *pendingRequest) int {
 	return cmp.Or(
 		compareBool(a.overQuota, b.overQuota),
@@ -89,7 +89,7 @@
 	return late
 }
 
-// earliestDeadline is that of all requests in a queue that is not empty.
+// earliestDeadline returns the earliest deadline of the queued requests. The queue must not be empty.
 func (q *requestQueue) earliestDeadline() time.Time {
 	earliest := q.requests[0].deadline
 	for _, r := range q.requests[1:] {
--- a/authz/queue_test.go
+++ b/authz/queue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Customers far over their quota do not take the service's capacity from others.
+// Customers far over their quota do not use the capacity of the service that other customers need.
 func TestOverQuotaCustomersWaitBehindOthers(t *testing.T) {
 	settings := testSettings(1)
 	settings.MaxInFlight = 4
@@ -79,7 +79,7 @@
 			q.push(want[i])
 		}
 		if !slices.Equal(q.requests, want) {
-			t.Errorf("pushed in the order %v: not in the order of the queue", order)
+			t.Errorf("pushed in the order %v: the queue is not in its order", order)
 		}
 	}
 }
@@ -95,6 +95,6 @@
 		t.Errorf("%d removed", len(got))
 	}
 	if q.first() != timely || !timely.queued {
-		t.Error("the other one is not queued any more")
+		t.Error("the request with enough time left is not queued any more")
 	}
 }
--- a/authz/request.go
+++ b/authz/request.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// noAddress is the address of a request that has no check in flight, or had none yet.
+// noAddress means that a request has no check in flight, or has had no check yet.
 const noAddress = -1
 
-// pendingRequest is a request that is not resolved: it waits in the queue, or has a check in
-// flight.
+// pendingRequest is an unresolved request. It is in the queue or has a check in flight.
 type pendingRequest struct {
 	Request
 	class       *classState
 	startedAt   time.Time
-	deadline    time.Time // without a result by then, the fallback decides
+	deadline    time.Time // without a result by then, the request is resolved by the fallback
 	overQuota   bool
-	attempts    int  // checks sent
-	address     int  // of the check in flight, or noAddress
-	lastAddress int  // of the latest check, or noAddress
+	attempts    int  // number of checks sent
+	address     int  // address of the check in flight, or noAddress
+	lastAddress int  // address of the last check, or noAddress
 	isProbe     bool // the check in flight is a probe of its address
 	queued      bool
 	unreachable bool // a check failed, or no address accepted one
@@ -23,7 +22,7 @@
 
 func (r *pendingRequest) inFlight() bool { return r.address != noAddress }
 
-// timeLeft is the time for checks that is left at a moment.
+// timeLeft returns the remaining time for checks.
 func (r *pendingRequest) timeLeft(now time.Time) time.Duration { return r.deadline.Sub(now) }
 
 func (r *pendingRequest) cacheKey() cacheKey {
--- a/authz/slow_service_test.go
+++ b/authz/slow_service_test.go
@@ -16,11 +16,11 @@
 
 type simEvent struct {
 	at  time.Duration
-	seq int // orders events of one moment
+	seq int // order of the events of one time
 	run func()
 }
 
-// simEvents is a heap, the earliest event first.
+// simEvents is a heap; the first event is the earliest.
 type simEvents []simEvent
 
 func (h simEvents) Len() int { return len(h) }
@@ -49,8 +49,8 @@
 	}
 }
 
-// simService is a simulated authorization service with a number of cores. It works on a check
-// even when nobody waits for it any more.
+// simService is a simulated authorization service with a number of cores. It completes every
+// check, even if the client has stopped waiting for it.
 type simService struct {
 	sim         *simulation
 	cores       int
@@ -84,7 +84,7 @@
 	next()
 }
 
-// clientKind is the way in which the simulated gateway asks the service.
+// clientKind is how the simulated gateway sends checks to the service.
 type clientKind string
 
 const (
@@ -93,7 +93,7 @@
 	fixedFailOpen   clientKind = "fails open"   // a fixed timeout, then the request proceeds
 )
 
-// The service is slow from slowFrom to slowUntil. Requests come until lastArrival, and the
+// The service is slow from slowFrom to slowUntil. Requests arrive until lastArrival, and the
 // simulation ends at simulationEnd.
 const (
 	slowFrom      = 10 * time.Second
@@ -101,18 +101,18 @@
 	lastArrival   = 40 * time.Second
 	simulationEnd = 60 * time.Second
 
-	simRate            = 300.0 // requests a second
-	simFailClosedShare = 0.4   // of requests that must not proceed unchecked
+	simRate            = 300.0 // requests per second
+	simFailClosedShare = 0.4   // share of requests that must not proceed unchecked
 	simCheckTimeout    = 200 * time.Millisecond
 )
 
-// requestCounts is what came of the requests that started in a phase.
+// requestCounts counts the requests that started in a phase, by result.
 type requestCounts struct{ started, proceeded, rejected, unchecked, checks int }
 
 // simRequest is a request of the simulation.
 type simRequest struct {
 	failsClosed bool // must not proceed unchecked
-	allowed     bool // by the service
+	allowed     bool // the service allowed it
 	counts      *requestCounts
 }
 
@@ -136,8 +136,8 @@
 	before, during, after requestCounts
 }
 
-// simulateSlowService counts the requests that start while a check takes slowTime in place of
-// 5 ms, and those that start afterwards.
+// simulateSlowService counts the requests that start while a check takes slowTime instead of
+// 5 ms, and the requests that start afterwards.
 func simulateSlowService(slowTime time.Duration, client clientKind) (during, after requestCounts) {
 	const normalTime = 5 * time.Millisecond
 	sim := &simulation{}
@@ -152,8 +152,8 @@
 		client: client,
 		decider: New(Settings{Addresses: 1, Timeout: simCheckTimeout, MaxInFlight: 1000, Seed: 1,
 			Classes: map[string]Class{
-				"safe":  {Mode: FailOpen, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
-				"keyed": {Mode: FailClosed, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
+				"open":   {Mode: FailOpen, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
+				"closed": {Mode: FailClosed, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
 			}}),
 		rng:      rand.New(rand.NewPCG(1, 1)),
 		requests: map[uint64]*simRequest{},
@@ -163,7 +163,7 @@
 	return w.during, w.after
 }
 
-// countsNow are those of the phase in which a request starts now.
+// countsNow returns the counts of the current phase.
 func (w *slowServiceSimulation) countsNow() *requestCounts {
 	switch {
 	case w.sim.now < slowFrom:
@@ -183,9 +183,9 @@
 	w.requests[w.lastID] = r
 	r.counts.started++
 	if w.client == withDecider {
-		class := "safe"
+		class := "open"
 		if r.failsClosed {
-			class = "keyed"
+			class = "closed"
 		}
 		w.carryOut(w.decider.StartRequest(w.clock(), Request{ID: w.lastID, Class: class, Customer: "a", Remaining: time.Second}))
 	} else {
@@ -254,9 +254,10 @@
 	w.service.check(func() { finish(Allowed) })
 }
 
-// The service slows from 5 ms to 50 ms or 2 s, and recovers. Requests that fail open proceed, none
-// that fails closed does unchecked; once the service is back, so are the requests, without a
-// second overload by checks that nobody waits for.
+// The latency of the service rises from 5 ms to 50 ms or 2 s, and returns to normal. Meanwhile
+// requests that fail open proceed, and no request that fails closed proceeds unchecked. After the
+// recovery requests proceed again: checks whose clients have stopped waiting must not overload the
+// service a second time.
 func TestRequestsProceedWhileServiceIsSlowAndAfterwards(t *testing.T) {
 	for _, slowTime := range []time.Duration{50 * time.Millisecond, 2 * time.Second} {
 		for _, client := range []clientKind{withDecider, fixedFailClosed, fixedFailOpen} {
@@ -266,13 +267,13 @@
 				continue
 			}
 			if during.unchecked+after.unchecked > 0 {
-				t.Errorf("%d keyed requests proceeded unchecked", during.unchecked+after.unchecked)
+				t.Errorf("%d requests that fail closed proceeded unchecked", during.unchecked+after.unchecked)
 			}
 			if share := float64(after.proceeded) / float64(after.started); share < 0.85 {
-				t.Errorf("%v: after the recovery %.2f proceed", slowTime, share)
+				t.Errorf("%v: after the recovery a share of %.2f proceeds, want at least 0.85", slowTime, share)
 			}
 			if share := float64(during.proceeded) / float64(during.started); share < 0.55 {
-				t.Errorf("%v: %.2f proceed, 0.6 fail open", slowTime, share)
+				t.Errorf("%v: a share of %.2f proceeds while the service is slow, want at least 0.55 (0.6 of the requests fail open)", slowTime, share)
 			}
 		}
 	}
--- a/internal/pauseclock/clock.go
+++ b/internal/pauseclock/clock.go
@@ -9,36 +9,36 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// observationInterval is the time after which Now notes that the process runs. It keeps
-// goroutines that ask often from writing to shared memory each time.
+// observationInterval is the minimum time between two updates of lastObserved by Now. It avoids
+// a write to shared memory in each of many calls.
 const observationInterval = time.Millisecond
 
-// Clock is the clock of a process. It owns a heartbeat goroutine, from New to Close. All
-// methods may be called from any goroutine.
+// Clock is the clock of a process. It runs a heartbeat goroutine from New to Close. All methods
+// may be called from any goroutine.
 type Clock struct {
-	// TimeOrigin is the time from which durations count. It has a monotonic reading, and is
-	// not changed after New.
+	// TimeOrigin is the time from which durations are measured. It has a monotonic reading, and
+	// is not changed after New.
 	TimeOrigin time.Time
 
 	minPause         time.Duration
-	waitUntilRunning func() // blocks while the network's host is paused, as a stopped process does
+	waitUntilRunning func() // blocks while the network's host is paused, to simulate a stopped process
 
 	lastObserved atomicDuration
-	lastPauseEnd atomicDuration // 0: none
+	lastPauseEnd atomicDuration // 0 if no pause was detected
 	pauseCount   atomic.Int64
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards detector and sockets
 	detector *pause.Detector
-	sockets  map[*socketState]struct{} // open ones
+	sockets  map[*socketState]struct{} // open sockets
 
 	closeOnce     sync.Once
 	closing       chan struct{} // closed by Close
 	heartbeatDone chan struct{} // closed by the heartbeat
 }
 
-// New starts a clock whose durations count from origin, which must be a result of time.Now.
-// A network whose host can be paused, such as a test's, pauses the clock with it. The caller
-// must call Close.
+// New starts a clock that measures durations from origin, which must be a result of time.Now.
+// If n can pause its host, as the in-memory network of tests does, the clock pauses with the
+// host. The caller must call Close.
 func New(origin time.Time, n network.Network, s pause.Settings) *Clock {
 	c := &Clock{
 		TimeOrigin:       origin,
@@ -59,7 +59,7 @@
 	return c
 }
 
-// runHeartbeat observes the clocks, also to notice that the wall clock was set.
+// runHeartbeat observes the time periodically, also to detect that the wall clock was set.
 func (c *Clock) runHeartbeat(interval time.Duration) {
 	defer close(c.heartbeatDone)
 	ticker := time.NewTicker(interval)
@@ -75,15 +75,14 @@
 	}
 }
 
-// Close stops the heartbeat and waits until its goroutine has ended, which it does not while
-// the network's host is paused. The clock still tells the time afterwards. Close may be
-// called more than once.
+// Close stops the heartbeat and waits until its goroutine has ended; it blocks while the
+// network's host is paused. Now still works afterwards. Close may be called more than once.
 func (c *Clock) Close() {
 	c.closeOnce.Do(func() { close(c.closing) })
 	<-c.heartbeatDone
 }
 
-// Now returns the time since the origin, and finds the pause that this observation ends.
+// Now returns the time since the origin. It detects a pause that has just ended.
 func (c *Clock) Now() time.Duration {
 	c.waitUntilRunning()
 	t := time.Now()
@@ -98,7 +97,7 @@
 	return now
 }
 
-// observe has the detector observe a time, after the last time at which any goroutine is
+// observe passes a time to the detector, and before it the last time at which a goroutine is
 // known to have run.
 func (c *Clock) observe(t time.Time) {
 	c.mu.Lock()
@@ -115,17 +114,17 @@
 	}
 }
 
-// Pauses returns how many pauses were found since New.
+// Pauses returns the number of pauses detected since New.
 func (c *Clock) Pauses() int64 { return c.pauseCount.Load() }
 
-// PausedSince reports whether a pause ended after a time, with one that ends now.
+// PausedSince reports whether a pause ended after t, including a pause that this call detects.
 func (c *Clock) PausedSince(t time.Time) bool {
 	c.Now()
 	return c.lastPauseEnd.Load() > t.Sub(c.TimeOrigin)
 }
 
-// ActiveTime returns how long the process ran between two times since the origin; never
-// negative.
+// ActiveTime returns how long the process ran between two times, which are durations since the
+// origin. It is never negative.
 func (c *Clock) ActiveTime(from, to time.Duration) time.Duration {
 	if c.pauseCount.Load() == 0 {
 		return max(0, to-from)
@@ -135,8 +134,8 @@
 	return c.detector.ActiveTime(from, to)
 }
 
-// arrivalTime returns when the bytes of a read arrived. The kernel's timestamp, if the read
-// has one, is by the wall clock.
+// arrivalTime returns when the bytes of a read arrived. timestamp is the kernel's timestamp by
+// the wall clock, if the read has one.
 func (c *Clock) arrivalTime(r pause.SocketRead, timestamp time.Time) time.Duration {
 	if !r.HasKernelTimestamp && c.pauseCount.Load() == 0 {
 		return r.ReadAt
--- a/internal/pauseclock/clock_test.go
+++ b/internal/pauseclock/clock_test.go
@@ -11,8 +11,8 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// watchedPair returns a host with a clock that watches its network, the host's side of a
-// connection, and the peer's side. Bytes take a millisecond.
+// watchedPair returns a host, a clock that watches the host's network, and the host's and the
+// peer's end of a connection. The network's latency is 1 ms.
 func watchedPair(t *testing.T) (host *network.Host, clock *Clock, accepted, peer net.Conn) {
 	t.Helper()
 	memory := network.NewMemory(time.Millisecond, 1)
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _, _ = listener.Accept() }() // the listener's reader is back in a read
+	go func() { _, _ = listener.Accept() }() // keeps the listener in a read
 	t.Cleanup(func() {
 		_ = accepted.Close()
 		_ = peer.Close()
@@ -40,7 +40,8 @@
 	return host, clock, accepted, peer
 }
 
-// A process is paused for 2 s; a peer sends in the middle of it.
+// A process is paused for 2 s, and a peer sends data in the middle of the pause. The clock must detect
+// the pause and return the time at which the data arrived, not the time at which it was read.
 func TestClockDetectsPauseAndArrivalTimesDuringIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host, clock, conn, peer := watchedPair(t)
@@ -70,7 +71,7 @@
 			t.Errorf("active for %v of a pause", active)
 		}
 		if n := clock.UnreadSockets(); n != 1 {
-			t.Errorf("%d unread sockets after the pause, want the connection", n)
+			t.Errorf("%d unread sockets after the pause, want only the connection", n)
 		}
 		if _, err := conn.Read(make([]byte, 100)); err != nil {
 			t.Fatal(err)
@@ -79,12 +80,13 @@
 			t.Errorf("arrived %v after it was sent", arrived.Sub(sent))
 		}
 		if got, want := ArrivalTimeForAddr(conn.RemoteAddr()), ArrivalTime(conn); !got.Equal(want) {
-			t.Errorf("by its address it arrived at %v, want %v", got, want)
+			t.Errorf("arrival time for the address is %v, want %v", got, want)
 		}
 	})
 }
 
-// A socket counts as unread until its reader is back in a read, and has handled what it read.
+// A socket counts as unread until its reader has processed the data and reads again. Otherwise the
+// barrier after a pause could be lifted while a reader still processes a request of that pause.
 func TestSocketIsUnreadWhileReaderProcessesData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host, clock, conn, peer := watchedPair(t)
@@ -95,13 +97,13 @@
 		}
 		time.Sleep(time.Second)
 		host.Resume()
-		clock.Now() // the pause ends here
+		clock.Now() // detects the pause
 		time.Sleep(time.Millisecond)
 		if _, err := conn.Read(make([]byte, 100)); err != nil {
 			t.Fatal(err)
 		}
 		if n := clock.UnreadSockets(); n != 1 {
-			t.Errorf("%d unread sockets while the reader is at work, want 1", n)
+			t.Errorf("%d unread sockets while the reader processes data, want 1", n)
 		}
 		ended := make(chan error, 1)
 		go func() {
@@ -119,7 +121,7 @@
 			t.Error("a read of a closed connection returned no error")
 		}
 		if n := len(clock.sockets); n != 1 {
-			t.Errorf("%d sockets are watched, want the listener alone", n)
+			t.Errorf("%d sockets are watched, want only the listener", n)
 		}
 	})
 }
@@ -143,6 +145,6 @@
 	c.Close()
 	c.Close()
 	if c.Now() <= 0 {
-		t.Error("a closed clock tells no time")
+		t.Error("Now returned no time after Close")
 	}
 }
--- a/internal/pauseclock/conn.go
+++ b/internal/pauseclock/conn.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// ArrivalTime returns when the bytes that the last read of a connection returned arrived, as
-// far as is known; before the first read, when the connection was made. It looks through TLS
-// connections, and returns zero for a connection that is not watched. It may be called
-// concurrently with reads.
+// ArrivalTime returns an estimate of when the bytes returned by the last read of a connection
+// arrived, or when the connection was made if nothing was read. It unwraps TLS connections. For
+// a connection that is not watched it returns the zero time. It may be called concurrently with
+// reads.
 func ArrivalTime(nc net.Conn) time.Time {
 	for {
 		switch c := nc.(type) {
@@ -23,8 +23,8 @@
 	}
 }
 
-// ArrivalTimeForAddr returns the ArrivalTime of the connection whose RemoteAddr returned an
-// address; zero for other addresses.
+// ArrivalTimeForAddr returns the ArrivalTime of the watched connection whose RemoteAddr method
+// returned the address. For other addresses it returns the zero time.
 func ArrivalTimeForAddr(a net.Addr) time.Time {
 	if a, ok := a.(watchedAddr); ok {
 		return a.conn.arrivalTime()
@@ -32,7 +32,7 @@
 	return time.Time{}
 }
 
-// watchedAddr is an address that knows its connection.
+// watchedAddr is the remote address of a watched connection, with a reference to the connection.
 type watchedAddr struct {
 	net.Addr
 	conn *watchedConn
@@ -45,21 +45,21 @@
 	reader connReader
 }
 
-// connReader reads a connection in its own way. It calls onEmpty when it meets the socket
-// empty, before it blocks. It is not safe for concurrent use.
+// connReader reads from a connection. It calls onEmpty if the socket is empty, before it blocks.
+// It is not safe for concurrent use.
 type connReader interface {
 	read(b []byte, onEmpty func()) (readResult, error)
 }
 
-// readResult is what a read returned, with the time by the wall clock at which the last bytes
-// of it arrived, where that is known.
+// readResult is the result of a read. timestamp is the wall-clock time at which the last of its
+// bytes arrived, if hasTimestamp is true.
 type readResult struct {
 	n            int
 	timestamp    time.Time
 	hasTimestamp bool
 }
 
-// watchConn watches a connection that was last known to hold nothing at a time.
+// watchConn watches a connection. lastEmpty is the last time at which it is known to have been empty.
 func (c *Clock) watchConn(nc net.Conn, lastEmpty time.Duration) net.Conn {
 	w := &watchedConn{Conn: nc, socket: c.addSocket(readableFunc(nc))}
 	w.socket.lastEmpty.Store(lastEmpty)
@@ -72,10 +72,10 @@
 	return c.socket.clock.TimeOrigin.Add(c.socket.lastArrival.Load())
 }
 
-// RemoteAddr returns the peer's address, which ArrivalTimeForAddr takes.
+// RemoteAddr returns the peer's address. It can be passed to ArrivalTimeForAddr.
 func (c *watchedConn) RemoteAddr() net.Addr { return watchedAddr{c.Conn.RemoteAddr(), c} }
 
-// Read reads from the connection and dates what it returns.
+// Read reads from the connection and records when the returned bytes arrived.
 func (c *watchedConn) Read(b []byte) (int, error) {
 	c.socket.reading.Store(true)
 	defer c.socket.reading.Store(false)
@@ -89,7 +89,7 @@
 	return result.n, err
 }
 
-// Readable reports whether the connection holds bytes that were not read, or its end.
+// Readable reports whether the connection holds unread bytes or is at its end.
 func (c *watchedConn) Readable() bool { return c.socket.readable() }
 
 func isTimeout(err error) bool {
@@ -103,7 +103,7 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite closes the sending side, or the connection if it has no side of its own.
+// CloseWrite closes the sending side, or the whole connection if it can't be closed separately.
 func (c *watchedConn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -111,8 +111,8 @@
 	return c.Conn.Close()
 }
 
-// readableFunc returns a function that reports whether a socket holds bytes, a packet, a
-// connection, or its end. The function is false where that cannot be known.
+// readableFunc returns a function that reports whether a socket holds bytes, a packet or a
+// connection, or is at its end. The function returns false if that can't be determined.
 func readableFunc(socket any) func() bool {
 	if s, ok := socket.(interface{ Readable() bool }); ok {
 		return s.Readable
@@ -122,8 +122,8 @@
 
 func neverReadable() bool { return false }
 
-// plainReader reads a connection that has no kernel timestamps. Its connection may know when
-// bytes arrived; that of an in-memory network does.
+// plainReader reads a connection without kernel timestamps. The connection itself may report
+// when bytes arrived, as connections of the in-memory network do.
 type plainReader struct {
 	conn     net.Conn
 	readable func() bool
--- a/internal/pauseclock/network.go
+++ b/internal/pauseclock/network.go
@@ -15,10 +15,10 @@
 	network network.Network
 }
 
-// Unwrap returns the network below.
+// Unwrap returns the underlying network.
 func (w *watchedNetwork) Unwrap() network.Network { return w.network }
 
-// Dial connects as the network below does.
+// Dial connects through the underlying network.
 func (w *watchedNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	nc, err := w.network.Dial(ctx, address)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return w.clock.watchConn(nc, w.clock.Now()), nil
 }
 
-// Listen listens as the network below does.
+// Listen listens on the underlying network.
 func (w *watchedNetwork) Listen(address string) (net.Listener, error) {
 	l, err := w.network.Listen(address)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return &watchedListener{l, w.clock.addSocket(readableFunc(l))}, nil
 }
 
-// ListenPacket listens as the network below does.
+// ListenPacket listens for packets on the underlying network.
 func (w *watchedNetwork) ListenPacket(address string) (net.PacketConn, error) {
 	p, err := w.network.ListenPacket(address)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return &watchedPacketConn{p, w.clock.addSocket(readableFunc(p))}, nil
 }
 
-// beforeRead notes that a read begins, and that the socket is empty if it is.
+// beforeRead records that a read begins, and marks the socket as empty if it is.
 func (s *socketState) beforeRead() {
 	if !s.readable() {
 		s.markEmpty()
@@ -58,7 +58,7 @@
 	socket *socketState
 }
 
-// Accept accepts a connection. It arrived no earlier than the listener was last met empty.
+// Accept accepts a connection, which arrived no earlier than the listener was last found empty.
 func (l *watchedListener) Accept() (net.Conn, error) {
 	l.socket.beforeRead()
 	nc, err := l.Listener.Accept()
--- a/internal/pauseclock/socket.go
+++ b/internal/pauseclock/socket.go
@@ -7,20 +7,20 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// socketState tells whether a socket may hold what arrived before a time. Its reader updates
-// it; the event loop reads it through Clock.UnreadSockets.
+// socketState records whether a socket may hold data that arrived before a given time. The
+// socket's reader updates it; the event loop reads it through Clock.UnreadSockets.
 type socketState struct {
 	clock    *Clock
-	readable func() bool // whether the socket holds bytes, a packet, a connection, or its end
+	readable func() bool // see readableFunc
 
-	lastEmpty   atomicDuration // when the reader last met the socket empty
-	lastRead    atomicDuration // when a read last returned something
-	lastArrival atomicDuration // when that had arrived
-	reading     atomic.Bool    // the reader is in a read
-	finished    atomic.Bool    // the socket gave its end, or was closed
+	lastEmpty   atomicDuration // when the reader last found the socket empty
+	lastRead    atomicDuration // when a read last returned data
+	lastArrival atomicDuration // when the data of the last read arrived
+	reading     atomic.Bool    // a read is in progress
+	finished    atomic.Bool    // the socket is at its end or was closed
 }
 
-// addSocket registers an open socket. Its state must be removed when it is closed.
+// addSocket registers an open socket. remove must be called when the socket is closed.
 func (c *Clock) addSocket(readable func() bool) *socketState {
 	s := &socketState{clock: c, readable: readable}
 	c.mu.Lock()
@@ -29,7 +29,7 @@
 	return s
 }
 
-// remove marks the socket as finished and forgets it.
+// remove marks the socket as finished and removes it from the clock's sockets.
 func (s *socketState) remove() {
 	s.finished.Store(true)
 	s.clock.mu.Lock()
@@ -37,8 +37,8 @@
 	delete(s.clock.sockets, s)
 }
 
-// UnreadSockets returns how many sockets may hold what arrived before the end of the last
-// pause, or have readers that are still at work on it. It polls sockets without blocking.
+// UnreadSockets returns the number of sockets that may hold data received before the end of the
+// last pause, or whose readers still process such data. It polls sockets without blocking.
 func (c *Clock) UnreadSockets() int {
 	since := c.lastPauseEnd.Load()
 	unread := 0
@@ -50,8 +50,8 @@
 	return unread
 }
 
-// socketsNotEmptySince returns the open sockets that were not met empty after a time. They
-// are polled without holding the clock's lock.
+// socketsNotEmptySince returns the open sockets that were not found empty after t. It returns a
+// copy, so that the caller can poll them without holding the clock's lock.
 func (c *Clock) socketsNotEmptySince(t time.Duration) []*socketState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,8 +64,8 @@
 	return list
 }
 
-// drainedSince reports whether everything that arrived before a time was read, and handled by
-// the reader: it is in a read again, or has read nothing since.
+// drainedSince reports whether all data that arrived before t was read and processed by the
+// reader: a read is in progress again, or nothing was read since t.
 func (s *socketState) drainedSince(t time.Duration) bool {
 	if s.finished.Load() || s.lastEmpty.Load() > t {
 		return true
@@ -76,10 +76,10 @@
 	return s.reading.Load() || s.lastRead.Load() <= t
 }
 
-// markEmpty notes that the reader met the socket empty now.
+// markEmpty records that the reader found the socket empty now.
 func (s *socketState) markEmpty() { s.lastEmpty.Store(s.clock.Now()) }
 
-// markRead notes that a read returned something at a time.
+// markRead records that a read returned data at the given time.
 func (s *socketState) markRead(now time.Duration, r readResult) {
 	s.lastRead.Store(now)
 	read := pause.SocketRead{LastEmpty: s.lastEmpty.Load(), ReadAt: now, HasKernelTimestamp: r.hasTimestamp}
--- a/internal/pauseclock/tcp_linux.go
+++ b/internal/pauseclock/tcp_linux.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// newConnReader returns a reader that asks the kernel for timestamps of TCP segments
-// (SO_TIMESTAMPNS, socket(7)): a read has that of the last segment it returned bytes of.
+// newConnReader returns a reader that enables the kernel's timestamps of TCP segments
+// (SO_TIMESTAMPNS, socket(7)). The timestamp of a read is that of the last segment of which it
+// returned bytes.
 func newConnReader(nc net.Conn, readable func() bool) connReader {
 	tc, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -49,8 +50,8 @@
 	return t
 }
 
-// enableTimestamps asks for timestamps. Errors are ignored: reads of the socket have no
-// timestamps then.
+// enableTimestamps enables timestamps. Errors are ignored: reads of the socket then have no
+// timestamps.
 func enableTimestamps(raw syscall.RawConn) {
 	_ = raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1)
@@ -62,7 +63,7 @@
 	raw         syscall.RawConn
 	receiveFunc func(fd uintptr) bool // the method receive, bound once to save allocations
 
-	// Of the read in progress.
+	// These belong to the read in progress.
 	buffer     []byte
 	onEmpty    func()
 	received   int
@@ -94,8 +95,8 @@
 	return readResult{n: t.received, timestamp: timestamp, hasTimestamp: ok}, nil
 }
 
-// receive reads what the socket holds. It reports false if the socket is empty, upon which
-// the runtime calls it again once the socket is readable.
+// receive reads from the socket. It returns false if the socket is empty; the runtime then calls
+// it again when the socket is readable.
 func (t *tcpReader) receive(fd uintptr) bool {
 	for {
 		t.received, t.controlLen, _, _, t.receiveErr = syscall.Recvmsg(int(fd), t.buffer, t.control[:], 0)
@@ -112,8 +113,8 @@
 	}
 }
 
-// timestamp returns the timestamp in the control messages of the last receive. SO_TIMESTAMPNS
-// is the only option that makes the kernel send one, so that it is the first message.
+// timestamp returns the timestamp in the control messages of the last receive. It is the first
+// control message, since no option but SO_TIMESTAMPNS makes the kernel send any.
 func (t *tcpReader) timestamp() (time.Time, bool) {
 	const timespecSize = int(unsafe.Sizeof(syscall.Timespec{}))
 	if t.controlLen < syscall.CmsgSpace(timespecSize) {
--- a/internal/pauseclock/tcp_linux_test.go
+++ b/internal/pauseclock/tcp_linux_test.go
@@ -11,8 +11,8 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// A read of TCP that comes late has the time at which the kernel took the bytes in, and the
-// end of the connection is the end of its socket.
+// A TCP read long after the bytes arrived must return the kernel's arrival time, not the time of
+// the read. A read at the end of the connection must mark its socket as finished.
 func TestLateTCPReadHasTheKernelsArrivalTime(t *testing.T) {
 	clock := New(time.Now(), network.OS{}, pause.DefaultSettings())
 	defer clock.Close()
@@ -31,12 +31,12 @@
 	}
 	defer func() { _ = conn.Close() }()
 	buffer := make([]byte, 10)
-	// The first socket of a machine that asks for timestamps has them only a moment later.
-	dated := false
-	for attempts := 0; attempts < 20 && !dated; attempts++ {
-		dated = lateReadHasArrivalTime(t, peer, conn, buffer)
+	// The first socket of a machine that enables timestamps receives them only after a short delay.
+	hasArrivalTime := false
+	for attempts := 0; attempts < 20 && !hasArrivalTime; attempts++ {
+		hasArrivalTime = lateReadHasArrivalTime(t, peer, conn, buffer)
 	}
-	if !dated {
+	if !hasArrivalTime {
 		t.Error("no late read has the time at which its bytes arrived")
 	}
 	if err := peer.Close(); err != nil {
@@ -46,12 +46,12 @@
 		t.Errorf("at the end: %v", err)
 	}
 	if !conn.(*watchedConn).socket.finished.Load() {
-		t.Error("a socket that gave its end is not finished")
+		t.Error("a socket whose end was read is not finished")
 	}
 }
 
-// lateReadHasArrivalTime sends, reads 100 ms later, and reports whether the read is dated to when its
-// bytes were sent.
+// lateReadHasArrivalTime sends bytes, reads them 100 ms later, and reports whether the arrival
+// time is less than 50 ms after the time at which they were sent.
 func lateReadHasArrivalTime(t *testing.T, peer, conn net.Conn, buffer []byte) bool {
 	t.Helper()
 	if _, err := peer.Write([]byte("late")); err != nil {
--- a/internal/pauseclock/tcp_other.go
+++ b/internal/pauseclock/tcp_other.go
@@ -4,7 +4,7 @@
 
 import "net"
 
-// pollFunc returns a function that is false: sockets are not polled on this system.
+// pollFunc returns a function that always returns false: sockets are not polled on this system.
 func pollFunc(any) func() bool { return neverReadable }
 
 // newConnReader returns a reader without timestamps.
--- a/internal/timers/wheel.go
+++ b/internal/timers/wheel.go
@@ -1,6 +1,6 @@
 // Package timers holds an event loop's pending timers in a hierarchical timing wheel
-// (Varghese and Lauck, 1987): adding and stopping a timer cost the same however many are
-// pending. It reads no clock and starts no goroutine.
+// (Varghese and Lauck, 1987): the cost of adding or stopping a timer does not depend on the number
+// of pending timers. It reads no clock and starts no goroutine.
 package timers
 
 import (
@@ -10,24 +10,24 @@
 
 const (
 	levelCount    = 4
-	slotBits      = 6 // the ticks of a slot of one level are a turn of the level below
+	slotBits      = 6 // one slot of a level spans all slots of the level below
 	slotsPerLevel = 1 << slotBits
 	slotMask      = slotsPerLevel - 1
 	tickLength    = time.Millisecond
 )
 
-// noTick stands for a tick that was not found.
+// noTick is returned if there is no matching tick.
 const noTick = -1
 
-// Wheel holds timers by the time at which they are due, in ticks of a millisecond. A timer
-// never fires early. The zero Wheel is ready for use, at time 0. A Wheel is not safe for
-// concurrent use; timers' functions may call its methods.
+// Wheel holds timers by the time at which they are due, in ticks of one millisecond. A timer
+// never fires early. The zero Wheel is ready to use and is at time 0. A Wheel is not safe for
+// concurrent use; the functions of its timers may call its methods.
 type Wheel struct {
-	currentTick int64 // all timers due at it or earlier have fired
+	currentTick int64 // all timers due at this tick or earlier have fired
 	pending     int
 
-	slots    [levelCount][slotsPerLevel]*Timer // lists
-	occupied [levelCount]uint64                // bit i: slot i may hold timers; clear: it holds none
+	slots    [levelCount][slotsPerLevel]*Timer // heads of linked lists
+	occupied [levelCount]uint64                // if bit i is set, slot i may hold timers; if it is clear, slot i is empty
 }
 
 // Timer is one timer of a Wheel.
@@ -36,15 +36,15 @@
 	fire    func()
 	dueTick int64
 
-	slot       **Timer // head of the list that it is in; nil: it fired or was stopped
+	slot       **Timer // head of the list that holds the timer; nil if it fired or was stopped
 	prev, next *Timer
 }
 
 // Len returns the number of pending timers.
 func (w *Wheel) Len() int { return w.pending }
 
-// Add adds a timer that calls fire in the first Advance to the time at or later, in the
-// goroutine that calls Advance. A time that has passed is due at the next tick.
+// Add adds a timer. The first Advance to at or later calls fire, in the goroutine that calls
+// Advance. If at has passed, the timer is due at the next tick.
 func (w *Wheel) Add(at time.Duration, fire func()) *Timer {
 	roundedUp := int64((at + tickLength - 1) / tickLength)
 	t := &Timer{wheel: w, fire: fire, dueTick: max(roundedUp, w.currentTick+1)}
@@ -53,11 +53,11 @@
 	return t
 }
 
-// slotNumber counts the slots of a level from time 0 up to the one that a tick is in.
+// slotNumber returns the number of the slot of a level that contains a tick, counted from time 0.
 func slotNumber(tick int64, level int) int64 { return tick >> (slotBits * level) }
 
-// insert puts a timer into the lowest level that reaches its tick. One beyond the top level
-// goes into the last slot of that level, and is inserted again from there.
+// insert puts a timer into the lowest level whose slots include its tick. A timer beyond the top
+// level is put into the last slot of the top level, and inserted again when that slot is reached.
 func (w *Wheel) insert(t *Timer) {
 	level := 0
 	for level < levelCount-1 && slotNumber(t.dueTick, level)-slotNumber(w.currentTick, level) >= slotsPerLevel {
@@ -80,7 +80,7 @@
 	*slot = t
 }
 
-// unlink takes the timer out of its list.
+// unlink removes the timer from its list.
 func (t *Timer) unlink() {
 	if t.prev != nil {
 		t.prev.next = t.next
@@ -95,7 +95,7 @@
 	t.slot = nil
 }
 
-// Stop removes a timer. It reports false for one that is nil, has fired or was stopped.
+// Stop removes a timer. It returns false if the timer is nil, has fired or was already stopped.
 func (t *Timer) Stop() bool {
 	if t == nil || t.slot == nil {
 		return false
@@ -105,8 +105,8 @@
 	return true
 }
 
-// Next returns a time by which Advance is to be called again; false if no timer is pending.
-// It may be earlier than the next timer is due, never later.
+// Next returns the time at which Advance should be called again, or false if no timer is pending.
+// It may be earlier than the time at which the next timer is due, but not later.
 func (w *Wheel) Next() (time.Duration, bool) {
 	if w.pending == 0 {
 		return 0, false
@@ -122,10 +122,10 @@
 }
 
 // nextOccupied returns the first tick of the next slot of a level that holds timers, or
-// noTick. It clears the bits of empty slots that it passes.
+// noTick. It clears the bits of the empty slots that it skips.
 func (w *Wheel) nextOccupied(level int) int64 {
 	first := slotNumber(w.currentTick, level) + 1
-	// Bit k is the slot k slots after the first.
+	// Bit k stands for the slot with the number first+k.
 	upcoming := bits.RotateLeft64(w.occupied[level], -int(first&slotMask))
 	for upcoming != 0 {
 		k := bits.TrailingZeros64(upcoming)
@@ -140,8 +140,8 @@
 	return noTick
 }
 
-// Advance moves the wheel to a time, and fires the timers that are due in order of their
-// ticks; those of one tick in no order.
+// Advance moves the wheel to a time and fires the timers that are due, in order of their ticks.
+// The order of timers with the same tick is not defined.
 func (w *Wheel) Advance(now time.Duration) {
 	end := int64(now / tickLength)
 	for w.currentTick < end {
@@ -157,7 +157,7 @@
 	}
 }
 
-// cascadeAll cascades each level that has reached a new slot, from the top.
+// cascadeAll cascades each level that has reached a new slot, starting from the top level.
 func (w *Wheel) cascadeAll() {
 	for level := levelCount - 1; level > 0; level-- {
 		ticksPerSlot := int64(1) << (slotBits * level)
@@ -167,7 +167,7 @@
 	}
 }
 
-// cascade inserts the timers of a level's current slot into lower levels.
+// cascade moves the timers of a level's current slot to lower levels.
 func (w *Wheel) cascade(level int) {
 	i := slotNumber(w.currentTick, level) & slotMask
 	list := w.slots[level][i]
@@ -180,8 +180,8 @@
 	}
 }
 
-// fireCurrent fires the timers of the current tick. Their functions may add timers, which are
-// due later, and stop others.
+// fireCurrent fires the timers of the current tick. Their functions may stop other timers, and
+// add timers, which are due at later ticks.
 func (w *Wheel) fireCurrent() {
 	i := w.currentTick & slotMask
 	for t := w.slots[0][i]; t != nil; t = w.slots[0][i] {
--- a/internal/timers/wheel_test.go
+++ b/internal/timers/wheel_test.go
@@ -10,18 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed, so that each run has the same verdict.
+// A fixed seed gives each run the same result.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// wheelModel is a Wheel beside a plain list of the same timers.
+// wheelModel is a Wheel with a list of the same timers, against which the test compares it.
 type wheelModel struct {
 	wheel  Wheel
 	now    time.Duration
-	span   *rapid.Generator[time.Duration] // of times to add
+	span   *rapid.Generator[time.Duration] // spans from which drawTime draws times
 	timers []*modelTimer
 }
 
@@ -34,7 +34,7 @@
 
 func (m *modelTimer) pending() bool { return !m.fired && !m.stopped }
 
-// drawTime draws a time between 0 and a drawn span.
+// drawTime draws a time between 0 and a random span.
 func (m *wheelModel) drawTime(t *rapid.T, label string) time.Duration {
 	return time.Duration(rapid.Int64Range(0, int64(m.span.Draw(t, "span"))).Draw(t, label))
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// Under random adds, stops and advances each timer fires once, not early, and in the first
-// Advance past its tick; the time that Next returns is never too late.
+// In random sequences of Add, Stop and Advance, each timer fires once, not early, and in the first
+// Advance past its tick. Next never returns a time after a timer is due.
 func TestWheelAgainstList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &wheelModel{span: rapid.SampledFrom([]time.Duration{100 * time.Millisecond, time.Minute, 10 * time.Hour})}
@@ -96,7 +96,8 @@
 
 const pendingTimers = 100_000
 
-// A node's use: add a deadline, and stop it when the response arrives, with many pending.
+// Measures the use by a node: a deadline timer is added, and stopped when the response arrives, while
+// many other timers are pending.
 func BenchmarkWheel(b *testing.B) {
 	var w Wheel
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -126,7 +127,7 @@
 	}
 }
 
-// All pending timers are due at once.
+// Measures one Advance for which all pending timers are due.
 func BenchmarkWheelExpire(b *testing.B) {
 	for b.Loop() {
 		var w Wheel
--- a/node/loop.go
+++ b/node/loop.go
@@ -81,8 +81,8 @@
 	return next - time.Since(n.timeOrigin)
 }
 
-// detectPause reads the clock and raises the barrier if the process was paused, or if only
-// the loop did not read the clock for longer than a pause.
+// detectPause reads the clock and raises the barrier if the process was paused, or if the
+// loop itself has not read the clock for longer than MinPause.
 func (n *Node) detectPause() {
 	now := n.options.Clock.Now()
 	pauses := n.options.Clock.Pauses()
