--- a/authz/circuit_breaker_test.go
+++ b/authz/circuit_breaker_test.go
@@ -46,7 +46,7 @@
 		expected := min(want, maxOpenTime)
 		got := b.openUntil.Sub(now)
 		if got < time.Duration(0.8*float64(expected)) || got > time.Duration(1.2*float64(expected)) {
-			t.Errorf("open for %v, want %v within a fifth", got, expected)
+			t.Errorf("open for %v, want %v ± 20%%", got, expected)
 		}
 		now = b.openUntil
 		if failCheck(b, now, rng) {
@@ -64,7 +64,7 @@
 	now := b.openUntil
 	b.checkSent()
 	if b.allows(now) {
-		t.Error("two probes at once")
+		t.Error("a second probe is allowed while one is in flight")
 	}
 	b.checkEnded()
 	for probe := 1; probe <= closeAfterProbes; probe++ {
--- a/authz/concurrency_limit_test.go
+++ b/authz/concurrency_limit_test.go
@@ -35,7 +35,7 @@
 	l.recordResult(0.010, 0)
 	l.recordResult(0.029, 0)
 	if l.limit != initialConcurrency {
-		t.Errorf("limit %v after a result below the factor", l.limit)
+		t.Errorf("limit %v after a result below slowFactor times the baseline", l.limit)
 	}
 	l.recordResult(0.100, 0)
 	if want := initialConcurrency * slowDecrease; l.limit != want {
--- a/authz/decider_test.go
+++ b/authz/decider_test.go
@@ -153,7 +153,7 @@
 			continue
 		}
 		if c.ID != id || !r.inFlight {
-			t.Fatalf("%+v", c)
+			t.Fatalf("unexpected %+v", c)
 		}
 	}
 	m.carryOut(t, others)
--- a/authz/fallback_test.go
+++ b/authz/fallback_test.go
@@ -21,25 +21,25 @@
 func TestCachedResultReplacesAMissingOne(t *testing.T) {
 	d := New(testSettings(1))
 	if r, ok := checkOnce(d, testStart, 1, "cached", Allowed); !ok || r.Decision != Proceed || r.FromFallback {
-		t.Errorf("%+v", r)
+		t.Errorf("allowed: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(30*time.Second), 2, "cached", TimedOut); !ok || r.Decision != Proceed || !r.FromFallback || r.CachedPayload != "payload" {
-		t.Errorf("%+v", r)
+		t.Errorf("timed out, with a cached result: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(90*time.Second), 3, "cached", TimedOut); !ok || r.Decision != RejectTimedOut {
-		t.Errorf("%+v", r)
+		t.Errorf("timed out, with an expired result: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(91*time.Second), 4, "cached", Denied); !ok || r.Decision != Deny {
-		t.Errorf("%+v", r)
+		t.Errorf("denied: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(92*time.Second), 5, "cached", Unreachable); !ok || r.Decision != Deny || !r.FromFallback {
-		t.Errorf("%+v", r)
+		t.Errorf("unreachable, with a cached denial: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(93*time.Second), 6, "closed", Unreachable); !ok || r.Decision != RejectUnreachable {
-		t.Errorf("%+v", r)
+		t.Errorf("unreachable, fails closed: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(94*time.Second), 7, "open", Unreachable); !ok || r.Decision != Proceed || !r.FromFallback {
-		t.Errorf("%+v", r)
+		t.Errorf("unreachable, fails open: %+v", r)
 	}
 }
 
--- a/authz/queue_test.go
+++ b/authz/queue_test.go
@@ -47,7 +47,7 @@
 		carryOut(d.FinishCheck(testStart.Add(time.Millisecond), c.ID, c.Attempt, CheckResult{Outcome: Allowed, Latency: time.Millisecond}))
 	}
 	if rejected < 25 {
-		t.Errorf("%d requests over quota rejected without a check", rejected)
+		t.Errorf("%d requests over quota rejected without a check, want at least 25", rejected)
 	}
 	within := 0
 	for _, customer := range checkedCustomers {
@@ -79,7 +79,7 @@
 			q.push(want[i])
 		}
 		if !slices.Equal(q.requests, want) {
-			t.Errorf("pushed in the order %v: the queue is not in its order", order)
+			t.Errorf("pushed in the order %v: the queue is not sorted", order)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	q.push(late)
 	q.push(timely)
 	if got := q.removeLate(testStart); !slices.Equal(got, []*pendingRequest{late}) || late.queued {
-		t.Errorf("%d removed", len(got))
+		t.Errorf("%d requests removed, want only the late request", len(got))
 	}
 	if q.first() != timely || !timely.queued {
 		t.Error("the request with enough time left is not queued any more")
--- a/authz/slow_service_test.go
+++ b/authz/slow_service_test.go
@@ -152,8 +152,8 @@
 		client: client,
 		decider: New(Settings{Addresses: 1, Timeout: simCheckTimeout, MaxInFlight: 1000, Seed: 1,
 			Classes: map[string]Class{
-				"open":   {Mode: FailOpen, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
-				"closed": {Mode: FailClosed, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
+				"safe":  {Mode: FailOpen, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
+				"keyed": {Mode: FailClosed, LatencyObjective: 400 * time.Millisecond, PriorityWeight: 1},
 			}}),
 		rng:      rand.New(rand.NewPCG(1, 1)),
 		requests: map[uint64]*simRequest{},
@@ -183,9 +183,9 @@
 	w.requests[w.lastID] = r
 	r.counts.started++
 	if w.client == withDecider {
-		class := "open"
+		class := "safe"
 		if r.failsClosed {
-			class = "closed"
+			class = "keyed"
 		}
 		w.carryOut(w.decider.StartRequest(w.clock(), Request{ID: w.lastID, Class: class, Customer: "a", Remaining: time.Second}))
 	} else {
--- a/internal/pauseclock/clock_test.go
+++ b/internal/pauseclock/clock_test.go
@@ -65,10 +65,10 @@
 			t.Errorf("paused since: %v; %d pauses", clock.PausedSince(before), clock.Pauses())
 		}
 		if clock.PausedSince(time.Now()) {
-			t.Error("paused since the end of the pause")
+			t.Error("PausedSince reports a pause after the end of the pause")
 		}
 		if active := clock.ActiveTime(from, to); active > 50*time.Millisecond {
-			t.Errorf("active for %v of a pause", active)
+			t.Errorf("active for %v during the pause", active)
 		}
 		if n := clock.UnreadSockets(); n != 1 {
 			t.Errorf("%d unread sockets after the pause, want only the connection", n)
@@ -133,10 +133,10 @@
 		_ = b.Close()
 	}()
 	if at := ArrivalTime(a); !at.IsZero() {
-		t.Errorf("connection: %v", at)
+		t.Errorf("arrival time of the connection: %v, want zero", at)
 	}
 	if at := ArrivalTimeForAddr(a.RemoteAddr()); !at.IsZero() {
-		t.Errorf("address: %v", at)
+		t.Errorf("arrival time for the address: %v, want zero", at)
 	}
 }
 
--- a/internal/pauseclock/tcp_linux_test.go
+++ b/internal/pauseclock/tcp_linux_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(buffer); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("read at the end of the connection: %v, want EOF", err)
 	}
 	if !conn.(*watchedConn).socket.finished.Load() {
 		t.Error("a socket whose end was read is not finished")
--- a/internal/timers/wheel_test.go
+++ b/internal/timers/wheel_test.go
@@ -43,7 +43,7 @@
 	e := &modelTimer{at: m.now + m.drawTime(t, "after")}
 	e.timer = m.wheel.Add(e.at, func() {
 		if !e.pending() || m.now < e.at {
-			t.Fatalf("fired at %v: at %v, fired %v, stopped %v", m.now, e.at, e.fired, e.stopped)
+			t.Fatalf("timer fired at %v: due at %v, already fired %v, stopped %v", m.now, e.at, e.fired, e.stopped)
 		}
 		e.fired = true
 	})
@@ -67,7 +67,7 @@
 	m.wheel.Advance(m.now)
 	for _, e := range m.timers {
 		if e.pending() && e.at+2*tickLength <= m.now {
-			t.Fatalf("at %v not fired at %v", e.at, m.now)
+			t.Fatalf("timer due at %v has not fired at %v", e.at, m.now)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	}
 	for _, e := range m.timers {
 		if e.pending() && next > e.at+tickLength && next > m.now+tickLength {
-			t.Fatalf("Next %v is after %v", next, e.at)
+			t.Fatalf("Next returned %v, after a timer due at %v", next, e.at)
 		}
 	}
 }
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -33,8 +33,8 @@
 }
 
 // accept enqueues a request, or returns the reason why it can't be accepted. It checks
-// closing and enqueues under the same lock: after closing is set, the loop empties the queue
-// for the last time, and a request enqueued later would never be answered.
+// closing and enqueues under the same lock: after closing is set, Drain counts the unanswered
+// requests and failRemaining empties the queue, and a request enqueued later would be missed.
 func (n *Node) accept(r *pendingRequest) Reason {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -168,7 +168,7 @@
 	n.handleEvents(n.takeQueue(nil))
 	n.failRemaining()
 	if final.Kind != Failed || final.Reason != ReasonDraining || final.Detail != detailStopped {
-		t.Errorf("%+v", final)
+		t.Errorf("final response %+v", final)
 	}
 }
 
--- a/node/policy_panic_test.go
+++ b/node/policy_panic_test.go
@@ -43,9 +43,9 @@
 
 func newPolicyPanicFixture(t *testing.T) *policyPanicFixture {
 	t.Helper()
-	b := &policyPanicFixture{upstream: &fakeUpstream{}, authorizer: &fakeAuthorizer{}, responses: map[string]int{}, released: map[string]int{}}
+	f := &policyPanicFixture{upstream: &fakeUpstream{}, authorizer: &fakeAuthorizer{}, responses: map[string]int{}, released: map[string]int{}}
 	var err error
-	b.Node, err = New(Options{
+	f.Node, err = New(Options{
 		Settings: policy.Settings{
 			Gateways:   1,
 			Resolution: time.Millisecond,
@@ -57,83 +57,83 @@
 		},
 		Logger:        slog.New(slog.DiscardHandler),
 		MaxUnanswered: 10,
-		Upstream:      b.upstream,
+		Upstream:      f.upstream,
 		AuthorizationDecider: authz.New(authz.Settings{Addresses: 1, Timeout: time.Second, MaxInFlight: 8,
 			Classes: map[string]authz.Class{"checked": {Mode: authz.FailClosed, LatencyObjective: time.Second}, "read": {Mode: authz.Skip}}}),
-		AuthorizationClient: b.authorizer,
-		OnRequestDone:       func(r *Request) { b.released[r.Trace]++ },
+		AuthorizationClient: f.authorizer,
+		OnRequestDone:       func(r *Request) { f.released[r.Trace]++ },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.UpdateEndpoints(policy.SnapshotUpdate, []Endpoint{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
-	b.runLoopOnce()
-	return b
+	f.UpdateEndpoints(policy.SnapshotUpdate, []Endpoint{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
+	f.runLoopOnce()
+	return f
 }
 
 // runLoopOnce fires the expired timers and handles the queued events.
-func (b *policyPanicFixture) runLoopOnce() {
-	b.refreshTime()
-	b.expireTimers()
-	b.handleEvents(b.takeQueue(nil))
+func (f *policyPanicFixture) runLoopOnce() {
+	f.refreshTime()
+	f.expireTimers()
+	f.handleEvents(f.takeQueue(nil))
 }
 
 // submit submits a request with name as its trace.
-func (b *policyPanicFixture) submit(name, class string, isProxied bool) {
+func (f *policyPanicFixture) submit(name, class string, isProxied bool) {
 	r := newRequest()
 	r.Trace, r.Class, r.Proxied = name, class, isProxied
-	b.Submit(r, func(FinalResponse) { b.responses[name]++ })
-	b.runLoopOnce()
+	f.Submit(r, func(FinalResponse) { f.responses[name]++ })
+	f.runLoopOnce()
 }
 
 // panicInPolicy makes the policy panic, upon which the node starts a new one.
-func (b *policyPanicFixture) panicInPolicy() {
-	b.policy = nil
-	b.queuePolicyEvent(policy.TimerFired{})
-	b.runLoopOnce()
+func (f *policyPanicFixture) panicInPolicy() {
+	f.policy = nil
+	f.queuePolicyEvent(policy.TimerFired{})
+	f.runLoopOnce()
 }
 
 // A panic of the policy gives every request one final response and releases it once, whatever its state. Results that
 // arrive afterwards are ignored.
 func TestPanicEndsEachRequestOnce(t *testing.T) {
-	b := newPolicyPanicFixture(t)
-	b.submit("in flight", "read", false)
-	b.submit("proxied", "read", true)
-	b.submit("queued", "read", false)
-	b.submit("authorizing", "checked", false)
-	if len(b.upstream.done) != 1 || len(b.authorizer.done) != 1 || b.responses["proxied"] != 1 {
-		t.Fatalf("%d attempts, %d checks, responses %v before the panic", len(b.upstream.done), len(b.authorizer.done), b.responses)
+	f := newPolicyPanicFixture(t)
+	f.submit("in flight", "read", false)
+	f.submit("proxied", "read", true)
+	f.submit("queued", "read", false)
+	f.submit("authorizing", "checked", false)
+	if len(f.upstream.done) != 1 || len(f.authorizer.done) != 1 || f.responses["proxied"] != 1 {
+		t.Fatalf("%d attempts, %d checks, responses %v before the panic", len(f.upstream.done), len(f.authorizer.done), f.responses)
 	}
-	proxied := b.lastID - 2
-	b.panicInPolicy()
-	b.upstream.done[0](Result{Code: policy.OK, Response: &Response{Status: 200}})
-	b.authorizer.done[0](AuthorizationResult{Outcome: authz.Allowed})
-	b.FinishProxiedAttempt(proxied, 0, Result{Code: policy.OK})
-	b.runLoopOnce()
+	proxied := f.lastID - 2
+	f.panicInPolicy()
+	f.upstream.done[0](Result{Code: policy.OK, Response: &Response{Status: 200}})
+	f.authorizer.done[0](AuthorizationResult{Outcome: authz.Allowed})
+	f.FinishProxiedAttempt(proxied, 0, Result{Code: policy.OK})
+	f.runLoopOnce()
 	for _, name := range []string{"in flight", "proxied", "queued", "authorizing"} {
-		if b.responses[name] != 1 || b.released[name] != 1 {
-			t.Errorf("%s: %d final responses, released %d times", name, b.responses[name], b.released[name])
+		if f.responses[name] != 1 || f.released[name] != 1 {
+			t.Errorf("%s: %d final responses, released %d times", name, f.responses[name], f.released[name])
 		}
 	}
-	if len(b.requests) > 0 {
-		t.Errorf("%d requests are left", len(b.requests))
+	if len(f.requests) > 0 {
+		t.Errorf("%d requests are left", len(f.requests))
 	}
 }
 
 // The timers of a policy that panicked send no events to the new one. Otherwise each panic would add a timer for ticks.
 func TestPanicEndsTheTimersOfThePolicy(t *testing.T) {
-	b := newPolicyPanicFixture(t)
+	f := newPolicyPanicFixture(t)
 	for range 3 {
-		b.panicInPolicy()
+		f.panicInPolicy()
 	}
 	ticks := 0
 	for range 100 {
-		b.now += 100 * time.Millisecond
-		b.timerWheel.Advance(b.now)
-		ticks = max(ticks, len(b.policyEvents))
-		b.runPolicy()
+		f.now += 100 * time.Millisecond
+		f.timerWheel.Advance(f.now)
+		ticks = max(ticks, len(f.policyEvents))
+		f.runPolicy()
 	}
 	if ticks != 1 {
-		t.Errorf("%d timers fire at a time", ticks)
+		t.Errorf("%d timers fired at the same time, want 1", ticks)
 	}
 }
