--- a/authz/decider.go
+++ b/authz/decider.go
@@ -243,9 +243,9 @@
 func (d *Decider) reportBreakerChange(a *address, change breakerChange) {
 	switch change {
 	case breakerOpened:
-		d.emit(OperatorNote{Address: a.index, Text: "authorization address failed repeatedly; circuit breaker opened"})
+		d.emit(LogWarning{Address: a.index, Text: "authorization address failed repeatedly; circuit breaker opened"})
 	case breakerClosed:
-		d.emit(OperatorNote{Address: a.index, Text: "authorization address recovered; circuit breaker closed"})
+		d.emit(LogWarning{Address: a.index, Text: "authorization address recovered; circuit breaker closed"})
 	}
 }
 
--- a/authz/events.go
+++ b/authz/events.go
@@ -89,8 +89,8 @@
 // ScheduleTick requests a call of [Decider.Tick] after a delay.
 type ScheduleTick struct{ After time.Duration }
 
-// OperatorNote is a warning about an address, to be logged for operators.
-type OperatorNote struct {
+// LogWarning logs a warning about an address, for operators.
+type LogWarning struct {
 	Address int
 	Text    string
 }
@@ -99,4 +99,4 @@
 func (CancelCheck) action()  {}
 func (Resolve) action()      {}
 func (ScheduleTick) action() {}
-func (OperatorNote) action() {}
+func (LogWarning) action()   {}
--- a/node/authorization.go
+++ b/node/authorization.go
@@ -42,7 +42,7 @@
 			n.concludeAuthorization(action)
 		case authz.ScheduleTick:
 			n.timerWheel.Add(n.now+action.After, func() { n.executeAuthorization(n.options.AuthorizationDecider.Tick(n.wallTime())) })
-		case authz.OperatorNote:
+		case authz.LogWarning:
 			n.options.Logger.Warn(action.Text, "address", action.Address)
 		}
 	}
