--- a/authz/concurrency_limit_test.go
+++ b/authz/concurrency_limit_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestConcurrencyLimitKeepsToItsBounds(t *testing.T) {
+func TestConcurrencyLimitStaysWithinBounds(t *testing.T) {
 	l := newConcurrencyLimit(17)
 	for range 100 {
 		l.recordResult(0.010, 17)
@@ -35,7 +35,7 @@
 	l.recordResult(0.010, 0)
 	l.recordResult(0.029, 0)
 	if l.limit != initialConcurrency {
-		t.Errorf("limit %v after a result below the factor", l.limit)
+		t.Errorf("limit %v after a result below slowFactor times the baseline", l.limit)
 	}
 	l.recordResult(0.100, 0)
 	if want := initialConcurrency * slowDecrease; l.limit != want {
@@ -43,8 +43,8 @@
 	}
 }
 
-// A limit that is configured below the usual floor is kept, whatever the results are.
-func TestConcurrencyLimitBelowTheFloorIsKept(t *testing.T) {
+// A configured limit below minConcurrency is never exceeded nor reduced, whatever the results are.
+func TestConcurrencyLimitBelowDefaultMinimumIsKept(t *testing.T) {
 	for maxInFlight := 1; maxInFlight < minConcurrency; maxInFlight++ {
 		for name, record := range map[string]func(*concurrencyLimit){
 			"failures":     (*concurrencyLimit).recordFailure,
--- a/authz/fallback_test.go
+++ b/authz/fallback_test.go
@@ -16,43 +16,43 @@
 	return firstAction[Resolve](d.FinishCheck(now.Add(time.Millisecond), c.ID, c.Attempt, result))
 }
 
-// A recent result, a denial too, takes the place of one that does not come, until it expires;
-// else the mode of the class decides.
+// Until it expires, a cached result (also a denial) replaces a missing one. Without a cached
+// result, the mode of the class determines the decision.
 func TestCachedResultReplacesAMissingOne(t *testing.T) {
 	d := New(testSettings(1))
 	if r, ok := checkOnce(d, testStart, 1, "cached", Allowed); !ok || r.Decision != Proceed || r.FromFallback {
-		t.Errorf("%+v", r)
+		t.Errorf("allowed: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(30*time.Second), 2, "cached", TimedOut); !ok || r.Decision != Proceed || !r.FromFallback || r.CachedPayload != "payload" {
-		t.Errorf("%+v", r)
+		t.Errorf("timed out, with a cached result: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(90*time.Second), 3, "cached", TimedOut); !ok || r.Decision != RejectTimedOut {
-		t.Errorf("%+v", r)
+		t.Errorf("timed out, with an expired result: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(91*time.Second), 4, "cached", Denied); !ok || r.Decision != Deny {
-		t.Errorf("%+v", r)
+		t.Errorf("denied: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(92*time.Second), 5, "cached", Unreachable); !ok || r.Decision != Deny || !r.FromFallback {
-		t.Errorf("%+v", r)
+		t.Errorf("unreachable, with a cached denial: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(93*time.Second), 6, "closed", Unreachable); !ok || r.Decision != RejectUnreachable {
-		t.Errorf("%+v", r)
+		t.Errorf("unreachable, fails closed: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(94*time.Second), 7, "open", Unreachable); !ok || r.Decision != Proceed || !r.FromFallback {
-		t.Errorf("%+v", r)
+		t.Errorf("unreachable, fails open: %+v", r)
 	}
 }
 
-// The time that the service states for a result comes before that of the class.
-func TestStatedTimeOfAResultComesFirst(t *testing.T) {
+// The cache TTL specified by the service overrides the TTL of the class.
+func TestCacheTTLOfServiceOverridesClass(t *testing.T) {
 	d := New(testSettings(1))
 	d.StartRequest(testStart, Request{ID: 1, Class: "cached", Customer: "a", Resource: "x", Remaining: time.Second})
 	d.FinishCheck(testStart, 1, 0, CheckResult{Outcome: Allowed, CacheTTL: 2 * time.Second})
 	if r, ok := checkOnce(d, testStart.Add(time.Second), 2, "cached", TimedOut); !ok || r.Decision != Proceed || !r.FromFallback {
-		t.Errorf("within the stated time: %+v", r)
+		t.Errorf("within the service's TTL: %+v", r)
 	}
 	if r, ok := checkOnce(d, testStart.Add(3*time.Second), 3, "cached", TimedOut); !ok || r.Decision != RejectTimedOut {
-		t.Errorf("after the stated time: %+v", r)
+		t.Errorf("after the service's TTL: %+v", r)
 	}
 }
 
@@ -66,7 +66,7 @@
 	}
 	c.removeExpired(testStart.Add(time.Second))
 	if len(c.entries) != maxCacheEntries {
-		t.Errorf("%d entries left in the moment of expiry", len(c.entries))
+		t.Errorf("%d entries left at the time of expiry", len(c.entries))
 	}
 	c.removeExpired(testStart.Add(2 * time.Second))
 	if len(c.entries) != 0 {
--- a/authz/queue_test.go
+++ b/authz/queue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Customers far over their quota do not take the service's capacity from others.
+// Customers far over their quota do not use the capacity of the service that other customers need.
 func TestOverQuotaCustomersWaitBehindOthers(t *testing.T) {
 	settings := testSettings(1)
 	settings.MaxInFlight = 4
@@ -47,7 +47,7 @@
 		carryOut(d.FinishCheck(testStart.Add(time.Millisecond), c.ID, c.Attempt, CheckResult{Outcome: Allowed, Latency: time.Millisecond}))
 	}
 	if rejected < 25 {
-		t.Errorf("%d requests over quota rejected without a check", rejected)
+		t.Errorf("%d requests over quota rejected without a check, want at least 25", rejected)
 	}
 	within := 0
 	for _, customer := range checkedCustomers {
@@ -79,12 +79,12 @@
 			q.push(want[i])
 		}
 		if !slices.Equal(q.requests, want) {
-			t.Errorf("pushed in the order %v: not in the order of the queue", order)
+			t.Errorf("pushed in the order %v: the queue is not sorted", order)
 		}
 	}
 }
 
-func TestLateRequestsLeaveTheQueue(t *testing.T) {
+func TestLateRequestsAreRemovedFromQueue(t *testing.T) {
 	var q requestQueue
 	class := newClassState(Class{Mode: FailClosed})
 	late := &pendingRequest{Request: Request{ID: 1}, class: class, deadline: testStart.Add(minCheckTimeout - 1)}
@@ -92,9 +92,9 @@
 	q.push(late)
 	q.push(timely)
 	if got := q.removeLate(testStart); !slices.Equal(got, []*pendingRequest{late}) || late.queued {
-		t.Errorf("%d removed", len(got))
+		t.Errorf("%d requests removed, want only the late request", len(got))
 	}
 	if q.first() != timely || !timely.queued {
-		t.Error("the other one is not queued any more")
+		t.Error("the request with enough time left is not queued any more")
 	}
 }
--- a/authz/slow_service_test.go
+++ b/authz/slow_service_test.go
@@ -16,11 +16,11 @@
 
 type simEvent struct {
 	at  time.Duration
-	seq int // orders events of one moment
+	seq int // order of the events of one time
 	run func()
 }
 
-// simEvents is a heap, the earliest event first.
+// simEvents is a heap; the first event is the earliest.
 type simEvents []simEvent
 
 func (h simEvents) Len() int { return len(h) }
@@ -49,20 +49,20 @@
 	}
 }
 
-// simService is a simulated authorization service with a number of cores. It works on a check
-// even when nobody waits for it any more.
+// simService is a simulated authorization service with a number of cores. It completes every
+// check, even if the client has stopped waiting for it.
 type simService struct {
-	sim      *simulation
-	cores    int
-	busy     int
-	queue    []func()
-	workTime func(now time.Duration) time.Duration
+	sim         *simulation
+	cores       int
+	busy        int
+	queue       []func()
+	serviceTime func(now time.Duration) time.Duration
 }
 
 func (v *simService) check(done func()) {
 	start := func() {
-		v.sim.after(v.workTime(v.sim.now), func() {
-			v.coreFree()
+		v.sim.after(v.serviceTime(v.sim.now), func() {
+			v.releaseCore()
 			done()
 		})
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (v *simService) coreFree() {
+func (v *simService) releaseCore() {
 	if len(v.queue) == 0 {
 		v.busy--
 		return
@@ -84,7 +84,7 @@
 	next()
 }
 
-// clientKind is the way in which the simulated gateway asks the service.
+// clientKind is how the simulated gateway sends checks to the service.
 type clientKind string
 
 const (
@@ -93,7 +93,7 @@
 	fixedFailOpen   clientKind = "fails open"   // a fixed timeout, then the request proceeds
 )
 
-// The service is slow from slowFrom to slowUntil. Requests come until lastArrival, and the
+// The service is slow from slowFrom to slowUntil. Requests arrive until lastArrival, and the
 // simulation ends at simulationEnd.
 const (
 	slowFrom      = 10 * time.Second
@@ -101,30 +101,30 @@
 	lastArrival   = 40 * time.Second
 	simulationEnd = 60 * time.Second
 
-	simRate         = 300.0 // requests a second
-	simKeyedShare   = 0.4   // of requests that must not proceed unchecked
-	simCheckTimeout = 200 * time.Millisecond
+	simRate            = 300.0 // requests per second
+	simFailClosedShare = 0.4   // share of requests that must not proceed unchecked
+	simCheckTimeout    = 200 * time.Millisecond
 )
 
-// requestCounts is what came of the requests that started in a phase.
+// requestCounts counts the requests that started in a phase, by result.
 type requestCounts struct{ started, proceeded, rejected, unchecked, checks int }
 
 // simRequest is a request of the simulation.
 type simRequest struct {
-	keyed   bool // must not proceed unchecked
-	allowed bool // by the service
-	counts  *requestCounts
+	failsClosed bool // must not proceed unchecked
+	allowed     bool // the service allowed it
+	counts      *requestCounts
 }
 
 func (r *simRequest) proceed() {
 	r.counts.proceeded++
-	if r.keyed && !r.allowed {
+	if r.failsClosed && !r.allowed {
 		r.counts.unchecked++
 	}
 }
 
-// slowService simulates a service that becomes slow and recovers.
-type slowService struct {
+// slowServiceSimulation simulates a service that becomes slow and recovers.
+type slowServiceSimulation struct {
 	sim      *simulation
 	service  *simService
 	client   clientKind
@@ -136,14 +136,14 @@
 	before, during, after requestCounts
 }
 
-// simulateSlowService counts the requests that start while a check takes slowTime in place of
-// 5 ms, and those that start afterwards.
+// simulateSlowService counts the requests that start while a check takes slowTime instead of
+// 5 ms, and the requests that start afterwards.
 func simulateSlowService(slowTime time.Duration, client clientKind) (during, after requestCounts) {
 	const normalTime = 5 * time.Millisecond
 	sim := &simulation{}
-	w := &slowService{
+	w := &slowServiceSimulation{
 		sim: sim,
-		service: &simService{sim: sim, cores: 4, workTime: func(now time.Duration) time.Duration {
+		service: &simService{sim: sim, cores: 4, serviceTime: func(now time.Duration) time.Duration {
 			if now >= slowFrom && now < slowUntil {
 				return slowTime
 			}
@@ -163,8 +163,8 @@
 	return w.during, w.after
 }
 
-// countsNow are those of the phase in which a request starts now.
-func (w *slowService) countsNow() *requestCounts {
+// countsNow returns the counts of the current phase.
+func (w *slowServiceSimulation) countsNow() *requestCounts {
 	switch {
 	case w.sim.now < slowFrom:
 		return &w.before
@@ -175,16 +175,16 @@
 	}
 }
 
-func (w *slowService) clock() time.Time { return testStart.Add(w.sim.now) }
+func (w *slowServiceSimulation) clock() time.Time { return testStart.Add(w.sim.now) }
 
-func (w *slowService) arrive() {
+func (w *slowServiceSimulation) arrive() {
 	w.lastID++
-	r := &simRequest{keyed: w.rng.Float64() < simKeyedShare, counts: w.countsNow()}
+	r := &simRequest{failsClosed: w.rng.Float64() < simFailClosedShare, counts: w.countsNow()}
 	w.requests[w.lastID] = r
 	r.counts.started++
 	if w.client == withDecider {
 		class := "safe"
-		if r.keyed {
+		if r.failsClosed {
 			class = "keyed"
 		}
 		w.carryOut(w.decider.StartRequest(w.clock(), Request{ID: w.lastID, Class: class, Customer: "a", Remaining: time.Second}))
@@ -196,7 +196,7 @@
 	}
 }
 
-func (w *slowService) checkWithFixedTimeout(r *simRequest) {
+func (w *slowServiceSimulation) checkWithFixedTimeout(r *simRequest) {
 	r.counts.checks++
 	finished := false
 	w.sim.after(simCheckTimeout, func() {
@@ -219,7 +219,7 @@
 	})
 }
 
-func (w *slowService) carryOut(actions []Action) {
+func (w *slowServiceSimulation) carryOut(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendCheck:
@@ -236,7 +236,7 @@
 	}
 }
 
-func (w *slowService) sendCheck(a SendCheck) {
+func (w *slowServiceSimulation) sendCheck(a SendCheck) {
 	r := w.requests[a.ID]
 	r.counts.checks++
 	startedAt := w.sim.now
@@ -254,10 +254,11 @@
 	w.service.check(func() { finish(Allowed) })
 }
 
-// The service slows from 5 ms to 50 ms or 2 s, and recovers. Requests that fail open proceed, none
-// that fails closed does unchecked; once the service is back, so are the requests, without a
-// second overload by checks that nobody waits for.
-func TestSlowServiceTermOpening(t *testing.T) {
+// The latency of the service rises from 5 ms to 50 ms or 2 s, and returns to normal. Meanwhile
+// requests that fail open proceed, and no request that fails closed proceeds unchecked. After the
+// recovery requests proceed again: checks whose clients have stopped waiting must not overload the
+// service a second time.
+func TestRequestsProceedWhileServiceIsSlowAndAfterwards(t *testing.T) {
 	for _, slowTime := range []time.Duration{50 * time.Millisecond, 2 * time.Second} {
 		for _, client := range []clientKind{withDecider, fixedFailClosed, fixedFailOpen} {
 			during, after := simulateSlowService(slowTime, client)
@@ -266,13 +267,13 @@
 				continue
 			}
 			if during.unchecked+after.unchecked > 0 {
-				t.Errorf("%d keyed requests proceeded unchecked", during.unchecked+after.unchecked)
+				t.Errorf("%d requests that fail closed proceeded unchecked", during.unchecked+after.unchecked)
 			}
 			if share := float64(after.proceeded) / float64(after.started); share < 0.85 {
-				t.Errorf("%v: after the recovery %.2f proceed", slowTime, share)
+				t.Errorf("%v: after the recovery a share of %.2f proceeds, want at least 0.85", slowTime, share)
 			}
 			if share := float64(during.proceeded) / float64(during.started); share < 0.55 {
-				t.Errorf("%v: %.2f proceed, 0.6 fail open", slowTime, share)
+				t.Errorf("%v: a share of %.2f proceeds while the service is slow, want at least 0.55 (0.6 of the requests fail open)", slowTime, share)
 			}
 		}
 	}
--- a/internal/pauseclock/clock_test.go
+++ b/internal/pauseclock/clock_test.go
@@ -11,8 +11,8 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// watchedPair returns a host with a clock that watches its network, the host's side of a
-// connection, and the peer's side. Bytes take a millisecond.
+// watchedPair returns a host, a clock that watches the host's network, and the host's and the
+// peer's end of a connection. The network's latency is 1 ms.
 func watchedPair(t *testing.T) (host *network.Host, clock *Clock, accepted, peer net.Conn) {
 	t.Helper()
 	memory := network.NewMemory(time.Millisecond, 1)
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _, _ = listener.Accept() }() // the listener's reader is back in a read
+	go func() { _, _ = listener.Accept() }() // keeps the listener in a read
 	t.Cleanup(func() {
 		_ = accepted.Close()
 		_ = peer.Close()
@@ -40,8 +40,9 @@
 	return host, clock, accepted, peer
 }
 
-// A process is paused for 2 s; a peer sends in the middle of it.
-func TestClockFindsPauseAndDatesWhatArrivedInIt(t *testing.T) {
+// A process is paused for 2 s, and a peer sends data in the middle of the pause. The clock must detect
+// the pause and return the time at which the data arrived, not the time at which it was read.
+func TestClockDetectsPauseAndArrivalTimesDuringIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host, clock, conn, peer := watchedPair(t)
 		time.Sleep(time.Second)
@@ -64,13 +65,13 @@
 			t.Errorf("paused since: %v; %d pauses", clock.PausedSince(before), clock.Pauses())
 		}
 		if clock.PausedSince(time.Now()) {
-			t.Error("paused since the end of the pause")
+			t.Error("PausedSince reports a pause after the end of the pause")
 		}
 		if active := clock.ActiveTime(from, to); active > 50*time.Millisecond {
-			t.Errorf("active for %v of a pause", active)
+			t.Errorf("active for %v during the pause", active)
 		}
 		if n := clock.UnreadSockets(); n != 1 {
-			t.Errorf("%d unread sockets after the pause, want the connection", n)
+			t.Errorf("%d unread sockets after the pause, want only the connection", n)
 		}
 		if _, err := conn.Read(make([]byte, 100)); err != nil {
 			t.Fatal(err)
@@ -79,13 +80,14 @@
 			t.Errorf("arrived %v after it was sent", arrived.Sub(sent))
 		}
 		if got, want := ArrivalTimeForAddr(conn.RemoteAddr()), ArrivalTime(conn); !got.Equal(want) {
-			t.Errorf("by its address it arrived at %v, want %v", got, want)
+			t.Errorf("arrival time for the address is %v, want %v", got, want)
 		}
 	})
 }
 
-// A socket counts as unread until its reader is back in a read, and has handled what it read.
-func TestSocketIsUnreadWhileItsReaderIsAtWork(t *testing.T) {
+// A socket counts as unread until its reader has processed the data and reads again. Otherwise the
+// barrier after a pause could be lifted while a reader still processes a request of that pause.
+func TestSocketIsUnreadWhileReaderProcessesData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host, clock, conn, peer := watchedPair(t)
 		time.Sleep(time.Second)
@@ -95,13 +97,13 @@
 		}
 		time.Sleep(time.Second)
 		host.Resume()
-		clock.Now() // the pause ends here
+		clock.Now() // detects the pause
 		time.Sleep(time.Millisecond)
 		if _, err := conn.Read(make([]byte, 100)); err != nil {
 			t.Fatal(err)
 		}
 		if n := clock.UnreadSockets(); n != 1 {
-			t.Errorf("%d unread sockets while the reader is at work, want 1", n)
+			t.Errorf("%d unread sockets while the reader processes data, want 1", n)
 		}
 		ended := make(chan error, 1)
 		go func() {
@@ -119,22 +121,22 @@
 			t.Error("a read of a closed connection returned no error")
 		}
 		if n := len(clock.sockets); n != 1 {
-			t.Errorf("%d sockets are watched, want the listener alone", n)
+			t.Errorf("%d sockets are watched, want only the listener", n)
 		}
 	})
 }
 
-func TestArrivalTimeOfWhatIsNotWatchedIsZero(t *testing.T) {
+func TestArrivalTimeIsZeroForUnwatchedConnection(t *testing.T) {
 	a, b := net.Pipe()
 	defer func() {
 		_ = a.Close()
 		_ = b.Close()
 	}()
 	if at := ArrivalTime(a); !at.IsZero() {
-		t.Errorf("connection: %v", at)
+		t.Errorf("arrival time of the connection: %v, want zero", at)
 	}
 	if at := ArrivalTimeForAddr(a.RemoteAddr()); !at.IsZero() {
-		t.Errorf("address: %v", at)
+		t.Errorf("arrival time for the address: %v, want zero", at)
 	}
 }
 
@@ -143,6 +145,6 @@
 	c.Close()
 	c.Close()
 	if c.Now() <= 0 {
-		t.Error("a closed clock tells no time")
+		t.Error("Now returned no time after Close")
 	}
 }
