--- a/membership/actions.go
+++ b/membership/actions.go
@@ -51,12 +51,12 @@
 func (PhaseChanged) action()     {}
 func (LogEvent) action()         {}
 
-// note appends an event that resolves by itself, or needs no action.
-func (m *StateMachine) note(message string, attributes ...Attribute) {
+// logInfo appends an event that resolves by itself, or needs no action.
+func (m *StateMachine) logInfo(message string, attributes ...Attribute) {
 	m.actions = append(m.actions, LogEvent{Message: message, Attributes: attributes})
 }
 
-// warn appends an event that needs an operator.
-func (m *StateMachine) warn(message string, attributes ...Attribute) {
+// logWarning appends an event that needs an operator.
+func (m *StateMachine) logWarning(message string, attributes ...Attribute) {
 	m.actions = append(m.actions, LogEvent{Message: message, Attributes: attributes, NeedsAction: true})
 }
--- a/membership/announcement.go
+++ b/membership/announcement.go
@@ -48,7 +48,7 @@
 	m.recordAnnouncement(from, a)
 	if m.accepted != nil {
 		if a.Epoch > m.accepted.Epoch && a.Epoch > previous.Epoch && m.pending == nil {
-			m.warn("peer accepted a later roster than this node has read",
+			m.logWarning("peer accepted a later roster than this node has read",
 				Attribute{"peer", from}, Attribute{"peer_epoch", a.Epoch}, Attribute{"epoch", m.accepted.Epoch})
 		}
 		m.replyIfBehind(from, a)
--- a/membership/epoch_change.go
+++ b/membership/epoch_change.go
@@ -35,7 +35,7 @@
 	if m.pending.Epoch != m.accepted.Epoch+1 {
 		// Others may have changed their shares in the epochs that this node missed.
 		previousSize = unknownSize
-		m.note("roster epochs skipped; enforcing no quota share until the change completes",
+		m.logInfo("roster epochs skipped; enforcing no quota share until the change completes",
 			Attribute{"epoch", m.pending.Epoch}, Attribute{"previous_epoch", m.accepted.Epoch})
 	}
 	r := m.pending
@@ -61,7 +61,7 @@
 	} else if previousSize < 0 {
 		m.actions = append(m.actions, FleetResized{Gateways: len(r.Nodes), PreviousSize: unknownSize})
 	}
-	m.note("roster accepted", Attribute{"epoch", r.Epoch}, Attribute{"nodes", len(r.Nodes)}, Attribute{"number", m.number})
+	m.logInfo("roster accepted", Attribute{"epoch", r.Epoch}, Attribute{"nodes", len(r.Nodes)}, Attribute{"number", m.number})
 	m.advanceStage(now)
 }
 
@@ -101,7 +101,7 @@
 // advanceStage enters the next stage once every node that counts has reached the current
 // one.
 func (m *StateMachine) advanceStage(now time.Time) {
-	if m.accepted == nil || m.stage == StageComplete || len(m.laggards()) > 0 {
+	if m.accepted == nil || m.stage == StageComplete || len(m.awaitedNumbers()) > 0 {
 		return
 	}
 	m.lastAnnounced = time.Time{} // the next Tick announces the stage
@@ -114,13 +114,13 @@
 	m.actions = append(m.actions,
 		SaveSnapshot{Snapshot{Epoch: m.accepted.Epoch, ChangeComplete: true}},
 		FleetResized{Gateways: len(m.accepted.Nodes)})
-	m.note("membership change completed",
+	m.logInfo("membership change completed",
 		Attribute{"epoch", m.accepted.Epoch}, Attribute{"after", now.Sub(m.acceptedAt).Round(time.Millisecond)})
 	m.acceptPending(now)
 }
 
-// laggards returns the numbers, in order, that the change waits for at the current stage.
-func (m *StateMachine) laggards() []int {
+// awaitedNumbers returns the numbers, in order, that the change waits for at the current stage.
+func (m *StateMachine) awaitedNumbers() []int {
 	var list []int
 	for _, number := range m.numbers {
 		if number != m.number && !m.isRemoved(number) && !m.hasReachedStage(number) {
@@ -152,11 +152,11 @@
 	if m.stage == StageComplete || now.Sub(m.lastReminded) < m.settings.ReminderInterval {
 		return
 	}
-	waiting := m.laggards()
+	waiting := m.awaitedNumbers()
 	if len(waiting) == 0 {
 		return
 	}
 	m.lastReminded = now
-	m.warn("membership change waiting for nodes; their quota shares stay reserved",
+	m.logWarning("membership change waiting for nodes; their quota shares stay reserved",
 		Attribute{"epoch", m.accepted.Epoch}, Attribute{"numbers", waiting[:min(len(waiting), maxNumbersInReminder)]})
 }
--- a/membership/epoch_change_test.go
+++ b/membership/epoch_change_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// hasNote reports whether one of the actions is a note with a message, and with an
+// hasLogEvent reports whether one of the actions is a note with a message, and with an
 // attribute that holds.
-func hasNote(actions []Action, message string, holds func(Attribute) bool) bool {
+func hasLogEvent(actions []Action, message string, holds func(Attribute) bool) bool {
 	return slices.ContainsFunc(actions, func(a Action) bool {
 		n, ok := a.(LogEvent)
 		return ok && n.Message == message && slices.ContainsFunc(n.Attributes, holds)
@@ -48,14 +48,14 @@
 	m.HandleAnnouncement(now, 3, Announcement{Epoch: 2, Stage: StageMinimumShares})
 	now = now.Add(31 * time.Second)
 	const waiting = "membership change waiting for nodes; their quota shares stay reserved"
-	if !hasNote(m.Tick(now), waiting, namesOnlyNumber2) || m.ChangeComplete() {
+	if !hasLogEvent(m.Tick(now), waiting, namesOnlyNumber2) || m.ChangeComplete() {
 		t.Error("no note says which node the change waits for")
 	}
 	if change(testNodes("a", "b", "c", "d", "e")); m.ChangeComplete() || m.accepted.Epoch != 2 {
 		t.Error("an epoch was accepted before the last change was complete")
 	}
 	old := Roster{Epoch: 1, Nodes: testNodes("a")}
-	if !hasNote(m.HandleRoster(now, old), "roster rejected", isStaleEpoch) {
+	if !hasLogEvent(m.HandleRoster(now, old), "roster rejected", isStaleEpoch) {
 		t.Error("an old roster was accepted")
 	}
 	if change(testNodes("a", "b", "f", "d"), "c"); m.accepted.Epoch != 4 {
@@ -74,15 +74,15 @@
 	}
 }
 
-// overlap plays two changes in a fleet of two, which grows to four and shrinks again.
-type overlap struct {
+// overlapScenario plays two changes in a fleet of two, which grows to four and shrinks again.
+type overlapScenario struct {
 	*testFleet
 	all []Node
 }
 
-func newOverlap(t *rapid.T) *overlap {
+func newOverlapScenario(t *rapid.T) *overlapScenario {
 	f := &testFleet{t: t, now: testStart, hosts: map[string]*testHost{}}
-	o := &overlap{f, testNodes("a", "b", "c", "d")}
+	o := &overlapScenario{f, testNodes("a", "b", "c", "d")}
 	f.roster = Roster{Epoch: 1, Nodes: o.all[:2]}
 	for _, n := range o.all {
 		f.hosts[n.Name] = &testHost{name: n.Name, rosterFile: f.roster}
@@ -90,8 +90,8 @@
 	return o
 }
 
-// read has the hosts named read the latest roster.
-func (o *overlap) read(names ...string) {
+// readRoster has the hosts named readRoster the latest roster.
+func (o *overlapScenario) readRoster(names ...string) {
 	for _, name := range names {
 		h := o.hosts[name]
 		h.rosterFile = o.roster
@@ -104,7 +104,7 @@
 }
 
 // deliverTo ticks once, and delivers messages only to the hosts named; the rest are lost.
-func (o *overlap) deliverTo(names ...string) {
+func (o *overlapScenario) deliverTo(names ...string) {
 	o.tick()
 	for i, msg := range o.inFlight {
 		if h := o.hostOf(msg.to); h != nil && slices.Contains(names, h.name) {
@@ -118,39 +118,39 @@
 // The first two nodes accept the second change before the first is complete for them, or
 // never read the first: the shares that they enforce must fit beside those that the others
 // got by the first.
-func TestOverlappingChangesKeepSharesWithinTheWhole(t *testing.T) {
+func TestOverlappingChangesKeepShareSumWithinCeiling(t *testing.T) {
 	t.Run("first change incomplete", func(t *testing.T) {
-		rapid.Check(t, func(rt *rapid.T) { playOverlap(rt, false) })
+		rapid.Check(t, func(rt *rapid.T) { runOverlappingChanges(rt, false) })
 	})
 	t.Run("first change missed", func(t *testing.T) {
-		rapid.Check(t, func(rt *rapid.T) { playOverlap(rt, true) })
+		rapid.Check(t, func(rt *rapid.T) { runOverlappingChanges(rt, true) })
 	})
 	t.Run("one node isolated", func(t *testing.T) {
-		rapid.Check(t, playIsolatedNode)
+		rapid.Check(t, runIsolatedNode)
 	})
 }
 
-func playOverlap(t *rapid.T, missed bool) {
-	o := newOverlap(t)
-	o.read("a", "b")
+func runOverlappingChanges(t *rapid.T, missed bool) {
+	o := newOverlapScenario(t)
+	o.readRoster("a", "b")
 	o.change(o.all)
-	o.read("c", "d")
+	o.readRoster("c", "d")
 	if !missed {
-		o.read("a", "b")
+		o.readRoster("a", "b")
 		o.deliverTo("a", "b") // both enforce the smaller shares, and don't know it of each other
 		for range 3 {
 			o.deliverTo("c", "d") // for them the change is complete
 		}
 	}
 	o.change(o.all[:2])
-	o.read("a", "b")
+	o.readRoster("a", "b")
 	for range 3 {
 		o.deliverTo("c", "d")
 	}
 	if o.hosts["c"].share() == 0 {
 		t.Fatal("the test does not reach the state it is about")
 	}
-	o.read("c", "d")
+	o.readRoster("c", "d")
 	for range 3 {
 		o.deliverTo("a")
 	}
@@ -163,12 +163,12 @@
 }
 
 // b receives nothing, and keeps its previous share.
-func playIsolatedNode(t *rapid.T) {
-	o := newOverlap(t)
-	o.read("a", "b")
+func runIsolatedNode(t *rapid.T) {
+	o := newOverlapScenario(t)
+	o.readRoster("a", "b")
 	o.change(o.all)
-	o.read("c", "d")
-	o.read("a", "b")
+	o.readRoster("c", "d")
+	o.readRoster("a", "b")
 	for range 3 {
 		o.deliverTo("a", "c", "d")
 	}
@@ -193,7 +193,7 @@
 }
 
 // An announcement that arrives late takes nothing back.
-func TestLateAnnouncementTakesNothingBack(t *testing.T) {
+func TestLateAnnouncementDoesNotRevertPeerState(t *testing.T) {
 	m := NewStateMachine(Settings{Name: "a"})
 	m.HandleRoster(testStart, Roster{Epoch: 1, Nodes: testNodes("a", "b", "c")})
 	r, err := m.accepted.Next(testNodes("a", "b", "c", "d"), nil)
@@ -211,7 +211,7 @@
 
 // A late announcement does not take back that a leaving node has stopped, so a change goes on without it. A
 // later process of that node is waited for again.
-func TestLateAnnouncementDoesNotTakeBackStopped(t *testing.T) {
+func TestLateAnnouncementDoesNotRevertStoppedPhase(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		isRestarted  bool
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -12,12 +12,12 @@
 // testFleet is a fleet of hosts, the operators' roster and the messages between them, under
 // a clock of its own.
 type testFleet struct {
-	t          *rapid.T
-	now        time.Time
-	hosts      map[string]*testHost
-	roster     Roster // the operators' latest
-	inFlight   []testMessage
-	namesGiven int
+	t         *rapid.T
+	now       time.Time
+	hosts     map[string]*testHost
+	roster    Roster // the operators' latest
+	inFlight  []testMessage
+	hostCount int
 }
 
 // testHost is where a node's processes run.
@@ -33,8 +33,8 @@
 	machine      *StateMachine
 	gateways     int
 	previousSize int
-	stopped      bool // by SIGSTOP
-	needsAction  int  // notes that need an operator
+	suspended    bool // by SIGSTOP
+	warnings     int  // notes that need an operator
 }
 
 type testMessage struct {
@@ -43,7 +43,7 @@
 }
 
 // running reports whether the host has a process that runs.
-func (h *testHost) running() bool { return h.process != nil && !h.process.stopped }
+func (h *testHost) running() bool { return h.process != nil && !h.process.suspended }
 
 // resize does as the quota policy does: while a change is under way, the size before it
 // stays.
@@ -88,7 +88,7 @@
 			f.inFlight = append(f.inFlight, testMessage{h.process.machine.Number(), a.To, a.Announcement})
 		case LogEvent:
 			if a.NeedsAction {
-				h.process.needsAction++
+				h.process.warnings++
 			}
 		}
 	}
@@ -126,8 +126,8 @@
 
 // addHost adds a host that runs nothing, and returns its node.
 func (f *testFleet) addHost() Node {
-	f.namesGiven++
-	n := testNode(f.namesGiven)
+	f.hostCount++
+	n := testNode(f.hostCount)
 	f.hosts[n.Name] = &testHost{name: n.Name}
 	return n
 }
--- a/membership/random_series_test.go
+++ b/membership/random_faults_test.go
@@ -14,7 +14,7 @@
 // epochs never; messages are lost, late, repeated and out of order. At no moment do two nodes
 // act under one number, or shares sum to more than the whole. Once faults end, all nodes
 // agree, and the shares sum to the whole again.
-func TestSharesNeverExceedTheWholeInRandomSeries(t *testing.T) {
+func TestShareSumNeverExceedsCeilingUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &testFleet{t: t, now: testStart, hosts: map[string]*testHost{}}
 		f.roster = Roster{Epoch: 1, Nodes: []Node{f.addHost(), f.addHost(), f.addHost()}}
@@ -29,7 +29,7 @@
 			"read":    func(t *rapid.T) { f.copyRoster(f.randomHost(t)) },
 			"start":   f.startRandomHost,
 			"kill":    func(t *rapid.T) { f.randomHost(t).process = nil },
-			"stop":    f.stopOrResumeRandomHost,
+			"stop":    f.suspendOrResumeRandomHost,
 			"drain":   f.drainRandomHost,
 			"tick":    func(*rapid.T) { f.tick() },
 			"mail":    f.deliverRandomly,
@@ -88,9 +88,9 @@
 	}
 }
 
-func (f *testFleet) stopOrResumeRandomHost(t *rapid.T) {
+func (f *testFleet) suspendOrResumeRandomHost(t *rapid.T) {
 	if h := f.randomHost(t); h.process != nil {
-		h.process.stopped = !h.process.stopped
+		h.process.suspended = !h.process.suspended
 	}
 }
 
@@ -131,7 +131,7 @@
 		if h.process == nil {
 			f.start(h)
 		}
-		h.process.stopped = false
+		h.process.suspended = false
 		f.copyRoster(h)
 	}
 }
@@ -163,7 +163,7 @@
 		sum += h.share()
 		m := h.process.machine
 		if !m.ChangeComplete() || h.process.gateways != len(f.roster.Nodes) {
-			f.t.Fatalf("%s: complete %v, %d of %d nodes; waiting for %v", n.Name, m.ChangeComplete(), h.process.gateways, len(f.roster.Nodes), m.laggards())
+			f.t.Fatalf("%s: complete %v, %d of %d nodes; waiting for %v", n.Name, m.ChangeComplete(), h.process.gateways, len(f.roster.Nodes), m.awaitedNumbers())
 		}
 	}
 	if sum < 1-1e-9 {
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -70,7 +70,7 @@
 		return &RosterError{Problem: UnnamedNode, Number: number}
 	case v.names[n.Name]:
 		return &RosterError{Problem: DuplicateName, Name: n.Name}
-	case !v.addressFree(n.Address):
+	case !v.isAddressAvailable(n.Address):
 		return &RosterError{Problem: UnusableAddress, Name: n.Name, Address: n.Address}
 	}
 	v.names[n.Name] = true
@@ -84,7 +84,7 @@
 		return &RosterError{Problem: LeavingNameUnusable, Name: l.Name}
 	case l.Number < members || v.numbers[l.Number]:
 		return &RosterError{Problem: LeavingNumberTaken, Name: l.Name, Number: l.Number}
-	case !v.addressFree(l.Address):
+	case !v.isAddressAvailable(l.Address):
 		return &RosterError{Problem: UnusableAddress, Name: l.Name, Address: l.Address}
 	}
 	v.names[l.Name] = true
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (v *rosterValidator) addressFree(address string) bool {
+func (v *rosterValidator) isAddressAvailable(address string) bool {
 	return address != "" && !v.addresses[address]
 }
 
--- a/membership/state_machine.go
+++ b/membership/state_machine.go
@@ -80,7 +80,7 @@
 
 // reject notes a roster that is not used.
 func (m *StateMachine) reject(err error) {
-	m.warn("roster rejected", Attribute{"error", err})
+	m.logWarning("roster rejected", Attribute{"error", err})
 }
 
 // Tick repeats announcements and reminders that are due. It is to be called several times
--- a/membership/state_machine_test.go
+++ b/membership/state_machine_test.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-func TestRostersThatContradictTheAcceptedOneAreRejected(t *testing.T) {
+func TestConflictingRostersAreRejected(t *testing.T) {
 	m := NewStateMachine(Settings{Name: "a", Snapshot: Snapshot{Epoch: 2, ChangeComplete: true}})
 	var stale *StaleEpochError
 	err := rejection(m.HandleRoster(testStart, Roster{Epoch: 1, Nodes: testNodes("a")}))
--- a/pause/detector.go
+++ b/pause/detector.go
@@ -36,7 +36,7 @@
 	if d.observed && now-d.lastObserved > d.settings.MinPause {
 		p = Pause{Start: d.lastObserved, End: now}
 		found = true
-		d.forgetBefore(now - d.settings.Retention)
+		d.dropPausesBefore(now - d.settings.Retention)
 		d.pauses = append(d.pauses, p)
 	}
 	d.MarkRunning(now)
@@ -57,8 +57,8 @@
 	}
 }
 
-// forgetBefore drops the pauses that ended before a time.
-func (d *Detector) forgetBefore(t time.Duration) {
+// dropPausesBefore drops the pauses that ended before a time.
+func (d *Detector) dropPausesBefore(t time.Duration) {
 	recent := slices.IndexFunc(d.pauses, func(p Pause) bool { return p.End >= t })
 	if recent < 0 {
 		recent = len(d.pauses)
--- a/storage/codec.go
+++ b/storage/codec.go
@@ -38,7 +38,7 @@
 // decodeEntry reads what encodeEntry wrote. The error is ErrDamaged.
 func decodeEntry(key, value []byte) (usage.CounterEntry, error) {
 	if len(key) <= keyPrefixSize || len(value) != numberSize {
-		return usage.CounterEntry{}, damaged(fmt.Errorf("malformed entry %x", key))
+		return usage.CounterEntry{}, damagedError(fmt.Errorf("malformed entry %x", key))
 	}
 	writer := usage.WriterID{Node: int(parseUint64(key[:8])), Incarnation: parseUint64(key[8:16])}
 	total := usage.TotalKey{Customer: string(key[keyPrefixSize:]), Window: int64(parseUint64(key[16:24]))}
--- a/storage/errors.go
+++ b/storage/errors.go
@@ -49,5 +49,5 @@
 // Unwrap returns the cause.
 func (e *MovedAsideError) Unwrap() error { return e.Cause }
 
-// damaged is an ErrDamaged with its cause.
-func damaged(cause error) error { return fmt.Errorf("%w: %w", ErrDamaged, cause) }
+// damagedError is an ErrDamaged with its cause.
+func damagedError(cause error) error { return fmt.Errorf("%w: %w", ErrDamaged, cause) }
--- a/storage/open.go
+++ b/storage/open.go
@@ -86,10 +86,10 @@
 	defer func() {
 		// bbolt panics on a malformed page.
 		if p := recover(); p != nil {
-			err = damaged(fmt.Errorf("panic: %v", p))
+			err = damagedError(fmt.Errorf("panic: %v", p))
 		}
 		if err != nil {
-			closeDamaged(db)
+			closeUnusable(db)
 			store, entries = nil, nil
 		}
 	}()
@@ -115,11 +115,11 @@
 	case isSystemError(err):
 		return nil, fmt.Errorf("storage: opening the database: %w", err)
 	}
-	return nil, damaged(err)
+	return nil, damagedError(err)
 }
 
-// closeDamaged closes a database that cannot be used, as far as its state allows.
-func closeDamaged(db *bbolt.DB) {
+// closeUnusable closes a database that cannot be used, as far as its state allows.
+func closeUnusable(db *bbolt.DB) {
 	if db == nil {
 		return
 	}
@@ -134,7 +134,7 @@
 		return nil, err
 	}
 	if info.Size() < tx.Size() {
-		return nil, damaged(errors.New("file is cut short"))
+		return nil, damagedError(errors.New("file is cut short"))
 	}
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	if err := firstError(tx.Check()); err != nil {
-		return nil, damaged(err)
+		return nil, damagedError(err)
 	}
 	return readEntries(tx)
 }
@@ -178,7 +178,7 @@
 func readEntries(tx *bbolt.Tx) (entries []usage.CounterEntry, err error) {
 	bucket := tx.Bucket(entriesBucket)
 	if bucket == nil {
-		return nil, damaged(errors.New("entries are missing"))
+		return nil, damagedError(errors.New("entries are missing"))
 	}
 	err = bucket.ForEach(func(key, value []byte) error {
 		entry, err := decodeEntry(key, value)
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -34,7 +34,7 @@
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(entriesBucket)
 		for _, change := range ordered {
-			if err := apply(bucket, change); err != nil {
+			if err := applyChange(bucket, change); err != nil {
 				return err
 			}
 		}
@@ -42,7 +42,7 @@
 	})
 }
 
-func apply(bucket *bbolt.Bucket, change usage.CounterEntry) error {
+func applyChange(bucket *bbolt.Bucket, change usage.CounterEntry) error {
 	key, value := encodeEntry(change)
 	if change.Units == 0 {
 		return bucket.Delete(key)
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -65,7 +65,7 @@
 }
 
 // Of two changes of one entry in one Save the later one stands.
-func TestLaterChangeStands(t *testing.T) {
+func TestLaterChangeOfSameEntryWins(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tally")
 	s, _, err := Open(path, testNode)
 	if err != nil {
@@ -205,7 +205,7 @@
 
 // A file that can't be opened now, for want of descriptors or permission, is not damaged: it stays
 // where it is, and is read when it can be opened again.
-func TestDatabaseThatCannotBeOpenedStays(t *testing.T) {
+func TestDatabaseThatCannotBeOpenedIsNotMovedAside(t *testing.T) {
 	for _, cause := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EACCES, syscall.EIO, syscall.ENOSPC} {
 		path := newDatabase(t)
 		fails := func(path string, _ int, _ os.FileMode) (*os.File, error) {
@@ -224,7 +224,7 @@
 }
 
 // The check of a damaged database ends, however many errors it finds.
-func TestCheckWithManyErrorsEnds(t *testing.T) {
+func TestFirstErrorDrainsAllErrors(t *testing.T) {
 	errs, ended := make(chan error), make(chan struct{})
 	go func() {
 		defer close(ended)
--- a/usage/calls.go
+++ b/usage/calls.go
@@ -165,7 +165,7 @@
 		if lost {
 			call.RefreshExpiry = true
 		}
-		claimOverdue := !entry.claimedAt.IsZero() && now.Sub(entry.claimedAt) > claimSettleTime
+		claimOverdue := !entry.claimedAt.IsZero() && now.Sub(entry.claimedAt) > claimTimeout
 		send := CounterEntry{total.key, writer, entry.units}
 		if t.isOwn(writer) || t.needsRepair(total, writer, entry) {
 			call.Raise = append(call.Raise, send)
--- a/usage/convergence_test.go
+++ b/usage/convergence_test.go
@@ -27,7 +27,7 @@
 
 // checkConverged checks that the counter holds all that a node's process forwarded.
 func (f *fleet) checkConverged(n *node) {
-	for key, writers := range f.truth {
+	for key, writers := range f.forwarded {
 		want, forwarded := writers[n.writer()]
 		if !forwarded {
 			continue
@@ -60,7 +60,7 @@
 		"empty": func(*rapid.T) { f.replaceWithEmpty() },
 		"copy":  func(*rapid.T) { f.savedCopy = f.copies[0].clone() },
 		"mail":  func(*rapid.T) { f.messagesDelivered = !f.messagesDelivered },
-		"split": func(*rapid.T) { f.divide() },
+		"split": func(*rapid.T) { f.splitCounter() },
 		"heal":  func(t *rapid.T) { f.heal(rapid.SampledFrom([]string{"first", "second", "both"}).Draw(t, "how")) },
 		"old copy back": func(*rapid.T) {
 			if f.savedCopy != nil && !f.split {
--- a/usage/counter_entry.go
+++ b/usage/counter_entry.go
@@ -12,8 +12,8 @@
 // MilliUnits counts thousandths of a unit: exact sums need integers.
 type MilliUnits int64
 
-// milliUnits rounds units, which are not negative, to the nearest thousandth.
-func milliUnits(units float64) MilliUnits { return MilliUnits(units*milliPerUnit + 0.5) }
+// toMilliUnits rounds units, which are not negative, to the nearest thousandth.
+func toMilliUnits(units float64) MilliUnits { return MilliUnits(units*milliPerUnit + 0.5) }
 
 // inUnits converts to units.
 func (m MilliUnits) inUnits() float64 { return float64(m) / milliPerUnit }
--- a/usage/customers.go
+++ b/usage/customers.go
@@ -37,7 +37,7 @@
 func (t *Tracker) RecordForwarded(now time.Time, name, plan string, peers []int, units float64) {
 	customer := t.useCustomer(now, name, plan, peers)
 	total := customer.current
-	used := milliUnits(units)
+	used := toMilliUnits(units)
 	total.entry(t.settings.Self).units += used
 	customer.consume(now, used)
 	t.queueStorage(total)
@@ -48,7 +48,7 @@
 // useCustomer returns a customer, created if it is missing, with the total of the current
 // window.
 func (t *Tracker) useCustomer(now time.Time, name, plan string, peers []int) *customerUsage {
-	t.noteStart(now)
+	t.recordStart(now)
 	customer := t.customers[name]
 	if customer == nil {
 		p := t.settings.Plans[plan]
--- a/usage/fleet_test.go
+++ b/usage/fleet_test.go
@@ -42,8 +42,8 @@
 	fault             counterFault
 	lastEpoch         int
 	messagesDelivered bool
-	truth             map[TotalKey]map[WriterID]MilliUnits // what was forwarded
-	notes             []ShardStateChanged
+	forwarded         map[TotalKey]map[WriterID]MilliUnits // what was forwarded
+	stateChanges      []ShardStateChanged
 }
 
 // node is one simulated node.
@@ -70,7 +70,7 @@
 }
 
 func newFleet(t *rapid.T, nodes int) *fleet {
-	f := &fleet{t: t, now: startTime, truth: map[TotalKey]map[WriterID]MilliUnits{}, messagesDelivered: true, lastEpoch: 1}
+	f := &fleet{t: t, now: startTime, forwarded: map[TotalKey]map[WriterID]MilliUnits{}, messagesDelivered: true, lastEpoch: 1}
 	f.copies[0] = newFakeShard("1")
 	f.copies[1] = f.copies[0]
 	for i := range nodes {
@@ -105,7 +105,7 @@
 				f.nodes[action.To].tracker.MergeFromPeer(f.now, n.index, action.Entries)
 			}
 		case ShardStateChanged:
-			f.notes = append(f.notes, action)
+			f.stateChanges = append(f.stateChanges, action)
 		}
 	}
 }
@@ -125,10 +125,10 @@
 // forward lets a node forward a request of a customer.
 func (f *fleet) forward(n *node, customer string, units float64) {
 	key := TotalKey{customer, n.tracker.windowAt(f.now)}
-	if f.truth[key] == nil {
-		f.truth[key] = map[WriterID]MilliUnits{}
+	if f.forwarded[key] == nil {
+		f.forwarded[key] = map[WriterID]MilliUnits{}
 	}
-	f.truth[key][n.writer()] += MilliUnits(units * 1000)
+	f.forwarded[key][n.writer()] += MilliUnits(units * 1000)
 	f.perform(n, n.tracker.RecordRequest(f.now, customer, "p", f.peers()))
 	n.tracker.RecordForwarded(f.now, customer, "p", f.peers(), units)
 }
@@ -195,8 +195,8 @@
 	f.copies = [2]*fakeShard{shard, shard}
 }
 
-// divide splits the counter into two copies, one for even and one for odd nodes.
-func (f *fleet) divide() {
+// splitCounter splits the counter into two copies, one for even and one for odd nodes.
+func (f *fleet) splitCounter() {
 	if !f.split {
 		f.copies[1] = f.copies[0].clone()
 		f.split = true
@@ -223,8 +223,8 @@
 	for _, shard := range f.copies {
 		for key, entries := range shard.totals {
 			for writer, units := range entries {
-				if units > f.truth[key][writer] {
-					f.t.Fatalf("counter holds %d of %v for %v, %d forwarded", units, writer, key, f.truth[key][writer])
+				if units > f.forwarded[key][writer] {
+					f.t.Fatalf("counter holds %d of %v for %v, %d forwarded", units, writer, key, f.forwarded[key][writer])
 				}
 			}
 		}
@@ -239,19 +239,19 @@
 func (f *fleet) checkTotal(n *node, key TotalKey, total *windowTotal) {
 	var sum MilliUnits
 	for writer, entry := range total.entries {
-		if entry.units > f.truth[key][writer] {
-			f.t.Fatalf("node %d believes %d of %v for %v, %d forwarded", n.index, entry.units, writer, key, f.truth[key][writer])
+		if entry.units > f.forwarded[key][writer] {
+			f.t.Fatalf("node %d believes %d of %v for %v, %d forwarded", n.index, entry.units, writer, key, f.forwarded[key][writer])
 		}
 		sum += entry.units
 	}
-	if own := f.truth[key][n.writer()]; sum < own {
+	if own := f.forwarded[key][n.writer()]; sum < own {
 		f.t.Fatalf("node %d believes %d for %v, forwarded %d itself", n.index, sum, key, own)
 	}
 }
 
 // reported tells whether any node has reported a shard state.
 func (f *fleet) reported(state ShardState) bool {
-	for _, note := range f.notes {
+	for _, note := range f.stateChanges {
 		if note.State == state {
 			return true
 		}
--- a/usage/gossip.go
+++ b/usage/gossip.go
@@ -17,7 +17,7 @@
 // MergeFromPeer merges entries that a node sent. Entries of other writers than that node's
 // own, of customers without a request here, and of windows out of range are ignored.
 func (t *Tracker) MergeFromPeer(now time.Time, from int, entries []CounterEntry) {
-	t.peerHeardAt = now
+	t.lastPeerMessageAt = now
 	for _, entry := range entries {
 		customer := t.customers[entry.Key.Customer]
 		if customer == nil || entry.Writer.Node != from || !t.windowInRange(now, entry.Key.Window) {
@@ -101,5 +101,5 @@
 // isolated reports whether this node may be cut off from all its peers. It then learns of
 // their usage from the counter alone.
 func (t *Tracker) isolated(now time.Time) bool {
-	return now.Sub(t.peerHeardAt) > isolatedAfter && now.Sub(t.startedAt) > isolatedAfter
+	return now.Sub(t.lastPeerMessageAt) > isolatedAfter && now.Sub(t.startedAt) > isolatedAfter
 }
--- a/usage/persistence_test.go
+++ b/usage/persistence_test.go
@@ -7,7 +7,7 @@
 )
 
 // Storage is given what has changed since the last save, and nothing else.
-func TestStorageChangesListOnlyWhatChanged(t *testing.T) {
+func TestStorageChangesListOnlyChangedEntries(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		n := f.nodes[0]
 		for i := range 50 {
--- a/usage/recovery_test.go
+++ b/usage/recovery_test.go
@@ -30,7 +30,7 @@
 
 // After a loss a node writes its own entry unconditionally, and the entries of others only
 // where the counter has none: their writers may have raised them since.
-func TestEntriesOfOthersAreAddedOnlyWhereMissing(t *testing.T) {
+func TestEntriesOfOthersAreAddedOnlyIfMissing(t *testing.T) {
 	tracker := New(singleNodeSettings(1, time.Hour, Plan{10, 20}))
 	key := TotalKey{"a", tracker.windowAt(startTime)}
 	other := CounterEntry{key, WriterID{1, 1}, 5000}
--- a/usage/rediscounter/call.go
+++ b/usage/rediscounter/call.go
@@ -21,8 +21,8 @@
 	return fmt.Sprintf("yt:{%s}:%d", key.Customer, key.Window)
 }
 
-// results are the results of a call's pipeline that are read.
-type results struct {
+// pipelineResults are the pipelineResults of a call's pipeline that are read.
+type pipelineResults struct {
 	epoch  *redis.StringCmd // nil: not read
 	fields *redis.MapStringStringCmd
 }
@@ -31,7 +31,7 @@
 // gateway wrote; other errors come from the connection or the shard.
 func (c *Client) execute(ctx context.Context, call usage.CounterCall) (usage.CounterResponse, error) {
 	shard := c.shards[call.Shard]
-	var r results
+	var r pipelineResults
 	commands, err := shard.Pipelined(ctx, func(p redis.Pipeliner) error {
 		r = c.queueCommands(ctx, p, call)
 		return nil
@@ -41,7 +41,7 @@
 	}
 	var epoch string
 	if r.epoch != nil {
-		if epoch, err = epochOf(ctx, shard, r.epoch); err != nil {
+		if epoch, err = readOrCreateEpoch(ctx, shard, r.epoch); err != nil {
 			return usage.CounterResponse{}, err
 		}
 	}
@@ -70,7 +70,7 @@
 
 // queueCommands adds the commands of a call to a pipeline: reads first, so that the results
 // show what the shard held before.
-func (c *Client) queueCommands(ctx context.Context, p redis.Pipeliner, call usage.CounterCall) (r results) {
+func (c *Client) queueCommands(ctx context.Context, p redis.Pipeliner, call usage.CounterCall) (r pipelineResults) {
 	key := totalKey(call.Key)
 	if call.ReadEpoch {
 		r.epoch = p.Get(ctx, epochKey)
@@ -96,9 +96,9 @@
 	return r
 }
 
-// epochOf returns the epoch that a pipeline has read. Where there is none it draws one; of
+// readOrCreateEpoch returns the epoch that a pipeline has read. Where there is none it draws one; of
 // several clients the first one's stands, and all return it.
-func epochOf(ctx context.Context, shard *redis.Client, read *redis.StringCmd) (string, error) {
+func readOrCreateEpoch(ctx context.Context, shard *redis.Client, read *redis.StringCmd) (string, error) {
 	epoch, err := read.Result()
 	if !errors.Is(err, redis.Nil) {
 		return epoch, err
--- a/usage/rediscounter/golden_test.go
+++ b/usage/rediscounter/golden_test.go
@@ -63,7 +63,7 @@
 
 // A call whose write fails has failed, also where the epoch is missing: what it was to write is not
 // confirmed.
-func TestFailedWriteBesideAMissingEpochFailsTheCall(t *testing.T) {
+func TestFailedWriteWithMissingEpochFailsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		key := usage.TotalKey{Customer: "bibl-a", Window: 177}
 		call := usage.CounterCall{Key: key, ReadEpoch: true,
@@ -95,7 +95,7 @@
 				t.Error(err)
 				return
 			}
-			go serve(t, conn, append(slices.Clone(greeting), list...))
+			go serveExchanges(t, conn, append(slices.Clone(handshake), list...))
 		}
 	}()
 	client := New(Options{Network: mem.Host("node"), Addresses: []string{"10.0.5.1:80"}, ClientName: "node-3", Timeout: time.Second,
@@ -114,14 +114,14 @@
 // for a drawn one.
 type exchange struct{ command, response string }
 
-// greeting begins every connection to a shard that does not know HELLO.
-var greeting = []exchange{
+// handshake begins every connection to a shard that does not know HELLO.
+var handshake = []exchange{
 	{"hello 2 setname node-3", "-ERR unknown command 'HELLO'\r\n"},
 	{"client setname node-3", "+OK\r\n"},
 }
 
-// serve compares the bytes of each command on a connection and sends its response.
-func serve(t *testing.T, conn net.Conn, list []exchange) {
+// serveExchanges compares the bytes of each command on a connection and sends its response.
+func serveExchanges(t *testing.T, conn net.Conn, list []exchange) {
 	t.Helper()
 	defer func() {
 		if err := conn.Close(); err != nil {
@@ -141,8 +141,8 @@
 				want[k] = words[k]
 			}
 		}
-		if b != resp(want) {
-			t.Errorf("sent %q, want %q", b, resp(want))
+		if b != encodeCommand(want) {
+			t.Errorf("sent %q, want %q", b, encodeCommand(want))
 		}
 		if _, err := io.WriteString(conn, e.response); err != nil {
 			t.Error(err)
@@ -154,8 +154,8 @@
 	}
 }
 
-// resp makes a command's bytes.
-func resp(words []string) string {
+// encodeCommand makes a command's bytes.
+func encodeCommand(words []string) string {
 	b := "*" + strconv.Itoa(len(words)) + "\r\n"
 	for _, w := range words {
 		b += "$" + strconv.Itoa(len(w)) + "\r\n" + w + "\r\n"
--- a/usage/shard_health.go
+++ b/usage/shard_health.go
@@ -23,8 +23,8 @@
 	// before a shard counts as diverged.
 	minDivergedResponses = 3
 
-	// claimSettleTime is how long after a peer's claim the entry must be in the counter.
-	claimSettleTime = 2 * time.Second
+	// claimTimeout is how long after a peer's claim the entry must be in the counter.
+	claimTimeout = 2 * time.Second
 )
 
 // shardHealth is the state of one shard of the counter.
@@ -45,10 +45,10 @@
 	divergedResponses int // consecutive
 
 	// A loss that is not classified until the epoch is read.
-	lossSuspected bool
-	entriesGone   bool // some were missing, or the total was empty
-	entriesLower  bool
-	lossEvidence  LostEntries
+	lossSuspected  bool
+	entriesMissing bool // some were missing, or the total was empty
+	entriesLower   bool
+	lossEvidence   LostEntries
 }
 
 // countFailedCall updates a shard's state and backoff after a call without a valid response.
@@ -93,7 +93,7 @@
 		held[entry.Writer] = entry.Units
 	}
 	loss := total.findLoss(held)
-	overdueClaims := total.settleClaims(now, held)
+	overdueClaims := total.updateClaims(now, held)
 	epochChanged := shard.updateEpoch(response.Epoch)
 	lossFound := epochChanged || loss.any()
 	if lossFound {
@@ -130,16 +130,16 @@
 	return loss
 }
 
-// settleClaims closes the claims whose entries are in the counter, and returns the number
+// updateClaims closes the claims whose entries are in the counter, and returns the number
 // of those whose entries are overdue.
-func (w *windowTotal) settleClaims(now time.Time, held map[WriterID]MilliUnits) (overdue int) {
+func (w *windowTotal) updateClaims(now time.Time, held map[WriterID]MilliUnits) (overdue int) {
 	for writer, entry := range w.entries {
 		if entry.claimedAt.IsZero() {
 			continue
 		}
 		if held[writer] >= entry.claimed {
 			entry.claimedAt = time.Time{}
-		} else if now.Sub(entry.claimedAt) > claimSettleTime {
+		} else if now.Sub(entry.claimedAt) > claimTimeout {
 			overdue++
 		}
 	}
@@ -160,7 +160,7 @@
 // suspectLoss notes a loss, to be classified once the epoch is read.
 func (s *shardHealth) suspectLoss(loss LostEntries, totalEmpty bool) {
 	s.lossSuspected = true
-	s.entriesGone = s.entriesGone || loss.Missing > 0 || totalEmpty
+	s.entriesMissing = s.entriesMissing || loss.Missing > 0 || totalEmpty
 	s.entriesLower = s.entriesLower || loss.Lower > 0
 	s.lossEvidence = loss
 }
@@ -170,12 +170,12 @@
 	state := Stale
 	if epochChanged {
 		state = Replaced
-		if s.entriesGone && !s.entriesLower {
+		if s.entriesMissing && !s.entriesLower {
 			state = Emptied
 		}
 	}
 	s.lossSuspected = false
-	s.entriesGone = false
+	s.entriesMissing = false
 	s.entriesLower = false
 	return state
 }
--- a/usage/shard_health_test.go
+++ b/usage/shard_health_test.go
@@ -7,7 +7,7 @@
 )
 
 // Each fault is reported as what it is, and as nothing else.
-func TestShardStateNamesTheFault(t *testing.T) {
+func TestShardStateMatchesFault(t *testing.T) {
 	for name, c := range map[string]struct {
 		want  ShardState
 		fault func(f *fleet)
@@ -27,7 +27,7 @@
 			f.replaceWith(old)
 		}},
 		"split": {Diverged, func(f *fleet) {
-			f.divide()
+			f.splitCounter()
 			for range 40 { // each customer on both sides
 				f.forward(f.nodes[0], "a", 1)
 				f.forward(f.nodes[1], "a", 1)
@@ -52,11 +52,11 @@
 // checkReported checks that a state was reported and no other fault.
 func (f *fleet) checkReported(want ShardState) {
 	if !f.reported(want) {
-		f.t.Fatalf("not reported: %v", f.notes)
+		f.t.Fatalf("not reported: %v", f.stateChanges)
 	}
 	for _, state := range []ShardState{Unresponsive, Emptied, Replaced, Stale, Diverged} {
 		if state != want && f.reported(state) {
-			f.t.Fatalf("reported as %v: %v", state, f.notes)
+			f.t.Fatalf("reported as %v: %v", state, f.stateChanges)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	s.forward()
 	s.forward()
 	s.checkTotals(t)
-	for _, note := range s.notes {
+	for _, note := range s.stateChanges {
 		if note.Shard == 0 && note.State != Healthy {
 			t.Errorf("%+v", note)
 		}
@@ -103,7 +103,7 @@
 	shards       []*fakeShard
 	unresponsive int // index of a shard that does not respond, or noShard
 	forwarded    map[string]MilliUnits
-	notes        []ShardStateChanged
+	stateChanges []ShardStateChanged
 }
 
 func newShardedCounter(shards int) *shardedCounter {
@@ -126,7 +126,7 @@
 			}
 			s.perform(s.tracker.HandleResponse(s.now, action.ID, response))
 		case ShardStateChanged:
-			s.notes = append(s.notes, action)
+			s.stateChanges = append(s.stateChanges, action)
 		}
 	}
 }
--- a/usage/sweep.go
+++ b/usage/sweep.go
@@ -10,8 +10,8 @@
 	// else causes a call, and how often the sweep runs.
 	refreshInterval = 5 * time.Second
 
-	// forgetCustomerAfter is how long a customer without requests stays in memory.
-	forgetCustomerAfter = 2 * time.Minute
+	// customerIdleTimeout is how long a customer without requests stays in memory.
+	customerIdleTimeout = 2 * time.Minute
 
 	// maxRotationSteps bounds how many totals a rotation examines in one sweep.
 	maxRotationSteps = 64
@@ -28,12 +28,12 @@
 			t.queueCall(now, total)
 		}
 	}
-	if window == t.sweptWindow {
+	if window == t.lastSweptWindow {
 		return
 	}
-	t.sweptWindow = window
+	t.lastSweptWindow = window
 	t.evictClosedWindows(window)
-	t.forgetIdleCustomers(now)
+	t.evictIdleCustomers(now)
 }
 
 // refreshUsedTotals queues calls for the totals used since the last sweep.
@@ -85,9 +85,9 @@
 	}
 }
 
-func (t *Tracker) forgetIdleCustomers(now time.Time) {
+func (t *Tracker) evictIdleCustomers(now time.Time) {
 	for name, customer := range t.customers {
-		if now.Sub(customer.lastSeen) > forgetCustomerAfter {
+		if now.Sub(customer.lastSeen) > customerIdleTimeout {
 			customer.current.current = false
 			delete(t.customers, name)
 		}
--- a/usage/tracker.go
+++ b/usage/tracker.go
@@ -4,10 +4,10 @@
 
 // Tracker tracks the usage of all customers of one node. It is not safe for concurrent use.
 type Tracker struct {
-	settings  Settings
-	startedAt time.Time // first event of this process; zero: none yet
-	tickedAt  time.Time
-	actions   []Action // of the event that is being handled
+	settings   Settings
+	startedAt  time.Time // first event of this process; zero: none yet
+	lastTickAt time.Time
+	actions    []Action // of the event that is being handled
 
 	customers      map[string]*customerUsage
 	totals         map[TotalKey]*windowTotal
@@ -24,19 +24,19 @@
 	lastCallID    uint64
 
 	// Messages to peers.
-	messageBudget float64 // messages
-	gossipQueue   []*windowTotal
-	peerHeardAt   time.Time
+	messageBudget     float64 // messages
+	gossipQueue       []*windowTotal
+	lastPeerMessageAt time.Time
 
 	// Changes for storage.
 	storageQueue  []*windowTotal // totals whose stored entries may be out of date
 	evictedStored []CounterEntry // entries to delete, of evicted totals
 
 	// The sweep.
-	sweptAt      time.Time
-	sweptWindow  int64
-	recentlyUsed []*windowTotal // used since the last sweep
-	rotations    []rotation     // of each shard
+	lastSweepAt     time.Time
+	lastSweptWindow int64
+	recentlyUsed    []*windowTotal // used since the last sweep
+	rotations       []rotation     // of each shard
 }
 
 // New returns a Tracker without any usage.
@@ -66,22 +66,22 @@
 // times a second.
 func (t *Tracker) Tick(now time.Time) []Action {
 	t.actions = nil
-	t.noteStart(now)
+	t.recordStart(now)
 	t.replenishBudgets(now)
 	if t.isolated(now) {
 		t.refreshWhileIsolated(now)
 	}
 	t.sendQueuedCalls(now)
 	t.gossip()
-	if now.Sub(t.sweptAt) > refreshInterval {
-		t.sweptAt = now
+	if now.Sub(t.lastSweepAt) > refreshInterval {
+		t.lastSweepAt = now
 		t.sweep(now)
 	}
 	return t.actions
 }
 
-// noteStart records the time of the first event as the process's start.
-func (t *Tracker) noteStart(now time.Time) {
+// recordStart records the time of the first event as the process's start.
+func (t *Tracker) recordStart(now time.Time) {
 	if t.startedAt.IsZero() {
 		t.startedAt = now
 	}
@@ -89,8 +89,8 @@
 
 // replenishBudgets adds what has accrued since the last tick.
 func (t *Tracker) replenishBudgets(now time.Time) {
-	elapsed := min(1, max(0, now.Sub(t.tickedAt).Seconds()))
-	t.tickedAt = now
+	elapsed := min(1, max(0, now.Sub(t.lastTickAt).Seconds()))
+	t.lastTickAt = now
 	t.commandBudget = replenish(t.commandBudget, t.settings.CommandsPerSecond, elapsed)
 	t.messageBudget = replenish(t.messageBudget, t.settings.PeerMessagesPerSecond, elapsed)
 }
