--- a/membership/announcement.go
+++ b/membership/announcement.go
@@ -4,44 +4,45 @@
 
 // Announcement is a node's message to its peers about its own state.
 type Announcement struct {
-	Epoch uint64 // of its accepted roster
-	Stage Stage  // of the change to that epoch
+	Epoch uint64 // epoch of its accepted roster
+	Stage Stage  // stage of the change to that epoch
 	Phase Phase
 }
 
-// Stage is the progress of an epoch change on one node. Stages of one epoch only advance.
-// Their values are those of the messages between peers and must not change.
+// Stage is the progress of an epoch change on one node. Within an epoch, stages only advance.
+// The values are sent in messages between peers and must not change.
 type Stage int
 
-// The stages, in order; the package documentation says what each one guarantees.
+// The stages, in order. The package documentation describes what each one guarantees.
 const (
 	StageReceived      Stage = iota // the previous share is in force
 	StageMinimumShares              // the smaller of the previous and the new share is in force
 	StageComplete                   // the new share is in force
 )
 
-// announcement returns this node's announcement; there must be an accepted roster.
+// announcement returns this node's current announcement. There must be an accepted roster.
 func (m *StateMachine) announcement() Announcement {
 	return Announcement{Epoch: m.accepted.Epoch, Stage: m.stage, Phase: m.phase}
 }
 
-// isBehind reports whether an announcement is of an earlier stage than another.
+// isBehind reports whether an announcement is of an earlier epoch than another, or of an earlier
+// stage of the same epoch.
 func (a Announcement) isBehind(b Announcement) bool {
 	return a.Epoch < b.Epoch || a.Epoch == b.Epoch && a.Stage < b.Stage
 }
 
-// HandlePeerRestart notes that another process acts under a number than before: its phases
-// begin anew. It must come before the first announcement of that process; those of the process before
-// must not come any more.
+// HandlePeerRestart records that a new process runs under a number, so that its phase is Starting
+// again. It must be called before the first announcement of the new process is handled.
+// Announcements of the earlier process must not be handled after it.
 func (m *StateMachine) HandlePeerRestart(from int) {
 	peer := m.peers[from]
 	peer.Phase = Starting
 	m.peers[from] = peer
 }
 
-// HandleAnnouncement handles a peer's announcement. Announcements may be lost, repeated,
-// late or out of order: neither a peer's epoch nor its stage ever goes back, nor does the phase
-// of one process.
+// HandleAnnouncement handles a peer's announcement. Announcements may be lost, duplicated, delayed
+// or reordered: the recorded epoch and stage of a peer never decrease, nor does the phase of one
+// process.
 func (m *StateMachine) HandleAnnouncement(now time.Time, from int, a Announcement) []Action {
 	m.actions = nil
 	previous := m.peers[from]
@@ -58,7 +59,7 @@
 	return m.actions
 }
 
-// recordAnnouncement keeps the latest epoch, stage and phase that a peer has announced.
+// recordAnnouncement records the latest epoch, stage and phase that a peer has announced.
 func (m *StateMachine) recordAnnouncement(from int, a Announcement) {
 	previous := m.peers[from]
 	if a.isBehind(previous) {
@@ -69,15 +70,16 @@
 	m.peers[from] = a
 }
 
-// replyIfBehind answers a peer at an earlier stage of the same change at once: it may be
-// waiting for this node's announcement.
+// replyIfBehind sends this node's announcement at once to a peer that is at an earlier stage of the
+// same change, because the peer may be waiting for it.
 func (m *StateMachine) replyIfBehind(from int, a Announcement) {
 	if a.Epoch == m.accepted.Epoch && a.Stage < m.stage && from != m.number {
 		m.actions = append(m.actions, SendAnnouncement{from, m.announcement()})
 	}
 }
 
-// announceIfDue repeats this node's announcement at the interval of the current state.
+// announceIfDue repeats this node's announcement. The interval depends on whether a change is in
+// progress.
 func (m *StateMachine) announceIfDue(now time.Time) {
 	interval := m.settings.IdleAnnouncementInterval
 	if m.stage != StageComplete {
--- a/membership/epoch_change.go
+++ b/membership/epoch_change.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// unknownSize represents the fleet's size before a change where this process cannot know
-// which shares are in force elsewhere. The node enforces no share until the change is
-// complete.
+// unknownSize is the fleet's size before a change if this process cannot know which shares are in
+// force at other nodes. The node then enforces no share until the change is complete.
 const unknownSize = -1
 
-// maxNumbersInReminder bounds the length of a log line.
+// maxNumbersInReminder bounds how many node numbers a reminder lists, to limit the length of the
+// log line.
 const maxNumbersInReminder = 20
 
 // acceptFirst accepts the first roster that this process reads.
@@ -20,8 +20,8 @@
 		m.reject(&StaleEpochError{Epoch: r.Epoch, Accepted: saved.Epoch, BeforeRestart: true})
 		return
 	}
-	// A change that was complete before a restart still is, and the first epoch changes
-	// nothing. In all other cases the shares in force at other nodes are unknown.
+	// A change that was complete before a restart is still complete, and the first epoch has no
+	// previous shares. In all other cases the shares in force at other nodes are unknown.
 	completeBeforeRestart := r.Epoch == saved.Epoch && saved.ChangeComplete
 	m.accept(now, r, unknownSize, completeBeforeRestart || r.Epoch == 1)
 }
@@ -33,7 +33,7 @@
 	}
 	previousSize := len(m.accepted.Nodes)
 	if m.pending.Epoch != m.accepted.Epoch+1 {
-		// Others may have changed their shares in the epochs that this node missed.
+		// Other nodes may have changed their shares in the epochs that this node missed.
 		previousSize = unknownSize
 		m.logInfo("roster epochs skipped; enforcing no quota share until the change completes",
 			Attribute{"epoch", m.pending.Epoch}, Attribute{"previous_epoch", m.accepted.Epoch})
@@ -43,7 +43,7 @@
 	m.accept(now, r, previousSize, false)
 }
 
-// accept puts a roster in force. The snapshot precedes all other actions.
+// accept puts a roster in force. The snapshot is saved before any other action.
 func (m *StateMachine) accept(now time.Time, r *Roster, previousSize int, complete bool) {
 	m.accepted = r
 	m.previousSize = previousSize
@@ -65,8 +65,8 @@
 	m.advanceStage(now)
 }
 
-// firstStage is the stage in which a node accepts a roster. One that enforces no share has
-// nothing to keep while others read the roster.
+// firstStage returns the stage in which a node accepts a roster. A node without a known previous
+// size enforces no share, so it skips StageReceived, which keeps the previous share in force.
 func firstStage(previousSize int, complete bool) Stage {
 	switch {
 	case complete:
@@ -78,7 +78,7 @@
 	}
 }
 
-// indexNumbers derives nodes, numbers and this node's own number from the accepted roster.
+// indexNumbers derives nodes, numbers and this node's number from the accepted roster.
 func (m *StateMachine) indexNumbers() {
 	m.nodes = map[int]Node{}
 	for number, n := range m.accepted.Nodes {
@@ -98,8 +98,7 @@
 	slices.Sort(m.numbers)
 }
 
-// advanceStage enters the next stage once every node that counts has reached the current
-// one.
+// advanceStage enters the next stage if no awaited node is behind the current one.
 func (m *StateMachine) advanceStage(now time.Time) {
 	if m.accepted == nil || m.stage == StageComplete || len(m.awaitedNumbers()) > 0 {
 		return
@@ -119,25 +118,27 @@
 	m.acceptPending(now)
 }
 
-// awaitedNumbers returns the numbers, in order, that the change waits for at the current stage.
+// awaitedNumbers returns the numbers, in order, of the nodes that the change waits for at the
+// current stage.
 func (m *StateMachine) awaitedNumbers() []int {
-	var list []int
+	var awaited []int
 	for _, number := range m.numbers {
 		if number != m.number && !m.isRemoved(number) && !m.hasReachedStage(number) {
-			list = append(list, number)
+			awaited = append(awaited, number)
 		}
 	}
-	return list
+	return awaited
 }
 
-// isRemoved reports whether the pending roster lists the node under RemovedNames. (The
-// accepted roster cannot: Validate rejects that.)
+// isRemoved reports whether the pending roster lists the node under RemovedNames. The accepted
+// roster cannot list one of its own nodes there, because Validate rejects it.
 func (m *StateMachine) isRemoved(number int) bool {
 	return m.pending != nil && slices.Contains(m.pending.RemovedNames, m.nodes[number].Name)
 }
 
-// hasReachedStage reports whether a peer is as far as this node. A peer in a later epoch has
-// completed this one or enforces no share; a leaving one that has stopped enforces none.
+// hasReachedStage reports whether a peer has reached this node's epoch and stage. A peer in a later
+// epoch has completed this epoch or enforces no share. A leaving peer that has stopped enforces no
+// share either.
 func (m *StateMachine) hasReachedStage(number int) bool {
 	peer := m.peers[number]
 	isLeaving := number >= len(m.accepted.Nodes)
@@ -147,7 +148,7 @@
 	return !peer.isBehind(m.announcement())
 }
 
-// remindIfDue names the nodes that a change waits for.
+// remindIfDue logs the nodes that a change has been waiting for, at ReminderInterval.
 func (m *StateMachine) remindIfDue(now time.Time) {
 	if m.stage == StageComplete || now.Sub(m.lastReminded) < m.settings.ReminderInterval {
 		return
--- a/membership/phase.go
+++ b/membership/phase.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Phase is a step in the life of a node's process. Phases only advance. Their values are
-// those of the messages between peers and must not change.
+// Phase is a state in the life cycle of a node's process. Phases only advance. The values are sent
+// in messages between peers and must not change.
 type Phase int
 
 // The phases, in order.
 const (
-	Starting Phase = iota // it has no roster that names it, or no endpoint list
-	Ready                 // it has both, and accepts no connections yet
-	Serving               // it accepts connections
-	Draining              // it accepts no new connections and finishes what is in flight
-	Stopped               // it is about to exit, and announces nothing more
+	Starting Phase = iota // has no roster that lists the node, or no endpoint list
+	Ready                 // has both, and accepts no connections yet
+	Serving               // accepts connections
+	Draining              // accepts no new connections and finishes requests in flight
+	Stopped               // is about to exit, and sends no further announcement
 )
 
-// phaseNames are the names in log lines.
+// phaseNames lists the names of the phases in the log.
 var phaseNames = [...]string{Starting: "starting", Ready: "ready", Serving: "serving", Draining: "draining", Stopped: "stopped"}
 
 // String returns the name of the phase.
@@ -34,7 +34,7 @@
 	return m.actions
 }
 
-// StartServing reports that the node accepts connections. It has no effect unless the node is
+// StartServing reports that the node accepts connections. It has no effect unless the phase is
 // Ready.
 func (m *StateMachine) StartServing() []Action {
 	m.actions = nil
@@ -53,8 +53,8 @@
 	return m.actions
 }
 
-// Stop reports that nothing is in flight any more. Peers stop waiting for this node if it is
-// leaving.
+// Stop reports that no request is in flight any more. If the node is leaving the fleet, peers
+// then stop waiting for it.
 func (m *StateMachine) Stop() []Action {
 	m.actions = nil
 	if m.phase < Stopped {
@@ -63,7 +63,7 @@
 	return m.actions
 }
 
-// becomeReadyIfPossible leaves Starting once the node has endpoints and is a member.
+// becomeReadyIfPossible enters Ready from Starting if the node has endpoints and is a member.
 func (m *StateMachine) becomeReadyIfPossible() {
 	if m.phase != Starting || !m.hasEndpoints || m.accepted == nil {
 		return
--- a/membership/roster.go
+++ b/membership/roster.go
@@ -4,32 +4,32 @@
 
 // Node is a member of the fleet.
 type Node struct {
-	Name    string // unique among the nodes of a roster and those that leave it
+	Name    string // unique among the members and leaving nodes of a roster
 	Address string // host:port on which the node receives peer messages
 }
 
-// LeavingNode is a node that was removed from the roster and may not have read that yet. Its
-// number is given to no other node meanwhile.
+// LeavingNode is a node that was removed from the members of the roster and may not have read the
+// new roster yet. Its number is not reused for another node while it is leaving.
 type LeavingNode struct {
-	Number int // the number that it acted under
+	Number int // its number as a member
 	Node
 }
 
-// Roster is the list of the fleet's nodes in one epoch. It is plain data: a caller
-// that passes a Roster to this package must not change its slices afterwards.
+// Roster is the list of the fleet's nodes in one epoch. A caller that passes a Roster to this
+// package must not modify its slices afterwards.
 type Roster struct {
-	Epoch uint64 // 1 or more; one more than that of the roster before
-	// Nodes are the members; the index of a node is its number.
+	Epoch uint64 // at least 1; the epoch of the previous roster plus one
+	// Nodes lists the members. The index of a node is its number.
 	Nodes []Node
-	// Leaving are all nodes removed in this epoch or an earlier one that may still act
-	// under their old numbers.
+	// Leaving lists all nodes that left the members in this or an earlier epoch and that may
+	// still act under their old numbers.
 	Leaving []LeavingNode
-	// RemovedNames are nodes that the operators declare not to run any more. No change
+	// RemovedNames lists the nodes that operators have declared not to run any more. No change
 	// waits for them.
 	RemovedNames []string
 }
 
-// Validate checks the roster by itself, without regard to the one before. The error is a
+// Validate checks the roster by itself, without regard to the previous one. The error is a
 // *RosterError.
 func (r *Roster) Validate() error {
 	if r.Epoch == 0 {
@@ -57,11 +57,11 @@
 	return nil
 }
 
-// rosterValidator has the names, numbers and addresses of the nodes checked so far.
+// rosterValidator records the names, addresses and leaving numbers of the nodes checked so far.
 type rosterValidator struct {
 	names     map[string]bool
 	addresses map[string]bool
-	numbers   map[int]bool // of leaving nodes
+	numbers   map[int]bool // numbers of leaving nodes
 }
 
 func (v *rosterValidator) addNode(number int, n Node) error {
@@ -97,10 +97,10 @@
 	return address != "" && !v.addresses[address]
 }
 
-// Next returns the roster that follows r, with nodes as its members and removed added to
-// the names that run no more. A node that is in r but not in nodes is leaving, and stays so
-// in later epochs until it is removed, or a member again under the same number. The error is
-// a *RosterError: a node would change its number, or the result is not valid.
+// Next returns the roster of the next epoch, with nodes as its members and removed added to
+// RemovedNames. A node that is in r but not in nodes is leaving. It stays leaving in later epochs
+// until it is removed, or becomes a member again under the same number. The error is a
+// *RosterError: a node would change its number, or the result is not valid.
 func (r *Roster) Next(nodes []Node, removed []string) (Roster, error) {
 	next := Roster{Epoch: r.Epoch + 1, Nodes: nodes, RemovedNames: slices.Clone(r.RemovedNames)}
 	for _, name := range removed {
@@ -116,7 +116,7 @@
 	return next, next.Validate()
 }
 
-// addLeavingNodes fills in Leaving from the roster before, ordered by number.
+// addLeavingNodes sets Leaving from the previous roster, ordered by number.
 func (r *Roster) addLeavingNodes(previous *Roster) error {
 	candidates := slices.Clone(previous.Leaving)
 	for number, n := range previous.Nodes {
@@ -142,7 +142,7 @@
 	return slices.IndexFunc(r.Nodes, func(n Node) bool { return n.Name == name })
 }
 
-// equal reports whether two rosters of one epoch have the same content, as they must.
+// equal reports whether two rosters of the same epoch have the same content.
 func (r *Roster) equal(o *Roster) bool {
 	return slices.Equal(r.Nodes, o.Nodes) && slices.Equal(r.Leaving, o.Leaving) && slices.Equal(r.RemovedNames, o.RemovedNames)
 }
--- a/membership/roster_errors.go
+++ b/membership/roster_errors.go
@@ -5,21 +5,20 @@
 // RosterProblem is the reason why a roster is not valid.
 type RosterProblem int
 
-// The problems. Each names the fields of RosterError that it sets.
+// The problems. The comment of each lists the fields of RosterError that are set.
 const (
-	ZeroEpoch           RosterProblem = iota // no field
-	NoNodes                                  // no field
+	ZeroEpoch           RosterProblem = iota // none
+	NoNodes                                  // none
 	UnnamedNode                              // Number
 	DuplicateName                            // Name
-	UnusableAddress                          // Name, Address: empty, or another node's
-	LeavingNameUnusable                      // Name: empty, or another node's
-	LeavingNumberTaken                       // Name, Number: a member's, or another leaving node's
-	RemovedNodePresent                       // Name: removed, and a member or leaving
-	NumberChanged                            // Name, Number, NewNumber: a node keeps its number
+	UnusableAddress                          // Name, Address: the address is empty or used by another node
+	LeavingNameUnusable                      // Name: the name is empty or used by another node
+	LeavingNumberTaken                       // Name, Number: the number belongs to a member or another leaving node
+	RemovedNodePresent                       // Name: the node is removed, but also a member or leaving
+	NumberChanged                            // Name, Number, NewNumber: a node must keep its number
 )
 
-// RosterError is the error of a roster that is not valid by itself, or cannot follow the
-// one before.
+// RosterError reports a roster that is not valid by itself, or cannot follow the previous one.
 type RosterError struct {
 	Problem   RosterProblem
 	Name      string
@@ -38,31 +37,31 @@
 	case UnnamedNode:
 		return fmt.Sprintf("node %d has no name", e.Number)
 	case DuplicateName:
-		return fmt.Sprintf("node %q stands twice", e.Name)
+		return fmt.Sprintf("node %q is listed twice", e.Name)
 	case UnusableAddress:
-		return fmt.Sprintf("node %q: the address %q is empty or another's", e.Name, e.Address)
+		return fmt.Sprintf("node %q: the address %q is empty or used by another node", e.Name, e.Address)
 	case LeavingNameUnusable:
-		return fmt.Sprintf("node %q stands twice, or has no name", e.Name)
+		return fmt.Sprintf("leaving node %q is listed twice, or has no name", e.Name)
 	case LeavingNumberTaken:
-		return fmt.Sprintf("number %d of %q, which is leaving, is another's: it must be gone first", e.Number, e.Name)
+		return fmt.Sprintf("number %d of leaving node %q is used by another node; the leaving node must be listed as gone first", e.Number, e.Name)
 	case RemovedNodePresent:
-		return fmt.Sprintf("node %q is in the roster and gone", e.Name)
+		return fmt.Sprintf("node %q is listed as gone, but is also a member or leaving", e.Name)
 	case NumberChanged:
-		return fmt.Sprintf("node %q had number %d and would have %d: a node keeps its number", e.Name, e.Number, e.NewNumber)
+		return fmt.Sprintf("number of node %q would change from %d to %d; a node must keep its number", e.Name, e.Number, e.NewNumber)
 	default:
 		return fmt.Sprintf("roster problem %d", int(e.Problem))
 	}
 }
 
-// StaleEpochError is the error of a roster that is older than the one in force, or than the
-// one in force before a restart.
+// StaleEpochError reports a roster that is older than the accepted one, or than the one accepted
+// before a restart.
 type StaleEpochError struct {
-	Epoch         uint64 // of the rejected roster
-	Accepted      uint64 // in force
-	BeforeRestart bool   // Accepted is known from the snapshot
+	Epoch         uint64 // epoch of the rejected roster
+	Accepted      uint64 // accepted epoch
+	BeforeRestart bool   // Accepted is from the snapshot of an earlier process
 }
 
-// Error names both epochs.
+// Error states both epochs.
 func (e *StaleEpochError) Error() string {
 	if e.BeforeRestart {
 		return fmt.Sprintf("epoch %d is older than epoch %d, accepted before the restart", e.Epoch, e.Accepted)
@@ -70,13 +69,12 @@
 	return fmt.Sprintf("epoch %d is older than the accepted epoch %d", e.Epoch, e.Accepted)
 }
 
-// ChangedRosterError is the error of a roster that differs from the accepted one of the same
-// epoch.
+// ChangedRosterError reports a roster that differs from the accepted one of the same epoch.
 type ChangedRosterError struct {
 	Epoch uint64
 }
 
-// Error names the epoch.
+// Error states the epoch.
 func (e *ChangedRosterError) Error() string {
 	return fmt.Sprintf("the roster of epoch %d was changed without a new epoch", e.Epoch)
 }
--- a/membership/roster_test.go
+++ b/membership/roster_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testNodes returns a node for each name, with addresses of their own.
+// testNodes returns a node for each name, each with its own address.
 func testNodes(names ...string) (list []Node) {
 	for i, n := range names {
 		list = append(list, Node{n, fmt.Sprintf("10.0.0.%d:%d", i, len(n))})
@@ -25,11 +25,11 @@
 		{Roster{Epoch: 2, Nodes: testNodes("a"), Leaving: []LeavingNode{{1, Node{"b", "x"}}}}, "", 0},
 		{Roster{Nodes: testNodes("a")}, "epoch is 0", ZeroEpoch},
 		{Roster{Epoch: 1}, "no node", NoNodes},
-		{Roster{Epoch: 1, Nodes: testNodes("a", "a")}, "stands twice", DuplicateName},
-		{Roster{Epoch: 1, Nodes: []Node{{"a", "x"}, {"b", "x"}}}, "another's", UnusableAddress},
-		{Roster{Epoch: 2, Nodes: testNodes("a"), Leaving: []LeavingNode{{1, Node{"a", "x"}}}}, "stands twice", LeavingNameUnusable},
-		{Roster{Epoch: 2, Nodes: testNodes("a", "b"), Leaving: []LeavingNode{{1, Node{"c", "x"}}}}, "must be gone first", LeavingNumberTaken},
-		{Roster{Epoch: 2, Nodes: testNodes("a"), RemovedNames: []string{"a"}}, "in the roster and gone", RemovedNodePresent},
+		{Roster{Epoch: 1, Nodes: testNodes("a", "a")}, "is listed twice", DuplicateName},
+		{Roster{Epoch: 1, Nodes: []Node{{"a", "x"}, {"b", "x"}}}, "used by another node", UnusableAddress},
+		{Roster{Epoch: 2, Nodes: testNodes("a"), Leaving: []LeavingNode{{1, Node{"a", "x"}}}}, "is listed twice", LeavingNameUnusable},
+		{Roster{Epoch: 2, Nodes: testNodes("a", "b"), Leaving: []LeavingNode{{1, Node{"c", "x"}}}}, "must be listed as gone first", LeavingNumberTaken},
+		{Roster{Epoch: 2, Nodes: testNodes("a"), RemovedNames: []string{"a"}}, "is listed as gone, but is also a member", RemovedNodePresent},
 	} {
 		err := c.r.Validate()
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
@@ -49,12 +49,12 @@
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if _, err := r.Next(testNodes("a", "d"), nil); err == nil {
-		t.Error("the number of a leaving node was given to another")
+		t.Error("the number of a leaving node was assigned to another node")
 	}
 	if _, err := r.Next(testNodes("a", "c"), nil); err == nil {
-		t.Error("a node came back under another number")
+		t.Error("a node became a member again under another number")
 	} else if moved := new(RosterError); !errors.As(err, &moved) || moved.Problem != NumberChanged || moved.NewNumber != 1 {
-		t.Errorf("a node came back under another number: %#v", err)
+		t.Errorf("a node became a member again under another number: %#v", err)
 	}
 	r, err = r.Next(testNodes("a", "d"), []string{"b"})
 	if err != nil || len(r.Leaving) != 1 || r.Leaving[0].Name != "c" || r.Leaving[0].Number != 2 {
--- a/membership/state_machine.go
+++ b/membership/state_machine.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// noNumber is the number of a node that the accepted roster does not name.
+// noNumber is the number of a node that the accepted roster does not list.
 const noNumber = -1
 
-// StateMachine is one node's view of the fleet: the roster in force, the progress of the
-// change to it, what peers have announced, and this node's phase. Each method that returns
-// actions handles one event; the actions are valid until the next such call. A StateMachine
-// is not safe for concurrent use.
+// StateMachine is one node's view of the fleet: the roster in force, the progress of the change to
+// it, the peers' latest announcements, and this node's phase. Each method that returns actions
+// handles one event; the actions are valid until the next such call. A StateMachine is not safe
+// for concurrent use.
 type StateMachine struct {
 	settings Settings
 	phase    Phase
-	actions  []Action // of the call in progress
+	actions  []Action // actions of the call in progress
 
-	hasEndpoints bool // there is a list of upstream endpoints
+	hasEndpoints bool // the node has a list of upstream endpoints
 
-	accepted     *Roster // in force; nil: none yet
-	pending      *Roster // read, to be accepted when the change in progress is complete
-	stage        Stage   // of the change to the accepted roster
-	previousSize int     // nodes before that change; see unknownSize
+	accepted     *Roster // roster in force; nil if there is none yet
+	pending      *Roster // next roster, accepted when the change in progress is complete
+	stage        Stage   // stage of the change to the accepted roster
+	previousSize int     // number of nodes before that change; see unknownSize
 	acceptedAt   time.Time
 
-	number  int          // this node's; see noNumber
+	number  int          // this node's number; see noNumber
 	nodes   map[int]Node // members and leaving nodes of the accepted roster, by number
 	numbers []int        // keys of nodes, in order
 
-	peers         map[int]Announcement // latest of each number
-	lastAnnounced time.Time            // zero: an announcement is due
+	peers         map[int]Announcement // latest announcement of each number
+	lastAnnounced time.Time            // zero if an announcement is due
 	lastReminded  time.Time
 }
 
-// NewStateMachine returns a StateMachine in phase Starting that has read no roster.
+// NewStateMachine returns a StateMachine in phase Starting that has no roster.
 func NewStateMachine(s Settings) *StateMachine {
 	return &StateMachine{settings: s.withDefaults(), number: noNumber, peers: map[int]Announcement{}}
 }
 
-// Number returns this node's number, or -1 where the accepted roster does not name it.
+// Number returns this node's number, or -1 if no accepted roster lists the node.
 func (m *StateMachine) Number() int { return m.number }
 
 // Phase returns this node's phase.
@@ -46,9 +46,9 @@
 // far as this node knows.
 func (m *StateMachine) ChangeComplete() bool { return m.accepted != nil && m.stage == StageComplete }
 
-// HandleRoster handles a roster that was read from its file. A roster that is not valid, older than the
-// accepted one, or different under the same epoch changes nothing and is noted. A later one
-// is accepted at once, or stays pending while a change is in progress.
+// HandleRoster handles a roster that was read from its file. A roster that is invalid, older than
+// the accepted one, or different from it under the same epoch is rejected with a log event. A later
+// roster is accepted at once, or stays pending while a change is in progress.
 func (m *StateMachine) HandleRoster(now time.Time, r Roster) []Action {
 	m.actions = nil
 	if err := r.Validate(); err != nil {
@@ -62,14 +62,14 @@
 		m.checkAgainstAccepted(&r)
 	case m.pending == nil || r.Epoch >= m.pending.Epoch:
 		m.pending = &r
-		m.advanceStage(now) // it may remove the nodes that the change waits for
+		m.advanceStage(now) // the roster may remove nodes that the change waits for
 		m.acceptPending(now)
 	}
 	m.becomeReadyIfPossible()
 	return m.actions
 }
 
-// checkAgainstAccepted notes a roster that contradicts the accepted one.
+// checkAgainstAccepted rejects a roster that conflicts with the accepted one.
 func (m *StateMachine) checkAgainstAccepted(r *Roster) {
 	if r.Epoch < m.accepted.Epoch {
 		m.reject(&StaleEpochError{Epoch: r.Epoch, Accepted: m.accepted.Epoch})
@@ -78,13 +78,13 @@
 	}
 }
 
-// reject notes a roster that is not used.
+// reject logs that a roster is not used.
 func (m *StateMachine) reject(err error) {
 	m.logWarning("roster rejected", Attribute{"error", err})
 }
 
-// Tick repeats announcements and reminders that are due. It is to be called several times
-// a second, more often than the shortest interval in Settings.
+// Tick repeats announcements and reminders that are due. It should be called several times a
+// second, at intervals shorter than the shortest one in Settings.
 func (m *StateMachine) Tick(now time.Time) []Action {
 	m.actions = nil
 	if m.accepted == nil {
--- a/pause/arrival.go
+++ b/pause/arrival.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// SocketRead is what is known about bytes that were read from a socket.
+// SocketRead describes a read of bytes from a socket.
 type SocketRead struct {
-	LastEmpty time.Duration // when the socket was last seen empty; not after ReadAt
+	LastEmpty time.Duration // when the socket was last known to be empty; not after ReadAt
 	ReadAt    time.Duration // when the read returned
 
-	// KernelTimestamp is when the kernel received the bytes, by the wall clock since the
-	// origin. It counts only with HasKernelTimestamp.
+	// KernelTimestamp is when the kernel received the bytes: the time since the origin by the
+	// wall clock. It is valid only if HasKernelTimestamp is set.
 	KernelTimestamp    time.Duration
 	HasKernelTimestamp bool
 }
 
-// ArrivalTime returns when the bytes of a read arrived, by the monotonic clock; never before
-// LastEmpty, and never after ReadAt.
+// ArrivalTime returns when the bytes of a read arrived, by the monotonic clock. The result is
+// never before LastEmpty and never after ReadAt.
 //
-// With a kernel timestamp it is the timestamp, as far as the bounds allow. Without one it is
-// the earliest time at which the bytes may have arrived if the process paused in between,
-// and the time of the read otherwise.
+// With a kernel timestamp the result is that timestamp, limited to these bounds. Without one it
+// is the earliest time at which the bytes may have arrived if the process was paused between
+// LastEmpty and ReadAt, and the time of the read otherwise.
 func (d *Detector) ArrivalTime(r SocketRead) time.Duration {
 	if d.settings.IgnoreArrivalTimes {
 		return r.ReadAt
@@ -38,10 +38,10 @@
 	}
 }
 
-// kernelArrivalTime converts a kernel timestamp to the monotonic clock. If the wall clock was
-// set, it is unknown by which of two offsets the timestamp was taken: of the two readings,
-// the earlier counts after a pause, being the safe one, and the later otherwise. A reading
-// that the bounds of the read exclude is replaced by the other.
+// kernelArrivalTime converts a kernel timestamp to the monotonic clock. If the wall clock was set,
+// it is unknown which of two offsets applies to the timestamp. Of the two possible times, it
+// returns the earlier one after a pause, which is the safe choice, and the later one otherwise. A
+// time outside the bounds of the read is replaced by the other one.
 func (d *Detector) kernelArrivalTime(r SocketRead, paused bool) time.Duration {
 	byLatest := r.KernelTimestamp - d.wallOffset
 	byPrevious := r.KernelTimestamp - d.previousWallOffset
--- a/pause/barrier.go
+++ b/pause/barrier.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// notDrained is the value of drainedSince while a socket is not drained.
+// notDrained is the value of drainedSince while a socket has unread bytes.
 const notDrained = -1
 
-// minRecheckInterval is the least time after which a raised Barrier asks to be checked again.
+// minRecheckInterval is the minimum time until a raised Barrier must be observed again.
 const minRecheckInterval = time.Millisecond
 
 // Barrier delays an event loop after a pause until the bytes in the sockets have been read.
@@ -13,13 +13,13 @@
 	settings     Settings
 	raised       bool
 	raisedAt     time.Duration
-	drainedSince time.Duration // since when no socket is unread; notDrained: one is
+	drainedSince time.Duration // since when no socket has unread bytes, or notDrained
 }
 
 // NewBarrier returns a Barrier that is not raised.
 func NewBarrier(s Settings) Barrier { return Barrier{settings: s} }
 
-// Raise raises the barrier, or starts its time anew if it is raised.
+// Raise raises the barrier, or restarts its times if it is already raised.
 func (b *Barrier) Raise(now time.Duration) {
 	b.raised = true
 	b.raisedAt = now
@@ -29,9 +29,9 @@
 // Raised reports whether the event loop is delayed.
 func (b *Barrier) Raised() bool { return b.raised }
 
-// Observe records how many sockets have unread bytes, while the barrier is raised. It
-// lifts the barrier if they have been drained for SettleTime, or it was raised for MaxBarrier,
-// and returns 0; otherwise it returns the time after which to observe again.
+// Observe records how many sockets have unread bytes while the barrier is raised. If all sockets
+// have been drained for SettleTime, or the barrier has been raised for MaxBarrier, Observe lifts
+// the barrier and returns 0. Otherwise it returns the time after which to call it again.
 func (b *Barrier) Observe(now time.Duration, unreadSockets int) (recheckAfter time.Duration) {
 	if unreadSockets > 0 {
 		b.drainedSince = notDrained
--- a/pause/detector.go
+++ b/pause/detector.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Pause is a time in which the process may not have run: between two observations of the
-// clock that lie too far apart.
+// Pause is an interval in which the process may not have run: the time between two successive
+// observations of the clock that are more than Settings.MinPause apart.
 type Pause struct{ Start, End time.Duration }
 
-// overlaps reports whether the pause has a part after from and before to.
+// overlaps reports whether the pause overlaps the interval between from and to.
 func (p Pause) overlaps(from, to time.Duration) bool { return p.End > from && p.Start < to }
 
-// Detector finds pauses and keeps the recent ones.
+// Detector detects pauses and keeps the recent ones.
 type Detector struct {
 	settings     Settings
-	observed     bool // Observe was called
+	observed     bool // Observe has been called
 	lastObserved time.Duration
 	pauses       []Pause // in order
 
-	// Offsets of the wall clock from the monotonic one: the latest, and the one before the
-	// wall clock was last set.
+	// Offsets of the wall clock from the monotonic clock: the latest one, and the one before
+	// the wall clock was last set.
 	wallOffset         time.Duration
 	previousWallOffset time.Duration
 }
 
-// NewDetector returns a Detector that has found no pause.
+// NewDetector returns a Detector without observations.
 func NewDetector(s Settings) *Detector { return &Detector{settings: s} }
 
-// Observe records both clocks' times since the origin, monotonic and wall. It returns the
-// pause that this observation ends, if it ends one. Times before the last observation end
-// none.
+// Observe records the times of the monotonic and the wall clock since the origin. If more than
+// MinPause has passed since the last observation, it returns the pause that ends now. A time before
+// the last observation ends no pause.
 func (d *Detector) Observe(now, wall time.Duration) (p Pause, found bool) {
 	d.observeWallOffset(wall - now)
 	if d.observed && now-d.lastObserved > d.settings.MinPause {
@@ -44,7 +44,7 @@
 	return p, found
 }
 
-// observeWallOffset notes when the wall clock was set.
+// observeWallOffset detects that the wall clock was set, by a change of its offset.
 func (d *Detector) observeWallOffset(offset time.Duration) {
 	if !d.observed {
 		d.wallOffset = offset
@@ -57,7 +57,7 @@
 	}
 }
 
-// dropPausesBefore drops the pauses that ended before a time.
+// dropPausesBefore discards the pauses that ended before a time.
 func (d *Detector) dropPausesBefore(t time.Duration) {
 	recent := slices.IndexFunc(d.pauses, func(p Pause) bool { return p.End >= t })
 	if recent < 0 {
@@ -66,7 +66,7 @@
 	d.pauses = d.pauses[recent:]
 }
 
-// MarkRunning notes that the process ran at a time, without looking for a pause before it.
+// MarkRunning records that the process ran at a time, without detecting a pause before it.
 func (d *Detector) MarkRunning(now time.Duration) { d.lastObserved = max(d.lastObserved, now) }
 
 // PausedSince reports whether a pause ended after a time.
@@ -74,8 +74,8 @@
 	return len(d.pauses) > 0 && d.pauses[len(d.pauses)-1].End > t
 }
 
-// ActiveTime returns how long the process ran between two times, as far as pauses are
-// known; never negative.
+// ActiveTime returns how long the process ran between two times: the elapsed time minus the known
+// pauses. It is never negative.
 func (d *Detector) ActiveTime(from, to time.Duration) time.Duration {
 	active := to - from
 	for _, p := range d.pauses {
--- a/storage/codec.go
+++ b/storage/codec.go
@@ -8,17 +8,18 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// An entry's key is node, incarnation and window, 8 bytes each, and the customer's name,
-// which is not empty; its value is the units in thousandths, 8 bytes. Numbers are big-endian.
+// The key of an entry consists of node, incarnation and window, 8 bytes each, followed by the
+// customer's name, which is not empty. The value is the units in thousandths, 8 bytes. Numbers are
+// big-endian.
 const (
 	numberSize    = 8
 	keyPrefixSize = 3 * numberSize
 )
 
-// bigEndian encodes a number.
+// bigEndian encodes a number in big-endian order.
 func bigEndian(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
 
-// parseUint64 decodes a number; one of another size counts as 0.
+// parseUint64 decodes a big-endian number. It returns 0 if b has the wrong size.
 func parseUint64(b []byte) uint64 {
 	if len(b) != numberSize {
 		return 0
@@ -26,7 +27,7 @@
 	return binary.BigEndian.Uint64(b)
 }
 
-// encodeEntry returns an entry's key and value.
+// encodeEntry returns the key and value of an entry.
 func encodeEntry(entry usage.CounterEntry) (key, value []byte) {
 	key = make([]byte, 0, keyPrefixSize+len(entry.Key.Customer))
 	key = binary.BigEndian.AppendUint64(key, uint64(entry.Writer.Node))
@@ -35,7 +36,7 @@
 	return append(key, entry.Key.Customer...), bigEndian(uint64(entry.Units))
 }
 
-// decodeEntry reads what encodeEntry wrote. The error is ErrDamaged.
+// decodeEntry decodes the output of encodeEntry. The error wraps ErrDamaged.
 func decodeEntry(key, value []byte) (usage.CounterEntry, error) {
 	if len(key) <= keyPrefixSize || len(value) != numberSize {
 		return usage.CounterEntry{}, damagedError(fmt.Errorf("malformed entry %x", key))
@@ -45,7 +46,7 @@
 	return usage.CounterEntry{Key: total, Writer: writer, Units: usage.MilliUnits(parseUint64(value))}, nil
 }
 
-// compareKeys orders entries as their keys.
+// compareKeys orders entries by writer, window and customer, as their encoded keys are ordered.
 func compareKeys(a, b usage.CounterEntry) int {
 	return cmp.Or(
 		cmp.Compare(a.Writer.Node, b.Writer.Node),
--- a/storage/open.go
+++ b/storage/open.go
@@ -18,27 +18,27 @@
 // lockTimeout is how long Open waits for another process to close the database.
 const lockTimeout = time.Second
 
-// fileMode of the database: readable by the owner alone.
+// fileMode is the mode of the database file, which only its owner can read and write.
 const fileMode = 0o600
 
-// Contents is what Open found.
+// Contents is the content of a database that Open has opened.
 type Contents struct {
 	Entries []usage.CounterEntry
 
-	// MovedAside is not nil if there was a file that could not be used. The store was then
-	// created anew, and Entries is empty.
+	// MovedAside is not nil if an existing file could not be used. In that case Open created a
+	// new database, and Entries is empty.
 	MovedAside *MovedAsideError
 }
 
-// Open opens the database of the node with an index and reads its entries. A missing file is
-// created. A file that is damaged, or of another program, format or node, is moved aside,
-// and a new one takes its place. The error is ErrInUse, or says why no database could be
-// opened or created; the file is as it was then.
+// Open opens the database of the node with the given index and reads its entries. A missing file
+// is created. A file that is damaged, or belongs to another program, format version or node, is
+// moved aside and replaced by a new one. The error is ErrInUse, or describes why no database could
+// be opened or created; in that case the file is unchanged.
 func Open(path string, node int) (*Store, Contents, error) {
 	return openOrReplace(path, node, os.OpenFile)
 }
 
-// fileOpener opens a file as os.OpenFile does.
+// fileOpener opens a file like os.OpenFile.
 type fileOpener func(path string, flags int, mode os.FileMode) (*os.File, error)
 
 func openOrReplace(path string, node int, openFile fileOpener) (*Store, Contents, error) {
@@ -54,16 +54,16 @@
 	return store, Contents{Entries: entries, MovedAside: moved}, err
 }
 
-// isUnusable reports whether an error says that the content of a file can't be used. Others come
-// from the operating system: the file may be good.
+// isUnusable reports whether an error means that the content of a file can't be used. All other
+// errors come from the operating system, and the file may be intact.
 func isUnusable(err error) bool {
 	var format *FormatError
 	var mismatch *NodeMismatchError
 	return errors.Is(err, ErrDamaged) || errors.Is(err, ErrForeign) || errors.As(err, &format) || errors.As(err, &mismatch)
 }
 
-// isSystemError reports whether an error comes from the operating system, such as for want of
-// descriptors, space or permission.
+// isSystemError reports whether an error comes from the operating system, for example because of
+// missing file descriptors, disk space or permissions.
 func isSystemError(err error) bool {
 	var path *fs.PathError
 	var call *os.SyscallError
@@ -71,16 +71,16 @@
 	return errors.As(err, &path) || errors.As(err, &call) || errors.As(err, &number)
 }
 
-// moveAside renames a file that could not be used.
+// moveAside renames a file that can't be used.
 func moveAside(path string, cause error) (*MovedAsideError, error) {
 	moved := &MovedAsideError{Path: path, MovedTo: fmt.Sprintf("%s.aside-%d", path, time.Now().UnixNano()), Cause: cause}
 	return moved, os.Rename(path, moved.MovedTo)
 }
 
-// open opens a database, which is closed again if it cannot be used.
+// open opens a database and reads its entries. It closes the database if it can't be used.
 func open(path string, node int, openFile fileOpener) (store *Store, entries []usage.CounterEntry, err error) {
-	// The file is mapped into memory: access to a page beyond the end of a file that was cut
-	// short is a fault, which must become a panic to be recovered from.
+	// bbolt maps the file into memory. An access beyond the end of a truncated file is a memory
+	// fault, which must be turned into a panic so that it can be recovered.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	var db *bbolt.DB
 	defer func() {
@@ -118,7 +118,7 @@
 	return nil, damagedError(err)
 }
 
-// closeUnusable closes a database that cannot be used, as far as its state allows.
+// closeUnusable closes a database that can't be used, and ignores errors and panics.
 func closeUnusable(db *bbolt.DB) {
 	if db == nil {
 		return
@@ -127,7 +127,7 @@
 	_ = db.Close()
 }
 
-// load checks a database and reads its entries. An empty database is initialized.
+// load validates a database and reads its entries. It initializes an empty database.
 func load(tx *bbolt.Tx, path string, node int) ([]usage.CounterEntry, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -152,8 +152,8 @@
 	return readEntries(tx)
 }
 
-// firstError returns the first error of a channel, or nil. It receives the others, too: whoever sends
-// them waits for that.
+// firstError returns the first error of a channel, or nil. It drains the channel, because the
+// sender blocks until each error is received.
 func firstError(errs <-chan error) (first error) {
 	for err := range errs {
 		if first == nil {
@@ -163,7 +163,7 @@
 	return first
 }
 
-// checkMeta checks that a database is of this format and node.
+// checkMeta checks that a database has the supported format and belongs to the node.
 func checkMeta(meta *bbolt.Bucket, node int) error {
 	if version := parseUint64(meta.Get(formatKey)); version != formatVersion {
 		return &FormatError{Version: version, Supported: formatVersion}
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// readEntries reads all entries, in the order of their keys.
+// readEntries returns all entries in the order of their keys.
 func readEntries(tx *bbolt.Tx) (entries []usage.CounterEntry, err error) {
 	bucket := tx.Bucket(entriesBucket)
 	if bucket == nil {
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -1,5 +1,5 @@
-// Package storage keeps in an embedded database (bbolt) what must outlive a process: the
-// usage entries of this node that the shared counter may not hold yet.
+// Package storage persists the usage entries of this node that the shared counter may not hold
+// yet, in an embedded database (bbolt), so that they survive a restart.
 package storage
 
 import (
@@ -13,8 +13,8 @@
 // formatVersion is the version of the database's layout.
 const formatVersion = 1
 
-// The database has two buckets: one for the format's version and the node's index, and one
-// for the entries. See codec.go for keys and values.
+// The database has two buckets: one for the format version and the node's index, and one for the
+// entries. See codec.go for the encoding of keys and values.
 var (
 	metaBucket    = []byte("meta")
 	entriesBucket = []byte("registers")
@@ -25,9 +25,9 @@
 // Store is the open database of one node. It is safe for concurrent use.
 type Store struct{ db *bbolt.DB }
 
-// Save puts entries, and deletes those of 0 units, in one transaction: after a crash at any
-// moment either all changes are stored or none. Of two changes of one entry the later one
-// stands. Save blocks until the data is on disk.
+// Save writes the entries, and deletes those of 0 units, in one transaction: after a crash at any
+// time either all changes are stored or none. If changes has several changes of the same entry, the
+// last one wins. Save blocks until the data is on disk.
 func (s *Store) Save(changes []usage.CounterEntry) error {
 	ordered := slices.Clone(changes)
 	slices.SortStableFunc(ordered, compareKeys) // the order in which bbolt writes fastest
--- a/usage/actions.go
+++ b/usage/actions.go
@@ -1,31 +1,31 @@
 package usage
 
 // Action is an effect that a Tracker asks its caller to perform: a CounterCall, a
-// PeerMessage, a RestoreLevel or an OperatorNote.
+// PeerMessage, a RestoreLevel or a ShardStateChanged.
 type Action interface{ action() }
 
-// CounterCall is one exchange with a shard of the counter. The caller must first read all
-// entries of the total, then write, and must pass the result to Tracker.HandleResponse
-// exactly once, also after a timeout.
+// CounterCall is one exchange with a shard of the counter. The caller must read all entries
+// of the total before it writes, and must pass the result to Tracker.HandleResponse exactly
+// once, even after a timeout.
 type CounterCall struct {
 	ID    uint64 // unique within the process
 	Shard int
 	Key   TotalKey
 
-	// Raise are entries to write unconditionally: those of this node's processes, and those
-	// of dead writers that are lower in the counter than before.
+	// Raise lists the entries to write unconditionally: those of this node's processes, and
+	// those of dead writers that are lower in the counter than before.
 	Raise []CounterEntry
 
-	// AddIfMissing are entries of other nodes, to write only where the counter has none:
-	// their writers may have raised them since.
+	// AddIfMissing lists entries of other nodes. Each is written only if the counter has no
+	// entry of that writer, because the writer may have raised its entry in the meantime.
 	AddIfMissing []CounterEntry
 
-	Level         Level // to write beside the entries; a zero At: none
-	RefreshExpiry bool  // restart the total's time to live, if anything is written
-	ReadEpoch     bool  // read the shard's epoch, too
+	Level         Level // written with the entries; not written if At is zero
+	RefreshExpiry bool  // restart the total's time to live if the call writes anything
+	ReadEpoch     bool  // also read the shard's epoch
 }
 
-// CommandCount is the number of counter commands that the call takes, at least 1.
+// CommandCount returns the number of counter commands that the call takes, at least 1.
 func (c CounterCall) CommandCount() int {
 	count := 1 + len(c.AddIfMissing)
 	if len(c.Raise) > 0 || !c.Level.At.IsZero() {
@@ -42,31 +42,32 @@
 
 // CounterResponse is the result of a CounterCall.
 type CounterResponse struct {
-	// Failed means that no valid response came in time. The call may or may not have been
-	// carried out. The other fields are not used.
+	// Failed means that no valid response was received in time. The shard may or may not have
+	// executed the call. The other fields are not used.
 	Failed bool
 
-	// Epoch is a value drawn anew whenever the shard starts empty; "": not read.
+	// Epoch is a random value that is generated each time the shard starts empty. It is empty
+	// if the call did not read it.
 	Epoch string
 
-	Entries []CounterEntry // of the total, before the call wrote
-	Level   Level          // before the call wrote; a zero At: none
+	Entries []CounterEntry // entries of the total before the call wrote
+	Level   Level          // level before the call wrote; At is zero if there was none
 }
 
-// PeerMessage sends entries of this process to another node. Delivery is best effort.
+// PeerMessage sends entries of this process to another node. Delivery is best-effort.
 type PeerMessage struct {
 	To      int // index of the node
 	Entries []CounterEntry
 }
 
-// RestoreLevel reports a customer's level to the admission policy, where this node cannot
-// know it by itself: its process is young, or it is isolated from its peers.
+// RestoreLevel reports a customer's level to the admission policy if this node cannot derive
+// the level by itself, because its process has just started or it is isolated from its peers.
 type RestoreLevel struct {
 	Customer string
 	Units    float64
 }
 
-// ShardStateChanged reports a change of a shard's state, for the log.
+// ShardStateChanged reports a change of a shard's state for the log.
 type ShardStateChanged struct {
 	Shard    int
 	State    ShardState
--- a/usage/calls.go
+++ b/usage/calls.go
@@ -6,28 +6,30 @@
 )
 
 const (
-	// maxCallsInFlight bounds the calls in flight over all shards.
+	// maxCallsInFlight bounds the calls in flight across all shards.
 	maxCallsInFlight = 64
 
-	// epochInterval is how often a shard's epoch is read while calls are made.
+	// epochInterval is the time since the last read of a shard's epoch after which the next call
+	// reads it again.
 	epochInterval = time.Second
 
-	// firstCallUrgency is the urgency, in seconds of waiting, of a total that the counter
-	// has never returned.
+	// firstCallUrgency is the extra urgency, in seconds of waiting time, of a total for which
+	// the counter has not yet responded.
 	firstCallUrgency = 1.0
 
-	// emptyBucketUrgency is the urgency, in seconds of waiting, of a customer whose bucket
-	// is empty, while this node is isolated: the response decides whether it is admitted.
+	// emptyBucketUrgency is the extra urgency, in seconds of waiting time, of a customer whose
+	// token bucket is empty while this node is isolated: the response decides whether the
+	// customer's requests are admitted.
 	emptyBucketUrgency = 2.0
 )
 
-// inFlightCall is a call that has no response yet.
+// inFlightCall is a call whose response has not been handled yet.
 type inFlightCall struct {
 	total  *windowTotal
 	raised []CounterEntry
 }
 
-// queueCall records that a total has changed and queues it for a call.
+// queueCall marks a total as changed and queues it for a call, unless a call is pending.
 func (t *Tracker) queueCall(now time.Time, total *windowTotal) {
 	total.changedSinceCall = true
 	if total.callPending() {
@@ -38,7 +40,8 @@
 	t.callQueue = append(t.callQueue, total)
 }
 
-// hasCallCapacity reports whether budget and concurrency allow one more call.
+// hasCallCapacity reports whether the command budget and the concurrency limit allow one more
+// call.
 func (t *Tracker) hasCallCapacity() bool {
 	return t.commandBudget >= 1 && len(t.inFlight) < maxCallsInFlight
 }
@@ -71,7 +74,7 @@
 }
 
 // splitCallQueue divides the queue into the totals that may be called for now and those
-// whose shard is backing off. waiting shares the queue's array.
+// whose shard is in backoff. waiting shares the queue's backing array.
 func (t *Tracker) splitCallQueue(now time.Time) (candidates byUrgency, waiting []*windowTotal) {
 	candidates = make(byUrgency, 0, len(t.callQueue))
 	waiting = t.callQueue[:0]
@@ -86,8 +89,9 @@
 	return candidates, waiting
 }
 
-// callUrgency ranks a queued total, in seconds of waiting. What is most ahead of the
-// counter, relative to the plan's burst, goes first; then what has waited longest.
+// callUrgency returns the urgency of a queued total, in seconds of waiting time. It rises with
+// the time in the queue and with the usage of this process that the counter lacks, relative to
+// the plan's burst; firstCallUrgency and emptyBucketUrgency add to it.
 func (t *Tracker) callUrgency(now time.Time, total *windowTotal, isolated bool) float64 {
 	urgency := now.Sub(total.queuedAt).Seconds()
 	if own := total.entries[t.settings.Self]; own != nil {
@@ -105,14 +109,14 @@
 	return urgency
 }
 
-// callCandidate is a queued total that may be called for now.
+// callCandidate is a queued total whose shard accepts calls, with its urgency.
 type callCandidate struct {
 	urgency float64
 	total   *windowTotal
 }
 
-// byUrgency is a heap of candidates, the most urgent first. A heap serves because few of
-// many candidates get a call.
+// byUrgency is a heap of candidates, the most urgent first. It is a heap because only a few of
+// many candidates get a call, so that sorting all of them would be wasted work.
 type byUrgency []callCandidate
 
 func (h byUrgency) Len() int      { return len(h) }
@@ -133,7 +137,7 @@
 	return candidate
 }
 
-// sendCall sends a call for a total and charges the budget, which may become negative.
+// sendCall sends a call for a total and charges the command budget, which may become negative.
 func (t *Tracker) sendCall(now time.Time, total *windowTotal, shard *shardHealth) {
 	t.lastCallID++
 	call := CounterCall{ID: t.lastCallID, Shard: shard.index, Key: total.key}
@@ -154,7 +158,7 @@
 	t.actions = append(t.actions, call)
 }
 
-// addEntries adds to a call the entries that are missing or lower in the counter.
+// addEntries adds to a call the entries that the counter lacks or holds with lower units.
 func (t *Tracker) addEntries(now time.Time, total *windowTotal, call *CounterCall) {
 	for _, writer := range total.sortedWriters() {
 		entry := total.entries[writer]
@@ -166,14 +170,14 @@
 			call.RefreshExpiry = true
 		}
 		claimOverdue := !entry.claimedAt.IsZero() && now.Sub(entry.claimedAt) > claimTimeout
-		send := CounterEntry{total.key, writer, entry.units}
+		update := CounterEntry{total.key, writer, entry.units}
 		if t.isOwn(writer) || t.needsRepair(total, writer, entry) {
-			call.Raise = append(call.Raise, send)
+			call.Raise = append(call.Raise, update)
 		} else if lost || claimOverdue {
-			call.AddIfMissing = append(call.AddIfMissing, send)
+			call.AddIfMissing = append(call.AddIfMissing, update)
 		}
 	}
 }
 
-// isOwn reports whether a writer is a process of this node.
+// isOwn reports whether a writer is a process of this node, current or earlier.
 func (t *Tracker) isOwn(writer WriterID) bool { return writer.Node == t.settings.Self.Node }
--- a/usage/counter_entry.go
+++ b/usage/counter_entry.go
@@ -9,19 +9,19 @@
 // milliPerUnit is the number of MilliUnits in a unit.
 const milliPerUnit = 1000
 
-// MilliUnits counts thousandths of a unit: exact sums need integers.
+// MilliUnits is an amount in thousandths of a unit. It is an integer so that sums are exact.
 type MilliUnits int64
 
-// toMilliUnits rounds units, which are not negative, to the nearest thousandth.
+// toMilliUnits rounds units, which must not be negative, to the nearest thousandth.
 func toMilliUnits(units float64) MilliUnits { return MilliUnits(units*milliPerUnit + 0.5) }
 
-// inUnits converts to units.
+// inUnits returns the amount in units.
 func (m MilliUnits) inUnits() float64 { return float64(m) / milliPerUnit }
 
 // WriterID identifies the process that writes an entry.
 type WriterID struct {
 	Node        int    // index of the node in the fleet
-	Incarnation uint64 // of the node's process; later processes have larger ones
+	Incarnation uint64 // incarnation of the node's process; later processes have larger values
 }
 
 func (w WriterID) compare(other WriterID) int {
@@ -38,8 +38,8 @@
 	return cmp.Or(cmp.Compare(k.Customer, other.Customer), cmp.Compare(k.Window, other.Window))
 }
 
-// CounterEntry is the usage of one writer in a total. Units never decrease over a writer's
-// life, so that of two copies of an entry the larger is the newer.
+// CounterEntry is the usage of one writer in a total. Units never decrease during a writer's
+// lifetime, so that the larger of two copies of an entry is the newer one.
 type CounterEntry struct {
 	Key    TotalKey
 	Writer WriterID
@@ -48,34 +48,34 @@
 
 // writerEntry is the state of one writer's entry in a total. Units never decrease.
 type writerEntry struct {
-	units MilliUnits // largest known
+	units MilliUnits // largest known value
 
-	// confirmed is the amount that the counter is known to have; 0: it is not known to
-	// have any. Negative: the shard lost the entry, which must then be written again; see
-	// markLost.
+	// confirmed is the amount that the counter is known to hold; 0 if it is not known to hold
+	// any. A negative value means that the shard lost the entry, which must then be written
+	// again; see markLost.
 	confirmed MilliUnits
 
-	// claimed is the amount that the writer's node announced to have written, received at
-	// claimedAt; the zero time: no claim is open. Responses that lack a claim are evidence
-	// of a diverged shard.
+	// claimed is the amount that the writer's node sent to this node by gossip at claimedAt,
+	// and that the counter should soon hold; there is no open claim if claimedAt is zero. A
+	// response that lacks a claimed amount is evidence of a diverged shard.
 	claimed   MilliUnits
 	claimedAt time.Time
 
-	stored MilliUnits // in storage; 0: not stored
+	stored MilliUnits // amount in local storage; 0 if not stored
 }
 
-// pendingUnits is how far the entry is ahead of the counter.
+// pendingUnits returns the amount by which the entry exceeds what the counter has confirmed.
 func (e *writerEntry) pendingUnits() MilliUnits { return e.units - e.confirmed }
 
-// lostConfirmation is added to writerEntry.confirmed for each loss of the entry.
+// lostConfirmation is added to writerEntry.confirmed each time the entry is lost.
 const lostConfirmation MilliUnits = -1
 
-// markLost marks the entry as lost by its shard. Every negative value means lost. Further
-// losses before the counter has the entry again count down from there, a thousandth of a
-// unit each: pendingUnits, and with it the urgency of the next call, rises by as little.
+// markLost marks the entry as lost by its shard, by a negative value of confirmed. Each further
+// loss before the counter holds the entry again lowers confirmed by another thousandth of a
+// unit, which raises pendingUnits, and with it the urgency of the next call, only negligibly.
 func (e *writerEntry) markLost() { e.confirmed = min(e.confirmed, 0) + lostConfirmation }
 
-// entry returns a writer's entry and creates it if it is missing.
+// entry returns a writer's entry, and creates it if it is missing.
 func (w *windowTotal) entry(writer WriterID) *writerEntry {
 	entry := w.entries[writer]
 	if entry == nil {
@@ -85,7 +85,7 @@
 	return entry
 }
 
-// sortedWriters lists the writers of a total in a fixed order, so that runs repeat exactly.
+// sortedWriters returns the writers of a total in a fixed order, so that runs are reproducible.
 func (w *windowTotal) sortedWriters() []WriterID {
 	writers := make([]WriterID, 0, len(w.entries))
 	for writer := range w.entries {
@@ -103,8 +103,8 @@
 	}
 }
 
-// mergeClaim merges an entry that its writer's node sent, which should be in the counter
-// soon.
+// mergeClaim merges an entry that the writer's node sent by gossip. The counter should soon
+// hold it, too.
 func (t *Tracker) mergeClaim(now time.Time, total *windowTotal, received CounterEntry) {
 	entry := t.entryOfOther(total, received.Writer)
 	if entry == nil {
@@ -117,8 +117,8 @@
 	t.raise(now, total, entry, received.Units)
 }
 
-// entryOfOther notes that a writer exists and returns its entry. It returns nil for this
-// process's own entry, of which no other node has a newer copy.
+// entryOfOther records the writer's incarnation and returns its entry. It returns nil if the
+// writer is this process: no other node has a newer copy of that entry.
 func (t *Tracker) entryOfOther(total *windowTotal, writer WriterID) *writerEntry {
 	t.latestIncarnation[writer.Node] = max(t.latestIncarnation[writer.Node], writer.Incarnation)
 	if writer == t.settings.Self {
@@ -127,7 +127,8 @@
 	return total.entry(writer)
 }
 
-// raise merges units into an entry by maximum. An increase comes off the customer's level.
+// raise merges units into an entry by maximum, and subtracts an increase from the customer's
+// level.
 func (t *Tracker) raise(now time.Time, total *windowTotal, entry *writerEntry, units MilliUnits) {
 	if units <= entry.units {
 		return
--- a/usage/customers.go
+++ b/usage/customers.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// customerUsage is the state of a customer that outlives windows.
+// customerUsage is the state of a customer that is kept across windows.
 type customerUsage struct {
 	name  string
 	plan  Plan
-	peers []int // nodes that serve the customer, this one included
+	peers []int // indices of the nodes that serve the customer, including this one
 
-	level        Level // as this node knows it
+	level        Level // as known to this node
 	levelKnown   bool  // the level is derived from the counter, or from all usage since the bucket was full
 	trackedSince time.Time
 	lastSeen     time.Time
 	current      *windowTotal // of the latest window; never nil once in Tracker.customers
 }
 
-// RecordRequest records that a request of a customer has arrived, before it is decided on.
-// The counter is asked at once for the level of a customer that this process does not know.
-// peers are the indices of the nodes that serve the customer; the Tracker keeps the slice.
+// RecordRequest records that a customer's request has arrived. It must be called before the
+// request is admitted or rejected. If this process does not know the customer's level, the
+// counter is asked for it at once. peers lists the indices of the nodes that serve the customer;
+// the Tracker keeps the slice.
 func (t *Tracker) RecordRequest(now time.Time, name, plan string, peers []int) []Action {
 	customer := t.customers[name]
 	if customer != nil && customer.current.recentlyUsed && customer.current.key.Window == t.windowAt(now) {
@@ -32,8 +33,8 @@
 	return t.actions
 }
 
-// RecordForwarded records units that this node has forwarded for a customer. units are not
-// negative; peers are as in RecordRequest.
+// RecordForwarded records units that this node has forwarded for a customer. units must not be
+// negative; peers is as in RecordRequest.
 func (t *Tracker) RecordForwarded(now time.Time, name, plan string, peers []int, units float64) {
 	customer := t.useCustomer(now, name, plan, peers)
 	total := customer.current
@@ -45,8 +46,8 @@
 	t.queueGossip(total)
 }
 
-// useCustomer returns a customer, created if it is missing, with the total of the current
-// window.
+// useCustomer returns a customer, and creates it and the total of the current window if they are
+// missing. It marks the total as used since the last sweep.
 func (t *Tracker) useCustomer(now time.Time, name, plan string, peers []int) *customerUsage {
 	t.recordStart(now)
 	customer := t.customers[name]
@@ -67,7 +68,7 @@
 	return customer
 }
 
-// startWindow makes the total of a window the customer's current one.
+// startWindow makes the total of a window the customer's current total.
 func (t *Tracker) startWindow(customer *customerUsage, window int64) {
 	if customer.current != nil {
 		customer.current.current = false
@@ -84,7 +85,8 @@
 	return !c.levelKnown && !c.current.callPending() && c.current.respondedAt.IsZero()
 }
 
-// requestLevel calls the counter now if the budget allows it, otherwise with the next tick.
+// requestLevel calls the counter at once if the call capacity allows it and the shard responds.
+// Otherwise it queues the call for the next tick.
 func (t *Tracker) requestLevel(now time.Time, customer *customerUsage) {
 	shard := t.shardOf(customer.current)
 	if t.hasCallCapacity() && shard.state != Unresponsive {
--- a/usage/evidence.go
+++ b/usage/evidence.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Evidence is the reason for which a Tracker changed the state of a shard: a FailedCalls, a
+// Evidence is the reason why a Tracker changed the state of a shard: a FailedCalls, a
 // LostEntries, an UnconfirmedClaims or a CompleteResponses. String describes it for the log.
 type Evidence interface{ fmt.Stringer }
 
@@ -19,9 +19,9 @@
 // in its place.
 type LostEntries struct {
 	Key         TotalKey
-	Missing     int        // entries that are gone
-	Lower       int        // entries that are lower than they were
-	LargestLoss MilliUnits // of one entry
+	Missing     int        // number of missing entries
+	Lower       int        // number of entries that are lower than the shard had confirmed
+	LargestLoss MilliUnits // largest decrease of one entry
 }
 
 func (l LostEntries) String() string {
@@ -35,7 +35,7 @@
 // UnconfirmedClaims is evidence of a diverged shard.
 type UnconfirmedClaims struct {
 	Key   TotalKey
-	Count int // writers whose nodes announced entries that the shard lacks
+	Count int // number of writers whose nodes sent entries that the shard lacks
 }
 
 func (u UnconfirmedClaims) String() string {
--- a/usage/level.go
+++ b/usage/level.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// maxClockSkew is how far ahead of this node's clock a level may have been written.
+// maxClockSkew is how far the time of a level may be ahead of this node's clock.
 const maxClockSkew = time.Second
 
-// minRate bounds a plan's rate from below, in units per second, where it divides.
+// minRate is the lower bound, in units per second, of a plan's rate that is used as a divisor.
 const minRate = 1e-9
 
-// Level is how full a customer's token bucket was at a time.
+// Level is the fill level of a customer's token bucket at a time.
 type Level struct {
 	Units float64
 	At    time.Time
 }
 
-// refill adds to the level the units that accrued until now at the plan's rate.
+// refill adds the units that have accrued until now at the plan's rate to the level.
 func (c *customerUsage) refill(now time.Time) {
 	if elapsed := now.Sub(c.level.At).Seconds(); elapsed > 0 {
 		c.level.Units = min(c.plan.Burst, c.level.Units+c.plan.Rate*elapsed)
 		c.level.At = now
 	}
-	// After the time to fill the whole bucket, usage before this process no longer matters.
+	// Once the time to fill the whole bucket has passed since tracking started, earlier usage no
+	// longer affects the level.
 	if c.plan.Rate > 0 && now.Sub(c.trackedSince).Seconds() > c.plan.Burst/c.plan.Rate {
 		c.levelKnown = true
 	}
@@ -32,14 +33,14 @@
 	c.level.Units = max(0, c.level.Units-used.inUnits())
 }
 
-// tokensAt is the level at a time, in units.
+// tokensAt returns the level at a time, in units.
 func (c *customerUsage) tokensAt(now time.Time) float64 {
 	elapsed := max(0, now.Sub(c.level.At).Seconds())
 	return min(c.plan.Burst, c.level.Units+c.plan.Rate*elapsed)
 }
 
-// updateLevel handles the level of a response, and reports the customer's level where the
-// counter knows more than this node.
+// updateLevel handles the level of a response. It reports the customer's level if the counter
+// has more information than this node: when the level was unknown here, or this node is isolated.
 func (t *Tracker) updateLevel(now time.Time, total *windowTotal, level Level) {
 	customer := t.customers[total.key.Customer]
 	if customer == nil || !total.current {
@@ -53,8 +54,8 @@
 	}
 }
 
-// learnLevel adopts the level in the counter, which a process that just started cannot
-// know.
+// learnLevel adopts the level that the counter holds, because a process that has just started
+// cannot derive it.
 func (t *Tracker) learnLevel(now time.Time, customer *customerUsage, level Level) {
 	if level.At.IsZero() {
 		customer.levelKnown = t.bucketRefilled(now, customer)
@@ -72,8 +73,9 @@
 	t.reportLevel(customer)
 }
 
-// bucketRefilled reports whether the time to fill the whole bucket has passed since the
-// window or this process began. The window's totals then contain all usage that matters.
+// bucketRefilled reports whether the time to fill the whole bucket has passed since the start of
+// the window or of this process. The window's total then contains all usage that affects the
+// level.
 func (t *Tracker) bucketRefilled(now time.Time, customer *customerUsage) bool {
 	timeToFill := time.Duration(customer.plan.Burst / max(customer.plan.Rate, minRate) * float64(time.Second))
 	windowAge := time.Duration(now.UnixNano() % int64(t.settings.Window))
--- a/usage/persistence.go
+++ b/usage/persistence.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LoadStored restores entries that earlier processes of this node have saved, so that they
-// are written to the counter again. It must be called before any other method.
+// LoadStored restores entries that earlier processes of this node saved, so that they are written
+// to the counter again. It must be called before any other method.
 func (t *Tracker) LoadStored(now time.Time, entries []CounterEntry) {
 	for _, stored := range entries {
 		total := t.totalFor(stored.Key, Plan{})
@@ -19,7 +19,7 @@
 	}
 }
 
-// queueStorage queues a total for a comparison with storage.
+// queueStorage queues a total whose stored entries may be out of date for the next save.
 func (t *Tracker) queueStorage(total *windowTotal) {
 	if total.storageQueued || total.evicted {
 		return
@@ -28,17 +28,17 @@
 	t.storageQueue = append(t.storageQueue, total)
 }
 
-// StorageChanges returns the entries to save, and with zero Units those to delete, so that
-// storage contains this node's entries that the counter has not confirmed or whose window is
-// still open. The caller must save them before it discards them: they are not returned
-// again. A call examines at most limit totals, which bounds the time it takes; more reports
-// that another call would return further changes.
+// StorageChanges returns the entries to save, and, with zero Units, those to delete. Storage then
+// contains those entries of this node that the counter has not confirmed or whose window is
+// still open. The changes are not returned again, so the caller must keep them until they are
+// saved. A call examines at most limit totals, which bounds its duration; more reports whether
+// another call may return further changes.
 func (t *Tracker) StorageChanges(now time.Time, limit int) (changes []CounterEntry, more bool) {
 	lastOpenWindow := t.windowAt(now) - 1
 	examined := min(limit, len(t.storageQueue))
 	for _, total := range t.storageQueue[:examined] {
 		total.storageQueued = false
-		if !total.evicted { // else its entries are in evictedStored
+		if !total.evicted { // entries of evicted totals are in evictedStored
 			changes = t.appendChanges(changes, total, lastOpenWindow)
 		}
 	}
@@ -53,7 +53,7 @@
 	return changes, len(t.storageQueue) > 0 || len(t.evictedStored) > 0
 }
 
-// appendChanges appends the changes of one total and marks them as stored.
+// appendChanges appends the changes of one total and records them as stored.
 func (t *Tracker) appendChanges(changes []CounterEntry, total *windowTotal, lastOpenWindow int64) []CounterEntry {
 	for writer, entry := range total.entries {
 		if !t.isOwn(writer) {
--- a/usage/recovery.go
+++ b/usage/recovery.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// restoreShard prepares to write everything known here to a shard again after it lost
-// entries, as the budget allows: entries of this node unconditionally, those of others
-// only where there are none. The total whose response showed the loss is not queued here.
-func (t *Tracker) restoreShard(now time.Time, cause *windowTotal, shard *shardHealth) {
+// restoreShard marks all entries of a shard as lost and queues its totals, so that everything
+// known to this node is written again, as the budget allows: entries of this node
+// unconditionally, entries of others only if they are missing. It does not queue the total whose
+// response showed the loss; handleValidResponse queues that total if necessary.
+func (t *Tracker) restoreShard(now time.Time, affected *windowTotal, shard *shardHealth) {
 	shard.healthyResponses = 0
 	shard.divergedResponses = 0
 	for _, total := range t.sortedTotals() {
@@ -16,13 +17,13 @@
 			entry.markLost()
 		}
 		t.queueStorage(total)
-		if total != cause {
+		if total != affected {
 			t.queueCall(now, total)
 		}
 	}
 }
 
-// hasUnconfirmed reports whether the counter lacks entries that this node has to raise.
+// hasUnconfirmed reports whether the counter lacks units of entries that this node must raise.
 func (t *Tracker) hasUnconfirmed(total *windowTotal) bool {
 	for writer, entry := range total.entries {
 		ownPending := t.isOwn(writer) && entry.pendingUnits() > 0
@@ -33,11 +34,10 @@
 	return false
 }
 
-// needsRepair reports whether the counter has a lower value of a dead writer's entry than
-// before.
-// A writer is dead once a later process of its node is known. Every node that knows the
-// larger value raises it; two that know different values may overwrite each other once,
-// and the larger value remains.
+// needsRepair reports whether the counter holds a lower value of a dead writer's entry than this
+// node knows. A writer is dead once a later process of its node is known. Every node that knows a
+// larger value raises the entry. Two nodes that know different values may overwrite each other
+// once; afterwards the larger value remains.
 func (t *Tracker) needsRepair(total *windowTotal, writer WriterID, entry *writerEntry) bool {
 	writerDead := writer.Incarnation < t.latestIncarnation[writer.Node]
 	lowerThanKnown := entry.confirmed > 0 && entry.pendingUnits() > 0
--- a/usage/rediscounter/client.go
+++ b/usage/rediscounter/client.go
@@ -1,10 +1,12 @@
-// Package rediscounter calls the shared usage counter over RESP, the protocol of Redis.
+// Package rediscounter is the client of the shared usage counter. It uses RESP, the protocol of
+// Redis.
 //
-// A total is a hash with the key "yt:{customer}:window". It has one field for each writer,
-// named "node.incarnation" (the incarnation in base 36), whose value is the writer's entry in
-// thousandths of units. A field "level" holds the customer's level as "units@milliseconds". The hash
-// expires Options.Retention after its last refresh. The key "yt:epoch" holds a random value
-// that the first client to miss it draws, so that an emptied shard is recognized.
+// A total is stored as a hash with the key "yt:{customer}:window". The hash has one field per
+// writer, named "node.incarnation" (the incarnation in base 36), whose value is the writer's entry
+// in thousandths of a unit. The field "level" holds the customer's level as "units@milliseconds".
+// The hash expires Options.Retention after its last refresh. The key "yt:epoch" holds a random
+// value, which the first client that finds the key missing sets. A changed epoch shows that the
+// shard was emptied or replaced.
 package rediscounter
 
 import (
@@ -19,25 +21,25 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// poolSize is the number of connections to each shard.
+// poolSize is the size of the connection pool of each shard.
 const poolSize = 4
 
 // Options configures a Client. All fields are required.
 type Options struct {
 	Network    network.Network
-	Addresses  []string      // host:port of every shard, in the order of their indices
-	ClientName string        // sent to the counter, for its list of clients
-	Timeout    time.Duration // of one call, of connecting and of waiting for a connection
+	Addresses  []string      // host:port of each shard, in the order of the shard indices
+	ClientName string        // sent to the counter for its list of clients
+	Timeout    time.Duration // limit of one call, of connecting and of waiting for a connection
 	Retention  time.Duration // time to live of a total
 }
 
-// Client calls all shards of a counter. It is safe for concurrent use.
+// Client executes calls on the shards of a counter. It is safe for concurrent use.
 type Client struct {
 	options Options
 	shards  []*redis.Client
 }
 
-// New returns a client. It connects to a shard with the first call.
+// New returns a Client. It connects to a shard on the first call to that shard.
 func New(o Options) *Client {
 	c := &Client{options: o}
 	for _, address := range o.Addresses {
@@ -46,8 +48,8 @@
 	return c
 }
 
-// shardOptions are the options of one shard's client. Failed calls are not retried here:
-// the usage tracker decides on further calls.
+// shardOptions returns the options of one shard's client. The client does not retry failed calls,
+// because the usage tracker decides on retries.
 func shardOptions(o Options, address string) *redis.Options {
 	return &redis.Options{
 		Addr:                     address,
@@ -69,18 +71,17 @@
 	}
 }
 
-// Close closes all connections, and with them the calls in flight: these end with a failed
-// response. It does not wait for their goroutines, each of which ends within
-// Options.Timeout.
+// Close closes all connections. Calls in flight end with a failed response. Close does not wait
+// for their goroutines, each of which ends within Options.Timeout.
 func (c *Client) Close() {
 	for _, shard := range c.shards {
-		// The only error is that the client is closed already.
+		// The only possible error is that the client is already closed.
 		_ = shard.Close()
 	}
 }
 
-// Do starts a call and returns at once. A goroutine that belongs to the call invokes done
-// exactly once: with the response, or with a failed one after Options.Timeout at the latest.
+// Do starts a call and returns immediately. The call's own goroutine invokes done exactly once,
+// with the response or with a failed one, after Options.Timeout at the latest.
 func (c *Client) Do(call usage.CounterCall, done func(usage.CounterResponse)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), c.options.Timeout)
--- a/usage/rediscounter/fields.go
+++ b/usage/rediscounter/fields.go
@@ -9,13 +9,13 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// levelField is the field of a total that holds the customer's level.
+// levelField is the name of the field that holds the customer's level in a total.
 const levelField = "level"
 
-// incarnationBase is the base of the incarnation in a field's name.
+// incarnationBase is the number base of the incarnation in a field name.
 const incarnationBase = 36
 
-// MalformedFieldError says that a total has a field that no gateway wrote.
+// MalformedFieldError reports a field of a total that no gateway can have written.
 type MalformedFieldError struct {
 	Key, Field, Value string
 }
@@ -24,12 +24,12 @@
 	return fmt.Sprintf("counter: %s has malformed field %q = %q", e.Key, e.Field, e.Value)
 }
 
-// writerField is the name of a writer's field.
+// writerField returns the name of a writer's field.
 func writerField(writer usage.WriterID) string {
 	return strconv.Itoa(writer.Node) + "." + strconv.FormatUint(writer.Incarnation, incarnationBase)
 }
 
-// parseWriterField reads the name of a writer's field.
+// parseWriterField parses the name of a writer's field.
 func parseWriterField(name string) (usage.WriterID, error) {
 	nodeText, incarnationText, _ := strings.Cut(name, ".")
 	node, err := strconv.Atoi(nodeText)
@@ -40,7 +40,7 @@
 	return usage.WriterID{Node: node, Incarnation: incarnation}, err
 }
 
-// decodeTotal reads the fields of a total. The error is a MalformedFieldError.
+// decodeTotal decodes the fields of a total. The error is a *MalformedFieldError.
 func decodeTotal(key usage.TotalKey, fields map[string]string) (response usage.CounterResponse, err error) {
 	for name, value := range fields {
 		if name == levelField {
@@ -58,13 +58,13 @@
 	return response, nil
 }
 
-// encodeLevel writes a level as "units@milliseconds since the Unix epoch".
+// encodeLevel encodes a level as "units@milliseconds since the Unix epoch".
 func encodeLevel(level usage.Level) string {
 	return fmt.Sprintf("%.3f@%d", level.Units, level.At.UnixMilli())
 }
 
-// parseLevel reads what encodeLevel wrote. A malformed level counts as none: the total is
-// valid without it.
+// parseLevel decodes the output of encodeLevel. A malformed level is treated as missing, because
+// the total is valid without one.
 func parseLevel(text string) usage.Level {
 	unitsText, atText, _ := strings.Cut(text, "@")
 	units, err := strconv.ParseFloat(unitsText, 64)
--- a/usage/responses.go
+++ b/usage/responses.go
@@ -19,22 +19,22 @@
 	return t.actions
 }
 
-// handleFailedCall handles a call without a valid response, and queues it again. It may have
-// been carried out; writing the same entries again is harmless.
+// handleFailedCall handles a call without a valid response, and queues its total again. The shard
+// may have executed the call; writing the same entries again is harmless.
 func (t *Tracker) handleFailedCall(now time.Time, total *windowTotal) {
 	t.countFailedCall(now, t.shardOf(total))
 	t.queueCall(now, total)
 }
 
-// handleValidResponse updates the shard's health, merges the entries of the response and
-// queues the total again where the counter still lacks something.
+// handleValidResponse updates the shard's health, merges the entries of the response and queues
+// the total again if it has changed or the counter still lacks entries.
 func (t *Tracker) handleValidResponse(now time.Time, call *inFlightCall, response *CounterResponse) {
 	total := call.total
 	t.updateShardHealth(now, total, response)
 	for _, entry := range response.Entries {
 		t.mergeConfirmed(now, total, entry)
 	}
-	for _, raised := range call.raised { // after the response's entries were read
+	for _, raised := range call.raised { // the call wrote these after it read the response's entries
 		if entry := total.entries[raised.Writer]; entry != nil {
 			entry.confirmed = raised.Units
 		}
--- a/usage/settings.go
+++ b/usage/settings.go
@@ -5,28 +5,28 @@
 // Settings configures a Tracker. No field has a default here: the gateway's configuration
 // supplies all of them.
 type Settings struct {
-	// Self is the writer that this process is. The incarnation must be larger than that
-	// of every earlier process of the node: with a repeated one, a process that has lost
-	// its state would write entries that are lower than those in the counter.
+	// Self is the writer ID of this process. The incarnation must be larger than that of every
+	// earlier process of the node: if an incarnation is reused, a process that has lost its
+	// state writes entries that are lower than those in the counter.
 	Self WriterID
 
 	// Shards is the number of shards of the counter; values below 1 count as 1. All nodes
-	// must agree on it: otherwise they keep the same customer in different shards.
+	// must use the same value: otherwise they store the same customer in different shards.
 	Shards int
 
-	// Window is the length of the windows that totals are kept for. It must be positive.
-	// All nodes must agree on it, and their clocks must agree to within one window:
-	// otherwise they write the same usage to different totals.
+	// Window is the length of the time window of a total. It must be positive. All nodes must
+	// use the same value, and their clocks must agree to within one window: otherwise usage of
+	// the same time goes to different totals.
 	Window time.Duration
 
 	// RetainedWindows is the number of past windows for which a total that the counter
-	// has not confirmed stays in memory. Usage in older windows is given up. It should
-	// cover the time that the counter itself retains totals.
+	// has not confirmed stays in memory. Unconfirmed usage of older windows is dropped. It
+	// should cover the time for which the counter itself retains totals.
 	RetainedWindows int
 
 	// CommandsPerSecond is the budget for the counter, in commands per second; one
 	// CounterCall takes CounterCall.CommandCount of them. At most one second's budget
-	// accumulates. With a small value the counter lags behind; nothing is lost.
+	// accumulates. With a small value the counter lags behind, but nothing is lost.
 	CommandsPerSecond float64
 
 	// PeerMessagesPerSecond is the budget for messages to peers, in messages per second. At
@@ -41,6 +41,6 @@
 
 // Plan is the token bucket that bounds a customer's usage.
 type Plan struct {
-	Rate  float64 // units per second that are added
-	Burst float64 // units in the full bucket
+	Rate  float64 // units added per second
+	Burst float64 // capacity in units
 }
--- a/usage/shard_health.go
+++ b/usage/shard_health.go
@@ -6,47 +6,48 @@
 )
 
 const (
-	// unresponsiveAfter is how long a shard gives no valid response before it counts as
-	// unresponsive; minFailedCalls as many calls must have failed.
+	// A shard counts as unresponsive after unresponsiveAfter without a valid response and at
+	// least minFailedCalls consecutive failed calls.
 	unresponsiveAfter = time.Second
 	minFailedCalls    = 2
 
-	// An unresponsive shard is probed after initialBackoff, doubled up to maxBackoff.
+	// An unresponsive shard is probed after initialBackoff; the backoff doubles with each failed
+	// probe, up to maxBackoff.
 	initialBackoff = 250 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 
-	// minHealthyResponses is how many consecutive responses must have every expected entry
-	// before a fault counts as over.
+	// minHealthyResponses is the number of consecutive responses with every expected entry after
+	// which a shard counts as healthy again.
 	minHealthyResponses = 3
 
-	// minDivergedResponses is how many consecutive responses must lack claimed entries
-	// before a shard counts as diverged.
+	// minDivergedResponses is the number of consecutive responses without overdue claimed entries
+	// after which a shard counts as diverged.
 	minDivergedResponses = 3
 
-	// claimTimeout is how long after a peer's claim the entry must be in the counter.
+	// claimTimeout is the time after a peer's claim by which the counter must hold the entry.
 	claimTimeout = 2 * time.Second
 )
 
-// shardHealth is the state of one shard of the counter.
+// shardHealth is the state of one shard of the counter, as inferred from its responses.
 type shardHealth struct {
 	index       int
 	state       ShardState
-	epoch       string // last read; "": never
+	epoch       string // last value read; empty if never read
 	epochReadAt time.Time
 
 	// Calls without a valid response.
-	failedCalls int // consecutive
+	failedCalls int // consecutive failures
 	respondedAt time.Time
-	retryAt     time.Time // no call before
+	retryAt     time.Time // earliest time of the next call
 	backoff     time.Duration
 
 	// Responses.
 	healthyResponses  int // consecutive
 	divergedResponses int // consecutive
 
-	// A loss that is not classified until the epoch is read.
+	// A suspected loss, which can be classified only after the epoch is read.
 	lossSuspected  bool
-	entriesMissing bool // some were missing, or the total was empty
+	entriesMissing bool // an entry was missing, or the total was empty
 	entriesLower   bool
 	lossEvidence   LostEntries
 }
@@ -84,25 +85,25 @@
 }
 
 // updateShardHealth compares a valid response with the entries confirmed earlier, updates the
-// shard's state, and records the entries of the response as confirmed.
+// shard's state and records the entries of the response as confirmed.
 func (t *Tracker) updateShardHealth(now time.Time, total *windowTotal, response *CounterResponse) {
 	shard := t.shardOf(total)
 	shard.clearFailedCalls(now)
-	held := make(map[WriterID]MilliUnits, len(response.Entries))
+	returned := make(map[WriterID]MilliUnits, len(response.Entries))
 	for _, entry := range response.Entries {
-		held[entry.Writer] = entry.Units
+		returned[entry.Writer] = entry.Units
 	}
-	loss := total.findLoss(held)
-	overdueClaims := total.updateClaims(now, held)
+	loss := total.findLoss(returned)
+	overdueClaims := total.updateClaims(now, returned)
 	epochChanged := shard.updateEpoch(response.Epoch)
 	lossFound := epochChanged || loss.any()
 	if lossFound {
 		t.restoreShard(now, total, shard)
-		shard.suspectLoss(loss, len(held) == 0)
+		shard.suspectLoss(loss, len(returned) == 0)
 	}
 	switch {
 	case shard.lossSuspected && response.Epoch == "":
-		shard.epochReadAt = time.Time{} // the next call reads it
+		shard.epochReadAt = time.Time{} // the next call reads the epoch
 	case shard.lossSuspected:
 		t.setShardState(shard, shard.classifyLoss(epochChanged), shard.lossEvidence)
 	case overdueClaims > 0:
@@ -110,18 +111,18 @@
 	default:
 		t.countHealthyResponse(shard)
 	}
-	total.confirm(held, lossFound)
+	total.confirm(returned, lossFound)
 }
 
-// findLoss compares the entries in the counter with those that it confirmed earlier.
-func (w *windowTotal) findLoss(held map[WriterID]MilliUnits) LostEntries {
+// findLoss compares the entries that the counter returned with those that it confirmed earlier.
+func (w *windowTotal) findLoss(returned map[WriterID]MilliUnits) LostEntries {
 	loss := LostEntries{Key: w.key}
 	for writer, entry := range w.entries {
-		if entry.confirmed <= 0 || held[writer] >= entry.confirmed {
+		if entry.confirmed <= 0 || returned[writer] >= entry.confirmed {
 			continue
 		}
-		loss.LargestLoss = max(loss.LargestLoss, entry.confirmed-held[writer])
-		if held[writer] == 0 {
+		loss.LargestLoss = max(loss.LargestLoss, entry.confirmed-returned[writer])
+		if returned[writer] == 0 {
 			loss.Missing++
 		} else {
 			loss.Lower++
@@ -130,14 +131,14 @@
 	return loss
 }
 
-// updateClaims closes the claims whose entries are in the counter, and returns the number
-// of those whose entries are overdue.
-func (w *windowTotal) updateClaims(now time.Time, held map[WriterID]MilliUnits) (overdue int) {
+// updateClaims closes the claims that the counter has confirmed by the entries it returned, and
+// returns the number of overdue claims.
+func (w *windowTotal) updateClaims(now time.Time, returned map[WriterID]MilliUnits) (overdue int) {
 	for writer, entry := range w.entries {
 		if entry.claimedAt.IsZero() {
 			continue
 		}
-		if held[writer] >= entry.claimed {
+		if returned[writer] >= entry.claimed {
 			entry.claimedAt = time.Time{}
 		} else if now.Sub(entry.claimedAt) > claimTimeout {
 			overdue++
@@ -146,18 +147,18 @@
 	return overdue
 }
 
-// confirm records the entries in the counter as confirmed, also where they are lower than
-// before. After a loss, those that are missing are marked as lost.
-func (w *windowTotal) confirm(held map[WriterID]MilliUnits, lossFound bool) {
+// confirm records the entries that the counter returned as confirmed, even if they are lower than
+// before. After a loss, missing entries are marked as lost.
+func (w *windowTotal) confirm(returned map[WriterID]MilliUnits, lossFound bool) {
 	for writer, entry := range w.entries {
-		entry.confirmed = held[writer]
+		entry.confirmed = returned[writer]
 		if lossFound && entry.confirmed == 0 {
 			entry.markLost()
 		}
 	}
 }
 
-// suspectLoss notes a loss, to be classified once the epoch is read.
+// suspectLoss records a loss, which is classified after the epoch is read.
 func (s *shardHealth) suspectLoss(loss LostEntries, totalEmpty bool) {
 	s.lossSuspected = true
 	s.entriesMissing = s.entriesMissing || loss.Missing > 0 || totalEmpty
@@ -165,7 +166,7 @@
 	s.lossEvidence = loss
 }
 
-// classifyLoss returns the state that a suspected loss amounts to, and ends the suspicion.
+// classifyLoss returns the state that a suspected loss indicates, and clears the suspicion.
 func (s *shardHealth) classifyLoss(epochChanged bool) ShardState {
 	state := Stale
 	if epochChanged {
@@ -180,7 +181,7 @@
 	return state
 }
 
-// countDivergedResponse records a response that lacks claimed entries.
+// countDivergedResponse records a response that lacks overdue claimed entries.
 func (t *Tracker) countDivergedResponse(shard *shardHealth, evidence UnconfirmedClaims) {
 	shard.healthyResponses = 0
 	shard.divergedResponses++
@@ -198,7 +199,7 @@
 	}
 }
 
-// setShardState changes a shard's state, and reports a change.
+// setShardState sets a shard's state, and reports it if it has changed.
 func (t *Tracker) setShardState(shard *shardHealth, state ShardState, evidence Evidence) {
 	if shard.state == state {
 		return
--- a/usage/shard_state.go
+++ b/usage/shard_state.go
@@ -1,17 +1,17 @@
 package usage
 
-// ShardState is the condition of a shard of the counter, as a Tracker infers it.
+// ShardState is the state of a shard of the counter, as inferred by a Tracker.
 type ShardState int
 
 // The states of a shard.
 const (
-	Unknown      ShardState = iota // no response yet
+	Unknown      ShardState = iota // no valid response yet
 	Healthy                        // responses have every expected entry
 	Unresponsive                   // calls fail
-	Emptied                        // another epoch, all entries gone: restarted empty
-	Replaced                       // another epoch, older entries: another shard in its place
-	Stale                          // same epoch, entries lower or gone: an old copy
-	Diverged                       // entries that peers wrote are missing: a split counter
+	Emptied                        // new epoch, all entries missing: the shard restarted empty
+	Replaced                       // new epoch, older entries: another shard answers in its place
+	Stale                          // same epoch, entries lower or missing: an old copy answers
+	Diverged                       // entries that peers wrote are missing: the counter is split
 )
 
 var shardStateNames = [...]string{
@@ -24,20 +24,20 @@
 	Diverged:     "diverged",
 }
 
-// String is the state's name in the log.
+// String returns the name of the state in the log.
 func (s ShardState) String() string { return shardStateNames[s] }
 
-// ShardState returns the state of a shard, by its index. It panics if there is none.
+// ShardState returns the state of the shard with an index. It panics if there is no such shard.
 func (t *Tracker) ShardState(index int) ShardState { return t.shards[index].state }
 
-// FNV-1a, 32 bits.
+// Parameters of the 32-bit FNV-1a hash.
 const (
 	fnvOffset = 2166136261
 	fnvPrime  = 16777619
 )
 
-// ShardOf returns the index of the shard that stores a customer's totals: an FNV-1a hash of
-// the name. All nodes must agree on it.
+// ShardOf returns the index of the shard that stores a customer's totals: the FNV-1a hash of the
+// name modulo the number of shards. All nodes must compute the same index.
 func (t *Tracker) ShardOf(name string) int {
 	hash := uint32(fnvOffset)
 	for i := range len(name) {
--- a/usage/sweep.go
+++ b/usage/sweep.go
@@ -6,20 +6,22 @@
 )
 
 const (
-	// refreshInterval is how often a total in use is read from the counter, if nothing
-	// else causes a call, and how often the sweep runs.
+	// refreshInterval is how often the sweep runs, and the time since the last response after
+	// which it reads a total in use from the counter again.
 	refreshInterval = 5 * time.Second
 
-	// customerIdleTimeout is how long a customer without requests stays in memory.
+	// customerIdleTimeout is the time without requests after which a customer is evicted from
+	// memory.
 	customerIdleTimeout = 2 * time.Minute
 
-	// maxRotationSteps bounds how many totals a rotation examines in one sweep.
+	// maxRotationSteps bounds the number of totals that a rotation examines in one sweep.
 	maxRotationSteps = 64
 )
 
-// sweep reads totals in use again, and one further total of each shard, so that a loss is
-// noticed also where nothing is forwarded. Its cost follows the number of totals used since
-// the last sweep; all totals are examined once in each window.
+// sweep queues the totals in use to be read again, and one further total of each shard, so that a
+// loss is detected even if nothing is forwarded. Its cost is proportional to the number of totals
+// used since the last sweep. Once per window it also examines all customers, and the totals of closed
+// windows, to evict those that are no longer needed.
 func (t *Tracker) sweep(now time.Time) {
 	t.refreshUsedTotals(now)
 	window := t.windowAt(now)
@@ -36,7 +38,8 @@
 	t.evictIdleCustomers(now)
 }
 
-// refreshUsedTotals queues calls for the totals used since the last sweep.
+// refreshUsedTotals queues calls for the totals used since the last sweep that the counter has not
+// returned recently.
 func (t *Tracker) refreshUsedTotals(now time.Time) {
 	for _, total := range t.recentlyUsed {
 		total.recentlyUsed = false
@@ -48,8 +51,8 @@
 	t.recentlyUsed = t.recentlyUsed[:0]
 }
 
-// evictClosedWindows evicts the totals of windows before the last two that are no longer
-// needed.
+// evictClosedWindows evicts the totals of all windows before the current and the previous one,
+// except totals that are in use or that have unconfirmed entries and have not expired.
 func (t *Tracker) evictClosedWindows(current int64) {
 	for window, totals := range t.totalsByWindow {
 		if window >= current-1 {
@@ -74,7 +77,7 @@
 // inUse reports whether a total must stay in memory.
 func (w *windowTotal) inUse() bool { return w.callPending() || w.gossipQueued || w.current }
 
-// evict removes a total from memory, and its entries from storage with the next save.
+// evict removes a total from memory. Its stored entries are deleted with the next save.
 func (t *Tracker) evict(total *windowTotal) {
 	delete(t.totals, total.key)
 	total.evicted = true
@@ -94,14 +97,14 @@
 	}
 }
 
-// rotation lists the totals of a shard, to be read in turn.
+// rotation lists the totals of a shard for reading them in round-robin order.
 type rotation struct {
 	totals []*windowTotal
 	next   int
 }
 
-// advance returns the next total whose window is not before a given one, or nil if it finds
-// none within maxRotationSteps. It drops evicted totals from the rotation.
+// advance returns the next total whose window is firstWindow or later, or nil if it finds none
+// within maxRotationSteps. It removes evicted totals from the rotation.
 func (r *rotation) advance(firstWindow int64) *windowTotal {
 	for range maxRotationSteps {
 		if len(r.totals) == 0 {
@@ -123,7 +126,7 @@
 	return nil
 }
 
-// dropNext removes the next total; the last one takes its place.
+// dropNext removes the next total and moves the last one to its position.
 func (r *rotation) dropNext() {
 	last := len(r.totals) - 1
 	r.totals[r.next] = r.totals[last]
--- a/usage/totals.go
+++ b/usage/totals.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// windowTotal is the state of one total: a customer in one window.
+// windowTotal is the state of one total: the usage of a customer in one window.
 type windowTotal struct {
 	key     TotalKey
 	plan    Plan
 	entries map[WriterID]*writerEntry
-	peers   []int // nodes that serve the customer, this one included
+	peers   []int // indices of the nodes that serve the customer, including this one
 
 	callInFlight     bool
-	respondedAt      time.Time // when the counter last responded; zero: never
-	changedSinceCall bool      // something was recorded since the last call was sent
+	respondedAt      time.Time // when the counter last responded; zero if never
+	changedSinceCall bool      // the total was queued for a call since the last call was sent
 	queuedAt         time.Time // when the total was last put into Tracker.callQueue
 
-	current bool // the customer's latest window
-	evicted bool // no longer in memory
+	current bool // total of the customer's latest window
+	evicted bool // removed from Tracker.totals
 
-	// Membership of the Tracker's lists.
+	// Whether the total is in one of the Tracker's lists.
 	callQueued    bool // callQueue
 	gossipQueued  bool // gossipQueue
 	storageQueued bool // storageQueue
@@ -30,18 +30,18 @@
 // callPending reports whether a call is queued or in flight.
 func (w *windowTotal) callPending() bool { return w.callQueued || w.callInFlight }
 
-// needsRefresh reports whether the current window of a customer should be read again, because
-// the counter last responded longer ago than an interval.
+// needsRefresh reports whether the total should be read again: it is of the customer's latest
+// window, no call is pending, and the counter last responded longer than interval ago.
 func (w *windowTotal) needsRefresh(now time.Time, interval time.Duration) bool {
 	return w.current && !w.callPending() && now.Sub(w.respondedAt) > interval
 }
 
-// windowAt is the number of the window that contains a time.
+// windowAt returns the number of the window that contains a time.
 func (t *Tracker) windowAt(now time.Time) int64 {
 	return now.UnixNano() / int64(t.settings.Window)
 }
 
-// totalFor returns a total and creates it, with a plan, if it is missing.
+// totalFor returns a total, and creates it with the given plan if it is missing.
 func (t *Tracker) totalFor(key TotalKey, plan Plan) *windowTotal {
 	total := t.totals[key]
 	if total != nil {
@@ -55,7 +55,7 @@
 	return total
 }
 
-// sortedTotals lists all totals in a fixed order, so that runs repeat exactly.
+// sortedTotals returns all totals in a fixed order, so that runs are reproducible.
 func (t *Tracker) sortedTotals() []*windowTotal {
 	totals := make([]*windowTotal, 0, len(t.totals))
 	for _, total := range t.totals {
--- a/usage/tracker.go
+++ b/usage/tracker.go
@@ -5,41 +5,41 @@
 // Tracker tracks the usage of all customers of one node. It is not safe for concurrent use.
 type Tracker struct {
 	settings   Settings
-	startedAt  time.Time // first event of this process; zero: none yet
+	startedAt  time.Time // time of the first event of this process; zero if there was none
 	lastTickAt time.Time
-	actions    []Action // of the event that is being handled
+	actions    []Action // actions of the event that is being handled
 
 	customers      map[string]*customerUsage
 	totals         map[TotalKey]*windowTotal
 	totalsByWindow map[int64][]*windowTotal
 
-	// latestIncarnation is the latest known process of each node.
+	// latestIncarnation is the largest known incarnation of each node.
 	latestIncarnation map[int]uint64
 
 	// Calls to the counter.
 	shards        []shardHealth
-	commandBudget float64 // commands; negative after a call that cost more than was left
+	commandBudget float64 // in commands; negative after a call that cost more than the budget
 	callQueue     []*windowTotal
 	inFlight      map[uint64]*inFlightCall
 	lastCallID    uint64
 
 	// Messages to peers.
-	messageBudget     float64 // messages
+	messageBudget     float64 // in messages
 	gossipQueue       []*windowTotal
 	lastPeerMessageAt time.Time
 
 	// Changes for storage.
 	storageQueue  []*windowTotal // totals whose stored entries may be out of date
-	evictedStored []CounterEntry // entries to delete, of evicted totals
+	evictedStored []CounterEntry // stored entries of evicted totals, to be deleted
 
-	// The sweep.
+	// State of the sweep.
 	lastSweepAt     time.Time
 	lastSweptWindow int64
-	recentlyUsed    []*windowTotal // used since the last sweep
-	rotations       []rotation     // of each shard
+	recentlyUsed    []*windowTotal // totals used since the last sweep
+	rotations       []rotation     // one per shard
 }
 
-// New returns a Tracker without any usage.
+// New returns a Tracker that has recorded no usage.
 func New(s Settings) *Tracker {
 	t := &Tracker{
 		settings:          s,
@@ -80,14 +80,14 @@
 	return t.actions
 }
 
-// recordStart records the time of the first event as the process's start.
+// recordStart records the time of the first event as the start of the process.
 func (t *Tracker) recordStart(now time.Time) {
 	if t.startedAt.IsZero() {
 		t.startedAt = now
 	}
 }
 
-// replenishBudgets adds what has accrued since the last tick.
+// replenishBudgets adds what has accrued since the last tick to both budgets.
 func (t *Tracker) replenishBudgets(now time.Time) {
 	elapsed := min(1, max(0, now.Sub(t.lastTickAt).Seconds()))
 	t.lastTickAt = now
@@ -95,13 +95,14 @@
 	t.messageBudget = replenish(t.messageBudget, t.settings.PeerMessagesPerSecond, elapsed)
 }
 
-// replenish adds elapsed seconds' worth to a budget, up to one second's worth, or 1 where
-// that is less.
+// replenish returns a budget after elapsed seconds at a rate. It is capped at the amount of one
+// second, or at 1 if that amount is less than 1.
 func replenish(budget, perSecond, elapsed float64) float64 {
 	return min(max(1, perSecond), budget+perSecond*elapsed)
 }
 
-// refreshWhileIsolated queues calls for the totals in use that peers serve, too.
+// refreshWhileIsolated queues calls for the totals in use whose customers are also served by
+// peers.
 func (t *Tracker) refreshWhileIsolated(now time.Time) {
 	for _, total := range t.recentlyUsed {
 		if len(total.peers) > 1 && total.needsRefresh(now, isolatedRefreshInterval) {
