--- a/membership/epoch_change_test.go
+++ b/membership/epoch_change_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// hasLogEvent reports whether one of the actions is a note with a message, and with an
-// attribute that holds.
-func hasLogEvent(actions []Action, message string, holds func(Attribute) bool) bool {
+// hasLogEvent reports whether one of the actions is a LogEvent with a message and an attribute for
+// which matches returns true.
+func hasLogEvent(actions []Action, message string, matches func(Attribute) bool) bool {
 	return slices.ContainsFunc(actions, func(a Action) bool {
-		n, ok := a.(LogEvent)
-		return ok && n.Message == message && slices.ContainsFunc(n.Attributes, holds)
+		event, ok := a.(LogEvent)
+		return ok && event.Message == message && slices.ContainsFunc(event.Attributes, matches)
 	})
 }
 
@@ -29,7 +29,8 @@
 	return ok && a.Key == "numbers" && slices.Equal(numbers, []int{2})
 }
 
-// A change that a dead node holds up is noted, and completes when the node is removed.
+// Guards against a change that completes without a node that may still enforce its previous share. A
+// change that waits for a dead node is logged, and completes when operators remove the node.
 func TestChangeWaitsForEveryNodeUntilItIsRemoved(t *testing.T) {
 	m := NewStateMachine(Settings{Name: "a"})
 	now := testStart
@@ -49,17 +50,17 @@
 	now = now.Add(31 * time.Second)
 	const waiting = "membership change waiting for nodes; their quota shares stay reserved"
 	if !hasLogEvent(m.Tick(now), waiting, namesOnlyNumber2) || m.ChangeComplete() {
-		t.Error("no note says which node the change waits for")
+		t.Error("no log event lists the node that the change waits for")
 	}
 	if change(testNodes("a", "b", "c", "d", "e")); m.ChangeComplete() || m.accepted.Epoch != 2 {
-		t.Error("an epoch was accepted before the last change was complete")
+		t.Error("an epoch was accepted before the previous change was complete")
 	}
 	old := Roster{Epoch: 1, Nodes: testNodes("a")}
 	if !hasLogEvent(m.HandleRoster(now, old), "roster rejected", isStaleEpoch) {
 		t.Error("an old roster was accepted")
 	}
 	if change(testNodes("a", "b", "f", "d"), "c"); m.accepted.Epoch != 4 {
-		t.Error("the change was not complete when the node it waited for was removed")
+		t.Error("the change did not complete when the node it waited for was removed")
 	}
 	for _, s := range []Stage{StageReceived, StageMinimumShares} {
 		for _, from := range []int{1, 2, 3} {
@@ -67,14 +68,15 @@
 		}
 	}
 	if m.ChangeComplete() {
-		t.Error("complete without number 4, which is leaving")
+		t.Error("complete without node 4, which is leaving")
 	}
 	if m.HandleAnnouncement(now, 4, Announcement{Epoch: 3, Phase: Stopped}); !m.ChangeComplete() {
-		t.Error("a stopped node holds the change up")
+		t.Error("the change waits for a stopped node")
 	}
 }
 
-// overlapScenario plays two changes in a fleet of two, which grows to four and shrinks again.
+// overlapScenario simulates two overlapping changes: a fleet of two nodes grows to four and shrinks
+// again.
 type overlapScenario struct {
 	*testFleet
 	all []Node
@@ -90,7 +92,7 @@
 	return o
 }
 
-// readRoster has the hosts named readRoster the latest roster.
+// readRoster makes the named hosts read the latest roster.
 func (o *overlapScenario) readRoster(names ...string) {
 	for _, name := range names {
 		h := o.hosts[name]
@@ -103,7 +105,7 @@
 	o.checkInvariants()
 }
 
-// deliverTo ticks once, and delivers messages only to the hosts named; the rest are lost.
+// deliverTo ticks once, and delivers messages only to the named hosts. All other messages are lost.
 func (o *overlapScenario) deliverTo(names ...string) {
 	o.tick()
 	for i, msg := range o.inFlight {
@@ -115,9 +117,9 @@
 	o.inFlight = nil
 }
 
-// The first two nodes accept the second change before the first is complete for them, or
-// never read the first: the shares that they enforce must fit beside those that the others
-// got by the first.
+// Guards against shares that sum to more than the ceiling when a change follows before the previous
+// one is complete on all nodes, or was never read by some: the first two nodes must not enforce
+// larger shares while the other two still enforce theirs from the first change.
 func TestOverlappingChangesKeepShareSumWithinCeiling(t *testing.T) {
 	t.Run("first change incomplete", func(t *testing.T) {
 		rapid.Check(t, func(rt *rapid.T) { runOverlappingChanges(rt, false) })
@@ -137,9 +139,9 @@
 	o.readRoster("c", "d")
 	if !missed {
 		o.readRoster("a", "b")
-		o.deliverTo("a", "b") // both enforce the smaller shares, and don't know it of each other
+		o.deliverTo("a", "b") // both enforce the smaller shares, but neither knows it of the other
 		for range 3 {
-			o.deliverTo("c", "d") // for them the change is complete
+			o.deliverTo("c", "d") // the change is complete for c and d
 		}
 	}
 	o.change(o.all[:2])
@@ -148,7 +150,7 @@
 		o.deliverTo("c", "d")
 	}
 	if o.hosts["c"].share() == 0 {
-		t.Fatal("the test does not reach the state it is about")
+		t.Fatal("the scenario did not reach the state under test: c enforces no share")
 	}
 	o.readRoster("c", "d")
 	for range 3 {
@@ -158,11 +160,12 @@
 		o.deliverTo("a", "b", "c", "d")
 	}
 	if sum := o.hosts["a"].share() + o.hosts["b"].share(); sum < 1-1e-9 {
-		t.Fatalf("once all messages have arrived the shares sum to %v", sum)
+		t.Fatalf("after all messages were delivered, the shares sum to %v", sum)
 	}
 }
 
-// b receives nothing, and keeps its previous share.
+// runIsolatedNode runs a change during which b receives no message, so that it keeps its previous
+// share.
 func runIsolatedNode(t *rapid.T) {
 	o := newOverlapScenario(t)
 	o.readRoster("a", "b")
@@ -174,8 +177,8 @@
 	}
 }
 
-// A node that restarts while a change is under way cannot know which shares others enforce:
-// it enforces none until the change is complete.
+// Guards against a node that enforces a share after a restart during a change. It cannot know which
+// shares other nodes enforce, so it must enforce none until the change is complete.
 func TestRestartDuringChangeEnforcesNoShare(t *testing.T) {
 	roster := Roster{Epoch: 2, Nodes: testNodes("a"), Leaving: []LeavingNode{{1, Node{"b", "x"}}}}
 	restarted := func(s Snapshot) *testHost {
@@ -185,14 +188,14 @@
 		return h
 	}
 	if h := restarted(Snapshot{Epoch: 2}); h.share() != 0 || h.process.machine.ChangeComplete() {
-		t.Errorf("share %v after a restart during the change", h.share())
+		t.Errorf("share %v after a restart during the change, want 0", h.share())
 	}
 	if h := restarted(Snapshot{Epoch: 2, ChangeComplete: true}); h.share() != 1 || !h.process.machine.ChangeComplete() {
-		t.Errorf("share %v after a restart once the change was complete", h.share())
+		t.Errorf("share %v after a restart with a complete change, want 1", h.share())
 	}
 }
 
-// An announcement that arrives late takes nothing back.
+// Guards against a delayed announcement that reverts the recorded epoch or stage of a peer.
 func TestLateAnnouncementDoesNotRevertPeerState(t *testing.T) {
 	m := NewStateMachine(Settings{Name: "a"})
 	m.HandleRoster(testStart, Roster{Epoch: 1, Nodes: testNodes("a", "b", "c")})
@@ -205,12 +208,12 @@
 	m.HandleAnnouncement(testStart, 1, Announcement{Epoch: 1, Stage: StageComplete, Phase: Serving})
 	m.HandleAnnouncement(testStart, 1, Announcement{Epoch: 2, Stage: StageReceived, Phase: Serving})
 	if got, want := m.peers[1], (Announcement{Epoch: 2, Stage: StageMinimumShares, Phase: Serving}); got != want {
-		t.Errorf("peer 1 counts as %+v, want %+v", got, want)
+		t.Errorf("recorded state of peer 1 is %+v, want %+v", got, want)
 	}
 }
 
-// A late announcement does not take back that a leaving node has stopped, so a change goes on without it. A
-// later process of that node is waited for again.
+// Guards against a delayed announcement that reverts the Stopped phase of a leaving node: the change
+// would wait for the node forever. If the node has restarted, the change must wait for it again.
 func TestLateAnnouncementDoesNotRevertStoppedPhase(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -232,7 +235,7 @@
 			m.HandleAnnouncement(testStart, 2, Announcement{Epoch: 1, Stage: StageComplete, Phase: Draining})
 			m.HandleAnnouncement(testStart, 1, Announcement{Epoch: 2, Stage: StageComplete, Phase: Serving})
 			if m.ChangeComplete() != c.wantComplete {
-				t.Errorf("change complete: %v", m.ChangeComplete())
+				t.Errorf("unexpected result: change complete is %v", m.ChangeComplete())
 			}
 		})
 	}
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -9,32 +9,32 @@
 
 var testStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// testFleet is a fleet of hosts, the operators' roster and the messages between them, under
-// a clock of its own.
+// testFleet simulates a fleet of hosts, the operators' latest roster and the messages in flight, with
+// a simulated clock.
 type testFleet struct {
 	t         *rapid.T
 	now       time.Time
 	hosts     map[string]*testHost
-	roster    Roster // the operators' latest
+	roster    Roster // latest roster of the operators
 	inFlight  []testMessage
 	hostCount int
 }
 
-// testHost is where a node's processes run.
+// testHost is a host that runs the processes of one node.
 type testHost struct {
 	name       string
-	snapshot   Snapshot // on its disk
-	rosterFile Roster   // as copied to it
+	snapshot   Snapshot // last saved snapshot
+	rosterFile Roster   // roster last copied to the host
 	process    *testProcess
 }
 
-// testProcess is one process of a node, with what its quota policy was last told.
+// testProcess is one process of a node, with the fleet sizes last set in its quota policy.
 type testProcess struct {
 	machine      *StateMachine
 	gateways     int
 	previousSize int
-	suspended    bool // by SIGSTOP
-	warnings     int  // notes that need an operator
+	suspended    bool // stopped by SIGSTOP
+	warnings     int  // number of log events that need action
 }
 
 type testMessage struct {
@@ -42,11 +42,11 @@
 	announcement Announcement
 }
 
-// running reports whether the host has a process that runs.
+// running reports whether the host has a process that is not suspended.
 func (h *testHost) running() bool { return h.process != nil && !h.process.suspended }
 
-// resize does as the quota policy does: while a change is under way, the size before it
-// stays.
+// resize sets the sizes like the quota policy: while a change is in progress, the size before that
+// change is kept.
 func (p *testProcess) resize(a FleetResized) {
 	if a.PreviousSize == 0 {
 		p.previousSize = 0
@@ -56,7 +56,7 @@
 	p.gateways = a.Gateways
 }
 
-// share is the part of a hard ceiling that a host's process enforces.
+// share returns the fraction of a hard ceiling that the host's process enforces.
 func (h *testHost) share() float64 {
 	if h.process == nil || h.process.gateways == 0 {
 		return 0
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkInvariants fails the test if two hosts act under one number, or shares sum to more
-// than the whole.
+// checkInvariants fails the test if two hosts that enforce a share have the same number, or if the
+// shares sum to more than the ceiling.
 func (f *testFleet) checkInvariants() {
 	sum := 0.0
 	acting := map[int]string{}
@@ -106,8 +106,8 @@
 		}
 		sum += h.share()
 		number := h.process.machine.Number()
-		if other, twice := acting[number]; twice {
-			f.t.Fatalf("%s and %s act under number %d", name, other, number)
+		if other, duplicate := acting[number]; duplicate {
+			f.t.Fatalf("%s and %s both have number %d", name, other, number)
 		}
 		acting[number] = name
 	}
@@ -124,7 +124,7 @@
 	return list
 }
 
-// addHost adds a host that runs nothing, and returns its node.
+// addHost adds a host without a process, and returns its node.
 func (f *testFleet) addHost() Node {
 	f.hostCount++
 	n := testNode(f.hostCount)
@@ -132,7 +132,7 @@
 	return n
 }
 
-// start starts a process on a host, which reads the roster file.
+// start starts a process on a host. The process reads the host's roster file.
 func (f *testFleet) start(h *testHost) {
 	h.process = &testProcess{machine: NewStateMachine(Settings{Name: h.name, Snapshot: h.snapshot})}
 	f.execute(h, h.process.machine.EndpointsReady())
@@ -140,7 +140,7 @@
 	f.execute(h, h.process.machine.StartServing())
 }
 
-// change has the operators make the next epoch, whoever has read the last one.
+// change creates the roster of the next epoch, regardless of which hosts have read the previous one.
 func (f *testFleet) change(nodes []Node, removed ...string) {
 	r, err := f.roster.Next(nodes, removed)
 	if err != nil {
@@ -149,7 +149,7 @@
 	f.roster = r
 }
 
-// copyRoster copies the latest roster to a host; its process reads it if it runs.
+// copyRoster copies the latest roster to a host. The host's process reads it if it is running.
 func (f *testFleet) copyRoster(h *testHost) {
 	h.rosterFile = f.roster
 	if h.running() {
@@ -157,8 +157,8 @@
 	}
 }
 
-// hostOf returns the host that a number's messages reach by the latest roster: a member's,
-// or a leaving node's.
+// hostOf returns the host that messages to a number reach according to the latest roster: the host of
+// a member or of a leaving node. It returns nil if the number is not assigned.
 func (f *testFleet) hostOf(number int) *testHost {
 	if number < len(f.roster.Nodes) {
 		return f.hosts[f.roster.Nodes[number].Name]
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// deliver delivers a message without taking it out of flight.
+// deliver delivers a message and leaves it in flight.
 func (f *testFleet) deliver(i int) {
 	m := f.inFlight[i]
 	if h := f.hostOf(m.to); h != nil && h.running() {
@@ -179,7 +179,7 @@
 	}
 }
 
-// tick lets 250 ms pass.
+// tick advances the clock by 250 ms and ticks all running processes.
 func (f *testFleet) tick() {
 	f.now = f.now.Add(250 * time.Millisecond)
 	for _, name := range f.hostNames() {
@@ -189,7 +189,7 @@
 	}
 }
 
-// settle lets 15 s pass in which each message arrives, once, before the next tick.
+// settle simulates 15 s in which each message is delivered exactly once, before the next tick.
 func (f *testFleet) settle() {
 	const ticks = 60
 	for range ticks {
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What outlives a process has exactly these JSON fields.
+// Guards against changes of the stored format: a snapshot must have exactly these JSON fields.
 func TestSnapshotHasGoldenJSON(t *testing.T) {
 	const golden = `{"Epoch":41,"Over":true}`
 	want := Snapshot{Epoch: 41, ChangeComplete: true}
@@ -18,7 +18,7 @@
 	}
 }
 
-// Numbers that stand for names in messages keep their values.
+// Guards against changes of the values that represent phases and stages in messages between peers.
 func TestWireCodesKeepTheirValues(t *testing.T) {
 	for want, phase := range []Phase{Starting, Ready, Serving, Draining, Stopped} {
 		if int(phase) != want {
--- a/membership/random_faults_test.go
+++ b/membership/random_faults_test.go
@@ -10,10 +10,11 @@
 
 func testNode(i int) Node { return Node{fmt.Sprint("n", i), fmt.Sprint("10.0.0.1:", i)} }
 
-// Nodes join, leave, are replaced, crash, stop and go on; rosters reach hosts late and some
-// epochs never; messages are lost, late, repeated and out of order. At no moment do two nodes
-// act under one number, or shares sum to more than the whole. Once faults end, all nodes
-// agree, and the shares sum to the whole again.
+// Guards against shares that sum to more than the ceiling under random faults: nodes join, leave, are
+// replaced, crash, and are suspended and resumed; rosters reach hosts late or not at all; messages
+// are lost, delayed, duplicated and reordered. At no time may two nodes act under the same number, or
+// the shares sum to more than the ceiling. After the faults have ended, all nodes must agree, and the
+// shares must sum to the whole ceiling.
 func TestShareSumNeverExceedsCeilingUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &testFleet{t: t, now: testStart, hosts: map[string]*testHost{}}
@@ -23,17 +24,17 @@
 			f.start(f.hosts[name])
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"grow":    f.growRandomly,
-			"shrink":  f.shrinkRandomly,
-			"replace": f.replaceRandomNode,
-			"read":    func(t *rapid.T) { f.copyRoster(f.randomHost(t)) },
-			"start":   f.startRandomHost,
-			"kill":    func(t *rapid.T) { f.randomHost(t).process = nil },
-			"stop":    f.suspendOrResumeRandomHost,
-			"drain":   f.drainRandomHost,
-			"tick":    func(*rapid.T) { f.tick() },
-			"mail":    f.deliverRandomly,
-			"":        func(*rapid.T) { f.checkInvariants() },
+			"grow":              f.growRandomly,
+			"shrink":            f.shrinkRandomly,
+			"replace":           f.replaceRandomNode,
+			"read roster":       func(t *rapid.T) { f.copyRoster(f.randomHost(t)) },
+			"start":             f.startRandomHost,
+			"kill":              func(t *rapid.T) { f.randomHost(t).process = nil },
+			"suspend or resume": f.suspendOrResumeRandomHost,
+			"drain":             f.drainRandomHost,
+			"tick":              func(*rapid.T) { f.tick() },
+			"message delivery":  f.deliverRandomly,
+			"":                  func(*rapid.T) { f.checkInvariants() },
 		})
 		f.endFaults()
 		f.settle()
@@ -43,7 +44,7 @@
 }
 
 func (f *testFleet) randomHost(t *rapid.T) *testHost {
-	return f.hosts[rapid.SampledFrom(f.hostNames()).Draw(t, "machine")]
+	return f.hosts[rapid.SampledFrom(f.hostNames()).Draw(t, "host")]
 }
 
 func (f *testFleet) growRandomly(t *rapid.T) {
@@ -55,8 +56,8 @@
 	f.change(nodes)
 }
 
-// joiningNode returns the node that joins under a number. A number that a leaving node may
-// still act under can only become that node's again.
+// joiningNode returns the node that joins under a number. A number that a leaving node may still use
+// can only be assigned to that node again.
 func (f *testFleet) joiningNode(number int) Node {
 	for _, l := range f.roster.Leaving {
 		if l.Number == number {
@@ -75,7 +76,7 @@
 func (f *testFleet) replaceRandomNode(t *rapid.T) {
 	number := rapid.IntRange(0, len(f.roster.Nodes)-1).Draw(t, "number")
 	old := f.hosts[f.roster.Nodes[number].Name]
-	old.process = nil // the operators made sure
+	old.process = nil // the operators have verified that it does not run
 	nodes := slices.Clone(f.roster.Nodes)
 	nodes[number] = f.addHost()
 	f.change(nodes, old.name)
@@ -100,15 +101,15 @@
 	}
 }
 
-// deliverRandomly loses, delivers, or delivers and keeps for later, as many messages as
-// are in flight.
+// deliverRandomly handles as many random messages as are in flight: each one is lost, delivered, or
+// delivered and kept in flight for another delivery.
 func (f *testFleet) deliverRandomly(t *rapid.T) {
 	for n := len(f.inFlight); n > 0; n-- {
-		i := rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "letter")
-		switch rapid.IntRange(0, 3).Draw(t, "fate") {
+		i := rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "message")
+		switch rapid.IntRange(0, 3).Draw(t, "outcome") {
 		case 0: // lost
 			f.inFlight = slices.Delete(f.inFlight, i, i+1)
-		case 1: // delivered now, and again later
+		case 1: // delivered now and possibly again later
 			f.deliver(i)
 		default:
 			f.deliver(i)
@@ -118,8 +119,8 @@
 	}
 }
 
-// endFaults has every member run and read the latest roster. Other hosts are taken away; a
-// node that never announced that it stopped is removed by removeLeavingNodes.
+// endFaults makes every member run and read the latest roster, and ends the processes of all other
+// hosts. Nodes that never announced that they stopped are removed by removeLeavingNodes.
 func (f *testFleet) endFaults() {
 	for _, name := range f.hostNames() {
 		h := f.hosts[name]
@@ -136,8 +137,8 @@
 	}
 }
 
-// removeLeavingNodes vouches for every leaving node not to run any more, and lets all
-// others complete the change: at most three epochs, of which each waits for the last.
+// removeLeavingNodes declares that no leaving node runs any more, and lets all others complete the
+// change. That takes at most three epochs, each of which waits for the previous one.
 func (f *testFleet) removeLeavingNodes() {
 	var removed []string
 	for _, l := range f.roster.Leaving {
@@ -154,8 +155,8 @@
 	}
 }
 
-// checkAgreement fails the test unless the change is complete on every member, and the
-// shares sum to the whole.
+// checkAgreement fails the test unless the change is complete on every member and the shares sum to
+// the whole ceiling.
 func (f *testFleet) checkAgreement() {
 	sum := 0.0
 	for _, n := range f.roster.Nodes {
@@ -167,6 +168,6 @@
 		}
 	}
 	if sum < 1-1e-9 {
-		f.t.Fatalf("the shares sum to %v once faults have ended", sum)
+		f.t.Fatalf("after the faults ended, the shares sum to %v", sum)
 	}
 }
--- a/membership/state_machine_test.go
+++ b/membership/state_machine_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// rejection returns the error of the note that a roster was rejected, or nil.
+// rejection returns the error of the log event that reports a rejected roster, or nil if there is
+// none.
 func rejection(actions []Action) error {
 	for _, a := range actions {
-		n, ok := a.(LogEvent)
-		if !ok || n.Message != "roster rejected" || !n.NeedsAction {
+		event, ok := a.(LogEvent)
+		if !ok || event.Message != "roster rejected" || !event.NeedsAction {
 			continue
 		}
-		for _, attribute := range n.Attributes {
+		for _, attribute := range event.Attributes {
 			if err, ok := attribute.Value.(error); ok {
 				return err
 			}
@@ -29,12 +30,12 @@
 		t.Errorf("a roster older than the snapshot: %v", err)
 	}
 	if err := rejection(m.HandleRoster(testStart, Roster{Epoch: 2, Nodes: testNodes("a", "b")})); err != nil || !m.ChangeComplete() {
-		t.Errorf("the roster of the snapshot: %v, complete %v", err, m.ChangeComplete())
+		t.Errorf("the roster of the snapshot's epoch: %v, complete %v", err, m.ChangeComplete())
 	}
 	var changed *ChangedRosterError
 	err = rejection(m.HandleRoster(testStart, Roster{Epoch: 2, Nodes: testNodes("a", "c")}))
 	if !errors.As(err, &changed) || changed.Epoch != 2 || m.accepted.Nodes[1].Name != "b" {
-		t.Errorf("another roster of the same epoch: %v", err)
+		t.Errorf("a different roster of the same epoch: %v", err)
 	}
 	var invalid *RosterError
 	err = rejection(m.HandleRoster(testStart, Roster{Epoch: 3}))
--- a/pause/settings.go
+++ b/pause/settings.go
@@ -19,8 +19,8 @@
 
 	// SettleTime is how long all sockets must stay drained before a Barrier is lifted; 3 ms by
 	// default. If it is too short, events that socket readers are about to report arrive after
-	// the barrier is lifted. The wall clock also counts as set if its offset from the monotonic
-	// clock changes by more than SettleTime.
+	// the barrier is lifted. It is also the change of the wall clock's offset from the
+	// monotonic clock above which the wall clock counts as set.
 	SettleTime time.Duration
 
 	// MaxBarrier bounds how long a Barrier delays the event loop; 200 ms by default. A socket
--- a/storage/golden_test.go
+++ b/storage/golden_test.go
@@ -18,7 +18,7 @@
 	{Key: usage.TotalKey{Customer: "bibl-b", Window: 178}, Writer: usage.WriterID{Node: 3, Incarnation: 10}, Units: 1},
 }
 
-// All entries that an earlier build stored are read.
+// Guards against format changes that make the entries stored by an earlier version unreadable.
 func TestEntriesOfAnEarlierBuildAreRead(t *testing.T) {
 	b, err := os.ReadFile(filepath.Join("testdata", "tally"))
 	if err != nil {
@@ -38,7 +38,8 @@
 	}
 }
 
-// Buckets, keys and values of the database are exactly these.
+// Guards against changes of the stored format: the database must have exactly these buckets, keys and
+// values.
 func TestDatabaseHasGoldenKeysAndValues(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tally")
 	s, _, err := Open(path, 3)
@@ -57,14 +58,14 @@
 		"registers " + hex.EncodeToString([]byte("\x00\x00\x00\x00\x00\x00\x00\x03"+"\x00\x00\x00\x00\x00\x00\x00\x0a"+
 			"\x00\x00\x00\x00\x00\x00\x00\xb2"+"bibl-b")) + " 0000000000000001",
 	}
-	for name, file := range map[string]string{"written now": path, "written by an earlier build": filepath.Join("testdata", "tally")} {
+	for name, file := range map[string]string{"written by this version": path, "written by an earlier version": filepath.Join("testdata", "tally")} {
 		if got := dump(t, file); !slices.Equal(got, want) {
 			t.Errorf("%s: %q, want %q", name, got, want)
 		}
 	}
 }
 
-// closeOrFail closes something that must close well.
+// closeOrFail closes c and fails the test on an error.
 func closeOrFail(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
@@ -72,7 +73,8 @@
 	}
 }
 
-// dump lists a database: bucket, key and value; keys of entries and all values in hex.
+// dump returns one line for each key of a database: bucket, key and value. Keys of entries and all
+// values are in hexadecimal.
 func dump(t *testing.T, path string) (list []string) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o400, &bbolt.Options{ReadOnly: true})
--- a/storage/open.go
+++ b/storage/open.go
@@ -33,7 +33,7 @@
 // Open opens the database of the node with the given index and reads its entries. A missing file
 // is created. A file that is damaged, or belongs to another program, format version or node, is
 // moved aside and replaced by a new one. The error is ErrInUse, or describes why no database could
-// be opened or created; in that case the file is unchanged.
+// be opened or created; in that case the content of an existing file is unchanged.
 func Open(path string, node int) (*Store, Contents, error) {
 	return openOrReplace(path, node, os.OpenFile)
 }
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -20,13 +20,13 @@
 	testNode    = 3
 	testEntries = 50
 
-	// cutStep is the distance, in bytes, of the places where a file is cut. It is prime, so
-	// that the places are spread over the pages.
+	// cutStep is the distance, in bytes, between the offsets at which a file is truncated. It is
+	// prime so that the offsets within the pages vary.
 	cutStep = 1009
 )
 
-// newDatabase creates a database of testNode with testEntries entries, and one that was
-// deleted again.
+// newDatabase creates a database of testNode with testEntries entries, and one more entry that was
+// saved and deleted again.
 func newDatabase(t *testing.T) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "tally")
@@ -43,7 +43,7 @@
 		})
 	}
 	deleted := entries[0]
-	deleted.Key.Customer = "taken out again"
+	deleted.Key.Customer = "deleted"
 	if err := s.Save(append(entries, deleted)); err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	return path
 }
 
-// All entries that were saved are read, and none that were deleted.
+// Guards against losing saved entries, and against restoring deleted ones.
 func TestSavedEntriesAreRead(t *testing.T) {
 	s, contents, err := Open(newDatabase(t), testNode)
 	if err != nil || contents.MovedAside != nil || len(contents.Entries) != testEntries {
@@ -64,7 +64,8 @@
 	closeOrFail(t, s)
 }
 
-// Of two changes of one entry in one Save the later one stands.
+// Guards against an order of writes in which an earlier change overwrites a later one: of two changes
+// of the same entry in one Save, the later one must win.
 func TestLaterChangeOfSameEntryWins(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tally")
 	s, _, err := Open(path, testNode)
@@ -85,7 +86,8 @@
 	closeOrFail(t, s)
 }
 
-// A database is open once at a time; the file stays where it is.
+// Guards against moving aside a database that another process has open: opening it must fail with
+// ErrInUse.
 func TestDatabaseInUseIsNotOpened(t *testing.T) {
 	path := newDatabase(t)
 	s, _, err := Open(path, testNode)
@@ -94,39 +96,41 @@
 	}
 	defer closeOrFail(t, s)
 	if _, contents, err := Open(path, testNode); !errors.Is(err, ErrInUse) || contents.MovedAside != nil {
-		t.Errorf("opened twice: %v, %v", contents.MovedAside, err)
+		t.Errorf("opening a database in use: moved aside %v, error %v", contents.MovedAside, err)
 	}
 }
 
-// A file that was cut short anywhere is moved aside, and nothing of it is taken.
+// Guards against using part of a truncated file: whatever its length, the file must be read in full or
+// moved aside as damaged.
 func TestDatabaseCutShortIsMovedAside(t *testing.T) {
-	whole, err := os.ReadFile(newDatabase(t))
+	content, err := os.ReadFile(newDatabase(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	for cut := 0; cut < len(whole); cut += cutStep {
+	for cut := 0; cut < len(content); cut += cutStep {
 		path := filepath.Join(dir, fmt.Sprint("cut-", cut))
-		if err := os.WriteFile(path, whole[:cut], 0o600); err != nil {
+		if err := os.WriteFile(path, content[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, contents, err := Open(path, testNode)
 		if err != nil {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated at %d: %v", cut, err)
 		}
 		read := len(contents.Entries)
-		lostUnnoticed := cut > 0 && read == 0 && contents.MovedAside == nil
-		if read != 0 && read != testEntries || lostUnnoticed {
-			t.Errorf("cut at %d: %d entries, %v", cut, read, contents.MovedAside)
+		lostSilently := cut > 0 && read == 0 && contents.MovedAside == nil
+		if read != 0 && read != testEntries || lostSilently {
+			t.Errorf("truncated at %d: %d entries, %v", cut, read, contents.MovedAside)
 		}
 		if contents.MovedAside != nil && !errors.Is(contents.MovedAside, ErrDamaged) {
-			t.Errorf("cut at %d: moved aside for %v", cut, contents.MovedAside)
+			t.Errorf("truncated at %d: moved aside because of %v", cut, contents.MovedAside)
 		}
 		closeOrFail(t, s)
 	}
 }
 
-// openUnusable opens a file with some content that must be moved aside, as node 4.
+// openUnusable opens a file with the given content as node 4, and checks that it is moved aside
+// unchanged.
 func openUnusable(t *testing.T, content string) *MovedAsideError {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tally")
@@ -135,7 +139,7 @@
 	}
 	s, contents, err := Open(path, 4)
 	if err != nil || contents.MovedAside == nil || len(contents.Entries) != 0 {
-		t.Fatalf("%d entries, %v, %v", len(contents.Entries), contents.MovedAside, err)
+		t.Fatalf("not moved aside: %d entries, %v, %v", len(contents.Entries), contents.MovedAside, err)
 	}
 	closeOrFail(t, s)
 	moved, err := os.ReadFile(contents.MovedAside.MovedTo)
@@ -145,44 +149,45 @@
 	return contents.MovedAside
 }
 
-// A file that is no database is moved aside.
+// Guards against failing to start because of a file that is not a database: it is moved aside.
 func TestForeignFileIsMovedAside(t *testing.T) {
 	if moved := openUnusable(t, strings.Repeat("hello\n", 5000)); !errors.Is(moved, ErrDamaged) {
-		t.Errorf("moved aside for %v", moved)
+		t.Errorf("moved aside because of %v", moved)
 	}
 }
 
-// The database of another node is moved aside.
+// Guards against using the entries of another node: its database is moved aside.
 func TestDatabaseOfAnotherNodeIsMovedAside(t *testing.T) {
-	whole, err := os.ReadFile(newDatabase(t))
+	content, err := os.ReadFile(newDatabase(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := openUnusable(t, string(whole))
+	moved := openUnusable(t, string(content))
 	var mismatch *NodeMismatchError
 	if !errors.As(moved, &mismatch) || *mismatch != (NodeMismatchError{Owner: testNode, Node: 4}) {
-		t.Errorf("moved aside for %v", moved)
+		t.Errorf("moved aside because of %v", moved)
 	}
 }
 
-// A database of another program, and one of another format, are moved aside.
+// Guards against using a database of another program or of an unsupported format version: both are
+// moved aside.
 func TestUnknownLayoutIsMovedAside(t *testing.T) {
 	foreign := editedDatabase(t, func(tx *bbolt.Tx) error {
 		return errors.Join(tx.DeleteBucket(metaBucket), tx.DeleteBucket(entriesBucket), errOf(tx.CreateBucket([]byte("other"))))
 	})
 	if moved := openUnusable(t, foreign); !errors.Is(moved, ErrForeign) {
-		t.Errorf("moved aside for %v", moved)
+		t.Errorf("moved aside because of %v", moved)
 	}
-	later := editedDatabase(t, func(tx *bbolt.Tx) error {
+	newerFormat := editedDatabase(t, func(tx *bbolt.Tx) error {
 		return tx.Bucket(metaBucket).Put(formatKey, bigEndian(formatVersion+1))
 	})
 	var format *FormatError
-	if moved := openUnusable(t, later); !errors.As(moved, &format) || format.Version != formatVersion+1 {
-		t.Errorf("moved aside for %v", moved)
+	if moved := openUnusable(t, newerFormat); !errors.As(moved, &format) || format.Version != formatVersion+1 {
+		t.Errorf("moved aside because of %v", moved)
 	}
 }
 
-// editedDatabase returns the content of a database after an edit.
+// editedDatabase returns the file content of a new database after an edit.
 func editedDatabase(t *testing.T, edit func(tx *bbolt.Tx) error) string {
 	t.Helper()
 	path := newDatabase(t)
@@ -203,27 +208,29 @@
 
 func errOf(_ any, err error) error { return err }
 
-// A file that can't be opened now, for want of descriptors or permission, is not damaged: it stays
-// where it is, and is read when it can be opened again.
+// Guards against discarding an intact database because of a temporary error of the operating system,
+// such as too few file descriptors: the file is not moved aside, and is read when it can be opened
+// again.
 func TestDatabaseThatCannotBeOpenedIsNotMovedAside(t *testing.T) {
 	for _, cause := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EACCES, syscall.EIO, syscall.ENOSPC} {
 		path := newDatabase(t)
-		fails := func(path string, _ int, _ os.FileMode) (*os.File, error) {
+		failingOpen := func(path string, _ int, _ os.FileMode) (*os.File, error) {
 			return nil, &fs.PathError{Op: "open", Path: path, Err: cause}
 		}
-		if _, contents, err := openOrReplace(path, testNode, fails); !errors.Is(err, cause) || contents.MovedAside != nil {
+		if _, contents, err := openOrReplace(path, testNode, failingOpen); !errors.Is(err, cause) || contents.MovedAside != nil {
 			t.Errorf("%v: moved aside %v, error %v", cause, contents.MovedAside, err)
 		}
 		s, contents, err := Open(path, testNode)
 		if err != nil || len(contents.Entries) != testEntries {
-			t.Errorf("%v: %d entries are read afterwards, %v", cause, len(contents.Entries), err)
+			t.Errorf("%v: %d entries read afterwards, %v", cause, len(contents.Entries), err)
 			continue
 		}
 		closeOrFail(t, s)
 	}
 }
 
-// The check of a damaged database ends, however many errors it finds.
+// Guards against a deadlock in the check of a damaged database: bbolt's check blocks until each of its
+// errors is received, so firstError must receive all of them.
 func TestFirstErrorDrainsAllErrors(t *testing.T) {
 	errs, ended := make(chan error), make(chan struct{})
 	go func() {
@@ -234,11 +241,11 @@
 		}
 	}()
 	if err := firstError(errs); err == nil || err.Error() != "error 0" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want error 0", err)
 	}
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the check waits for good")
+		t.Error("the sender is still blocked after 10 s")
 	}
 }
--- a/usage/calls_test.go
+++ b/usage/calls_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Calls keep to the budget, however many customers there are.
+// Guards against calls that exceed the command budget when many customers are active.
 func TestCallsStayWithinBudget(t *testing.T) {
 	tracker := New(singleNodeSettings(2, time.Minute, Plan{1, 5}))
 	now := startTime
--- a/usage/convergence_test.go
+++ b/usage/convergence_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Random faults of counter, messages and nodes occur, alone and together. At all times
-// nothing counts twice. Once all is healed the counter holds all that any living process
-// forwarded, and all that was saved of dead ones.
+// Guards against lost and double-counted usage under random faults of the counter, of messages and
+// of nodes, alone and in combination. No unit may ever be counted twice. After all faults have ended,
+// the counter must hold everything that the running processes forwarded.
 func TestCounterConvergesAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 4)
@@ -25,44 +25,45 @@
 	})
 }
 
-// checkConverged checks that the counter holds all that a node's process forwarded.
+// checkConverged checks that the counter holds everything that a node's process forwarded.
 func (f *fleet) checkConverged(n *node) {
 	for key, writers := range f.forwarded {
-		want, forwarded := writers[n.writer()]
-		if !forwarded {
+		want, found := writers[n.writer()]
+		if !found {
 			continue
 		}
 		if got := f.copies[0].totals[key][n.writer()]; got != want {
-			f.t.Fatalf("healed, the counter holds %d of %v for %v, %d forwarded", got, n.writer(), key, want)
+			f.t.Fatalf("after all faults ended, the counter holds %d of %v for %v, %d forwarded", got, n.writer(), key, want)
 		}
 	}
 }
 
-// randomEvents are the actions of the state machine.
+// randomEvents returns the actions of the state machine test. The order of their names determines
+// the sequences that a seed generates.
 func (f *fleet) randomEvents() map[string]func(*rapid.T) {
 	customer := rapid.SampledFrom([]string{"a", "b", "c"})
 	index := rapid.IntRange(0, 3)
 	drawNode := func(t *rapid.T) *node { return f.nodes[index.Draw(t, "node")] }
 	return map[string]func(*rapid.T){
-		"pass": func(t *rapid.T) {
+		"proxy request": func(t *rapid.T) {
 			n := drawNode(t)
 			f.forward(n, customer.Draw(t, "customer"), float64(rapid.IntRange(1, 4).Draw(t, "units")))
 		},
-		"time": func(t *rapid.T) {
+		"time passes": func(t *rapid.T) {
 			f.advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "tenths")) * 100 * time.Millisecond)
 		},
-		"save":      func(t *rapid.T) { drawNode(t).save(f.now) },
-		"kill":      func(t *rapid.T) { f.restart(drawNode(t), true) },
-		"lose disk": func(t *rapid.T) { f.restart(drawNode(t), false) },
+		"save":         func(t *rapid.T) { drawNode(t).save(f.now) },
+		"kill process": func(t *rapid.T) { f.restart(drawNode(t), true) },
+		"lose disk":    func(t *rapid.T) { f.restart(drawNode(t), false) },
 		"fault": func(t *rapid.T) {
 			f.fault = rapid.SampledFrom([]counterFault{noFault, noResponse, lostResponses}).Draw(t, "fault")
 		},
-		"empty": func(*rapid.T) { f.replaceWithEmpty() },
-		"copy":  func(*rapid.T) { f.savedCopy = f.copies[0].clone() },
-		"mail":  func(*rapid.T) { f.messagesDelivered = !f.messagesDelivered },
-		"split": func(*rapid.T) { f.splitCounter() },
-		"heal":  func(t *rapid.T) { f.heal(rapid.SampledFrom([]string{"first", "second", "both"}).Draw(t, "how")) },
-		"old copy back": func(*rapid.T) {
+		"empty counter":    func(*rapid.T) { f.replaceWithEmpty() },
+		"copy counter":     func(*rapid.T) { f.savedCopy = f.copies[0].clone() },
+		"message delivery": func(*rapid.T) { f.messagesDelivered = !f.messagesDelivered },
+		"split":            func(*rapid.T) { f.splitCounter() },
+		"heal":             func(t *rapid.T) { f.heal(rapid.SampledFrom([]string{"first", "second", "both"}).Draw(t, "how")) },
+		"old copy restored": func(*rapid.T) {
 			if f.savedCopy != nil && !f.split {
 				f.replaceWith(f.savedCopy.clone())
 			}
--- a/usage/fake_shard_test.go
+++ b/usage/fake_shard_test.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// fakeShard is a shard of the counter in memory.
+// fakeShard is an in-memory fake of a shard of the counter.
 type fakeShard struct {
 	epoch  string
 	totals map[TotalKey]map[WriterID]MilliUnits
@@ -22,7 +22,7 @@
 	return clone
 }
 
-// total returns the entries of a total and creates it if it is missing.
+// total returns the entries of a total, and creates the total if it is missing.
 func (s *fakeShard) total(key TotalKey) map[WriterID]MilliUnits {
 	if s.totals[key] == nil {
 		s.totals[key] = map[WriterID]MilliUnits{}
@@ -30,7 +30,7 @@
 	return s.totals[key]
 }
 
-// execute carries out a call as the counter does.
+// execute executes a call like a shard of the counter.
 func (s *fakeShard) execute(call CounterCall) CounterResponse {
 	total := s.total(call.Key)
 	response := CounterResponse{Level: s.levels[call.Key.Customer]}
@@ -54,7 +54,7 @@
 	return response
 }
 
-// merge merges another shard's totals by maximum.
+// merge merges the totals of another shard by maximum.
 func (s *fakeShard) merge(other *fakeShard) {
 	for key, entries := range other.totals {
 		total := s.total(key)
--- a/usage/fleet_test.go
+++ b/usage/fleet_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed, so that every run gives the same result.
+// init fixes the seed of random tests, so that runs are reproducible.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// startTime is when simulations begin.
+// startTime is the time at which simulations start.
 var startTime = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // tickInterval is the time between ticks of a simulated node.
@@ -27,29 +27,29 @@
 
 const (
 	noFault       counterFault = ""
-	noResponse    counterFault = "silent" // calls are not carried out
-	lostResponses counterFault = "lost"   // calls are carried out, the responses are lost
+	noResponse    counterFault = "no response"    // calls are not executed
+	lostResponses counterFault = "lost responses" // calls are executed, but the responses are lost
 )
 
-// fleet simulates nodes with a counter of one shard, which may split into two copies.
+// fleet simulates nodes and a counter of one shard, which may split into two copies.
 type fleet struct {
 	t                 *rapid.T
 	now               time.Time
 	nodes             []*node
-	copies            [2]*fakeShard // the same one unless split
+	copies            [2]*fakeShard // the same shard twice unless split
 	split             bool
 	savedCopy         *fakeShard
 	fault             counterFault
 	lastEpoch         int
 	messagesDelivered bool
-	forwarded         map[TotalKey]map[WriterID]MilliUnits // what was forwarded
+	forwarded         map[TotalKey]map[WriterID]MilliUnits // units that were actually forwarded
 	stateChanges      []ShardStateChanged
 }
 
 // node is one simulated node.
 type node struct {
 	tracker     *Tracker
-	disk        map[CounterEntry]MilliUnits // as last saved, by entry without its units
+	disk        map[CounterEntry]MilliUnits // units last saved, by entry with zero units
 	incarnation uint64
 	index       int
 }
@@ -79,13 +79,13 @@
 	return f
 }
 
-// withFleet runs a test on simulated fleets, outside of a state machine.
+// withFleet runs a test on simulated fleets of four nodes.
 func withFleet(t *testing.T, test func(f *fleet)) {
 	t.Helper()
 	rapid.Check(t, func(rt *rapid.T) { test(newFleet(rt, 4)) })
 }
 
-// peers lists all nodes.
+// peers returns the indices of all nodes.
 func (f *fleet) peers() []int {
 	var all []int
 	for i := range f.nodes {
@@ -110,7 +110,8 @@
 	}
 }
 
-// execute carries out a node's call on the copy that it reaches, unless the fault prevents it.
+// execute executes a node's call on the copy that the node reaches, unless the current fault
+// prevents it.
 func (f *fleet) execute(n *node, call CounterCall) CounterResponse {
 	if f.fault == noResponse {
 		return CounterResponse{Failed: true}
@@ -122,7 +123,7 @@
 	return response
 }
 
-// forward lets a node forward a request of a customer.
+// forward records at a node that it forwards a request of a customer.
 func (f *fleet) forward(n *node, customer string, units float64) {
 	key := TotalKey{customer, n.tracker.windowAt(f.now)}
 	if f.forwarded[key] == nil {
@@ -133,7 +134,7 @@
 	n.tracker.RecordForwarded(f.now, customer, "p", f.peers(), units)
 }
 
-// forwardSteadily lets every node forward five requests a second.
+// forwardSteadily makes every node forward five requests per second for a duration.
 func (f *fleet) forwardSteadily(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		for i, n := range f.nodes {
@@ -143,7 +144,7 @@
 	}
 }
 
-// advance lets time pass.
+// advance advances the simulated time and ticks all nodes.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(tickInterval)
@@ -153,7 +154,8 @@
 	}
 }
 
-// restart replaces a node's process, with or without what it has saved.
+// restart replaces a node's process. The new process loads what the node has saved if keepDisk is
+// true; otherwise the saved entries are lost.
 func (f *fleet) restart(n *node, keepDisk bool) {
 	n.incarnation++
 	n.tracker = New(fleetSettings(n.index, n.incarnation))
@@ -168,7 +170,7 @@
 	n.tracker.LoadStored(f.now, stored)
 }
 
-// save applies the node's changes to its disk, as storage does.
+// save applies the node's storage changes to its disk, like package storage.
 func (n *node) save(now time.Time) {
 	for more := true; more; {
 		var changes []CounterEntry
@@ -184,18 +186,18 @@
 	}
 }
 
-// replaceWithEmpty puts an empty counter in the place of the old one.
+// replaceWithEmpty replaces the counter with an empty one that has a new epoch.
 func (f *fleet) replaceWithEmpty() {
 	f.lastEpoch++
 	f.replaceWith(newFakeShard(fmt.Sprint(f.lastEpoch)))
 }
 
-// replaceWith puts another counter in the place of the old one.
+// replaceWith replaces both copies of the counter with a shard.
 func (f *fleet) replaceWith(shard *fakeShard) {
 	f.copies = [2]*fakeShard{shard, shard}
 }
 
-// splitCounter splits the counter into two copies, one for even and one for odd nodes.
+// splitCounter splits the counter into two copies: one for even node indices and one for odd ones.
 func (f *fleet) splitCounter() {
 	if !f.split {
 		f.copies[1] = f.copies[0].clone()
@@ -203,7 +205,7 @@
 	}
 }
 
-// heal joins the copies: the first one stands, or the second one, or both merged.
+// heal ends a split. It keeps the first copy, the second copy, or both copies merged.
 func (f *fleet) heal(how string) {
 	switch how {
 	case "first":
@@ -217,8 +219,8 @@
 	f.split = false
 }
 
-// checkInvariants checks that nothing counts twice, and that no node believes more than
-// the truth, nor less than what it forwarded itself.
+// checkInvariants checks that neither the counter nor a node counts more units of a writer than it
+// forwarded, and that no node counts less than it forwarded itself.
 func (f *fleet) checkInvariants() {
 	for _, shard := range f.copies {
 		for key, entries := range shard.totals {
@@ -240,19 +242,19 @@
 	var sum MilliUnits
 	for writer, entry := range total.entries {
 		if entry.units > f.forwarded[key][writer] {
-			f.t.Fatalf("node %d believes %d of %v for %v, %d forwarded", n.index, entry.units, writer, key, f.forwarded[key][writer])
+			f.t.Fatalf("node %d counts %d of %v for %v, %d forwarded", n.index, entry.units, writer, key, f.forwarded[key][writer])
 		}
 		sum += entry.units
 	}
 	if own := f.forwarded[key][n.writer()]; sum < own {
-		f.t.Fatalf("node %d believes %d for %v, forwarded %d itself", n.index, sum, key, own)
+		f.t.Fatalf("node %d counts %d for %v, but forwarded %d itself", n.index, sum, key, own)
 	}
 }
 
-// reported tells whether any node has reported a shard state.
+// reported reports whether any node has reported a shard state.
 func (f *fleet) reported(state ShardState) bool {
-	for _, note := range f.stateChanges {
-		if note.State == state {
+	for _, change := range f.stateChanges {
+		if change.State == state {
 			return true
 		}
 	}
--- a/usage/level_test.go
+++ b/usage/level_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// A restarted node learns from the counter how full a token bucket is.
+// Guards against a restarted node that assumes a full token bucket: it must get the level from the
+// counter.
 func TestRestartedNodeLearnsLevelFromCounter(t *testing.T) {
 	withFleet(t, func(f *fleet) {
-		f.forwardSteadily(10 * time.Second) // customer a at 10 a second, which is its rate
+		f.forwardSteadily(10 * time.Second) // customer a uses 10 units per second, which is its rate
 		f.forward(f.nodes[2], "a", 15)
 		f.advance(time.Second)
 		f.restart(f.nodes[0], false)
@@ -20,13 +21,14 @@
 				got = restoredLevel(restarted.tracker.HandleResponse(f.now, call.ID, response), "a", got)
 			}
 		}
-		if got < 10 || got > 20 { // 20 - 15 + 10 of the second since
-			f.t.Fatalf("restored %v", got)
+		if got < 10 || got > 20 { // 20 - 15 + 10 refilled in the second since then
+			f.t.Fatalf("restored level is %v, want 10 to 20", got)
 		}
 	})
 }
 
-// restoredLevel returns the level that actions restore for a customer, or the given one.
+// restoredLevel returns the level that actions restore for a customer, or level if they restore
+// none.
 func restoredLevel(actions []Action, customer string, level float64) float64 {
 	for _, action := range actions {
 		if restore, ok := action.(RestoreLevel); ok && restore.Customer == customer {
--- a/usage/persistence_test.go
+++ b/usage/persistence_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Storage is given what has changed since the last save, and nothing else.
+// Guards against saves that write more than what has changed since the last save.
 func TestStorageChangesListOnlyChangedEntries(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		n := f.nodes[0]
@@ -14,25 +14,25 @@
 			f.forward(n, fmt.Sprint("c", i), 1)
 		}
 		if changes, more := n.tracker.StorageChanges(f.now, 1000); len(changes) != 50 || more {
-			t.Fatalf("%d changes, more %v", len(changes), more)
+			t.Fatalf("%d changes, more %v; want 50 changes and no more", len(changes), more)
 		}
 		if changes, _ := n.tracker.StorageChanges(f.now, 1000); len(changes) != 0 {
-			t.Fatalf("%d changes where nothing changed", len(changes))
+			t.Fatalf("%d changes though nothing changed", len(changes))
 		}
 		f.forward(n, "c7", 1)
 		if changes, _ := n.tracker.StorageChanges(f.now, 1000); len(changes) != 1 || changes[0].Units != 2000 {
-			t.Fatalf("%v", changes)
+			t.Fatalf("changes %v, want one entry of 2000 milli-units", changes)
 		}
-		f.advance(3 * time.Minute) // all confirmed, and the window is closed
+		f.advance(3 * time.Minute) // the counter confirms all entries, and the window closes
 		n.tracker.StorageChanges(f.now, 1000)
 		if changes, _ := n.tracker.StorageChanges(f.now, 1000); len(changes) != 0 {
-			t.Fatalf("%v", changes)
+			t.Fatalf("changes %v, want none", changes)
 		}
 	})
 }
 
-// The time that the event loop spends on the changes of 100,000 customers at once, and of
-// 2,000 of them.
+// Measures how long the event loop is blocked by collecting the changes of 100,000 customers at
+// once, and of 2,000 customers at a time.
 func BenchmarkStorageChanges(b *testing.B) {
 	for _, limit := range []int{100_000, 2000} {
 		b.Run(fmt.Sprint(limit), func(b *testing.B) {
--- a/usage/recovery.go
+++ b/usage/recovery.go
@@ -3,8 +3,8 @@
 import "time"
 
 // restoreShard marks all entries of a shard as lost and queues its totals, so that everything
-// known to this node is written again, as the budget allows: entries of this node
-// unconditionally, entries of others only if they are missing. It does not queue the total whose
+// known to this node is written again as the budget allows: entries of this node unconditionally,
+// entries of others only if they are missing. It does not queue the total whose
 // response showed the loss; handleValidResponse queues that total if necessary.
 func (t *Tracker) restoreShard(now time.Time, affected *windowTotal, shard *shardHealth) {
 	shard.healthyResponses = 0
--- a/usage/recovery_test.go
+++ b/usage/recovery_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The entry of a dead process that an old copy of the counter brought back lower is raised
-// again by a node that knew it.
+// Guards against losing usage of a dead process when the counter is replaced with an old copy, in
+// which the process's entry is lower. A node that knows the larger value must raise the entry again.
 func TestEntryOfDeadWriterIsRaisedAgain(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.forward(f.nodes[0], "a", 4)
@@ -15,21 +15,21 @@
 		old := f.copies[0].clone()
 		f.forward(f.nodes[0], "a", 4)
 		f.forward(f.nodes[1], "a", 1)
-		f.advance(8 * time.Second) // node 1 has read it
+		f.advance(8 * time.Second) // node 1 reads the entry
 		key := TotalKey{"a", f.nodes[0].tracker.windowAt(f.now)}
 		f.restart(f.nodes[0], false)
 		f.replaceWith(old)
-		f.forward(f.nodes[0], "a", 1) // peers learn of its new process
+		f.forward(f.nodes[0], "a", 1) // peers learn of node 0's new process
 		f.forward(f.nodes[1], "a", 1)
 		f.advance(12 * time.Second)
 		if got := f.copies[0].totals[key][WriterID{0, 1}]; got != 8000 {
-			t.Fatalf("the counter holds %d of the dead process, which forwarded 8000", got)
+			t.Fatalf("the counter holds %d of the dead process, want 8000", got)
 		}
 	})
 }
 
-// After a loss a node writes its own entry unconditionally, and the entries of others only
-// where the counter has none: their writers may have raised them since.
+// Guards against overwriting newer entries of other nodes when a shard is restored after a loss. A
+// node writes its own entry unconditionally, and entries of others only if the counter has none.
 func TestEntriesOfOthersAreAddedOnlyIfMissing(t *testing.T) {
 	tracker := New(singleNodeSettings(1, time.Hour, Plan{10, 20}))
 	key := TotalKey{"a", tracker.windowAt(startTime)}
@@ -52,6 +52,6 @@
 	call := nextCall()
 	own := CounterEntry{key, WriterID{0, 1}, 3000}
 	if !slices.Equal(call.Raise, []CounterEntry{own}) || !slices.Equal(call.AddIfMissing, []CounterEntry{other}) {
-		t.Errorf("raises %v and adds %v where missing", call.Raise, call.AddIfMissing)
+		t.Errorf("raises %v and adds %v if missing", call.Raise, call.AddIfMissing)
 	}
 }
--- a/usage/rediscounter/fields_test.go
+++ b/usage/rediscounter/fields_test.go
@@ -8,7 +8,8 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// A field that no gateway wrote fails the whole response, and the error names it.
+// Guards against accepting a total with a field that no gateway can have written: decoding must fail
+// with an error that names the field.
 func TestMalformedFieldIsRejected(t *testing.T) {
 	key := usage.TotalKey{Customer: "bibl-a", Window: 177}
 	for name, value := range map[string]string{"3": "1", "x.z": "1", "3.-": "1", "3.z": "-1", "4.z": "1.5", "5.z": ""} {
@@ -17,12 +18,13 @@
 		if !errors.As(err, &malformed) {
 			t.Errorf("%q = %q decoded to %+v, %v", name, value, response, err)
 		} else if want := (MalformedFieldError{"yt:{bibl-a}:177", name, value}); *malformed != want {
-			t.Errorf("%+v, want %+v", *malformed, want)
+			t.Errorf("error %+v, want %+v", *malformed, want)
 		}
 	}
 }
 
-// A malformed level counts as none, and the total's entries are read.
+// Guards against rejecting a total because of a malformed level: the level is ignored and the entries
+// are decoded.
 func TestMalformedLevelIsIgnored(t *testing.T) {
 	for _, value := range []string{"", "12.5", "@1", "12.5@", "x@1", "12.5@1.5"} {
 		response, err := decodeTotal(usage.TotalKey{}, map[string]string{"level": value, "3.z": "1"})
@@ -32,6 +34,6 @@
 	}
 	want := usage.Level{Units: 12.5, At: time.UnixMilli(1764662400000)}
 	if got := parseLevel(encodeLevel(want)); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("level decoded to %+v, want %+v", got, want)
 	}
 }
--- a/usage/rediscounter/golden_test.go
+++ b/usage/rediscounter/golden_test.go
@@ -17,7 +17,8 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// Calls become exactly these commands, and responses are read from exactly these bytes.
+// Guards against changes of the protocol: calls must be encoded as exactly these commands, and
+// responses decoded from exactly these bytes.
 func TestCallsHaveGoldenCommandsAndResponses(t *testing.T) {
 	const customer, window = "bibl-a", 177
 	key := usage.TotalKey{Customer: customer, Window: window}
@@ -33,17 +34,18 @@
 		connections [][]exchange
 		want        usage.CounterResponse
 	}{
-		{"a total that is read", usage.CounterCall{Key: key}, [][]exchange{{{"hgetall yt:{bibl-a}:177", stored}}},
+		{"read a total", usage.CounterCall{Key: key}, [][]exchange{{{"hgetall yt:{bibl-a}:177", stored}}},
 			usage.CounterResponse{Entries: []usage.CounterEntry{entry(3, 1764662400000000000, 123456), entry(4, 35, 1)}, Level: full.Level}},
-		{"a total that is raised, seeded and kept on", full, [][]exchange{{
+		{"raise, add if missing and refresh expiry", full, [][]exchange{{
 			{"get yt:epoch", "$5\r\n3w5e1\r\n"},
 			{"hgetall yt:{bibl-a}:177", "*0\r\n"},
 			{"hset yt:{bibl-a}:177 3.denkm32f0u80 123456 level 12.500@1764662400000", ":2\r\n"},
 			{"hsetnx yt:{bibl-a}:177 4.z 1", ":1\r\n"},
 			{"pexpire yt:{bibl-a}:177 86400000", ":1\r\n"},
 		}}, usage.CounterResponse{Epoch: "3w5e1"}},
-		// The client has one pool of connections for pipelines, and another.
-		{"an epoch that is missing", usage.CounterCall{Key: key, ReadEpoch: true}, [][]exchange{
+		// The second connection is needed because go-redis has a separate connection pool for
+		// pipelines.
+		{"missing epoch", usage.CounterCall{Key: key, ReadEpoch: true}, [][]exchange{
 			{{"get yt:epoch", "$-1\r\n"}, {"hgetall yt:{bibl-a}:177", "*0\r\n"}},
 			{{"set yt:epoch * nx", "+OK\r\n"}, {"get yt:epoch", "$5\r\n3w5e1\r\n"}},
 		}, usage.CounterResponse{Epoch: "3w5e1"}},
@@ -55,14 +57,14 @@
 				if !reflect.DeepEqual(got, c.want) {
 					t.Errorf("response %+v, want %+v", got, c.want)
 				}
-				time.Sleep(time.Minute) // timers of what was closed run out
+				time.Sleep(time.Minute) // timers of closed connections expire
 			})
 		})
 	}
 }
 
-// A call whose write fails has failed, also where the epoch is missing: what it was to write is not
-// confirmed.
+// Guards against confirming entries that were not written: if the epoch is missing, the pipeline's own
+// error is that of the missing key, which must not hide the failure of a later write.
 func TestFailedWriteWithMissingEpochFailsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		key := usage.TotalKey{Customer: "bibl-a", Window: 177}
@@ -74,13 +76,14 @@
 			{"hset yt:{bibl-a}:177 3.z 123456", "-OOM command not allowed when used memory > 'maxmemory'.\r\n"},
 		}})
 		if !got.Failed {
-			t.Errorf("response %+v", got)
+			t.Errorf("response %+v, want a failed one", got)
 		}
-		time.Sleep(time.Minute) // timers of what was closed run out
+		time.Sleep(time.Minute) // timers of closed connections expire
 	})
 }
 
-// callOnce makes a call to a shard that expects connections with certain exchanges.
+// callOnce executes one call on a fake shard, which accepts one connection for each list of expected
+// exchanges.
 func callOnce(t *testing.T, call usage.CounterCall, connections [][]exchange) usage.CounterResponse {
 	t.Helper()
 	mem := network.NewMemory(time.Millisecond, 1)
@@ -110,17 +113,18 @@
 	return response
 }
 
-// exchange is a command, as words, and the bytes of its response; the word * stands
-// for a drawn one.
+// exchange is an expected command, as space-separated words, and the bytes of its response. The word
+// * matches any word, such as a random epoch.
 type exchange struct{ command, response string }
 
-// handshake begins every connection to a shard that does not know HELLO.
+// handshake lists the first exchanges of every connection to a shard that does not support HELLO.
 var handshake = []exchange{
 	{"hello 2 setname node-3", "-ERR unknown command 'HELLO'\r\n"},
 	{"client setname node-3", "+OK\r\n"},
 }
 
-// serveExchanges compares the bytes of each command on a connection and sends its response.
+// serveExchanges compares the bytes of each command received on a connection with the expected ones,
+// and sends the response.
 func serveExchanges(t *testing.T, conn net.Conn, list []exchange) {
 	t.Helper()
 	defer func() {
@@ -128,11 +132,11 @@
 			t.Error(err)
 		}
 	}()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for _, e := range list {
-		b, words, err := readCommand(in)
+		b, words, err := readCommand(reader)
 		if err != nil {
-			t.Errorf("%v in place of %q", err, e.command)
+			t.Errorf("got error %v instead of command %q", err, e.command)
 			return
 		}
 		want := strings.Fields(e.command)
@@ -149,12 +153,12 @@
 			return
 		}
 	}
-	if b, err := in.ReadString('\n'); err == nil {
-		t.Errorf("sent more: %q", b)
+	if b, err := reader.ReadString('\n'); err == nil {
+		t.Errorf("sent an unexpected command: %q", b)
 	}
 }
 
-// encodeCommand makes a command's bytes.
+// encodeCommand returns the bytes of a command in RESP.
 func encodeCommand(words []string) string {
 	b := "*" + strconv.Itoa(len(words)) + "\r\n"
 	for _, w := range words {
@@ -163,9 +167,9 @@
 	return b
 }
 
-// readCommand reads a command: its bytes, and its words.
-func readCommand(in *bufio.Reader) (bytes string, words []string, err error) {
-	line, err := in.ReadString('\n')
+// readCommand reads a command and returns its bytes and its words.
+func readCommand(reader *bufio.Reader) (bytes string, words []string, err error) {
+	line, err := reader.ReadString('\n')
 	if err != nil {
 		return "", nil, err
 	}
@@ -173,10 +177,10 @@
 	n, err := strconv.Atoi(strings.Trim(line, "*\r\n"))
 	for range n {
 		var size, word string
-		if size, err = in.ReadString('\n'); err != nil {
+		if size, err = reader.ReadString('\n'); err != nil {
 			break
 		}
-		if word, err = in.ReadString('\n'); err != nil {
+		if word, err = reader.ReadString('\n'); err != nil {
 			break
 		}
 		bytes += size + word
--- a/usage/shard_health_test.go
+++ b/usage/shard_health_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Each fault is reported as what it is, and as nothing else.
+// Guards against wrong diagnoses: each fault of the counter must be reported as its own shard state,
+// and as no other one.
 func TestShardStateMatchesFault(t *testing.T) {
 	for name, c := range map[string]struct {
 		want  ShardState
@@ -21,14 +22,14 @@
 			f.forwardSteadily(time.Second)
 			f.replaceWith(old)
 		}},
-		"old copy of another": {Replaced, func(f *fleet) {
+		"old copy of another shard": {Replaced, func(f *fleet) {
 			old := f.copies[0].clone()
 			old.epoch = "x"
 			f.replaceWith(old)
 		}},
 		"split": {Diverged, func(f *fleet) {
 			f.splitCounter()
-			for range 40 { // each customer on both sides
+			for range 40 { // both copies serve the same customer
 				f.forward(f.nodes[0], "a", 1)
 				f.forward(f.nodes[1], "a", 1)
 				f.advance(200 * time.Millisecond)
@@ -49,28 +50,28 @@
 	}
 }
 
-// checkReported checks that a state was reported and no other fault.
+// checkReported checks that a state was reported, and no other fault.
 func (f *fleet) checkReported(want ShardState) {
 	if !f.reported(want) {
-		f.t.Fatalf("not reported: %v", f.stateChanges)
+		f.t.Fatalf("expected state was not reported: %v", f.stateChanges)
 	}
 	for _, state := range []ShardState{Unresponsive, Emptied, Replaced, Stale, Diverged} {
 		if state != want && f.reported(state) {
-			f.t.Fatalf("reported as %v: %v", state, f.stateChanges)
+			f.t.Fatalf("wrongly reported as %v: %v", state, f.stateChanges)
 		}
 	}
 }
 
-// checkHealthy checks that every node believes the counter to be healthy.
+// checkHealthy checks that the counter is healthy according to every node.
 func (f *fleet) checkHealthy() {
 	for _, n := range f.nodes {
 		if state := n.tracker.ShardState(0); state != Healthy {
-			f.t.Fatalf("node %d believes %v once healed", n.index, state)
+			f.t.Fatalf("node %d reports %v after the fault ended", n.index, state)
 		}
 	}
 }
 
-// A fault of one shard affects the customers on it alone.
+// Guards against a fault of one shard affecting customers on other shards.
 func TestFaultOfOneShardLeavesOtherShardsCorrect(t *testing.T) {
 	s := newShardedCounter(2)
 	s.forward()
@@ -86,14 +87,14 @@
 	s.forward()
 	s.forward()
 	s.checkTotals(t)
-	for _, note := range s.stateChanges {
-		if note.Shard == 0 && note.State != Healthy {
-			t.Errorf("%+v", note)
+	for _, change := range s.stateChanges {
+		if change.Shard == 0 && change.State != Healthy {
+			t.Errorf("shard without a fault changed state: %+v", change)
 		}
 	}
 }
 
-// noShard is the index of no shard.
+// noShard is an index that no shard has.
 const noShard = -1
 
 // shardedCounter simulates one node with a counter of several shards.
@@ -101,7 +102,7 @@
 	now          time.Time
 	tracker      *Tracker
 	shards       []*fakeShard
-	unresponsive int // index of a shard that does not respond, or noShard
+	unresponsive int // index of the shard that does not respond, or noShard
 	forwarded    map[string]MilliUnits
 	stateChanges []ShardStateChanged
 }
@@ -131,7 +132,7 @@
 	}
 }
 
-// forward forwards 50 requests of ten customers in five seconds.
+// forward simulates 50 requests of ten customers within five seconds.
 func (s *shardedCounter) forward() {
 	for i := range 50 {
 		s.now = s.now.Add(tickInterval)
@@ -143,7 +144,7 @@
 	}
 }
 
-// checkTotals checks that every responsive shard holds what was forwarded.
+// checkTotals checks that every responsive shard holds all forwarded units.
 func (s *shardedCounter) checkTotals(t *testing.T) {
 	t.Helper()
 	for customer, want := range s.forwarded {
@@ -153,7 +154,7 @@
 		}
 		key := TotalKey{customer, s.tracker.windowAt(s.now)}
 		if got := s.shards[shard].totals[key][WriterID{0, 1}]; got != want {
-			t.Errorf("%s on shard %d: %d, %d forwarded", customer, shard, got, want)
+			t.Errorf("%s on shard %d: counter holds %d, %d forwarded", customer, shard, got, want)
 		}
 	}
 }
--- a/usage/tracker_test.go
+++ b/usage/tracker_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// singleNodeSettings are the settings of a node 0 whose customers all have plan "p".
+// singleNodeSettings returns the settings of node 0, with one plan named "p".
 func singleNodeSettings(shards int, window time.Duration, plan Plan) Settings {
 	return Settings{
 		Self:                  WriterID{0, 1},
@@ -20,7 +20,7 @@
 	}
 }
 
-// A tick with many customers, most of them idle.
+// Measures a tick with many customers, most of which are idle.
 func BenchmarkTick(b *testing.B) {
 	for _, customers := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
@@ -32,7 +32,7 @@
 			i := 0
 			for b.Loop() {
 				now = now.Add(tickInterval)
-				for range 100 { // requests of busy customers
+				for range 100 { // requests of the active customers
 					i++
 					tracker.RecordForwarded(now, names[i%100], "p", []int{0, 1}, 1)
 				}
@@ -48,7 +48,8 @@
 	}
 }
 
-// newIdleTracker returns a tracker of customers whose usage the counter has confirmed.
+// newIdleTracker returns a Tracker whose customers have usage that the counter has confirmed, with
+// empty queues, and the customers' names.
 func newIdleTracker(customers int) (tracker *Tracker, names []string) {
 	tracker = New(singleNodeSettings(2, time.Hour, Plan{1, 5}))
 	names = make([]string, customers)
@@ -70,7 +71,7 @@
 	return tracker, names
 }
 
-// confirmedEntries lists what the counter holds of a total.
+// confirmedEntries returns the entries of a total that the counter holds.
 func confirmedEntries(total *windowTotal) []CounterEntry {
 	var entries []CounterEntry
 	for writer, entry := range total.entries {
