--- a/policy/admission.go
+++ b/policy/admission.go
@@ -53,7 +53,7 @@
 		g.reject(r, g.quotaRejection(r))
 		return
 	}
-	if r.clientRetry && g.retriesMustYield(r) {
+	if r.clientRetry && g.mustShedClientRetry(r) {
 		g.reject(r, ReasonLoadShed)
 		return
 	}
@@ -66,9 +66,9 @@
 	}
 }
 
-// retriesMustYield reports whether clients' retries give way to first attempts, which prevents retry storms:
+// mustShedClientRetry reports whether clients' retries give way to first attempts, which prevents retry storms:
 // the bucket is low, or a request found no server recently.
-func (g *Gateway) retriesMustYield(r *request) bool {
+func (g *Gateway) mustShedClientRetry(r *request) bool {
 	plan := r.customer.plan
 	reserve := firstAttemptReserve * plan.Burst
 	tokensAreLow := plan.Rate > 0 && g.spendableTokens(r.customer) < r.units+reserve
@@ -87,9 +87,9 @@
 	case r.remote:
 		g.sendLeaseResponse(r, leaseRejected+byte(reason)<<reasonShift)
 	case r.rejectionIsHarmless():
-		g.do(Reject{ID: r.id, RetryAfter: g.settings.MaxRetryAfter, Reason: reason})
+		g.emit(Reject{ID: r.id, RetryAfter: g.settings.MaxRetryAfter, Reason: reason})
 	default:
-		g.do(Fail{ID: r.id, Reason: reason})
+		g.emit(Fail{ID: r.id, Reason: reason})
 	}
 	g.finish(r)
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -33,7 +33,7 @@
 	c.pendingReports = reportRepeats
 	g.recordAttemptStart(r, s)
 	g.countSend(s)
-	g.do(StartAttempt{ID: r.id, Server: s.ID, Timeout: g.attemptTimeout(r)})
+	g.emit(StartAttempt{ID: r.id, Server: s.ID, Timeout: g.attemptTimeout(r)})
 	return true
 }
 
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -10,11 +10,11 @@
 type customer struct {
 	key           uint64 // names the customer in lease messages
 	reportHash    uint32 // names the customer in load reports
-	sharesHash    bool   // with another known customer
+	hashCollides  bool   // with another known customer
 	plan          *customerPlan
 	lastRequestAt time.Duration
 	active        bool // is in customerTable.active
-	ringIndex     int  // position in customerTable.ring
+	listIndex     int  // position in customerTable.ring
 	queued        []*request
 	inFlight      inFlightCounter
 
@@ -109,17 +109,17 @@
 	byKey  map[uint64]*customer
 	byHash map[uint32]*customer // by reportHash; nil where several share one
 
-	sharing map[uint32][]*customer // those that share a report hash
-	ring    []*customer            // all, in the order in which they became known
-	active  []*customer            // those with recent events; ticks skip all others
-	queued  []*customer            // those with queued requests
+	collisions map[uint32][]*customer // those that share a report hash
+	list       []*customer            // all, in the order in which they became known
+	active     []*customer            // those with recent events; ticks skip all others
+	queued     []*customer            // those with queued requests
 }
 
 func newCustomerTable() customerTable {
 	return customerTable{
-		byKey:   map[uint64]*customer{},
-		byHash:  map[uint32]*customer{},
-		sharing: map[uint32][]*customer{},
+		byKey:      map[uint64]*customer{},
+		byHash:     map[uint32]*customer{},
+		collisions: map[uint32][]*customer{},
 	}
 }
 
@@ -127,14 +127,14 @@
 func (t *customerTable) add(c *customer) {
 	t.byKey[c.key] = c
 	t.addHash(c)
-	c.ringIndex = len(t.ring)
-	t.ring = append(t.ring, c)
+	c.listIndex = len(t.list)
+	t.list = append(t.list, c)
 }
 
 // forgetIdle removes the customers that are not in use, and have made no request for long enough that their
 // buckets are full again.
 func (t *customerTable) forgetIdle(now time.Duration) {
-	t.ring = slices.DeleteFunc(t.ring, func(c *customer) bool {
+	t.list = slices.DeleteFunc(t.list, func(c *customer) bool {
 		inUse := c.inFlight.count > 0 || len(c.queued) > 0 || c.active
 		if inUse || now-c.lastRequestAt <= max(customerIdleTimeout, c.plan.fillTime()) {
 			return false
@@ -142,12 +142,12 @@
 		t.unlink(c)
 		return true
 	})
-	for i, c := range t.ring {
-		c.ringIndex = i
+	for i, c := range t.list {
+		c.listIndex = i
 	}
-	if len(t.ring) < len(t.byKey) {
+	if len(t.list) < len(t.byKey) {
 		clear(t.byKey)
-		for _, c := range t.ring {
+		for _, c := range t.list {
 			t.byKey[c.key] = c
 		}
 	}
@@ -162,28 +162,28 @@
 	}
 	t.byHash[c.reportHash] = nil
 	if other != nil {
-		t.sharing[c.reportHash] = []*customer{other}
-		other.sharesHash = true
+		t.collisions[c.reportHash] = []*customer{other}
+		other.hashCollides = true
 	}
-	t.sharing[c.reportHash] = append(t.sharing[c.reportHash], c)
-	c.sharesHash = true
+	t.collisions[c.reportHash] = append(t.collisions[c.reportHash], c)
+	c.hashCollides = true
 }
 
 // removeHash removes a customer from byHash. The last one that is left of several is reported again.
 func (t *customerTable) removeHash(c *customer) {
-	if !c.sharesHash {
+	if !c.hashCollides {
 		delete(t.byHash, c.reportHash)
 		return
 	}
 	isCustomer := func(other *customer) bool { return other == c }
-	left := slices.DeleteFunc(t.sharing[c.reportHash], isCustomer)
-	t.sharing[c.reportHash] = left
+	left := slices.DeleteFunc(t.collisions[c.reportHash], isCustomer)
+	t.collisions[c.reportHash] = left
 	if len(left) > 1 {
 		return
 	}
-	delete(t.sharing, c.reportHash)
+	delete(t.collisions, c.reportHash)
 	t.byHash[c.reportHash] = left[0]
-	left[0].sharesHash = false
+	left[0].hashCollides = false
 	for _, view := range left[0].peerViews {
 		view.hasReport = false // the total that was reported may be that of another customer
 	}
--- a/policy/customer_test.go
+++ b/policy/customer_test.go
@@ -20,7 +20,7 @@
 		t.Fatalf("%d customers known, want 51", n)
 	}
 	h.advance(2 * time.Minute)
-	if n := len(h.gateway.customers.byKey) + len(h.gateway.customers.ring) + len(h.gateway.customers.byHash) + len(h.gateway.peers[1].customerViews); n != 4 {
+	if n := len(h.gateway.customers.byKey) + len(h.gateway.customers.list) + len(h.gateway.customers.byHash) + len(h.gateway.peers[1].customerViews); n != 4 {
 		t.Fatalf("%d entries of customers are left in all tables, want 4", n)
 	}
 }
@@ -103,7 +103,7 @@
 	})
 	for i, g := range f.gateways {
 		c := g.customers.byHash[customerReportHash(customerKey(first))]
-		if c == nil || c.key != customerKey(first) || len(g.customers.byKey) != 1 || len(g.customers.sharing) != 0 {
+		if c == nil || c.key != customerKey(first) || len(g.customers.byKey) != 1 || len(g.customers.collisions) != 0 {
 			t.Errorf("gateway %d: %d customers known, want 1; a customer found by the report hash: %v", i, len(g.customers.byKey), c != nil)
 		}
 	}
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -45,7 +45,7 @@
 func (g *Gateway) requestEndpoints() {
 	if g.settings.MustWatchEndpoints && !g.endpoints.watching {
 		g.endpoints.watching = true
-		g.do(WatchEndpoints{})
+		g.emit(WatchEndpoints{})
 	}
 }
 
--- a/policy/events.go
+++ b/policy/events.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// showsServer reports whether the code says something of the server that the attempt went to.
-func (c ResultCode) showsServer() bool {
+// attributableToServer reports whether the code says something of the server that the attempt went to.
+func (c ResultCode) attributableToServer() bool {
 	switch c {
 	case TooLate, Cancelled, Withdrawn, NoConnection:
 		return false
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -65,7 +65,7 @@
 	}
 	g.resizedAt = g.now
 	g.resizeFleet(ev.Gateways)
-	for _, c := range g.customers.ring {
+	for _, c := range g.customers.list {
 		g.refill(c)
 		g.assignLeaders(c)
 		c.ceilingTokens = min(c.ceilingTokens, c.plan.HardBurst/c.ceilingDivisor)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -109,7 +109,7 @@
 	g.resizedAt = g.now
 	g.tick.lastAt = g.now
 	phase := time.Duration(g.rng.Int64N(int64(g.tick.interval))) + 1
-	g.do(SetTimer{Token: tickTimer, After: phase})
+	g.emit(SetTimer{Token: tickTimer, After: phase})
 	g.requestEndpoints()
 }
 
@@ -158,7 +158,7 @@
 	elapsed := g.now - g.tick.lastAt
 	g.tick.lastAt = g.now
 	g.tick.count++
-	g.do(SetTimer{Token: tickTimer, After: g.tick.interval})
+	g.emit(SetTimer{Token: tickTimer, After: g.tick.interval})
 	if g.tick.everySecond() {
 		g.requestEndpoints()
 		g.customers.forgetIdle(g.now)
@@ -167,7 +167,7 @@
 	g.sumPeerLoads()
 	g.updateAdmitProbability(elapsed)
 	for _, s := range g.endpoints.list {
-		s.decayJudgment(elapsed)
+		s.decayStatistics(elapsed)
 		g.detectStalledAttempts(s)
 		if slices.Contains(s.monitors[:], g.settings.SelfIndex) {
 			g.publishOutlierReport(s)
@@ -188,8 +188,8 @@
 	return t.count%ticksPerSecond == 0
 }
 
-// do adds an action to those of the current event.
-func (g *Gateway) do(a Action) { g.actions = append(g.actions, a) }
+// emit adds an action to those of the current event.
+func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
 // decay returns the fraction that is left, after a time, of a value that decays to 1/e within a time
 // constant.
--- a/policy/in_flight_limit.go
+++ b/policy/in_flight_limit.go
@@ -36,7 +36,7 @@
 // to have its share, by demand, of the cap in flight and nothing queued.
 func (g *Gateway) peerLoad(c *customer) (inFlight, queued float64) {
 	for _, view := range c.peerViews {
-		if g.isUnheard(c, view) {
+		if g.isStaleFor(c, view) {
 			inFlight += float64(c.plan.MaxInFlight) * g.peerDemand(c, view) / g.totalDemand(c)
 			continue
 		}
--- a/policy/latency_model.go
+++ b/policy/latency_model.go
@@ -75,7 +75,7 @@
 
 // learnFromResult updates the latencies, the overload and the outlier detection by the result of an attempt.
 func (g *Gateway) learnFromResult(s *server, r *request, ev AttemptResult) {
-	if ev.Code.showsServer() {
+	if ev.Code.attributableToServer() {
 		g.reportOutcome(s, r.class, ev.Code, ev.Latency)
 	}
 	if ev.Code == OK || ev.Code == TimedOut {
--- a/policy/lease_client.go
+++ b/policy/lease_client.go
@@ -126,8 +126,8 @@
 	l.waitUntil = min(g.now+g.leases.responseWait(), r.deadline-g.timerMargin())
 	g.leases.pending[l.key.tag] = r
 	g.leases.waiting = append(g.leases.waiting, r)
-	g.do(SendPeerMessage{To: leader, Data: g.newLeaseRequest(r).encode()})
-	g.do(SetTimer{Token: leaseTimer, After: l.waitUntil - g.now})
+	g.emit(SendPeerMessage{To: leader, Data: g.newLeaseRequest(r).encode()})
+	g.emit(SetTimer{Token: leaseTimer, After: l.waitUntil - g.now})
 }
 
 func (g *Gateway) newLeaseRequest(r *request) leaseRequest {
@@ -209,7 +209,7 @@
 		r.lease.queuedAtLeader = true
 		r.lease.waitUntil = min(r.arrivedAt+r.class.queueTime(), r.deadline-g.tick.interval)
 		after := max(g.settings.Resolution, r.lease.waitUntil-g.now)
-		g.do(SetTimer{Token: leaseTimer, After: after})
+		g.emit(SetTimer{Token: leaseTimer, After: after})
 		return
 	}
 	delete(g.leases.pending, m.Tag)
@@ -252,5 +252,5 @@
 	}
 	r.lease.granted = false
 	m := leaseReturn{Customer: r.customer.key, Tag: r.lease.key.tag, Unused: unused}
-	g.do(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
+	g.emit(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
 }
--- a/policy/lease_grant.go
+++ b/policy/lease_grant.go
@@ -7,9 +7,9 @@
 
 // A leader treats a lease request like a request of its own: it grants, queues or rejects it.
 
-// leaseObjectives is the time after which a lease that is not returned expires, in latency objectives of the
+// leaseValidityFactor is the time after which a lease that is not returned expires, in latency objectives of the
 // request's class.
-const leaseObjectives = 1.0
+const leaseValidityFactor = 1.0
 
 // lease is a lease that this gateway has granted.
 type lease struct {
@@ -59,7 +59,7 @@
 func (g *Gateway) grantLease(r *request) {
 	c := r.customer
 	c.charge(r)
-	validity := time.Duration(leaseObjectives * float64(r.class.LatencyObjective))
+	validity := time.Duration(leaseValidityFactor * float64(r.class.LatencyObjective))
 	c.leases[r.lease.key] = lease{expiresAt: g.now + validity, request: r}
 	c.inFlight.add(g.now, 1)
 	r.charged = true
@@ -73,13 +73,13 @@
 		Decision:      decision,
 		Fill:          r.customer.fillByte(),
 		Overload:      saturatingByte(overloadScale * g.shedder.overload),
-		AdmittedShare: encodeShare(r.customer.shareThatFits()),
+		AdmittedShare: encodeShare(r.customer.admissibleShare()),
 	}
-	g.do(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
+	g.emit(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
 }
 
-// shareThatFits is the share of the demand that the rate quota admits, while the bucket is low.
-func (c *customer) shareThatFits() float64 {
+// admissibleShare is the share of the demand that the rate quota admits, while the bucket is low.
+func (c *customer) admissibleShare() float64 {
 	if c.tokens >= firstAttemptReserve*c.plan.Burst {
 		return 1
 	}
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -112,7 +112,7 @@
 		}
 		m := g.newLoadReport(p, ranked)
 		if !g.size.leaderMode || len(m.customers) > 0 {
-			g.do(SendPeerMessage{To: p.index, Data: m.encode()})
+			g.emit(SendPeerMessage{To: p.index, Data: m.encode()})
 		}
 	}
 	for _, c := range ranked.sorted {
@@ -142,7 +142,7 @@
 // is not: the two would be taken for one.
 func (c *customer) hasChanges() bool {
 	hasNews := c.isBusy() || c.pendingReports > 0 || c.hasUncountedUnits()
-	return len(c.peerViews) > 0 && !c.sharesHash && hasNews
+	return len(c.peerViews) > 0 && !c.hashCollides && hasNews
 }
 
 // reportPriority ranks a customer in reports: queued requests and units not reported yet, as a share of
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -32,9 +32,9 @@
 	// maxProbeInterval bounds the interval between probes.
 	maxProbeInterval = 8 * time.Second
 
-	// judgmentDecayTime is the time over which failure rates and latency ratios decay towards 0 and 1: a
+	// statisticsDecayTime is the time over which failure rates and latency ratios decay towards 0 and 1: a
 	// server that gets no attempts gives no results to learn from.
-	judgmentDecayTime = 10 * time.Second
+	statisticsDecayTime = 10 * time.Second
 )
 
 // classHealth is the state of failure detection for one server and class.
@@ -83,9 +83,9 @@
 	return isDue && r.attempts == 0 && r.class.Idempotency != NonIdempotent
 }
 
-// decayJudgment moves the failure rates of a server towards 0 and its latency ratio towards 1.
-func (s *server) decayJudgment(elapsed time.Duration) {
-	part := min(1, elapsed.Seconds()/judgmentDecayTime.Seconds())
+// decayStatistics moves the failure rates of a server towards 0 and its latency ratio towards 1.
+func (s *server) decayStatistics(elapsed time.Duration) {
+	part := min(1, elapsed.Seconds()/statisticsDecayTime.Seconds())
 	s.latencyRatio += (1 - s.latencyRatio) * part
 	for i := range s.health {
 		h := &s.health[i]
@@ -103,7 +103,7 @@
 		r.current.cancelRequested = true
 		g.reportOutcome(s, r.class, TimedOut, g.now-r.current.sentAt)
 		if g.mayCancel(r) {
-			g.do(CancelAttempt{ID: r.id, Attempt: r.attempts - 1})
+			g.emit(CancelAttempt{ID: r.id, Attempt: r.attempts - 1})
 		}
 	}
 }
--- a/policy/outlier_monitor.go
+++ b/policy/outlier_monitor.go
@@ -62,7 +62,7 @@
 			Code:      byte(code),
 			LatencyMS: milliseconds(latency),
 		}
-		g.do(SendPeerMessage{To: monitor, Data: m.encode()})
+		g.emit(SendPeerMessage{To: monitor, Data: m.encode()})
 	}
 }
 
@@ -134,7 +134,7 @@
 	g.applyOutlierReport(m)
 	if g.size.leaderMode {
 		s.reportBudget--
-		g.do(SendPeerMessage{To: -1, Data: m.encode()})
+		g.emit(SendPeerMessage{To: -1, Data: m.encode()})
 	}
 }
 
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -163,14 +163,14 @@
 	}
 	kind := messageKind(b[1])
 	b = b[shortMessageHeaderBytes:]
-	if int(kind) >= len(shortMessageLengths) || !hasLengthOf(kind, len(b)) {
+	if int(kind) >= len(shortMessageLengths) || !hasValidLength(kind, len(b)) {
 		return nil
 	}
 	return decodeShortMessage(kind, b)
 }
 
-// hasLengthOf reports whether a short message of a kind may have a length, without its header.
-func hasLengthOf(kind messageKind, length int) bool {
+// hasValidLength reports whether a short message of a kind may have a length, without its header.
+func hasValidLength(kind messageKind, length int) bool {
 	further := length - shortMessageLengths[kind]
 	return further == 0 || kind == kindOutlierReport && further > 0 && further < classSetBytes
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -15,14 +15,14 @@
 	// reported demand, decayed over demandWindow, or of this gateway's demand, whichever is greater.
 	minStaleDemandFactor = 0.33
 
-	// staleDemandFadeTime is the time constant of that decay.
-	staleDemandFadeTime = 10 * time.Second
+	// staleDemandDecayTime is the time constant of that decay.
+	staleDemandDecayTime = 10 * time.Second
 
 	// demandWindow is the time constant over which demand is averaged.
 	demandWindow = 2 * time.Second
 
-	// reportTravelTime is the assumed time that a report takes from one gateway to another.
-	reportTravelTime = 25 * time.Millisecond
+	// reportNetworkDelay is the assumed time that a report takes from one gateway to another.
+	reportNetworkDelay = 25 * time.Millisecond
 
 	// externalLevelTTL is how long a UsageLevel is used in place of lease responses while the leaders do not
 	// respond.
@@ -33,8 +33,8 @@
 const (
 	// baselineDemandRateShare and baselineDemandUnits (units a second) make up the demand that each
 	// gateway is assumed to have, so that the split of a fresh customer is even.
-	baselineDemandRateShare = 0.02
-	baselineDemandUnits     = 0.05
+	baselineDemandRateShare      = 0.02
+	baselineDemandUnitsPerSecond = 0.05
 
 	// firstAttemptReserve is the share of a bucket that clients' retries leave to first attempts.
 	firstAttemptReserve = 0.7
@@ -87,7 +87,7 @@
 	}
 	stale := 0.0
 	for _, view := range c.peerViews {
-		if g.isUnheard(c, view) {
+		if g.isStaleFor(c, view) {
 			stale += g.peerDemand(c, view)
 		}
 	}
@@ -99,15 +99,15 @@
 	return !p.hasReport || g.now-p.reportedAt > staleReportTicks*g.tick.interval
 }
 
-// isUnheard reports whether a peer's reports cannot be used for a customer: the last one is too old, or they
+// isStaleFor reports whether a peer's reports cannot be used for a customer: the last one is too old, or they
 // cannot name the customer.
-func (g *Gateway) isUnheard(c *customer, view *peerView) bool {
-	return c.sharesHash || g.isStale(view.peer)
+func (g *Gateway) isStaleFor(c *customer, view *peerView) bool {
+	return c.hashCollides || g.isStale(view.peer)
 }
 
 // baselineDemand is the demand in units a second that each gateway is assumed to have.
 func (g *Gateway) baselineDemand(c *customer) float64 {
-	return baselineDemandRateShare*c.plan.Rate + baselineDemandUnits
+	return baselineDemandRateShare*c.plan.Rate + baselineDemandUnitsPerSecond
 }
 
 // ownDemand is this gateway's demand in units a second.
@@ -120,11 +120,11 @@
 // and still serve the customer, or have stopped. Without peer messages the factor stays 1.
 func (g *Gateway) peerDemand(c *customer, view *peerView) float64 {
 	demand := view.demand
-	if g.isUnheard(c, view) {
+	if g.isStaleFor(c, view) {
 		fading := 1.0
 		if g.settings.CanMessagePeers {
 			lastReportAt := max(view.peer.reportedAt, g.startedAt)
-			fading = decay(g.now-lastReportAt, staleDemandFadeTime)
+			fading = decay(g.now-lastReportAt, staleDemandDecayTime)
 		}
 		demand = max(demand, c.demand) * (minStaleDemandFactor + (1-minStaleDemandFactor)*fading)
 	}
@@ -152,7 +152,7 @@
 // reported, whichever is more. A gateway that receives no load reports spends from a burst of its own.
 func (g *Gateway) spendableTokens(c *customer) float64 {
 	share := g.demandShare(c)
-	if c.keepsBuckets() && g.hearsNoPeerOf(c) {
+	if c.keepsBuckets() && g.allPeersStale(c) {
 		// No other gateway uses this share, which must be large enough for one request.
 		ownBurst := max(c.plan.Burst*share, g.settings.MaxRequestUnits)
 		return max(c.tokens*share, c.tokens-c.plan.Burst+ownBurst)
@@ -167,7 +167,7 @@
 // reportDelay is the time in seconds for which a peer may admit requests before its report arrives. A peer
 // whose last report did not hold all changed customers may have left this one out.
 func (g *Gateway) reportDelay(view *peerView) float64 {
-	delay := (g.tick.interval + reportTravelTime).Seconds()
+	delay := (g.tick.interval + reportNetworkDelay).Seconds()
 	if !view.peer.complete {
 		delay += min(g.now-view.reportedAt, staleReportTicks*g.tick.interval).Seconds()
 	}
@@ -263,14 +263,14 @@
 // neither load reports, where it keeps the buckets, nor lease responses, where leaders do.
 func (g *Gateway) isolated(c *customer) bool {
 	if c.keepsBuckets() {
-		return g.hearsNoPeerOf(c)
+		return g.allPeersStale(c)
 	}
 	return g.leases.leadersUnresponsive()
 }
 
-// hearsNoPeerOf reports whether other gateways keep the customer's buckets, too, and the load reports of all
+// allPeersStale reports whether other gateways keep the customer's buckets, too, and the load reports of all
 // of them are stale.
-func (g *Gateway) hearsNoPeerOf(c *customer) bool {
-	isFresh := func(view *peerView) bool { return !g.isUnheard(c, view) }
+func (g *Gateway) allPeersStale(c *customer) bool {
+	isFresh := func(view *peerView) bool { return !g.isStaleFor(c, view) }
 	return len(c.peerViews) > 0 && !slices.ContainsFunc(c.peerViews, isFresh)
 }
--- a/policy/report_ranking.go
+++ b/policy/report_ranking.go
@@ -22,7 +22,7 @@
 	if c.reportPriority > other.reportPriority {
 		return true
 	}
-	return c.reportPriority == other.reportPriority && c.ringIndex < other.ringIndex
+	return c.reportPriority == other.reportPriority && c.listIndex < other.listIndex
 }
 
 func (r *ranking) heapify() {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// retryBudgetEarned is what each first attempt adds to the retry budget; a retry costs 1. It bounds
+	// retryBudgetPerFirstAttempt is what each first attempt adds to the retry budget; a retry costs 1. It bounds
 	// retries to this share of the requests, so that they do not feed an overload.
-	retryBudgetEarned = 0.15
+	retryBudgetPerFirstAttempt = 0.15
 
 	// maxRetryBudget bounds the retry budget from above, in retries.
 	maxRetryBudget = 12.0
@@ -14,7 +14,7 @@
 // retryBudget is the number of retries that may be made now.
 type retryBudget float64
 
-func (b *retryBudget) earn() { *b = min(maxRetryBudget, *b+retryBudgetEarned) }
+func (b *retryBudget) earn() { *b = min(maxRetryBudget, *b+retryBudgetPerFirstAttempt) }
 
 // trySpend charges one retry, if the budget covers it, and reports whether it does.
 func (b *retryBudget) trySpend() bool {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -27,7 +27,7 @@
 // changes nothing, but like Handle it must not run concurrently with other calls.
 func (g *Gateway) SaveSnapshot(now time.Duration, from, limit int, out []CustomerSnapshot) (
 	list []CustomerSnapshot, next int) {
-	ring := g.customers.ring
+	ring := g.customers.list
 	to := min(len(ring), from+limit)
 	for _, c := range ring[min(from, to):to] {
 		tokens := c.tokensAt(now)
