--- a/policy/actions.go
+++ b/policy/actions.go
@@ -10,7 +10,7 @@
 type StartAttempt struct {
 	ID      RequestID
 	Server  ServerID
-	Timeout time.Duration // 0: until the client gives up
+	Timeout time.Duration // 0: no limit but the request's deadline
 }
 
 // CancelAttempt stops waiting for an attempt, if it has not ended. Its AttemptResult must still follow.
@@ -19,48 +19,49 @@
 	Attempt int // attempts of a request count from 0
 }
 
-// Reason says why a request was not served. It explains a decision to clients and operators; no decision
-// rests on it. The numbers are part of messages between gateways.
+// Reason is why a request was not served. It explains a decision to clients and operators; no decision
+// depends on it. The numbers are part of messages between gateways.
 type Reason byte
 
-// The reasons.
+// The values of Reason.
 const (
+	// ReasonNone means that no reason is given.
 	ReasonNone Reason = iota
 
-	// ReasonQuotaExceeded: the customer's rate quota has fewer tokens than the request costs.
+	// ReasonQuotaExceeded means that the customer's rate quota has fewer tokens than the request costs.
 	ReasonQuotaExceeded
 
-	// ReasonInFlightLimit: the customer's cap on attempts in flight was full for too long, or the quota
-	// leader that queued the request was lost meanwhile.
+	// ReasonInFlightLimit means that the customer's cap on attempts in flight was reached for too long, or
+	// that the quota leader that queued the request stopped responding.
 	ReasonInFlightLimit
 
-	// ReasonCeilingExceeded: the share of the customer's hard ceiling that the deciding gateway holds has
-	// fewer tokens than the request costs.
+	// ReasonCeilingExceeded means that the share of the customer's hard ceiling that the deciding gateway
+	// holds has fewer tokens than the request costs.
 	ReasonCeilingExceeded
 
-	// ReasonLoadShed: the request was shed because of overload, or it was a client's retry while tokens or
-	// servers were short.
+	// ReasonLoadShed means that the request was shed because of overload, or that it was a client's retry
+	// while there was a shortage of tokens or servers.
 	ReasonLoadShed
 
-	// ReasonNoServer: no server had capacity in time.
+	// ReasonNoServer means that no server had capacity in time.
 	ReasonNoServer
 
-	// ReasonNoTime: too little time was left when the request arrived.
+	// ReasonNoTime means that too little time was left when the request arrived.
 	ReasonNoTime
 
-	// ReasonNoQuotaLeader: the quota leaders of the customer did not respond, and the request could not be
-	// admitted without them.
+	// ReasonNoQuotaLeader means that the quota leaders of the customer did not respond, and that the request
+	// could not be admitted without them.
 	ReasonNoQuotaLeader
 
-	// ReasonAttemptsExhausted: attempts were made, and no further one is allowed.
+	// ReasonAttemptsExhausted means that attempts were made, and no further one is allowed.
 	ReasonAttemptsExhausted
 )
 
-// Reject is a final response to a request for which a retry by the client is harmless: it has not run,
-// or a second run is harmless or prevented by the servers.
+// Reject is a final response to a request for which a retry by the client is harmless: the request has not
+// run, or a second run is harmless or prevented by the servers.
 type Reject struct {
 	ID         RequestID
-	RetryAfter time.Duration // Settings.MaxRetryAfter; 0: no advice to the client
+	RetryAfter time.Duration // Settings.MaxRetryAfter; 0: no Retry-After is advised
 	Reason     Reason
 }
 
@@ -70,7 +71,7 @@
 	Reason Reason
 }
 
-// SetTimer requests a TimerFired after a time, early or late by at most Settings.Resolution. Several
+// SetTimer requests a TimerFired event after a time, early or late by at most Settings.Resolution. Several
 // timers with the same token may run at once.
 type SetTimer struct {
 	Token string
@@ -84,7 +85,7 @@
 	Data []byte
 }
 
-// WatchEndpoints requests the server list, and its changes from now on, as EndpointUpdate events.
+// WatchEndpoints requests the server list, and all later changes of it, as EndpointUpdate events.
 type WatchEndpoints struct{}
 
 // Log writes a log line for the operators.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,13 +8,15 @@
 )
 
 const (
-	// queueTimeShare is how long a request may be queued, as a share of its latency objective.
+	// queueTimeShare is the longest time for which a request may be queued, as a share of its latency
+	// objective.
 	queueTimeShare = 0.5
 
-	// serverShortageMemory is how long clients' retries are rejected after a request found no server.
-	serverShortageMemory = 200 * time.Millisecond
+	// serverShortageWindow is how long clients' retries are shed after a request found no server with
+	// capacity.
+	serverShortageWindow = 200 * time.Millisecond
 
-	// allQueued is a limit above any number of queued requests.
+	// allQueued is a release limit above any number of queued requests.
 	allQueued = 1 << 30
 )
 
@@ -42,7 +44,7 @@
 	g.requestLease(r)
 }
 
-// timerMargin is the remaining time below which a timer may fire after the deadline.
+// timerMargin returns the remaining time below which a timer may fire after the deadline.
 func (g *Gateway) timerMargin() time.Duration { return 2 * g.settings.Resolution }
 
 // admit sends a request to a server (or grants the lease of a remote request), queues it, or rejects it.
@@ -66,8 +68,8 @@
 	}
 }
 
-// mustShedClientRetry reports whether clients' retries give way to first attempts, which prevents retry storms:
-// the bucket is low, or a request found no server recently.
+// mustShedClientRetry reports whether a client's retry is shed in favour of first attempts, which prevents
+// retry storms: the bucket is low or, for a local request, no server had capacity recently.
 func (g *Gateway) mustShedClientRetry(r *request) bool {
 	plan := r.customer.plan
 	reserve := firstAttemptReserve * plan.Burst
@@ -75,13 +77,15 @@
 	return tokensAreLow || !r.remote && g.hasServerShortage()
 }
 
-// hasServerShortage reports whether a request found no server within the last serverShortageMemory.
+// hasServerShortage reports whether a request found no server with capacity within the last
+// serverShortageWindow.
 func (g *Gateway) hasServerShortage() bool {
 	lastAt := g.selector.lastShortageAt
-	return lastAt > 0 && g.now-lastAt < serverShortageMemory
+	return lastAt > 0 && g.now-lastAt < serverShortageWindow
 }
 
-// reject gives the final response: Reject where a retry is harmless, Fail otherwise.
+// reject gives the final response: Reject if a retry is harmless, Fail otherwise. For a remote request it
+// sends a lease response instead.
 func (g *Gateway) reject(r *request, reason Reason) {
 	switch {
 	case r.remote:
@@ -106,7 +110,8 @@
 	return ReasonNoServer
 }
 
-// enqueue queues a request, or rejects it at once when the next tick would come too late for it.
+// enqueue queues a request, or rejects it at once if its deadline would pass before the next tick. A request
+// that is already charged is queued first, since it is retried.
 func (g *Gateway) enqueue(r *request) {
 	if g.now+g.tick.interval+g.timerMargin() >= r.deadline {
 		g.reject(r, g.queueRejection(r))
@@ -123,7 +128,7 @@
 	}
 }
 
-// dequeue takes a request out of its customer's queue, if it is there.
+// dequeue removes a request from its customer's queue, if it is queued.
 func (g *Gateway) dequeue(r *request) {
 	c := r.customer
 	i := slices.Index(c.queued, r)
@@ -138,8 +143,8 @@
 	}
 }
 
-// releaseQueued starts attempts for up to limit queued requests of a customer, oldest first. It returns
-// false when no server had capacity.
+// releaseQueued starts attempts for up to limit queued requests of a customer, in queue order. Requests that
+// exceed the quota are rejected and count towards limit. It returns false if no server had capacity.
 func (g *Gateway) releaseQueued(c *customer, limit int) bool {
 	for ; limit > 0 && len(c.queued) > 0; limit-- {
 		r := c.queued[0]
@@ -176,7 +181,7 @@
 	}
 }
 
-// serveQueue rejects and releases queued requests of a customer at a tick.
+// serveQueue rejects expired requests in a customer's queue and releases others at a tick.
 func (g *Gateway) serveQueue(c *customer) {
 	g.refill(c)
 	g.rejectExpired(c)
@@ -185,8 +190,8 @@
 	}
 }
 
-// releaseShare is how many queued requests this gateway releases at a tick: its share of the free in-flight
-// capacity, by queue length, rounded at random so that the gateways together use all of it.
+// releaseShare returns the number of queued requests that this gateway releases at a tick: its share of the
+// free in-flight capacity, by queue length, rounded at random so that the gateways together use all of it.
 func (g *Gateway) releaseShare(c *customer) int {
 	if c.plan.MaxInFlight == 0 {
 		return allQueued
@@ -198,18 +203,18 @@
 }
 
 // rejectExpired rejects requests that have been queued for longer than queueTime, early enough for the client
-// to retry, and those that would pass their deadline before the next tick but one.
+// to retry, and those whose deadline is at most two ticks away.
 func (g *Gateway) rejectExpired(c *customer) {
 	for _, r := range slices.Clone(c.queued) {
 		expired := g.now-r.arrivedAt > r.class.queueTime()
-		lastChance := g.now+2*g.tick.interval >= r.deadline
-		if expired || lastChance {
+		nearDeadline := g.now+2*g.tick.interval >= r.deadline
+		if expired || nearDeadline {
 			g.reject(r, g.queueRejection(r))
 		}
 	}
 }
 
-// queueTime is the longest time for which a request of the class is queued.
+// queueTime returns the longest time for which a request of the class is queued.
 func (c *requestClass) queueTime() time.Duration {
 	return time.Duration(queueTimeShare * float64(c.LatencyObjective))
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// attemptTimeoutNumerator over attemptTimeoutDenominator is the shortest time limit of an attempt, as a
-// share of the latency objective, where attempts cannot be cancelled.
+// attemptTimeoutNumerator over attemptTimeoutDenominator is the shortest timeout of an attempt, as a share of
+// the latency objective, if attempts cannot be cancelled.
 const (
 	attemptTimeoutNumerator   = 3
 	attemptTimeoutDenominator = 5
 )
 
-// startAttempt sends a request to a server, and returns false when none has capacity. A remote request gets
-// its lease instead.
+// startAttempt sends a request to a server, and returns false if none has capacity. A remote request is
+// granted its lease instead.
 func (g *Gateway) startAttempt(r *request) bool {
 	if r.remote {
 		g.grantLease(r)
@@ -37,18 +37,18 @@
 	return true
 }
 
-// attemptTimeout returns the time limit of an attempt; 0 means until the request's deadline. It is set only
-// where a stalled attempt cannot be cancelled but may be retried: the request is idempotent, and its response
-// is no stream, which a time limit could end in the middle. (mayCancel needs no such exception for streams,
-// since an attempt whose response has started never counts as stalled.)
+// attemptTimeout returns the timeout of an attempt; 0 means no limit but the request's deadline. It is
+// above 0 only if a stalled attempt cannot be cancelled but may be retried: the request is idempotent, and
+// its response is not a stream, which a timeout could cut off. (mayCancel needs no such exception for
+// streams, since an attempt whose response has started never counts as stalled.)
 func (g *Gateway) attemptTimeout(r *request) time.Duration {
 	mayTimeOut := r.class.Idempotency == Idempotent && !r.class.Streaming
 	if g.settings.CanCancel || !mayTimeOut {
 		return 0
 	}
 	objective := r.class.LatencyObjective
-	least := objective * attemptTimeoutNumerator / attemptTimeoutDenominator
-	return max(least, r.deadline-g.now-objective)
+	shortest := objective * attemptTimeoutNumerator / attemptTimeoutDenominator
+	return max(shortest, r.deadline-g.now-objective)
 }
 
 func (g *Gateway) recordAttemptStart(r *request, s *server) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// handleAttemptResult updates the statistics by an attempt that has ended, finishes or retries its request,
+// handleAttemptResult updates the statistics with an attempt that has ended, finishes or retries its request,
 // and releases queued requests.
 func (g *Gateway) handleAttemptResult(ev AttemptResult) {
 	r := g.requests[ev.ID]
@@ -97,11 +97,11 @@
 // continueRequest finishes, rejects, retries or queues a request whose attempt has ended.
 func (g *Gateway) continueRequest(r *request, ev AttemptResult) {
 	answered := r.done || ev.Answered || ev.Code == OK
-	mayNotBeSent := ev.Code == TooLate || ev.Code == NoConnection || g.now >= r.deadline
+	mustNotRetry := ev.Code == TooLate || ev.Code == NoConnection || g.now >= r.deadline
 	switch {
 	case answered:
 		g.finish(r)
-	case mayNotBeSent || !g.takeRetry(r, ev.Code):
+	case mustNotRetry || !g.takeRetry(r, ev.Code):
 		g.reject(r, ReasonAttemptsExhausted)
 	case !g.hasRoom(r.customer) || !g.startAttempt(r):
 		g.enqueue(r)
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// customer is the state that a gateway has of one customer.
+// customer is the state that a gateway holds for one customer.
 type customer struct {
 	key           uint64 // names the customer in lease messages
 	reportHash    uint32 // names the customer in load reports
-	hashCollides  bool   // with another known customer
+	hashCollides  bool   // another known customer has the same reportHash
 	plan          *customerPlan
 	lastRequestAt time.Duration
 	active        bool // is in customerTable.active
-	listIndex     int  // position in customerTable.ring
+	listIndex     int  // position in customerTable.list
 	queued        []*request
 	inFlight      inFlightCounter
 
-	// The gateways that receive the customer's requests: gatewaySpread of them from firstGateway on, where
-	// gateway 0 follows the last one.
+	// The gateways that receive the customer's requests: gatewaySpread of them, starting with firstGateway
+	// and continuing with gateway 0 after the last one.
 	firstGateway    int
 	requestedSpread int // Request.GatewaySpread, which may exceed the number of gateways
 	gatewaySpread   int // at least 1 and at most the number of gateways
 
 	// The token buckets; quota.go has the rules.
-	refilledAt      time.Duration // time of the figures below
+	refilledAt      time.Duration // time of the values below
 	tokens          float64       // estimate of the rate quota's bucket, in units
-	tokensKnown     bool          // tokens is more than the guess of a gateway that has just started
-	externalLevelAt time.Duration // last UsageLevel that was taken while isolated; 0: none
+	tokensKnown     bool          // tokens is not just the initial guess of a gateway that has started
+	externalLevelAt time.Duration // time of the last UsageLevel applied while isolated; 0: none
 	ceilingTokens   float64       // own share of the ceiling's bucket, in units
-	ceilingDivisor  float64       // own share of the ceiling is one over this
+	ceilingDivisor  float64       // reciprocal of the own share of the ceiling
 	demand          float64       // units requested here, decayed over demandWindow
 
 	// Leases; lease_client.go and lease_grant.go have the rules.
-	leaders         leaderPair         // from which leases are requested; see keepsBuckets
+	leaders         leaderPair         // the gateways from which leases are requested; see keepsBuckets
 	grantsLeases    bool               // other gateways request leases here
 	leases          map[leaseKey]lease // granted and not returned
 	admittedShare   float64            // share of the demand that fits the quota, as the leader last reported
@@ -43,9 +43,9 @@
 	// Load reports; load_report.go has the rules.
 	peerViews        []*peerView // one for each other gateway that keeps the customer's buckets
 	admittedUnits    uint16      // running total of units, wraps around; see countAdmitted
-	uncountedUnits   float64     // admitted, and not in admittedUnits; above -1
+	uncountedUnits   float64     // admitted units not in admittedUnits yet; above -1
 	reportedUnits    uint16      // admittedUnits as last reported
-	pendingReports   int         // number of reports that must still carry the last change
+	pendingReports   int         // number of reports that must still include the last change
 	lastExchangeTick uint32      // tick of the last report or lease response; 0: none
 	reportPriority   float64     // in the current ranking
 }
@@ -54,11 +54,11 @@
 type leaderPair struct {
 	assigned bool
 	leader   int // number of the gateway
-	standby  int // number of the gateway that is asked when the leader does not respond
+	standby  int // number of the gateway that gets the request if the leader does not respond
 }
 
 // keepsBuckets reports whether this gateway decides on the customer's requests itself: it is one of the
-// gateways that keep the buckets, or the customer has no quota that a leader would keep.
+// gateways that keep the buckets, or the customer has no quota for which a leader is needed.
 func (c *customer) keepsBuckets() bool { return !c.leaders.assigned }
 
 // customerPlan is a plan with its position in the settings.
@@ -70,8 +70,9 @@
 // hasQuota reports whether the plan limits its customers at all.
 func (p *Plan) hasQuota() bool { return p.Rate > 0 || p.MaxInFlight > 0 || p.HardRate > 0 }
 
-// leasedRate is the rate in units a second at which leaders grant leases at most. For a plan without a rate
-// quota it is that of the ceiling, if the ceiling is all it has; leases under a cap have no rate.
+// leasedRate returns the maximum rate, in units a second, at which leaders grant leases: that of the rate
+// quota, or that of the ceiling if the plan has nothing else. It is 0 for a plan with a cap and no rate
+// quota.
 func (p *Plan) leasedRate() float64 {
 	if p.Rate == 0 && p.MaxInFlight == 0 {
 		return p.HardRate
@@ -79,7 +80,7 @@
 	return p.Rate
 }
 
-// fillTime is the time in which empty buckets fill up.
+// fillTime returns the time in which empty buckets fill up.
 func (p *Plan) fillTime() time.Duration {
 	seconds := 0.0
 	if p.Rate > 0 {
@@ -91,7 +92,7 @@
 	return time.Duration(min(seconds*float64(time.Second), math.MaxInt64/2))
 }
 
-// customerKey is the FNV-1a hash of a customer's name. All gateways must compute the same.
+// customerKey returns the FNV-1a hash of a customer's name. All gateways must compute the same key.
 func customerKey(name string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offset)
@@ -101,18 +102,18 @@
 	return hash
 }
 
-// customerReportHash is the short form of a customer's key, of 24 bits.
+// customerReportHash returns the upper 24 bits of a customer's key, which name the customer in load reports.
 func customerReportHash(key uint64) uint32 { return uint32(key >> 40) }
 
 // customerTable holds the known customers.
 type customerTable struct {
 	byKey  map[uint64]*customer
-	byHash map[uint32]*customer // by reportHash; nil where several share one
+	byHash map[uint32]*customer // by reportHash; nil if several customers have the same one
 
-	collisions map[uint32][]*customer // those that share a report hash
-	list       []*customer            // all, in the order in which they became known
-	active     []*customer            // those with recent events; ticks skip all others
-	queued     []*customer            // those with queued requests
+	collisions map[uint32][]*customer // customers with the same report hash, by that hash
+	list       []*customer            // all customers, in the order in which they were added
+	active     []*customer            // customers with recent events; ticks skip all others
+	queued     []*customer            // customers with queued requests
 }
 
 func newCustomerTable() customerTable {
@@ -123,7 +124,7 @@
 	}
 }
 
-// add adds a customer.
+// add adds a customer that is not in the table.
 func (t *customerTable) add(c *customer) {
 	t.byKey[c.key] = c
 	t.addHash(c)
@@ -131,8 +132,8 @@
 	t.list = append(t.list, c)
 }
 
-// forgetIdle removes the customers that are not in use, and have made no request for long enough that their
-// buckets are full again.
+// forgetIdle removes the customers that are not in use and have made no request for customerIdleTimeout, or
+// for the time in which their buckets fill up if that is longer.
 func (t *customerTable) forgetIdle(now time.Duration) {
 	t.list = slices.DeleteFunc(t.list, func(c *customer) bool {
 		inUse := c.inFlight.count > 0 || len(c.queued) > 0 || c.active
@@ -153,7 +154,8 @@
 	}
 }
 
-// addHash adds a customer to byHash. Of customers that share a report hash no reports are sent or taken in.
+// addHash adds a customer to byHash. Customers whose report hashes collide are neither included in load
+// reports nor updated by them.
 func (t *customerTable) addHash(c *customer) {
 	other, taken := t.byHash[c.reportHash]
 	if !taken {
@@ -169,7 +171,8 @@
 	c.hashCollides = true
 }
 
-// removeHash removes a customer from byHash. The last one that is left of several is reported again.
+// removeHash removes a customer from byHash. If only one other customer with the same hash remains, load
+// reports include it again.
 func (t *customerTable) removeHash(c *customer) {
 	if !c.hashCollides {
 		delete(t.byHash, c.reportHash)
@@ -185,11 +188,11 @@
 	t.byHash[c.reportHash] = left[0]
 	left[0].hashCollides = false
 	for _, view := range left[0].peerViews {
-		view.hasReport = false // the total that was reported may be that of another customer
+		view.hasReport = false // the last reported total may belong to another customer
 	}
 }
 
-// unlink removes a customer from byHash and its views from their peers.
+// unlink removes a customer from byHash, and its views from their peers.
 func (t *customerTable) unlink(c *customer) {
 	t.removeHash(c)
 	for _, view := range c.peerViews {
@@ -205,8 +208,8 @@
 	}
 }
 
-// updateActive ends the tick of the active customers, and removes those with nothing in flight, queued or
-// to be reported from the list. Without messages to peers nothing is to be reported.
+// updateActive ends the tick for the active customers, and removes from the active list those that have
+// nothing in flight, queued or to report. If canReport is false, no customer has anything to report.
 func (t *customerTable) updateActive(now, elapsed time.Duration, canReport bool) {
 	kept := t.active[:0]
 	for _, c := range t.active {
@@ -229,7 +232,8 @@
 	return c.inFlight.count > 0 || c.inFlight.mean > 0 || len(c.queued) > 0
 }
 
-// customerOf finds the customer of a request, or adds it. A plan that is not in the settings has no quotas.
+// customerOf returns the customer of a request, and adds it if it is not known. A plan that is not in the
+// settings has no quotas.
 func (g *Gateway) customerOf(r *Request) *customer {
 	key := customerKey(r.Customer)
 	if c := g.customers.byKey[key]; c != nil {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -19,16 +19,15 @@
 //     when an attempt ends or at a tick (admission.go, in_flight_limit.go).
 //
 // Servers are chosen by power of several choices on predicted latency, or by a weighted draw in leader mode
-// (server_selection.go). Servers that have just started get little work (slow_start.go), failing servers
-// are ejected and probed (outlier_detection.go, outlier_monitor.go), a retry budget bounds retries
-// (retry.go), and when latencies come near their objectives a part of the requests is shed
-// (load_shedding.go).
+// (server_selection.go). Servers that have just started get few requests (slow_start.go), failing
+// servers are ejected and probed (outlier_detection.go, outlier_monitor.go), a retry budget bounds retries
+// (retry.go), and some requests are shed when latencies approach their objectives (load_shedding.go).
 //
 // # Use
 //
 // A Gateway is a state machine without I/O: Handle takes one event with the current time and returns the
 // actions that the caller must carry out. The package reads no clock, starts no goroutine and draws random
-// numbers only from the seed given to New, so equal settings, seeds and events give equal actions.
+// numbers only from a generator that New seeds, so equal settings, seeds and events yield equal actions.
 // A Gateway is not safe for concurrent use, and Handle never blocks. The caller keeps ownership of the
 // slices in events, which must not change until Handle returns; the slices in actions belong to the caller.
 //
@@ -36,7 +35,7 @@
 //
 // New returns a *SettingError for settings that cannot be used. Handle returns no errors: it ignores events
 // about unknown requests, servers and timers, and drops malformed peer messages. A request that cannot be
-// served ends with a Reject or a Fail, whose Reason says why.
+// served ends with a Reject or a Fail, whose Reason is the cause.
 //
 // # Units
 //
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// server is the state that a gateway has of a server.
+// server is the state that a gateway holds for a server.
 type server struct {
 	Server
-	reportHash     uint16 // names the server in load reports
-	inFlight       int    // own attempts
-	peersInFlight  float64
+	reportHash     uint16                          // names the server in load reports
+	inFlight       int                             // own attempts
+	peersInFlight  float64                         // attempts of all other gateways, as last reported
 	attempts       []*request                      // own attempts in flight, oldest first
-	rejectingUntil map[*customerPlan]time.Duration // until when the server gets no requests of a plan
+	rejectingUntil map[*customerPlan]time.Duration // time until which the server gets no requests of a plan
 	coldSends      []time.Duration                 // start times of own attempts in the last ColdOverloadTime
 	drawWeight     float64                         // scratch space of drawByCapacity
 
-	monitors       [2]int  // the gateways that judge the server for all
-	latencyRatio   float64 // latency over that of the other servers at equal load
+	monitors       [2]int  // numbers of the first and the second monitor; see monitorsOf
+	latencyRatio   float64 // latency relative to the other servers at equal load
 	observedRatio  float64 // latencyRatio as observed by the monitor; used at the monitor only
 	health         []classHealth
-	reportBudget   float64 // outlier reports that may be sent now
+	reportBudget   float64 // number of outlier reports that may be sent now
 	reportBudgetAt time.Duration
 }
 
 // endpointList holds the known servers.
 type endpointList struct {
 	byID       map[ServerID]*server
-	list       []*server // by ID
+	list       []*server // in order of ID
 	meanWeight float64
 	watching   bool // WatchEndpoints was requested and has not failed since
 }
 
 func newEndpointList() endpointList { return endpointList{byID: map[ServerID]*server{}} }
 
-// serverHash spreads server IDs over serverHashBits bits. All gateways must compute the same.
+// serverHash returns a hash of serverHashBits bits. All gateways must compute the same hash.
 func serverHash(id ServerID) uint32 {
 	const multiplier = 0x9e3779b1 // Knuth's multiplicative hash
 	return uint32(id) * multiplier >> (32 - serverHashBits)
 }
 
-// requestEndpoints requests the server list where Settings.MustWatchEndpoints says so, once until it fails.
+// requestEndpoints requests the server list if Settings.MustWatchEndpoints is set, and repeats the request
+// only after it has failed.
 func (g *Gateway) requestEndpoints() {
 	if g.settings.MustWatchEndpoints && !g.endpoints.watching {
 		g.endpoints.watching = true
@@ -66,7 +67,7 @@
 	slices.SortFunc(g.endpoints.list, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// updateServer applies one line of the server list. The statistics of a server that was restarted are reset.
+// updateServer applies one entry of the server list. The statistics of a server that was restarted are reset.
 func (g *Gateway) updateServer(listed Server) {
 	s := g.endpoints.byID[listed.ID]
 	switch {
@@ -103,7 +104,7 @@
 }
 
 // dropRemoved deletes removed servers without attempts in flight: otherwise the list would grow with each
-// server that is replaced, and averages over the list would include servers that are gone.
+// server that is replaced, and averages over the list would include servers that no longer exist.
 func (l *endpointList) dropRemoved() {
 	l.list = slices.DeleteFunc(l.list, func(s *server) bool {
 		drop := s.State == Removed && s.inFlight == 0
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// RequestID names one request of a client at one gateway. An ID must never be reused.
+// RequestID identifies one request of a client at one gateway. An ID must never be reused.
 type RequestID uint64
 
-// ServerID names a server. It must be the same at all gateways.
+// ServerID identifies a server. It must be the same at all gateways.
 type ServerID uint32
 
 // Event is an input of Handle. Only types of this package implement it.
@@ -16,19 +16,19 @@
 // totals of them rounded up to whole units. In leader mode a request of more than 65,535 units is rejected.
 type Request struct {
 	ID        RequestID
-	Customer  string        // whose quotas apply
-	Plan      string        // Plan.Name; one that is not in the settings has no quotas
-	Class     string        // Class.Name; one that is not in the settings is NonIdempotent
+	Customer  string        // name of the customer whose quotas apply
+	Plan      string        // Plan.Name; a plan that is not in the settings has no quotas
+	Class     string        // Class.Name; a class that is not in the settings is NonIdempotent
 	Units     float64       // cost, or an estimate of it
-	Remaining time.Duration // until the client gives up
+	Remaining time.Duration // time left until the client times out
 
-	// The customer's requests come in through GatewaySpread gateways (at least 1) from FirstGateway on, where
-	// gateway 0 follows the last one. This gateway must be among them, and all gateways must be given the
-	// same values for a customer.
+	// The customer's requests arrive at GatewaySpread gateways (at least 1), starting with FirstGateway and
+	// continuing with gateway 0 after the last one. This gateway must be among them, and all gateways must be
+	// given the same values for a customer.
 	FirstGateway  int
 	GatewaySpread int
 
-	ClientRetry bool // the client marked the request as a retry: it gives way to first attempts
+	ClientRetry bool // the client marked the request as a retry: it is shed before first attempts are
 }
 
 // ResponseStarted reports that the response to a request of a streaming class has started. From then on the
@@ -40,19 +40,19 @@
 }
 
 // AttemptResult reports how an attempt ended. There must be exactly one for each StartAttempt, also after
-// CancelAttempt and after the client has gone.
+// CancelAttempt and after the client has disconnected.
 type AttemptResult struct {
 	ID          RequestID
 	Attempt     int // attempts of a request count from 0
 	Server      ServerID
 	Code        ResultCode
-	Latency     time.Duration // from the start of the attempt
-	Answered    bool          // the client has its final response
-	ActualUnits float64       // the actual cost, if it differs from Request.Units; 0: it does not
+	Latency     time.Duration // time from the start of the attempt
+	Answered    bool          // the client has received its final response
+	ActualUnits float64       // actual cost, if it differs from Request.Units; 0: it does not
 	LoadMetrics []float64     // in the order of Settings.LoadMetricNames; may be nil
 }
 
-// ResultCode says how an attempt ended.
+// ResultCode is the result of an attempt.
 type ResultCode int
 
 // The results of an attempt. The numbers are part of messages between gateways.
@@ -64,9 +64,9 @@
 	ConnectFailed            // the server could not be reached
 	Reset                    // the connection broke
 	Cancelled                // ended by CancelAttempt
-	TooLate                  // not sent: no time was left
-	Withdrawn                // not sent: its server left first, which is no failure of that server
-	NoConnection             // not sent: this gateway had no connection to spare
+	TooLate                  // not sent: no time was left, or the client had disconnected
+	Withdrawn                // not sent: its server was withdrawn first, which is not a failure of the server
+	NoConnection             // not sent: this gateway had no free connection
 )
 
 // NeverRan reports whether the code proves that the attempt never ran.
@@ -79,7 +79,8 @@
 	}
 }
 
-// attributableToServer reports whether the code says something of the server that the attempt went to.
+// attributableToServer reports whether the code reflects the state of the server to which the attempt was
+// sent.
 func (c ResultCode) attributableToServer() bool {
 	switch c {
 	case TooLate, Cancelled, Withdrawn, NoConnection:
@@ -89,13 +90,13 @@
 	}
 }
 
-// ClientDisconnected reports that the client has disconnected. The request gets no final response any more.
+// ClientDisconnected reports that the client has disconnected. The request gets no final response after it.
 type ClientDisconnected struct{ ID RequestID }
 
-// TimerFired reports that a timer of SetTimer has run out.
+// TimerFired reports that a timer requested by SetTimer has expired.
 type TimerFired struct{ Token string }
 
-// PeerMessage is what another gateway sent with SendPeerMessage. Malformed messages are dropped.
+// PeerMessage is a message that another gateway sent with SendPeerMessage. Malformed messages are dropped.
 type PeerMessage struct {
 	From int // number of the gateway, which the caller has verified
 	Data []byte
@@ -108,26 +109,26 @@
 const (
 	Running  ServerState = iota
 	Draining             // finishes its attempts and gets no more
-	Removed              // gone
+	Removed              // no longer in the fleet of servers
 )
 
-// Server is one line of the server list.
+// Server is one entry of the server list.
 type Server struct {
 	ID           ServerID
 	Zone         string
-	Cell         int // for DedupCell
+	Cell         int // the cell that DedupCell refers to
 	State        ServerState
-	HasStartTime bool          // without it the server counts as warm
+	HasStartTime bool          // StartedAt is set; without it the server counts as warm
 	StartedAt    time.Duration // time of its last start, on the clock of Handle
 	Weight       float64       // capacity of its machine, if Settings.WeightIsCapacity
 }
 
-// EndpointUpdateKind says what an EndpointUpdate holds.
+// EndpointUpdateKind is the kind of the content of an EndpointUpdate.
 type EndpointUpdateKind int
 
 // The kinds of EndpointUpdate.
 const (
-	DeltaUpdate    EndpointUpdateKind = iota // the changed servers only
+	DeltaUpdate    EndpointUpdateKind = iota // only the servers that have changed
 	SnapshotUpdate                           // the whole list: a server that is not in it is Removed
 	CachedUpdate                             // a whole list from a cache, which may be old
 	WatchFailed                              // WatchEndpoints failed: it is requested again
@@ -140,18 +141,18 @@
 }
 
 // UsageLevel reports the tokens of a customer's rate quota according to an external counter. It is used only
-// where this gateway cannot know them: shortly after its start, or while it receives nothing from the
+// while this gateway cannot know them: shortly after its start, or while it receives no messages from the
 // gateways that know the customer's use elsewhere.
 type UsageLevel struct {
 	Customer string
-	Units    float64 // left in the bucket
+	Units    float64 // tokens left in the bucket
 }
 
-// FleetResized reports a change of the number of gateways. It comes when the change begins and again, with
-// PreviousSize ResizeComplete, when all gateways have been notified. In between, the share of each hard
-// ceiling that this gateway uses is the smaller of the old and the new one. When a second change begins
-// before the first is complete, the old share remains that before the first. A gateway whose number is not
-// below Gateways is leaving.
+// FleetResized reports a change of the number of gateways. The caller sends it when the change begins and
+// again, with PreviousSize ResizeComplete, when all gateways have been notified. In between, the share of
+// each hard ceiling that this gateway uses is the smaller of the old and the new one. If a second change
+// begins before the first is complete, the old share is still that from before the first change. A gateway
+// whose number is not below Gateways is leaving the fleet.
 type FleetResized struct {
 	Gateways int // the new number; below 1: the event is ignored
 
@@ -162,11 +163,11 @@
 
 // Values of FleetResized.PreviousSize that are not a number of gateways.
 const (
-	// ResizeComplete says that all gateways have been notified of the change.
+	// ResizeComplete means that all gateways have been notified of the change.
 	ResizeComplete = 0
 
-	// UnknownPreviousSize says that this gateway held no share of any hard ceiling before the change, or
-	// cannot know it: it uses none until the change is complete. Every value below 0 means the same.
+	// UnknownPreviousSize means that this gateway held no share of any hard ceiling before the change, or
+	// cannot know its share: it uses none until the change is complete. Every value below 0 means the same.
 	UnknownPreviousSize = -1
 )
 
--- a/policy/lease_client.go
+++ b/policy/lease_client.go
@@ -27,8 +27,9 @@
 	// minResponseRate is the response rate below which the leaders count as unresponsive.
 	minResponseRate = 0.5
 
-	// admittedShareTTL is the time over which an admitted share that a leader reported gives way to 1.
-	admittedShareTTL = 20 * time.Second
+	// admittedShareRecoveryTime is the time over which an admitted share that a leader reported gives way
+	// to 1.
+	admittedShareRecoveryTime = 20 * time.Second
 )
 
 // leaseClient is the state of the lease requests of this gateway, over all leaders.
@@ -75,7 +76,7 @@
 	if c.plan.Rate <= 0 || c.lastExchangeTick == 0 {
 		return 1
 	}
-	return min(1, c.admittedShare+(g.now-c.admittedShareAt).Seconds()/admittedShareTTL.Seconds())
+	return min(1, c.admittedShare+(g.now-c.admittedShareAt).Seconds()/admittedShareRecoveryTime.Seconds())
 }
 
 // requestLease requests a lease from the customer's leader, again when there is no response in time, and
--- a/policy/lease_grant.go
+++ b/policy/lease_grant.go
@@ -7,8 +7,8 @@
 
 // A leader treats a lease request like a request of its own: it grants, queues or rejects it.
 
-// leaseValidityFactor is the time after which a lease that is not returned expires, in latency objectives of the
-// request's class.
+// leaseValidityFactor is the time after which a lease that is not returned expires, in latency objectives
+// of the request's class.
 const leaseValidityFactor = 1.0
 
 // lease is a lease that this gateway has granted.
--- a/policy/report_ranking.go
+++ b/policy/report_ranking.go
@@ -1,6 +1,6 @@
 package policy
 
-// ranking orders customers by report priority, then by position in customerTable.ring. A report can hold
+// ranking orders customers by report priority, then by position in customerTable.list. A report can hold
 // few of many customers, so the heap is sorted only as far as needed.
 type ranking struct {
 	sorted []*customer
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// retryBudgetPerFirstAttempt is what each first attempt adds to the retry budget; a retry costs 1. It bounds
-	// retries to this share of the requests, so that they do not feed an overload.
+	// retryBudgetPerFirstAttempt is what each first attempt adds to the retry budget; a retry costs 1. It
+	// bounds retries to this share of the requests, so that they do not feed an overload.
 	retryBudgetPerFirstAttempt = 0.15
 
 	// maxRetryBudget bounds the retry budget from above, in retries.
