--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// loadReportShare is the share of the messages that a gateway can receive which load reports may use.
+	// loadReportShare is the share of Settings.PeerMessagesPerSecond that load reports may use.
 	loadReportShare = 0.75
 
-	// minTickInterval and maxTickInterval bound the time between ticks, and so between load reports.
+	// minTickInterval and maxTickInterval bound the time between ticks, and thus between load reports.
 	minTickInterval = 25 * time.Millisecond
 	maxTickInterval = 250 * time.Millisecond
 
-	// leaderModeTickFactor is the tick interval, in maxTickInterval, beyond which full mesh reports would
-	// be too slow and the fleet is in leader mode.
+	// leaderModeTickFactor times maxTickInterval is the interval between full mesh reports beyond which
+	// the fleet is in leader mode, since such reports would be too old to be useful.
 	leaderModeTickFactor = 2
 )
 
-// fleetSize is a number of gateways with what follows from it.
+// fleetSize is a number of gateways and the mode that follows from it.
 type fleetSize struct {
-	gateways   int  // of Gateway.previousSize: as FleetResized.PreviousSize
+	gateways   int  // in Gateway.previousSize: values as in FleetResized.PreviousSize
 	leaderMode bool // quota leaders in place of full mesh reports
 }
 
-// isSet reports, for Gateway.previousSize, whether a change of the fleet's size is not complete yet.
+// isSet reports, for Gateway.previousSize, whether a change of the fleet's size is in progress.
 func (s fleetSize) isSet() bool { return s.gateways != ResizeComplete }
 
 // isUnknown reports whether this gateway held no share of any ceiling at that size, or cannot know it.
@@ -33,8 +33,8 @@
 	return fleetSize{gateways, tooSlow && g.settings.CanMessagePeers}
 }
 
-// fullMeshInterval is the shortest time between load reports at which a gateway can receive those of all
-// others in a fleet of a number of gateways.
+// fullMeshInterval returns the shortest time between load reports at which a gateway can receive those of
+// all others in a fleet of a number of gateways.
 func (g *Gateway) fullMeshInterval(gateways int) time.Duration {
 	reportsPerSecond := max(g.settings.PeerMessagesPerSecond*loadReportShare, 1)
 	return time.Duration(float64(max(gateways-1, 1)) / reportsPerSecond * float64(time.Second))
@@ -52,7 +52,7 @@
 
 // handleFleetResized applies a new number of gateways. Buckets and counts carry over. Until all gateways have
 // been notified of the change, this gateway uses the smaller of its old and its new share of each ceiling:
-// the old shares sum to at most the whole, and so do the new ones, but a mixture of both could exceed it.
+// the old shares sum to at most the ceiling, and so do the new ones, but a mixture of both could exceed it.
 func (g *Gateway) handleFleetResized(ev FleetResized) {
 	switch {
 	case ev.PreviousSize == ResizeComplete:
@@ -72,7 +72,8 @@
 	}
 }
 
-// resizeFleet resizes the peer table to a number of gateways, and removes those beyond it.
+// resizeFleet resizes the peer table to a number of gateways, removes the peers beyond it, and reassigns the
+// monitors of all servers.
 func (g *Gateway) resizeFleet(gateways int) {
 	peers := make([]*peerState, max(gateways, g.settings.SelfIndex+1))
 	copy(peers, g.peers)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// customerIdleTimeout is how long the state of a customer without requests is retained at least.
+	// customerIdleTimeout is the minimum time for which the state of a customer without requests is retained.
 	customerIdleTimeout = 10 * time.Minute
 
 	// seedStream is the second half of the random generator's seed.
 	seedStream = 0x9e3779b97f4a7c15
 )
 
-// Tokens of the timers that a gateway sets.
+// Tokens of the timers that a Gateway sets.
 const (
 	tickTimer  = "tick"
 	leaseTimer = "ask"
 )
 
-// Gateway makes the decisions of one gateway of a fleet. New makes one; Handle is its only input. It is not
+// Gateway makes the decisions of one gateway of a fleet. New creates it; Handle passes it events. It is not
 // safe for concurrent use.
 type Gateway struct {
 	settings    Settings
 	rng         *rand.Rand
-	incarnation uint32 // drawn at each start; a change shows peers that running totals begin at 0 again
+	incarnation uint32 // drawn at each start; a change means that running totals begin at 0 again
 	started     bool
 	startedAt   time.Duration
 	now         time.Duration // time of the current event
@@ -39,9 +39,9 @@
 	requests  map[RequestID]*request // local requests that are not finished or have an attempt in flight
 
 	size         fleetSize
-	previousSize fleetSize     // before a change that is not complete; see fleetSize.isSet
-	resizedAt    time.Duration // of the start or the last FleetResized
-	peers        []*peerState  // by number of the gateway; nil: not needed in leader mode so far
+	previousSize fleetSize     // size before a change that is not complete; see fleetSize.isSet
+	resizedAt    time.Duration // time of the start or of the last FleetResized
+	peers        []*peerState  // by number of the gateway; nil: not needed so far, in leader mode
 
 	endpoints   endpointList
 	latency     latencyModel
@@ -90,8 +90,8 @@
 	return g, nil
 }
 
-// Handle takes the next event and appends the actions that it leads to to out. Times must not decrease
-// from call to call. Events that name unknown requests, servers or timers change nothing.
+// Handle handles the next event, appends the resulting actions to out and returns the extended slice. Times
+// must not decrease from call to call. Events that name unknown requests, servers or timers change nothing.
 func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
 	g.now, g.actions = now, out
 	if !g.started {
@@ -182,7 +182,7 @@
 	}
 }
 
-// everySecond is true for about one tick in a second.
+// everySecond reports true for about one tick a second.
 func (t *ticker) everySecond() bool {
 	ticksPerSecond := uint32(max(1, time.Second/t.interval))
 	return t.count%ticksPerSecond == 0
@@ -191,8 +191,7 @@
 // emit adds an action to those of the current event.
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-// decay returns the fraction that is left, after a time, of a value that decays to 1/e within a time
-// constant.
+// decay returns the factor by which exponential decay with a time constant reduces a value over a time.
 func decay(elapsed, timeConstant time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
 }
--- a/policy/in_flight_limit.go
+++ b/policy/in_flight_limit.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// arrivalSlack and releaseSlack are the parts of an attempt by which the cap may be exceeded on arrival
-	// and on release. Reported counts are rounded; without slack the cap would never be fully used.
+	// arrivalSlack and releaseSlack are the fractions of an attempt by which the cap may be exceeded when a
+	// request arrives and when it is released from the queue. Reported counts are rounded; without slack the
+	// cap would never be fully used.
 	arrivalSlack = 0.5
 	releaseSlack = 0.25
 )
@@ -23,7 +24,7 @@
 	n.count += attempts
 }
 
-// endTick sets the mean of the tick that ends.
+// endTick sets the mean over the tick that ends.
 func (n *inFlightCounter) endTick(now, elapsed time.Duration) {
 	n.add(now, 0)
 	n.mean = n.integral / elapsed.Seconds()
@@ -33,7 +34,7 @@
 func (n *inFlightCounter) isZero() bool { return n.count <= 0 && n.integral <= 0 && n.mean <= 0 }
 
 // peerLoad sums the attempts in flight and the queued requests that the peers report. A stale peer is assumed
-// to have its share, by demand, of the cap in flight and nothing queued.
+// to have its share, by demand, of the cap in flight, and nothing queued.
 func (g *Gateway) peerLoad(c *customer) (inFlight, queued float64) {
 	for _, view := range c.peerViews {
 		if g.isStaleFor(c, view) {
@@ -46,9 +47,9 @@
 	return inFlight, queued
 }
 
-// hasRoomOnArrival reports whether a request that arrives may have an attempt at once under the customer's
-// cap: this gateway uses only its share, by demand, of what the peers leave of the cap, but at least one
-// attempt if they leave one.
+// hasRoomOnArrival reports whether the customer's cap permits an attempt for a request as soon as it arrives:
+// this gateway uses only its share, by demand, of the part of the cap that the peers do not use, but at least
+// one attempt if that part holds one.
 func (g *Gateway) hasRoomOnArrival(c *customer) bool {
 	if g.inFlightUnlimited(c) {
 		return true
@@ -70,7 +71,7 @@
 	return c.plan.MaxInFlight == 0 || c.inFlight.count == 0 && g.isolated(c)
 }
 
-// freeInFlight is the part of the cap that the peers leave.
+// freeInFlight returns the part of the cap that the peers do not use.
 func (g *Gateway) freeInFlight(c *customer) float64 {
 	peers, _ := g.peerLoad(c)
 	return float64(c.plan.MaxInFlight) - peers
--- a/policy/latency_model.go
+++ b/policy/latency_model.go
@@ -3,14 +3,16 @@
 import "math"
 
 const (
-	// initialLatencyDivisor is the latency objective of a class over the initial estimate of its idle
+	// initialLatencyDivisor is the ratio of a class's latency objective to the initial estimate of its idle
 	// latency.
 	initialLatencyDivisor = 8.0
 
-	// maxLatencyFactor caps a result in the average of a class's idle latency, in idle latencies.
+	// maxLatencyFactor bounds the effect of one result on the average of a class's idle latency: larger
+	// latencies count as this multiple of the idle latency.
 	maxLatencyFactor = 4.0
 
-	// maxLatencyRatio caps a result in the average of a server's latency ratio.
+	// maxLatencyRatio bounds the effect of one result on the average of a server's latency ratio: larger
+	// ratios count as this one.
 	maxLatencyRatio = 12.0
 
 	// learningWeight is the weight of one result in the latency ratio of a server, and of one lease request
@@ -20,7 +22,8 @@
 	// classLatencyWeight is the weight of one result in the idle latency of a class.
 	classLatencyWeight = 0.03
 
-	// queueingPerAttempt is what each attempt in flight adds to the latency of a server, in idle latencies.
+	// queueingPerAttempt is the latency, in idle latencies, that each attempt in flight adds at a server of
+	// mean capacity.
 	queueingPerAttempt = 0.5
 )
 
@@ -28,8 +31,8 @@
 type requestClass struct {
 	Class
 	index       int
-	idleLatency float64 // seconds that an idle warm server of average speed takes
-	outcomes    float64 // number of results in idleLatency
+	idleLatency float64 // latency in seconds of an idle, warm server of average speed
+	outcomes    float64 // number of results averaged in idleLatency
 }
 
 // latencyModel holds the latencies over all classes, in seconds.
@@ -50,22 +53,23 @@
 	return m
 }
 
-// load is the number of attempts in flight at a server: those of this gateway, and those of the others as
-// last reported.
+// load returns the number of attempts in flight at a server: those of this gateway, and those of the others
+// as last reported.
 func (s *server) load() float64 { return float64(s.inFlight) + s.peersInFlight }
 
-// queueingFactor is the factor by which a number of attempts in flight lengthens the latency of a server.
+// queueingFactor returns the factor by which a number of attempts in flight increases the latency of a
+// server.
 func (g *Gateway) queueingFactor(s *server, load float64) float64 {
 	return 1 + queueingPerAttempt*load/g.relativeCapacity(s)
 }
 
-// predictedLatency is the latency in seconds expected of a server for a class.
+// predictedLatency returns the expected latency, in seconds, of a server for a class.
 func (g *Gateway) predictedLatency(s *server, class *requestClass) float64 {
 	return class.idleLatency * s.latencyRatio * g.queueingFactor(s, s.load()) / g.warmFraction(s)
 }
 
-// relativeCapacity is the capacity of a server's machine over the mean of the list, or 1 where the list has
-// no capacities.
+// relativeCapacity returns the capacity of a server's machine relative to the mean of the list, or 1 if
+// capacities are not known.
 func (g *Gateway) relativeCapacity(s *server) float64 {
 	if g.settings.WeightIsCapacity && s.Weight > 0 && g.endpoints.meanWeight > 0 {
 		return s.Weight / g.endpoints.meanWeight
@@ -73,7 +77,8 @@
 	return 1
 }
 
-// learnFromResult updates the latencies, the overload and the outlier detection by the result of an attempt.
+// learnFromResult updates the latencies, the overload and the outlier detection from the result of an
+// attempt.
 func (g *Gateway) learnFromResult(s *server, r *request, ev AttemptResult) {
 	if ev.Code.attributableToServer() {
 		g.reportOutcome(s, r.class, ev.Code, ev.Latency)
@@ -94,7 +99,7 @@
 	}
 }
 
-// learnLatency updates the latency ratio of the server and the idle latency of the class by a latency in
+// learnLatency updates the latency ratio of the server and the idle latency of the class from a latency in
 // seconds.
 func (g *Gateway) learnLatency(s *server, r *request, latency float64) {
 	slowdown := g.queueingFactor(s, r.current.loadAtSend) / g.warmFraction(s)
@@ -108,8 +113,8 @@
 	class.idleLatency += weight * (min(idle, maxLatencyFactor*class.idleLatency) - class.idleLatency)
 }
 
-// latencyRatioWeight is the weight of one result in a server's latency ratio. In leader mode it is 0, since
-// the ratio comes from the server's monitor, which gets the results of all gateways.
+// latencyRatioWeight returns the weight of one result in a server's latency ratio. It is 0 in leader mode,
+// since the server's monitor, which gets the results of all gateways, reports the ratio.
 func (g *Gateway) latencyRatioWeight() float64 {
 	if g.size.leaderMode {
 		return 0
--- a/policy/lease_client.go
+++ b/policy/lease_client.go
@@ -6,10 +6,10 @@
 )
 
 // In leader mode a gateway that does not keep a customer's buckets requests a lease from the customer's
-// leader for each request. lease_grant.go has the leader's side.
+// leader for each request. lease_grant.go implements the leader's side.
 
 const (
-	// leaderAttempts is the number of lease requests to the leader before one goes to the standby leader.
+	// leaderAttempts is the number of lease requests to the leader before one is sent to the standby leader.
 	leaderAttempts = 2
 
 	// minResponseWait is the least time for which a lease response is awaited.
@@ -27,8 +27,8 @@
 	// minResponseRate is the response rate below which the leaders count as unresponsive.
 	minResponseRate = 0.5
 
-	// admittedShareRecoveryTime is the time over which an admitted share that a leader reported gives way
-	// to 1.
+	// admittedShareRecoveryTime is the time in which an admitted share of 0, as a leader reported it, rises
+	// to 1 without a new report.
 	admittedShareRecoveryTime = 20 * time.Second
 )
 
@@ -53,8 +53,8 @@
 // leadersUnresponsive reports whether fewer than minResponseRate of the lease requests are answered.
 func (l *leaseClient) leadersUnresponsive() bool { return l.responseRate < minResponseRate }
 
-// partitionChance is the chance with which this gateway acts as if it were partitioned from the leaders,
-// rather than the leaders being overloaded: 1 when no lease request is answered, 1/16 when half are.
+// partitionChance returns the probability with which this gateway acts as if it were partitioned from the
+// leaders, rather than the leaders being overloaded: 1 when no lease request is answered, 1/16 when half are.
 func (l *leaseClient) partitionChance() float64 { return math.Pow(1-l.responseRate, unansweredPower) }
 
 func (l *leaseClient) recordUnanswered() { l.responseRate -= learningWeight * l.responseRate }
@@ -65,13 +65,13 @@
 	l.meanResponseTime += time.Duration(learningWeight * float64(d-l.meanResponseTime))
 }
 
-// responseWait is the time for which a response is awaited.
+// responseWait returns the time for which a response is awaited.
 func (l *leaseClient) responseWait() time.Duration {
 	return max(minResponseWait, time.Duration(responseWaitFactor*float64(l.meanResponseTime)))
 }
 
-// leaseChance is the probability with which a lease is requested at all. For a customer far above its quota
-// only the admitted share is requested, since its leader could not receive all requests.
+// leaseChance returns the probability with which a lease is requested at all. For a customer far above its
+// quota only the admitted share is requested, since its leader could not receive all requests.
 func (g *Gateway) leaseChance(c *customer) float64 {
 	if c.plan.Rate <= 0 || c.lastExchangeTick == 0 {
 		return 1
@@ -79,13 +79,13 @@
 	return min(1, c.admittedShare+(g.now-c.admittedShareAt).Seconds()/admittedShareRecoveryTime.Seconds())
 }
 
-// requestLease requests a lease from the customer's leader, again when there is no response in time, and
-// then from the standby leader. When neither responds, or the deadline is near, or after the first lease
-// request with partitionChance, admitWithoutLease decides.
+// requestLease sends the next lease request for a request: up to leaderAttempts to the customer's leader,
+// then one to the standby leader. Instead it calls admitWithoutLease if none of these had a response, if
+// the deadline is near, or, after the first lease request, with the probability partitionChance.
 func (g *Gateway) requestLease(r *request) {
 	c := r.customer
 	delete(g.leases.pending, r.lease.key.tag)
-	if c.keepsBuckets() { // since the fleet was resized
+	if c.keepsBuckets() { // the fleet was resized after the last lease request
 		g.admit(r)
 		return
 	}
@@ -94,8 +94,8 @@
 		return
 	}
 	partitionChance := g.leases.partitionChance()
-	tooLate := r.lease.requests > leaderAttempts || g.now+g.timerMargin() >= r.deadline
-	if tooLate || r.lease.requests > 0 && g.rng.Float64() < partitionChance {
+	mustGiveUp := r.lease.requests > leaderAttempts || g.now+g.timerMargin() >= r.deadline
+	if mustGiveUp || r.lease.requests > 0 && g.rng.Float64() < partitionChance {
 		g.admitWithoutLease(r, partitionChance)
 		return
 	}
@@ -113,8 +113,8 @@
 // sendLeaseRequest sends a lease request and sets the timer for its response.
 func (g *Gateway) sendLeaseRequest(r *request, leader int) {
 	l := &r.lease
-	sameAgain := l.requests == 1 && l.key.gateway == leader
-	if !sameAgain { // a repeat keeps its tag: with another one the leader would grant and charge twice
+	isRepeat := l.requests == 1 && l.key.gateway == leader
+	if !isRepeat { // a repeat keeps its tag: with a new one the leader would grant and charge twice
 		g.leases.lastTag++
 		l.key.tag = g.leases.lastTag
 	}
@@ -152,9 +152,9 @@
 	return m
 }
 
-// admitWithoutLease decides on a request that no leader answers, by this gateway's own estimate of the
-// bucket. With ReasonNoQuotaLeader end those for which an answer of a leader was needed: the draw failed
-// (see unansweredPower), or there is a hard ceiling, from which only leaders may spend.
+// admitWithoutLease decides on a request without a response from a leader, by this gateway's own estimate of
+// the bucket. It rejects with ReasonNoQuotaLeader those that need the response of a leader: the random draw
+// failed (see unansweredPower), or the customer has a hard ceiling, from which only leaders may spend.
 func (g *Gateway) admitWithoutLease(r *request, partitionChance float64) {
 	switch {
 	case g.now >= r.deadline:
@@ -168,8 +168,8 @@
 	}
 }
 
-// drawsAdmission draws whether a request of a customer may be admitted without a lease. With a recent
-// external usage level the draw always succeeds.
+// drawsAdmission decides at random whether a request of a customer may be admitted without a lease. With a
+// recent external usage level it always may.
 func (g *Gateway) drawsAdmission(c *customer, partitionChance float64) bool {
 	chance := math.Pow(g.leases.responseRate, unansweredPower) + partitionChance
 	if c.externalLevelAt > 0 && g.now-c.externalLevelAt < externalLevelTTL {
@@ -179,8 +179,8 @@
 }
 
 // handleLeaseTimer repeats the lease requests that had no response in time. A request that the leader queued
-// ends with ReasonInFlightLimit when the wait is over: the cap was full for too long, or the leader was lost
-// meanwhile, which this gateway cannot tell apart.
+// is rejected with ReasonInFlightLimit when the wait is over: the cap was reached for too long, or the leader
+// stopped responding; this gateway cannot distinguish the two.
 func (g *Gateway) handleLeaseTimer() {
 	waiting := g.leases.waiting
 	g.leases.waiting = nil
@@ -198,8 +198,8 @@
 	}
 }
 
-// handleLeaseResponse carries out a leader's decision on a lease request. It ignores a response from another
-// gateway than the one asked, or to a lease request that is not pending.
+// handleLeaseResponse carries out a leader's decision on a lease request. It ignores a response from a
+// gateway other than the one that was sent the request, or to a lease request that is not pending.
 func (g *Gateway) handleLeaseResponse(from int, m leaseResponse) {
 	r := g.leases.pending[m.Tag]
 	if r == nil || r.lease.key.gateway != from || r.done {
@@ -227,8 +227,8 @@
 	}
 }
 
-// learnFromLeader updates the averages and the customer's estimates by what a lease response reports beside
-// its decision.
+// learnFromLeader updates the averages and the customer's estimates from the values that a lease response
+// reports besides its decision.
 func (g *Gateway) learnFromLeader(r *request, m leaseResponse) {
 	if !r.lease.queuedAtLeader {
 		g.leases.recordResponseTime(g.now - r.lease.requestedAt)
@@ -243,8 +243,8 @@
 	c.lastExchangeTick = g.tick.count + 1
 }
 
-// returnLease notifies the leader that a granted lease has ended. A lease that was used is returned only
-// where attempts in flight are capped; otherwise it expires at the leader.
+// returnLease notifies the leader that a granted lease has ended. A lease that was used is returned only if
+// the customer's attempts in flight are capped; otherwise it expires at the leader.
 func (g *Gateway) returnLease(r *request) {
 	unused := !r.charged
 	isCapped := r.customer.plan.MaxInFlight > 0
--- a/policy/lease_grant.go
+++ b/policy/lease_grant.go
@@ -7,8 +7,8 @@
 
 // A leader treats a lease request like a request of its own: it grants, queues or rejects it.
 
-// leaseValidityFactor is the time after which a lease that is not returned expires, in latency objectives
-// of the request's class.
+// leaseValidityFactor is the time after which a lease that is not returned expires, as a multiple of the
+// latency objective of the request's class.
 const leaseValidityFactor = 1.0
 
 // lease is a lease that this gateway has granted.
@@ -29,8 +29,8 @@
 		plan := g.plans[g.settings.Plans[m.Plan].Name]
 		c = g.addCustomer(m.Customer, plan, int(m.FirstGateway), int(m.GatewaySpread))
 	}
-	// A standby leader that receives no reports of the leader uses the fill that the leader reported to the
-	// requester.
+	// A standby leader that receives no reports from the leader uses the fill that the leader last reported
+	// to the requester.
 	if m.Fill != unknownFill && (isNew || !c.keepsBuckets()) {
 		c.tokens = min(c.tokens, decodeFill(m.Fill, c.plan.Burst))
 	}
@@ -44,8 +44,8 @@
 	g.admit(g.newRemoteRequest(c, from, m))
 }
 
-// repeatLeaseResponse reports whether a lease was requested before. If it was granted, the response is
-// sent again: the first one may have been lost.
+// repeatLeaseResponse reports whether the lease has been requested before, and is granted or queued. If it is
+// granted, the response is sent again, since the first one may have been lost.
 func (g *Gateway) repeatLeaseResponse(c *customer, key leaseKey) bool {
 	if granted, ok := c.leases[key]; ok {
 		g.sendLeaseResponse(granted.request, leaseGranted)
@@ -55,7 +55,7 @@
 	return slices.ContainsFunc(c.queued, isSame)
 }
 
-// grantLease charges a remote request and notifies its gateway.
+// grantLease charges a remote request and sends the grant to its gateway.
 func (g *Gateway) grantLease(r *request) {
 	c := r.customer
 	c.charge(r)
@@ -78,7 +78,7 @@
 	g.emit(SendPeerMessage{To: r.lease.key.gateway, Data: m.encode()})
 }
 
-// admissibleShare is the share of the demand that the rate quota admits, while the bucket is low.
+// admissibleShare returns the share of the demand that the rate quota admits: 1 unless the bucket is low.
 func (c *customer) admissibleShare() float64 {
 	if c.tokens >= firstAttemptReserve*c.plan.Burst {
 		return 1
@@ -86,7 +86,8 @@
 	return min(1, c.plan.Rate*demandWindow.Seconds()/max(c.demand, 1))
 }
 
-// fillByte is the fill of the bucket as lease messages carry it. Without a rate quota it means nothing.
+// fillByte returns the fill of the bucket, encoded for lease messages. It has no meaning without a rate
+// quota.
 func (c *customer) fillByte() byte {
 	if c.plan.Burst == 0 {
 		return encodeFill(c.tokens, 1)
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -3,34 +3,34 @@
 import "time"
 
 const (
-	// reportRepeats is the number of reports that carry a change. It is above 1 since reports may be lost.
+	// reportRepeats is the number of reports that include a change. It is above 1 since reports may be lost.
 	reportRepeats = 3
 
 	// leaderReportTicks is the number of ticks between the reports of a customer's leaders to each other.
 	leaderReportTicks = 2
 
-	// maxReportedAdvance is the number of units by which a running total changes from one report to the next
-	// at most. Reports may be lost, and a receiver takes 32,768 units or more for a negative change.
+	// maxReportedAdvance is the maximum number of units by which a running total changes from one report to
+	// the next. Reports may be lost, and a receiver reads an increase of 32,768 units or more as a decrease.
 	maxReportedAdvance = 8192
 
 	// priorityPerUnreportedTick is added to the priority of a customer for each tick without a report, so
-	// that no customer starves.
+	// that every customer is reported eventually.
 	priorityPerUnreportedTick = 0.01
 )
 
-// peerState is the last report of one other gateway.
+// peerState holds the last report of one other gateway.
 type peerState struct {
 	index            int
 	hasReport        bool
 	incarnation      uint32
 	sequence         uint32
 	reportedAt       time.Duration
-	complete         bool // the report held all customers with changes
+	complete         bool // the report included all customers with changes
 	inFlightByServer map[uint16]float64
 	customerViews    []*peerView
 }
 
-// peerView is the last report of one other gateway on one customer.
+// peerView holds the last report of one other gateway on one customer.
 type peerView struct {
 	peer          *peerState
 	hasReport     bool
@@ -48,7 +48,7 @@
 	ranking  ranking
 }
 
-// peerAt returns the state of a gateway, which it creates if there is none.
+// peerAt returns the state of a gateway, and creates it if there is none.
 func (g *Gateway) peerAt(index int) *peerState {
 	if g.peers[index] == nil {
 		g.peers[index] = &peerState{index: index}
@@ -81,7 +81,7 @@
 	}
 }
 
-// viewOf finds the view of a peer, or nil.
+// viewOf returns the view of a peer, or nil if there is none.
 func viewOf(views []*peerView, p *peerState) *peerView {
 	for _, view := range views {
 		if view.peer == p {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// reportIsDue reports whether load reports go out at the current tick.
+// reportIsDue reports whether load reports are sent at the current tick.
 func (g *Gateway) reportIsDue() bool {
 	if !g.settings.CanMessagePeers {
 		return false
@@ -99,7 +99,7 @@
 	return !g.size.leaderMode || g.tick.count%leaderReportTicks == 0
 }
 
-// sendLoadReports sends a report to each peer, in leader mode only to those for which it holds a customer.
+// sendLoadReports sends a report to each peer, in leader mode only if the report includes a customer.
 func (g *Gateway) sendLoadReports() {
 	g.reporter.sequence++
 	ranked := g.rankCustomers()
@@ -138,23 +138,23 @@
 	return ranked
 }
 
-// hasChanges reports whether the customer must be reported to peers. One that shares its hash with another
-// is not: the two would be taken for one.
+// hasChanges reports whether the customer must be reported to peers. A customer whose hash collides with that
+// of another is not reported, since receivers could not distinguish the two.
 func (c *customer) hasChanges() bool {
-	hasNews := c.isBusy() || c.pendingReports > 0 || c.hasUncountedUnits()
-	return len(c.peerViews) > 0 && !c.hashCollides && hasNews
+	hasUpdates := c.isBusy() || c.pendingReports > 0 || c.hasUncountedUnits()
+	return len(c.peerViews) > 0 && !c.hashCollides && hasUpdates
 }
 
-// reportPriority ranks a customer in reports: queued requests and units not reported yet, as a share of
-// the bucket, and then the time since the last report.
+// reportPriority returns the priority of a customer in reports: the number of queued requests, plus the
+// unreported units as a share of the bucket, plus a small amount for each tick since the last report.
 func (g *Gateway) reportPriority(c *customer) float64 {
 	unreported := float64(c.admittedUnits-c.reportedUnits) / (c.plan.Burst + 1)
 	waited := float64(g.tick.count - c.lastExchangeTick)
 	return float64(len(c.queued)) + unreported + priorityPerUnreportedTick*waited
 }
 
-// newLoadReport makes the report for one peer: the servers at which this gateway has attempts in flight, then
-// the customers whose buckets both gateways keep, by priority, as many as fit.
+// newLoadReport builds the report for one peer: the servers at which this gateway has attempts in flight,
+// then the customers whose buckets both gateways keep, by priority, as many as fit.
 func (g *Gateway) newLoadReport(p *peerState, ranked *ranking) loadReport {
 	m := loadReport{
 		incarnation: g.incarnation,
@@ -180,7 +180,7 @@
 	}
 }
 
-// reportedServers lists the attempts in flight at servers. Reports of leaders have none.
+// reportedServers lists the attempts in flight at servers. Reports in leader mode have none.
 func (g *Gateway) reportedServers() (list []reportedServer) {
 	if g.size.leaderMode {
 		return nil
@@ -194,7 +194,7 @@
 	return list
 }
 
-// reported is the part of a report on a customer.
+// reported returns the part of a report on a customer.
 func (c *customer) reported() reportedCustomer {
 	m := reportedCustomer{
 		hash:          c.reportHash,
@@ -210,7 +210,7 @@
 	return m
 }
 
-// handleLoadReport applies a peer's report, unless a later one has arrived before.
+// handleLoadReport applies a peer's report, unless a later one has already arrived.
 func (g *Gateway) handleLoadReport(p *peerState, m loadReport) {
 	if p == nil {
 		return
@@ -242,9 +242,9 @@
 	}
 }
 
-// mergePeerLoad applies a peer's report on a customer. It takes the units that the peer has admitted since
-// its last report from the bucket. Since they are the difference of two running totals, lost reports do no
-// harm; the total of a peer that has restarted begins at 0.
+// mergePeerLoad applies a peer's report on a customer. It removes from the bucket the units that the peer
+// has admitted since its last report. They are the difference of two running totals, so that units in lost
+// reports are included in the next one; the total of a peer that has restarted begins at 0.
 func (g *Gateway) mergePeerLoad(c *customer, p *peerState, reported reportedCustomer) {
 	view := viewOf(c.peerViews, p)
 	if view == nil {
@@ -259,7 +259,8 @@
 		if view.incarnation != p.incarnation {
 			view.admittedUnits = 0
 		}
-		admitted := float64(int16(reported.admittedUnits - view.admittedUnits)) // below 0 after settlements
+		// Below 0 if actual costs were lower than the charged units.
+		admitted := float64(int16(reported.admittedUnits - view.admittedUnits))
 		c.tokens = min(c.plan.Burst, max(0, c.tokens-admitted))
 	}
 	view.hasReport = true
@@ -274,7 +275,7 @@
 // sumPeerLoads sums the peers' attempts in flight at each server.
 func (g *Gateway) sumPeerLoads() {
 	if g.size.leaderMode {
-		return // reports of leaders name no servers
+		return // reports in leader mode list no servers
 	}
 	for _, s := range g.endpoints.list {
 		s.peersInFlight = 0
--- a/policy/load_report_message.go
+++ b/policy/load_report_message.go
@@ -5,25 +5,25 @@
 	"math"
 )
 
-// loadReport is what a gateway reports to a peer once a tick. On the wire: version, incarnation, sequence
-// number, flags, number of servers, servers, customers.
+// loadReport is the periodic message of a gateway to a peer. Its order on the wire: version, incarnation,
+// sequence number, flags, number of servers, servers, customers.
 type loadReport struct {
 	incarnation uint32 // drawn anew at each start of the sender
 	sequence    uint32
-	complete    bool // customers that are not named have nothing in flight and nothing queued
+	complete    bool // customers that are not listed have nothing in flight and nothing queued
 	servers     []reportedServer
 	customers   []reportedCustomer
 }
 
 // reportedServer is the number of the sender's attempts in flight at a server.
 type reportedServer struct {
-	hash     uint16 // of serverHashBits
+	hash     uint16 // serverHash of the server's ID, of serverHashBits bits
 	inFlight byte   // up to maxReportedInFlight
 }
 
 // reportedCustomer is the part of a report on one customer.
 type reportedCustomer struct {
-	hash          uint32 // of 24 bits
+	hash          uint32 // customerReportHash, of 24 bits
 	inFlight      byte   // mean over the tick, encoded by encodeInFlight
 	queued        byte   // up to maxReportedQueued
 	admittedUnits uint16 // running total, wraps around
@@ -38,21 +38,24 @@
 	reportedServerBytes   = 2
 	reportedCustomerBytes = 8
 
-	// maxReportedServers leaves space for customers in a report.
+	// maxReportedServers is the maximum number of servers in a report. It leaves space for customers.
 	maxReportedServers = 36
 
-	// serverHashBits and the 5 bits of maxReportedInFlight make up 16 bits.
+	// serverHashBits is the size of a server's hash, which shares 16 bits with the 5 bits of
+	// maxReportedInFlight.
 	serverHashBits      = 11
 	maxReportedInFlight = 31
 
-	// maxReportedQueued shares a byte with the attempts in flight.
+	// maxReportedQueued is the maximum number of queued requests in a report. Its 4 bits share a byte with
+	// the customer's attempts in flight.
 	maxReportedQueued = 15
 
 	// maxReportedDemand is the largest encoded demand. The highest bit is reserved.
 	maxReportedDemand = 0x7f
 
-	// inFlightScale times the square root of the attempts in flight is reported, up to maxEncodedInFlight
-	// (about 14 attempts): a quantization that is finer for small numbers than for large ones.
+	// inFlightScale times the square root of the attempts in flight is the reported value, up to
+	// maxEncodedInFlight (about 14 attempts): this quantization is finer for small numbers than for large
+	// ones.
 	inFlightScale      = 4
 	maxEncodedInFlight = 15
 
@@ -101,7 +104,7 @@
 	return b
 }
 
-// decodeLoadReport reads a report. It is not ok for one that is truncated or malformed.
+// decodeLoadReport reads a report. It returns false for a report that is truncated or malformed.
 func decodeLoadReport(b []byte) (m loadReport, ok bool) {
 	if len(b) < reportHeaderBytes || len(b) > maxMessageBytes || b[0] != loadReportVersion {
 		return m, false
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Thresholds of overload, which is the mean latency over its objective.
+// Thresholds of overload, which is the mean ratio of latency to latency objective.
 const (
 	// overloadThreshold is the overload above which load is shed.
 	overloadThreshold = 0.4
 
 	// leaderModeOverloadThreshold replaces overloadThreshold in leader mode, where gateways do not know the
-	// load at servers and must respond earlier.
+	// load at servers and must shed load earlier.
 	leaderModeOverloadThreshold = 0.25
 
-	// idleOverloadFactor raises the threshold of leader mode to this multiple of the idle overload, for
-	// objectives near the latencies of idle servers.
+	// idleOverloadFactor times the idle overload is the lowest threshold in leader mode, for objectives that
+	// are near the latencies of idle servers.
 	idleOverloadFactor = 1.8
 
-	// minIdleOutcomes is the number of results of each class from which on the idle overload is computed.
+	// minIdleOutcomes is the number of results that each class must have before the idle overload is
+	// computed.
 	minIdleOutcomes = 20
 )
 
@@ -30,7 +31,7 @@
 	// admitRecoveryTime is the time in which the admit probability rises from 0 to 1 after overload.
 	admitRecoveryTime = 8 * time.Second
 
-	// minAdmitProbability is the least admit probability: without results a recovery could not be detected.
+	// minAdmitProbability is the lowest admit probability: without results a recovery could not be detected.
 	minAdmitProbability = 0.25
 
 	// overloadDecayTime is the time constant with which overload decays without results.
@@ -41,17 +42,17 @@
 )
 
 // loadShedder sets the share of requests that are admitted. It responds to load that quotas and load
-// reports do not bound: of gateways whose reports are lost, or at servers that have become slow.
+// reports do not bound: load from gateways whose reports are lost, or at servers that have become slow.
 type loadShedder struct {
 	admitProbability float64
-	overload         float64 // average of latency over objective, each at most 1
-	idleOverload     float64 // lowest mean over classes of idle latency over objective so far; 0: unknown
+	overload         float64 // average ratio of latency to objective, each at most 1
+	idleOverload     float64 // lowest mean so far, over classes, of idle latency to objective; 0: unknown
 }
 
 // observe takes one sample of overload, from 0 to 1.
 func (s *loadShedder) observe(sample float64) { s.overload += overloadWeight * (sample - s.overload) }
 
-// observeIdle takes one sample of the mean over classes of idle latency over objective.
+// observeIdle takes one sample of the mean, over classes, of the ratio of idle latency to objective.
 func (s *loadShedder) observeIdle(ratio float64) {
 	s.idleOverload = min(ratio, cmp.Or(s.idleOverload, ratio))
 }
@@ -82,8 +83,8 @@
 	g.shedder.update(elapsed, g.size.leaderMode)
 }
 
-// idleOverload is the mean over all classes of idle latency over objective, known once each class has had
-// enough results.
+// idleOverload returns the mean, over all classes, of the ratio of idle latency to objective. It is known
+// once each class has had enough results.
 func (g *Gateway) idleOverload() (ratio float64, known bool) {
 	for _, class := range g.settings.Classes {
 		c := g.classes[class.Name]
