--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -10,44 +10,46 @@
 	// stallFactor is the age, in predicted latencies, at which an attempt counts as stalled.
 	stallFactor = 4.0
 
-	// minStallShare bounds that age from below, as a share of the latency objective before stallFactor.
+	// minStallShare is the lower bound of the predicted latency that stallFactor multiplies, as a share of
+	// the latency objective.
 	minStallShare = 0.1
 )
 
 // Ejection and probes.
 const (
-	// failureWeight is the weight of one failed attempt in a failure rate.
+	// failureWeight is the weight of one result in a failure rate.
 	failureWeight = 0.2
 
-	// ejectionThreshold is the failure rate above which a server is ejected for a class. An ejected one
-	// returns below half of it.
+	// ejectionThreshold is the failure rate above which a server is ejected for a class. An ejected
+	// server is used again once the rate is at most half of it.
 	ejectionThreshold = 0.45
 
-	// probeSuccessFactor is what a successful probe leaves of the failure rate.
+	// probeSuccessFactor is the factor by which a successful probe reduces the failure rate further.
 	probeSuccessFactor = 0.6
 
-	// probeIntervalStep is the first interval between probes, and what doubling adds to it each time.
+	// probeIntervalStep is the first interval between probes. Each later interval is twice the previous one
+	// plus this step.
 	probeIntervalStep = time.Second
 
 	// maxProbeInterval bounds the interval between probes.
 	maxProbeInterval = 8 * time.Second
 
-	// statisticsDecayTime is the time over which failure rates and latency ratios decay towards 0 and 1: a
-	// server that gets no attempts gives no results to learn from.
+	// statisticsDecayTime is the time over which failure rates and latency ratios decay towards 0 and 1,
+	// since a server that gets no attempts yields no results that could update them.
 	statisticsDecayTime = 10 * time.Second
 )
 
 // classHealth is the state of failure detection for one server and class.
 type classHealth struct {
-	failureRate   float64       // weighted average, at the monitor
-	lastSuccessAt time.Duration // of an attempt of this gateway; 0: none
+	failureRate   float64       // weighted average, known at the monitors only
+	lastSuccessAt time.Duration // last success of an attempt of this gateway; 0: none
 	ejected       bool          // until ejectedUntil
 	ejectedUntil  time.Duration
-	probeInterval time.Duration // since the last probe; 0: none so far
+	probeInterval time.Duration // time from the last probe to the next; 0: none since the last success
 	nextProbeAt   time.Duration
 }
 
-// healthFor returns the health of a server for a class, or nil for a class that is not in the settings.
+// healthFor returns the server's health for a class, or nil for a class that is not in the settings.
 func (s *server) healthFor(class *requestClass) *classHealth {
 	if class.index >= len(s.health) || class.Name == "" {
 		return nil
@@ -55,7 +57,7 @@
 	return &s.health[class.index]
 }
 
-// isEjected reports whether the server gets no attempts of the class but probes. It is false for nil.
+// isEjected reports whether the server gets no attempts of the class except probes. It is false for nil.
 func (h *classHealth) isEjected(now time.Duration) bool {
 	return h != nil && h.ejected && now < h.ejectedUntil
 }
@@ -76,14 +78,14 @@
 
 func (h *classHealth) recordFailure(weight float64) { h.failureRate += weight * (1 - h.failureRate) }
 
-// mayProbe reports whether an ejected server is due for a probe with this request. Only the first monitor
-// probes, and only with the first attempt of a request that may be retried elsewhere.
+// mayProbe reports whether an ejected server is due for a probe and this request may be the probe. Only
+// the first monitor probes, and only with the first attempt of a request that may be retried elsewhere.
 func (g *Gateway) mayProbe(s *server, h *classHealth, r *request) bool {
 	isDue := s.monitors[0] == g.settings.SelfIndex && g.now >= h.nextProbeAt
 	return isDue && r.attempts == 0 && r.class.Idempotency != NonIdempotent
 }
 
-// decayStatistics moves the failure rates of a server towards 0 and its latency ratio towards 1.
+// decayStatistics decays the failure rates of a server towards 0 and its latency ratio towards 1.
 func (s *server) decayStatistics(elapsed time.Duration) {
 	part := min(1, elapsed.Seconds()/statisticsDecayTime.Seconds())
 	s.latencyRatio += (1 - s.latencyRatio) * part
@@ -94,7 +96,7 @@
 }
 
 // detectStalledAttempts counts attempts that take far longer than predicted as failed, and cancels those
-// that may be retried elsewhere. So a server that accepts requests and answers none is ejected as well.
+// that may be retried elsewhere. A server that accepts requests and never responds is thus ejected as well.
 func (g *Gateway) detectStalledAttempts(s *server) {
 	for _, r := range slices.Clone(s.attempts) {
 		if !g.isStalled(s, r) {
@@ -114,29 +116,29 @@
 	}
 	sentAt := r.current.sentAt
 	if h := s.healthFor(r.class); h != nil && h.lastSuccessAt > sentAt {
-		return false // the server has answered since
+		return false // the server has responded since then
 	}
 	expected := max(g.predictedLatency(s, r.class), minStallShare*r.class.LatencyObjective.Seconds())
 	return (g.now-sentAt).Seconds()/expected >= stallFactor
 }
 
-// mayCancel reports whether a stalled attempt is cancelled: only where another one may follow it.
+// mayCancel reports whether a stalled attempt is cancelled: only if another attempt may follow it.
 func (g *Gateway) mayCancel(r *request) bool {
 	mayFollow := r.class.Idempotency == Idempotent && !g.attemptsExhausted(r)
 	return g.settings.CanCancel && mayFollow && g.retryBudget >= 1
 }
 
-// recordFailure takes a failure into the health for all classes.
+// recordFailure counts a failure for all classes.
 func (s *server) recordFailure(weight float64) {
 	for i := range s.health {
 		s.health[i].recordFailure(weight)
 	}
 }
 
-// maxClasses is the number of classes that messages can name.
+// maxClasses is the maximum number of classes, which messages name by one byte.
 const maxClasses = 256
 
-// classSetBytes is the size of a classSet, of eight classes a byte.
+// classSetBytes is the size of a classSet in bytes, at eight classes a byte.
 const classSetBytes = maxClasses / 8
 
 // classSet has a bit for each class of the settings.
@@ -146,7 +148,7 @@
 
 func (s *classSet) contains(class int) bool { return s[class/8]>>(class%8)&1 == 1 }
 
-// ejectedClasses are the classes for which the server is reported as ejected.
+// ejectedClasses returns the classes for which the server is reported as ejected.
 func (s *server) ejectedClasses() (classes classSet) {
 	for i := range s.health {
 		if s.health[i].ejected {
@@ -156,7 +158,7 @@
 	return classes
 }
 
-// lastEjectedUntil is when the last report that ejected the server expires; 0 when it is not ejected.
+// lastEjectedUntil returns when the last report that ejected the server expires, or 0 if it is not ejected.
 func (s *server) lastEjectedUntil() (until time.Duration) {
 	for i := range s.health {
 		if s.health[i].ejected {
@@ -166,8 +168,8 @@
 	return until
 }
 
-// classesToEject are the classes for which the server should be ejected. The second monitor does not end an
-// ejection.
+// classesToEject returns the classes for which the server should be ejected. The second monitor does not
+// end an ejection.
 func (s *server) classesToEject(isFirstMonitor bool) (classes classSet) {
 	for i := range s.health {
 		h := &s.health[i]
--- a/policy/outlier_monitor.go
+++ b/policy/outlier_monitor.go
@@ -12,27 +12,26 @@
 	// monitorLearningWeight is the weight of one result in the latency ratio that a monitor observes.
 	monitorLearningWeight = 0.025
 
-	// latencyRatioStep is the factor by which a latency ratio must change to be reported.
+	// latencyRatioStep is the factor by which a latency ratio must change before it is reported again.
 	latencyRatioStep = 1.7
 
-	// outlierReportShare is the share of the messages that a gateway can receive which outlier reports may
-	// use.
+	// outlierReportShare is the share of Settings.PeerMessagesPerSecond that outlier reports may use.
 	outlierReportShare = 0.1
 
 	// maxReportBudget is the largest number of outlier reports that a monitor may send on one server in a
 	// burst.
 	maxReportBudget = 2.0
 
-	// outlierReportTTL is how long an ejection lasts when its report is not repeated.
+	// outlierReportTTL is how long an ejection lasts if its report is not repeated.
 	outlierReportTTL = 8 * time.Second
 
-	// outlierReportRenewal is the time left of an ejection below which its report is repeated.
+	// outlierReportRenewal is the remaining time of an ejection below which its report is repeated.
 	outlierReportRenewal = outlierReportTTL / 4
 )
 
-// monitorsOf returns the first and the second monitor of a server. In leader mode they judge it for all
-// gateways, since each gateway alone has too few results of it; in full mesh each gateway is its own monitor.
-// The second monitor steps in when the first is lost together with the server, and is notified only of
+// monitorsOf returns the first and the second monitor of a server. In leader mode they decide on ejections
+// for all gateways, since each gateway alone has too few results; in full mesh each gateway is its own
+// monitor. The second monitor takes over if the first fails together with the server, and is notified only of
 // attempts that could not connect.
 func (g *Gateway) monitorsOf(serverHash uint32) [2]int {
 	if !g.size.leaderMode {
@@ -42,7 +41,7 @@
 	return [2]int{int(serverHash % n), int((serverHash + 1) % n)}
 }
 
-// reportOutcome notifies the monitors of a server about the result of an attempt.
+// reportOutcome notifies the monitors of a server of the result of an attempt.
 func (g *Gateway) reportOutcome(s *server, class *requestClass, code ResultCode, latency time.Duration) {
 	if class.Name == "" {
 		return // not in the settings
@@ -66,7 +65,7 @@
 	}
 }
 
-// handleOutcomeReport takes another gateway's result, if this gateway is a monitor of the server.
+// handleOutcomeReport applies another gateway's result, if this gateway is a monitor of the server.
 func (g *Gateway) handleOutcomeReport(m outcomeReport) {
 	s := g.endpoints.byID[ServerID(m.Server)]
 	if s == nil || !slices.Contains(s.monitors[:], g.settings.SelfIndex) || int(m.Class) >= len(s.health) {
@@ -76,7 +75,8 @@
 	g.observeOutcome(s, int(m.Class), ResultCode(m.Code), latency)
 }
 
-// observeOutcome updates the failure rates and the observed latency ratio of a monitored server by a result.
+// observeOutcome updates the failure rates and the observed latency ratio of a monitored server from a
+// result.
 func (g *Gateway) observeOutcome(s *server, class int, code ResultCode, latency time.Duration) {
 	h := &s.health[class]
 	idleLatency := g.classes[g.settings.Classes[class].Name].idleLatency
@@ -85,11 +85,11 @@
 	case OK:
 		h.recordSuccess()
 	case Rejected:
-		ratio = maxLatencyRatio // so that the server gets few more requests
+		ratio = maxLatencyRatio // so that the server gets fewer requests
 	case ConnectFailed:
 		s.recordFailure(2 * failureWeight)
 	default:
-		s.recordFailure(failureWeight / 2) // the server may fail other classes, too
+		s.recordFailure(failureWeight / 2) // the server may fail for other classes, too
 		h.recordFailure(failureWeight / 2)
 		ratio = max(ratio, s.observedRatio)
 	}
@@ -98,8 +98,8 @@
 }
 
 // publishOutlierReport sends an outlier report on a server that this gateway monitors, if one is due and the
-// report budget permits it. Each report goes to every gateway, so all monitors together keep to a share of
-// the messages that a gateway can receive.
+// report budget permits it. Each report is sent to every gateway, so the budget bounds the reports of all
+// monitors together to outlierReportShare.
 func (g *Gateway) publishOutlierReport(s *server) {
 	g.refillReportBudget(s)
 	if !g.isFirstMonitor(s) || !g.size.leaderMode {
@@ -164,8 +164,8 @@
 	s.latencyRatio = decodeLatencyRatio(m.LatencyRatio)
 }
 
-// Outlier reports carry a latency ratio as latencyRatioSteps steps for each doubling, from 2 to the power
-// of -latencyRatioOffset upwards.
+// Outlier reports encode a latency ratio on a logarithmic scale of latencyRatioSteps steps for each doubling,
+// which begins at 2 to the power of -latencyRatioOffset.
 const (
 	latencyRatioSteps  = 16
 	latencyRatioOffset = 4
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -16,16 +16,16 @@
 }
 
 const (
-	// maxMessageBytes is the largest message that SendPeerMessage takes.
+	// maxMessageBytes is the maximum size of a message in SendPeerMessage.
 	maxMessageBytes = 256
 
-	// shortMessageVersion is the first byte of every message but load reports; a messageKind follows.
+	// shortMessageVersion is the first byte of every message except load reports; a messageKind follows.
 	shortMessageVersion = 3
 
-	// shortMessageHeaderBytes is the size of version and kind.
+	// shortMessageHeaderBytes is the size of the version and the kind.
 	shortMessageHeaderBytes = 2
 
-	// shortMessageCapacity holds any short message.
+	// shortMessageCapacity is a buffer size in bytes that holds any short message.
 	shortMessageCapacity = 48
 )
 
@@ -40,7 +40,7 @@
 	kindOutlierReport
 )
 
-// shortMessageLengths are the lengths of short messages, by kind, without their header.
+// shortMessageLengths are the lengths in bytes of short messages, by kind, without their header.
 var shortMessageLengths = [...]int{
 	kindLeaseRequest:  8 + 2 + 2 + 1 + 1 + 2 + 2 + 4 + 1 + 1 + 1,
 	kindLeaseResponse: 4 + 1 + 1 + 1 + 1,
@@ -82,11 +82,11 @@
 	reasonShift = 2
 )
 
-// leaseReturn notifies the leader that a lease is over.
+// leaseReturn notifies the leader that a lease has ended.
 type leaseReturn struct {
 	Customer uint64 // customerKey
 	Tag      uint32
-	Unused   bool // no attempt was made: the units are to be given back
+	Unused   bool // no attempt was made: the leader refunds the units
 }
 
 // outcomeReport notifies a server's monitor of the result of an attempt.
@@ -97,14 +97,14 @@
 	LatencyMS uint16
 }
 
-// outlierReport notifies all gateways of what the monitor of a server has found.
+// outlierReport notifies all gateways of the health of a server according to its monitor.
 type outlierReport struct {
 	Server         uint32
 	EjectedClasses byte // a bit for each of the first eight classes of the settings
 	LatencyRatio   byte // encoded by encodeLatencyRatio
 
-	// FurtherClasses has a bit for each further class, in bytes of eight, without zeros at the end. Gateways
-	// of older builds drop reports that have any.
+	// FurtherClasses has a bit for each further class, eight to a byte, without zero bytes at the end.
+	// Gateways of older builds drop reports in which it is not empty.
 	FurtherClasses []byte
 }
 
@@ -153,7 +153,7 @@
 	return append(b, shortMessageVersion, byte(kind))
 }
 
-// decode reads a message. It returns nil for one that is truncated or malformed.
+// decode reads a message. It returns nil for a message that is truncated or malformed.
 func decode(b []byte) peerMessage {
 	if len(b) < shortMessageHeaderBytes || b[0] != shortMessageVersion {
 		if m, ok := decodeLoadReport(b); ok {
@@ -169,13 +169,13 @@
 	return decodeShortMessage(kind, b)
 }
 
-// hasValidLength reports whether a short message of a kind may have a length, without its header.
+// hasValidLength reports whether a short message of a kind may have a length in bytes, without its header.
 func hasValidLength(kind messageKind, length int) bool {
 	further := length - shortMessageLengths[kind]
 	return further == 0 || kind == kindOutlierReport && further > 0 && further < classSetBytes
 }
 
-// decodeShortMessage reads the fields of a short message of the right length.
+// decodeShortMessage reads the fields of a short message, whose length must be valid.
 func decodeShortMessage(kind messageKind, b []byte) peerMessage {
 	number := binary.BigEndian
 	switch kind {
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// handlePeerMessage takes a message of another gateway. Malformed ones are dropped.
+// handlePeerMessage handles a message from another gateway. Malformed messages are dropped.
 func (g *Gateway) handlePeerMessage(ev PeerMessage) {
 	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.settings.SelfIndex {
 		return
@@ -242,32 +242,33 @@
 	// maxLeaseUnits is the largest number of units of a lease request.
 	maxLeaseUnits = math.MaxUint16
 
-	// excessScale is the number of steps in a unit. The steps share a byte with ClientRetry.
+	// excessScale is the number of steps in a unit. The steps share a byte with ClientRetry, which is the
+	// lowest bit; excessShift is their position.
 	excessScale = 128
 	excessShift = 1
 )
 
-// encodeUnits encodes units, up to maxLeaseUnits, as whole units rounded up, and how much these are too many
-// in steps of 1/excessScale, rounded down. Gateways of older builds read the whole units alone, and take a
-// request with an excess for a client's retry: they grant less. They send 0 whole units for less than one
-// unit; no other request has 0.
+// encodeUnits encodes units, up to maxLeaseUnits, as whole units rounded up, and the excess of these over
+// the units in steps of 1/excessScale, rounded down. Gateways of older builds read only the whole units,
+// and treat a request with an excess as a client's retry, so that they grant less. They send 0 whole units
+// for less than one unit; no other request has 0.
 func encodeUnits(units float64) (whole uint16, excess byte) {
 	up := max(1, math.Ceil(units))
 	steps := math.Floor((up - units) * excessScale)
 	return uint16(min(up, maxLeaseUnits)), byte(min(steps, excessScale-1))
 }
 
-// decodeUnits returns the encoded units, at most 1/excessScale above those that encodeUnits was given.
+// decodeUnits returns the units, at most 1/excessScale more than those passed to encodeUnits.
 func decodeUnits(whole uint16, excess byte) float64 {
 	return max(1, float64(whole)) - float64(excess)/excessScale
 }
 
-// Scales of one-byte figures.
+// Scales of one-byte values.
 const (
 	// wholeShare is the byte that stands for a share of 1.
 	wholeShare = 250
 
-	// unknownFill is the byte of a fill that the sender does not know.
+	// unknownFill is the byte that stands for a fill that the sender does not know.
 	unknownFill = 255
 
 	// overloadScale is the byte that stands for an overload of 1.
@@ -286,7 +287,7 @@
 // decodeFill returns the tokens, in units, of a bucket of a capacity. The byte must not be unknownFill.
 func decodeFill(b byte, capacity float64) float64 { return decodeShare(b) * capacity }
 
-// saturatingByte rounds to the nearest whole number, up to 255. The value must not be below 0.
+// saturatingByte rounds to the nearest whole number, at most 255. The value must not be below 0.
 func saturatingByte(value float64) byte { return byte(min(math.Round(value), math.MaxUint8)) }
 
 func boolByte(v bool) byte {
@@ -296,7 +297,7 @@
 	return 0
 }
 
-// milliseconds is a time in whole milliseconds, at most what 16 bits hold (about 65 s).
+// milliseconds returns a time in whole milliseconds, at most the largest 16-bit number (about 65 s).
 func milliseconds(d time.Duration) uint16 {
 	return uint16(min(max(0, d.Milliseconds()), math.MaxUint16))
 }
--- a/policy/quota_leader.go
+++ b/policy/quota_leader.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// leaderMessageShare is the share of the messages that a gateway can receive which may belong to one
-	// customer that it leads.
+	// leaderMessageShare is the share of Settings.PeerMessagesPerSecond that the lease messages of one
+	// customer may use at each of its leaders.
 	leaderMessageShare = 0.5
 
 	// leaderPeakFactor is the rate of lease requests that leaders must be able to receive, as a multiple of
-	// the rate within the quota.
+	// the rate that the quota admits.
 	leaderPeakFactor = 2.0
 
 	// standbyCeilingShare is the share of a hard ceiling that the standby leader holds.
@@ -34,12 +34,12 @@
 	c.ceilingDivisor = g.ceilingDivisor(c)
 }
 
-// spreadIn is the number of gateways through which the customer comes in, in a fleet of a size.
+// spreadIn returns the number of gateways that receive the customer's requests in a fleet of a size.
 func (c *customer) spreadIn(size fleetSize) int { return max(1, min(c.requestedSpread, size.gateways)) }
 
-// quotaLeaders names the gateways that keep a customer's buckets in a fleet of a size: as few as can
-// receive the lease requests of the others, or all where load reports go in full mesh. The standby leader
-// steps in for a leader that does not answer.
+// quotaLeaders returns the gateways that keep a customer's buckets in a fleet of a size: as few as can
+// receive the lease requests of the others, or in full mesh all that receive the customer's requests. The
+// standby leader replaces a leader that does not respond.
 func (g *Gateway) quotaLeaders(c *customer, size fleetSize) (leaders []int, standby int) {
 	spread := c.spreadIn(size)
 	count := spread
@@ -55,7 +55,7 @@
 	return leaders, gateway(count)
 }
 
-// leadersNeeded is the number of leaders that can receive the lease requests for a customer.
+// leadersNeeded returns the number of leaders that can together receive the lease messages for a customer.
 func (g *Gateway) leadersNeeded(c *customer) int {
 	units := leaderPeakFactor * c.plan.leasedRate()
 	if c.plan.MaxInFlight > 0 {
@@ -66,8 +66,8 @@
 	return max(1, int(math.Ceil(messages/perLeader)))
 }
 
-// ceilingDivisor is one over the share of a customer's ceiling that this gateway may use now: while the fleet
-// is resized, the smaller of its shares in the old and in the new fleet.
+// ceilingDivisor returns the reciprocal of the share of a customer's ceiling that this gateway may use now:
+// while the fleet is resized, of the smaller of its shares in the old and in the new fleet.
 func (g *Gateway) ceilingDivisor(c *customer) float64 {
 	divisor := g.ceilingDivisorIn(c, g.size)
 	if g.previousSize.isSet() {
@@ -76,10 +76,10 @@
 	return divisor
 }
 
-// ceilingDivisorIn is one over the share of a customer's ceiling that this gateway holds in a fleet of a
-// size. It is infinite where it holds none: only the customer's leaders and, in leader mode, the standby
-// leader admit requests under the ceiling. Other gateways may have clients all the same: those outside the
-// customer's own gateways, and those that have left the fleet and still run.
+// ceilingDivisorIn returns the reciprocal of the share of a customer's ceiling that this gateway holds in
+// a fleet of a size. It is infinite if this gateway holds none: only the customer's leaders and, in leader
+// mode, the standby leader admit requests under the ceiling. Other gateways may receive requests of the
+// customer as well: those outside its GatewaySpread, and those that have left the fleet and still run.
 func (g *Gateway) ceilingDivisorIn(c *customer, size fleetSize) float64 {
 	if size.isUnknown() {
 		return math.Inf(1)
--- a/policy/report_ranking.go
+++ b/policy/report_ranking.go
@@ -1,7 +1,7 @@
 package policy
 
 // ranking orders customers by report priority, then by position in customerTable.list. A report can hold
-// few of many customers, so the heap is sorted only as far as needed.
+// only a few of many customers, so the heap is sorted only as far as needed.
 type ranking struct {
 	sorted []*customer
 	heap   []*customer
@@ -12,12 +12,12 @@
 	r.heap = r.heap[:0]
 }
 
-// add adds a customer. heapify must be called before at.
+// add adds a customer. heapify must be called before the first call of at.
 func (r *ranking) add(c *customer) { r.heap = append(r.heap, c) }
 
 func (r *ranking) isEmpty() bool { return len(r.sorted)+len(r.heap) == 0 }
 
-// ranksBefore reports whether a customer comes before another.
+// ranksBefore reports whether a customer precedes another in the ranking.
 func (c *customer) ranksBefore(other *customer) bool {
 	if c.reportPriority > other.reportPriority {
 		return true
@@ -50,7 +50,7 @@
 	}
 }
 
-// at returns the k-th customer, or nil where there are fewer.
+// at returns the customer at position k, counted from 0, or nil if there are fewer customers.
 func (r *ranking) at(k int) *customer {
 	for len(r.sorted) <= k {
 		last := len(r.heap) - 1
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// request is a client's request, or a remote one, for which another gateway requests a lease. A remote
-// request is finished with the grant or the rejection of its lease and never has an attempt at this
-// gateway.
+// request is a client's request, or a remote request, for which another gateway requests a lease. A remote
+// request is finished when its lease is granted or rejected, and never has an attempt at this gateway.
 type request struct {
 	id          RequestID // 0 for a remote request
 	customer    *customer
@@ -19,12 +18,12 @@
 
 	lease      leaseState
 	attempts   int          // started so far
-	current    attemptState // of the attempt in flight or, once that has ended, of the last one
-	lastServer *server      // of the last attempt; nil before the first
-	firstRun   runState
+	current    attemptState // the attempt in flight or, once that has ended, the last one
+	lastServer *server      // server of the last attempt; nil before the first
+	firstRun   runState     // the first attempt that may have run
 }
 
-// leaseState is the state of a request's lease. Of a remote request only key is used.
+// leaseState is the state of a request's lease. For a remote request only key is used.
 type leaseState struct {
 	key            leaseKey
 	chance         float64 // probability with which a lease was requested at all; see leaseChance
@@ -35,8 +34,8 @@
 	granted        bool
 }
 
-// leaseKey names a lease: the gateway at its other end (the leader for a local request, the requester for
-// a remote one) and a tag drawn by the requester.
+// leaseKey identifies a lease: the gateway at its other end (the leader for a local request, the requester
+// for a remote one) and a tag assigned by the requester.
 type leaseKey struct {
 	gateway int
 	tag     uint32
@@ -51,8 +50,8 @@
 	cancelRequested bool
 }
 
-// runState describes the first attempt that may have run. It determines which servers drop repeats, and until
-// when.
+// runState describes the first attempt that may have run. It determines which servers drop repeats, and
+// until when.
 type runState struct {
 	happened bool
 	zone     string
@@ -84,7 +83,7 @@
 	return r
 }
 
-// newRemoteRequest makes the request that another gateway requests a lease for.
+// newRemoteRequest returns the remote request for a lease request of another gateway.
 func (g *Gateway) newRemoteRequest(c *customer, from int, m leaseRequest) *request {
 	return &request{
 		customer:    c,
@@ -111,7 +110,7 @@
 }
 
 // rejectionIsHarmless reports whether a retry by the client is harmless: no attempt has run, or a second run
-// does no harm.
+// is harmless or prevented by the servers.
 func (r *request) rejectionIsHarmless() bool {
 	switch {
 	case !r.firstRun.happened || r.class.Idempotency == Idempotent:
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// retryBudgetPerFirstAttempt is what each first attempt adds to the retry budget; a retry costs 1. It
-	// bounds retries to this share of the requests, so that they do not feed an overload.
+	// retryBudgetPerFirstAttempt is the number of retries that each first attempt adds to the retry budget.
+	// It bounds retries to this share of the requests, so that they do not increase an overload.
 	retryBudgetPerFirstAttempt = 0.15
 
-	// maxRetryBudget bounds the retry budget from above, in retries.
+	// maxRetryBudget is the upper bound of the retry budget, in retries.
 	maxRetryBudget = 12.0
 )
 
@@ -31,12 +31,13 @@
 	return g.mayRetry(r) && (retryIsFree(code) || g.retryBudget.trySpend())
 }
 
-// retryIsFree reports whether a retry after the result costs no budget: the attempt proves to have added no
-// load to a server. A rejection does cost, or retries would feed the overload that it reports.
+// retryIsFree reports whether a retry after the result costs no budget, because the attempt has added no load
+// to a server. A retry after a rejection does cost: otherwise retries would increase the overload that the
+// rejection indicates.
 func retryIsFree(code ResultCode) bool { return code.NeverRan() && code != Rejected }
 
-// mayRetry reports whether the number of attempts, the idempotency and the time that is left permit
-// another attempt.
+// mayRetry reports whether the number of attempts, the idempotency and the remaining time permit another
+// attempt.
 func (g *Gateway) mayRetry(r *request) bool {
 	expected := time.Duration(r.class.idleLatency / 2 * float64(time.Second))
 	return !g.attemptsExhausted(r) && r.mayRunAgain(g.now) && g.now+expected <= r.deadline
@@ -60,8 +61,8 @@
 	return true
 }
 
-// mayRunAgainAt reports whether a server drops the attempt if the request has run before, where that is
-// required.
+// mayRunAgainAt reports whether an attempt at a server is safe: if the request may have run before and is
+// IdempotentWithKey, the server must be one that drops the repeat.
 func (r *request) mayRunAgainAt(s *server, now time.Duration) bool {
 	if !r.firstRun.happened || r.class.Idempotency != IdempotentWithKey {
 		return true
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -10,7 +10,8 @@
 	// candidateCount is the number of servers compared for an attempt.
 	candidateCount = 4
 
-	// predictionJitter is the spread of predicted latencies, so that no server is left untried.
+	// predictionJitter is the width of the range of the random factor on predicted latencies, which ensures
+	// that every server gets attempts.
 	predictionJitter = 0.2
 
 	// crossZoneIdleLatencies is the latency, in idle latencies of the class, that a CrossZoneCost of 1 adds
@@ -27,11 +28,11 @@
 	// minSaturationInFlight is the number of attempts in flight below which a server is never saturated.
 	minSaturationInFlight = 2.0
 
-	// maxEjectedShare is the share of ejected servers above which all are used: so many failures have a
-	// shared cause, which ejections do not cure.
+	// maxEjectedShare is the share of ejected servers above which ejections are ignored: when most servers
+	// fail, the cause is common to them and ejections do not help.
 	maxEjectedShare = 0.7
 
-	// planRejectionBackoff is how long a server gets no requests of a plan that it has rejected.
+	// planRejectionBackoff is how long a server gets no requests of a plan after it has rejected one.
 	planRejectionBackoff = 2 * time.Second
 )
 
@@ -40,12 +41,12 @@
 	lastShortageAt time.Duration // when a request last found no server with capacity; 0: never
 	warmSendRate   float64       // own attempts at warm servers, decayed over ColdOverloadTime
 
-	// Scratch space of candidates.
+	// Scratch space of the method candidates.
 	healthy []*server
 	ejected []*server
 }
 
-// selectServer chooses the server of the next attempt. It returns nil when none has capacity left.
+// selectServer chooses the server of the next attempt. It returns nil if none has capacity left.
 func (g *Gateway) selectServer(r *request) *server {
 	healthy, ejected, probe := g.candidates(r)
 	if probe != nil {
@@ -60,9 +61,9 @@
 	return g.bestOfRandom(healthy, r.class)
 }
 
-// candidates lists the servers that may get the attempt, or names one that is due for a probe with it. The
-// server of the request's last attempt is never among them, even if there is no other. The lists are valid
-// until the next call.
+// candidates returns the servers that may get the attempt, or one that is due for a probe with it. The server
+// of the request's last attempt is never among them, even if there is no other. The slices are valid until
+// the next call.
 func (g *Gateway) candidates(r *request) (healthy, ejected []*server, probe *server) {
 	healthy, ejected = g.selector.healthy[:0], g.selector.ejected[:0]
 	for _, s := range g.endpoints.list {
@@ -84,7 +85,7 @@
 	return healthy, ejected, nil
 }
 
-// isCandidate reports whether a request may go to a server at all, ejected or not.
+// isCandidate reports whether a request may be sent to a server, apart from ejection.
 func (g *Gateway) isCandidate(s *server, r *request) bool {
 	if s.State != Running || g.now < s.rejectingUntil[r.customer.plan] {
 		return false
@@ -93,7 +94,7 @@
 }
 
 // bestOfRandom compares candidateCount random servers by predicted latency and cross-zone cost. It overwrites
-// the slice servers, and returns nil when all are saturated.
+// the slice servers, and returns nil if all are saturated.
 func (g *Gateway) bestOfRandom(servers []*server, class *requestClass) *server {
 	var best *server
 	lowest := math.Inf(1)
@@ -116,8 +117,9 @@
 	return best
 }
 
-// isSaturated reports whether the wait at a server would pass a share of the shortest objective. More
-// requests are queued at the gateway, from where they can still go to another server or be rejected.
+// isSaturated reports whether the wait at a server would exceed saturationWaitShare of the shortest
+// objective. Further requests are queued at the gateway, where they can still be sent to another server or
+// rejected.
 func (g *Gateway) isSaturated(s *server) bool {
 	load := s.load() / g.relativeCapacity(s)
 	if load < minSaturationInFlight {
@@ -127,8 +129,8 @@
 	return wait > saturationWaitShare*g.latency.shortestObjective
 }
 
-// drawByCapacity draws a server by its share of the fleet's capacity. In leader mode gateways do not see
-// the load at servers: if each took the best of a few, all would choose the same ones. A cold server gets
+// drawByCapacity draws a server by its share of the servers' capacity. In leader mode gateways do not know
+// the load at servers: if each chose the best of a few, all would choose the same ones. A cold server gets
 // no more than its warm fraction of an even share; requests for which no server is drawn are queued.
 func (g *Gateway) drawByCapacity(servers []*server) *server {
 	total := 0.0
@@ -137,18 +139,18 @@
 		total += s.drawWeight
 	}
 	count := float64(len(servers))
-	least := 0.0
+	minSum := 0.0
 	for _, s := range servers {
 		if warm := g.warmFraction(s); warm < 1 {
 			s.drawWeight = min(s.drawWeight, warm*total/count)
 			allowed := warm * coldBudgetSafety * max(1, g.settings.ColdOverloadFactor)
-			least = max(least, s.drawWeight*count/allowed)
+			minSum = max(minSum, s.drawWeight*count/allowed)
 		}
 	}
-	return g.drawWeighted(servers, least)
+	return g.drawWeighted(servers, minSum)
 }
 
-// capacityWeight is the weight of a server in a draw.
+// capacityWeight returns the weight of a server in a draw.
 func (g *Gateway) capacityWeight(s *server) float64 {
 	weight := g.relativeCapacity(s) / max(s.latencyRatio, 1) / float64(1+s.inFlight)
 	if s.Zone != g.settings.Zone {
@@ -157,14 +159,14 @@
 	return weight * min(1, g.warmFraction(s))
 }
 
-// drawWeighted draws a server by drawWeight. Where the weights sum to less than least, it returns nil with
-// the probability of the difference over least.
-func (g *Gateway) drawWeighted(servers []*server, least float64) *server {
+// drawWeighted draws a server by drawWeight. If the weights sum to less than minSum, it returns nil with a
+// probability of the difference divided by minSum.
+func (g *Gateway) drawWeighted(servers []*server, minSum float64) *server {
 	sum := 0.0
 	for _, s := range servers {
 		sum += s.drawWeight
 	}
-	position := g.rng.Float64() * max(sum, least)
+	position := g.rng.Float64() * max(sum, minSum)
 	for _, s := range servers {
 		position -= s.drawWeight
 		if position < 0 {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Idempotency says what happens when a request runs more than once. The zero value, Idempotent, is the most
-// permissive: callers must set the field for each class.
+// Idempotency is the effect of running a request of a class more than once. The zero value, Idempotent, is
+// the most permissive: callers must set the field for each class.
 type Idempotency int
 
 // The kinds of idempotency.
@@ -16,7 +16,7 @@
 	NonIdempotent                        // must not run twice
 )
 
-// DedupScope says which servers drop repeats of a request that is IdempotentWithKey.
+// DedupScope is the set of servers that drop repeats of a request that is IdempotentWithKey.
 type DedupScope int
 
 // The scopes of deduplication.
@@ -32,19 +32,19 @@
 	Name string
 
 	// LatencyObjective is the time within which a response should arrive. It must be above 0. Queueing,
-	// load shedding and the detection of stalled attempts are measured against it: too short, and healthy
-	// load is shed; too long, and overload is noticed late.
+	// load shedding and the detection of stalled attempts are measured against it. If it is too short,
+	// normal load is shed; if it is too long, overload is detected late.
 	LatencyObjective time.Duration
 
-	// Deadline is how long a client waits, over all attempts. It must be above 0. Decisions use
-	// Request.Remaining, the time that is left of it.
+	// Deadline is how long a client waits for the final response, over all attempts. It must be above 0.
+	// Decisions use Request.Remaining, the time that is left of it.
 	Deadline time.Duration
 
 	// Idempotency decides which failed attempts may be retried. The zero value is Idempotent, so a class
 	// whose requests must not run twice has to be set to NonIdempotent.
 	Idempotency Idempotency
 
-	// DedupScope names the servers that drop repeats. It is used only with IdempotentWithKey; the zero
+	// DedupScope is the set of servers that drop repeats. It is used only with IdempotentWithKey; the zero
 	// value is DedupAllServers.
 	DedupScope DedupScope
 
@@ -52,8 +52,8 @@
 	// only with IdempotentWithKey; with 0 such a request is never retried once it may have run.
 	DedupWindow time.Duration
 
-	// Streaming says that the response is a stream, whose start ResponseStarted reports. Its attempts
-	// have no time limit of their own, and once the response has started they never count as stalled.
+	// Streaming marks a class whose responses are streams. ResponseStarted reports the start of each. Their
+	// attempts have no timeout of their own, and never count as stalled once the response has started.
 	Streaming bool
 }
 
@@ -62,13 +62,13 @@
 	// Name is what Request.Plan refers to. It must not be empty.
 	Name string
 
-	// Rate is the rate quota in units a second. 0: no rate quota.
+	// Rate is the rate quota in units a second, the refill rate of its token bucket. 0: no rate quota.
 	Rate float64
 
 	// Burst is the capacity of the rate quota's token bucket, in units.
 	Burst float64
 
-	// MaxInFlight caps the attempts in flight. 0: no cap.
+	// MaxInFlight is the in-flight cap, in attempts. 0: no cap.
 	MaxInFlight int
 
 	// OverQuotaValue is the share of the value that a request beyond the quota still earns. No decision uses
@@ -90,15 +90,15 @@
 // Settings configure a Gateway. New copies the struct but not its slices, which must not change afterwards.
 // Only the number of gateways can change later, by FleetResized.
 type Settings struct {
-	// SelfIndex is the number of this gateway, from 0 to Gateways-1. Two gateways with one number would
-	// both use its share of each quota.
+	// SelfIndex is the number of this gateway, from 0 to Gateways-1. Two gateways with the same number
+	// would both use its share of each quota.
 	SelfIndex int
 
 	// Gateways is the number of gateways in the fleet, at least 1. All gateways must agree on it, since
 	// the shares of quotas and the quota leaders follow from it.
 	Gateways int
 
-	// Zone is the zone of this gateway. Servers of other zones are chosen less.
+	// Zone is the zone of this gateway. Servers of other zones are chosen less often.
 	Zone string
 
 	// Classes are the classes of requests, one to 256, in the same order at all gateways: messages name
@@ -109,8 +109,8 @@
 	// by its position in one byte.
 	Plans []Plan
 
-	// Resolution is the least time between two events in sequence, and how early or late a timer may
-	// fire. It must be above 0.
+	// Resolution is the minimum time between two consecutive events, and the most by which a timer may
+	// fire early or late. It must be above 0.
 	Resolution time.Duration
 
 	// MaxAttempts is the number of attempts allowed for one request. 0: any number.
@@ -124,24 +124,24 @@
 	CanMessagePeers bool
 
 	// PeerMessagesPerSecond is the number of peer messages that one gateway can receive in a second. The
-	// tick interval and the change to leader mode follow from it: too high, and messages are lost; too
-	// low, and gateways report to each other less often than they could. It must not be negative.
+	// tick interval and the change to leader mode follow from it. If it is too high, messages are lost; if
+	// it is too low, gateways report to each other less often than they could. It must not be negative.
 	PeerMessagesPerSecond float64
 
 	// MaxRequestUnits is the largest cost of one request, in units. A gateway that receives no load reports
 	// still admits one request of this size.
 	MaxRequestUnits float64
 
-	// MaxRetryAfter is the longest Retry-After that clients obey, and the one that every Reject advises. 0:
-	// no advice is given.
+	// MaxRetryAfter is the longest Retry-After that clients obey, and the value that every Reject advises.
+	// 0: none is advised.
 	MaxRetryAfter time.Duration
 
 	// MustWatchEndpoints makes the Gateway request the server list by WatchEndpoints. Without it the caller
 	// sends EndpointUpdate events without a request.
 	MustWatchEndpoints bool
 
-	// WeightIsCapacity says that Server.Weight is the capacity of the machine. Without it all servers
-	// count alike.
+	// WeightIsCapacity means that Server.Weight is the capacity of the machine. Without it all servers
+	// count as equal.
 	WeightIsCapacity bool
 
 	// CrossZoneCost is the cost of an attempt that crosses zones, as a share of the value of a request.
@@ -152,22 +152,22 @@
 	LoadMetricNames []string
 
 	// ResponseGrace is how long after its deadline a final response still counts as in time. No decision
-	// uses it: the gateway keeps to the deadline.
+	// uses it: the gateway treats the deadline as final.
 	ResponseGrace time.Duration
 
 	// InitialCapacity is the share of its capacity that a server has at its start. 0: servers are warm at
 	// once.
 	InitialCapacity float64
 
-	// WarmupTime is the time after which a started server has all its capacity. 0: servers are warm at
+	// WarmupTime is the time after which a started server has its full capacity. 0: servers are warm at
 	// once.
 	WarmupTime time.Duration
 
-	// ColdOverloadFactor is the multiple of its present capacity at which a cold server fails.
+	// ColdOverloadFactor is the load, as a multiple of its current capacity, at which a cold server fails.
 	ColdOverloadFactor float64
 
-	// ColdOverloadTime is how long such an overload must last to make a cold server fail. It is the
-	// window in which attempts at cold servers are counted.
+	// ColdOverloadTime is how long such an overload must last to make a cold server fail. Attempts at cold
+	// servers are counted over a window of this length.
 	ColdOverloadTime time.Duration
 }
 
@@ -179,14 +179,14 @@
 
 // SettingError reports a setting that New does not accept.
 type SettingError struct {
-	Field   string // path of the setting: "Plans[1].Rate"
-	Problem string // what is wrong with it: "negative"
+	Field   string // path of the setting, as in "Plans[1].Rate"
+	Problem string // what is wrong with it, as in "negative"
 }
 
-// Error names the setting and the problem.
+// Error returns a message with the setting and the problem.
 func (e *SettingError) Error() string { return "policy: setting " + e.Field + ": " + e.Problem }
 
-// maxPlans is the number of plans that messages can name.
+// maxPlans is the maximum number of plans, which messages name by one byte.
 const maxPlans = 256
 
 // check returns a *SettingError for the first setting that cannot be used.
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -7,11 +7,11 @@
 )
 
 // coldBudgetSafety is the share of a cold server's budget that is used. The rest is a reserve, since gateways
-// learn of each other's attempts with delay.
+// receive reports of each other's attempts with delay.
 const coldBudgetSafety = 0.5
 
-// warmFraction is a lower bound of the share of its capacity that a server has. It grows linearly from
-// InitialCapacity to 1 in WarmupTime.
+// warmFraction returns a lower bound of the share of its full capacity that a server has. It grows linearly
+// from InitialCapacity to 1 over WarmupTime.
 func (g *Gateway) warmFraction(s *server) float64 {
 	initial := g.settings.InitialCapacity
 	if !s.HasStartTime || g.settings.WarmupTime <= 0 || initial <= 0 {
@@ -21,8 +21,9 @@
 	return min(1, initial+(1-initial)*max(warmedUp, 0))
 }
 
-// hasColdBudget reports whether a server may get another attempt while it warms up: in each window of
-// ColdOverloadTime what a warm server gets, times its warm fraction, but at least one.
+// hasColdBudget reports whether a server may get another attempt while it warms up. In each window of
+// ColdOverloadTime it gets as many as a warm server times its warm fraction, ColdOverloadFactor and
+// coldBudgetSafety, but at least one.
 func (g *Gateway) hasColdBudget(s *server) bool {
 	warm := g.warmFraction(s)
 	if warm >= 1 {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// CustomerSnapshot is the state of a customer's rate quota that outlives the process, if its bucket is
-// not full. Its JSON form is stored on disk, so the JSON field names must not change.
+// CustomerSnapshot is the stored state of a customer's rate quota whose bucket is not full. Its JSON form
+// is stored on disk, so the JSON field names must not change.
 type CustomerSnapshot struct {
 	Key           uint64  `json:"Key"`    // hash of the customer's name
 	Plan          string  `json:"Plan"`   // Plan.Name
 	FirstGateway  int     `json:"First"`  // as Request.FirstGateway
 	GatewaySpread int     `json:"Spread"` // as Request.GatewaySpread
-	Tokens        float64 `json:"Store"`  // units in the bucket
+	Tokens        float64 `json:"Store"`  // tokens in the bucket, in units
 }
 
-// RestoreSnapshot restores what SaveSnapshot returned to an earlier process of this gateway, a time of Age
-// ago. It should come before any request: customers that are already known, or whose plan is not in the
-// settings, are skipped. Without it a quota may be granted a second time after a restart.
+// RestoreSnapshot restores the snapshots that SaveSnapshot returned in an earlier process of this gateway,
+// Age ago. The caller should send it before any request: customers that are already known, or whose plan
+// is not in the settings, are skipped. Without it a quota may be granted a second time after a restart.
 type RestoreSnapshot struct {
 	Age       time.Duration // below 0 counts as 0
 	Customers []CustomerSnapshot
@@ -27,15 +27,15 @@
 // changes nothing, but like Handle it must not run concurrently with other calls.
 func (g *Gateway) SaveSnapshot(now time.Duration, from, limit int, out []CustomerSnapshot) (
 	list []CustomerSnapshot, next int) {
-	ring := g.customers.list
-	to := min(len(ring), from+limit)
-	for _, c := range ring[min(from, to):to] {
+	customers := g.customers.list
+	to := min(len(customers), from+limit)
+	for _, c := range customers[min(from, to):to] {
 		tokens := c.tokensAt(now)
 		if c.plan.Rate > 0 && tokens < c.plan.Burst-1 {
 			out = append(out, c.snapshot(tokens))
 		}
 	}
-	if to == len(ring) {
+	if to == len(customers) {
 		to = 0
 	}
 	return out, to
@@ -69,8 +69,8 @@
 	}
 }
 
-// restoreTokens sets the tokens from those of a time ago, plus the refill since. What other gateways admitted
-// meanwhile they will report.
+// restoreTokens sets the tokens to those saved some time ago, plus the refill since then. Load reports will
+// account for the units that other gateways admitted meanwhile.
 func (c *customer) restoreTokens(tokens float64, age time.Duration) {
 	c.tokens = min(c.tokens, max(0, tokens)+c.plan.Rate*age.Seconds())
 }
