--- a/policy/actions.go
+++ b/policy/actions.go
@@ -72,7 +72,7 @@
 }
 
 // SetTimer requests a TimerFired event after a time, early or late by at most Settings.Resolution. Several
-// timers with the same token may run at once.
+// timers with the same token may run concurrently.
 type SetTimer struct {
 	Token string
 	After time.Duration
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -8,8 +8,8 @@
 
 // customer is the state that a gateway holds for one customer.
 type customer struct {
-	key           uint64 // names the customer in lease messages
-	reportHash    uint32 // names the customer in load reports
+	key           uint64 // identifies the customer in lease messages
+	reportHash    uint32 // identifies the customer in load reports
 	hashCollides  bool   // another known customer has the same reportHash
 	plan          *customerPlan
 	lastRequestAt time.Duration
@@ -102,7 +102,8 @@
 	return hash
 }
 
-// customerReportHash returns the upper 24 bits of a customer's key, which name the customer in load reports.
+// customerReportHash returns the upper 24 bits of a customer's key, which identify the customer in load
+// reports.
 func customerReportHash(key uint64) uint32 { return uint32(key >> 40) }
 
 // customerTable holds the known customers.
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -9,7 +9,7 @@
 // server is the state that a gateway holds for a server.
 type server struct {
 	Server
-	reportHash     uint16                          // names the server in load reports
+	reportHash     uint16                          // identifies the server in load reports
 	inFlight       int                             // own attempts
 	peersInFlight  float64                         // attempts of all other gateways, as last reported
 	attempts       []*request                      // own attempts in flight, oldest first
--- a/policy/lease_client.go
+++ b/policy/lease_client.go
@@ -12,7 +12,7 @@
 	// leaderAttempts is the number of lease requests to the leader before one is sent to the standby leader.
 	leaderAttempts = 2
 
-	// minResponseWait is the least time for which a lease response is awaited.
+	// minResponseWait is the minimum time for which a lease response is awaited.
 	minResponseWait = 30 * time.Millisecond
 
 	// responseWaitFactor is the time for which a lease response is awaited, in mean response times.
@@ -153,8 +153,8 @@
 }
 
 // admitWithoutLease decides on a request without a response from a leader, by this gateway's own estimate of
-// the bucket. It rejects with ReasonNoQuotaLeader those that need the response of a leader: the random draw
-// failed (see unansweredPower), or the customer has a hard ceiling, from which only leaders may spend.
+// the bucket. It rejects it with ReasonNoQuotaLeader if the random draw failed (see unansweredPower), or if
+// the customer has a hard ceiling, under which only leaders may admit requests.
 func (g *Gateway) admitWithoutLease(r *request, partitionChance float64) {
 	switch {
 	case g.now >= r.deadline:
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -57,8 +57,8 @@
 	Plan          byte    // position in the settings
 	Class         byte    // position in the settings
 	Units         float64 // encoded by encodeUnits
-	RemainingMS   uint16  // milliseconds until the client gives up
-	Tag           uint32  // names the lease between the two gateways
+	RemainingMS   uint16  // time left until the client times out, in milliseconds
+	Tag           uint32  // identifies the lease between the two gateways
 	Chance        byte    // probability with which a lease was requested at all, encoded by encodeShare
 	Fill          byte    // fill of the bucket as the leader last reported it, or unknownFill
 	ClientRetry   bool
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -83,7 +83,7 @@
 // to use its own share of the rate: it may be partitioned from this gateway and still serve the customer.
 func (g *Gateway) refillShare(c *customer) float64 {
 	if !c.keepsBuckets() && !c.grantsLeases {
-		return 1 / float64(c.gatewaySpread) // only the leader knows the use at the other gateways
+		return 1 / float64(c.gatewaySpread) // the use at the other gateways is known only to the leader
 	}
 	stale := 0.0
 	for _, view := range c.peerViews {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -116,7 +116,8 @@
 	// MaxAttempts is the number of attempts allowed for one request. 0: any number.
 	MaxAttempts int
 
-	// CanCancel permits CancelAttempt. Without it idempotent attempts carry a timeout instead.
+	// CanCancel permits CancelAttempt. Without it the attempts of Idempotent classes that are
+	// not Streaming have a timeout instead.
 	CanCancel bool
 
 	// CanMessagePeers permits SendPeerMessage. Without it each gateway keeps to its own share of each
