--- a/gateway/customer_snapshots.go
+++ b/gateway/customer_snapshots.go
@@ -12,20 +12,20 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// What the policy knows of the customers' token buckets outlives the process in a file of the
-// state directory.
+// The customers' token buckets are saved in a file in the state directory, so that they survive a
+// restart of the process.
 const (
-	// customerSnapshotFile is fixed by the stored format. The file contains the token buckets
-	// that are not full.
+	// customerSnapshotFile is the name of the file, fixed by the stored format. The file contains
+	// the token buckets that are not full.
 	customerSnapshotFile    = "stores"
 	customerSnapshotVersion = 1
 	snapshotInterval        = 2 * time.Second
-	// maxSnapshotAge is how old a snapshot may be. A bucket whose burst refills within an hour
-	// (Burst/Rate) is full again by then; the fill of a slower one is lost.
+	// maxSnapshotAge is the maximum age of a snapshot that is restored. A bucket that refills within
+	// an hour (Burst/Rate) is full again by then; the state of a slower one is lost.
 	maxSnapshotAge = time.Hour
 )
 
-// snapshotHeader says which gateway wrote the file, and when by the wall clock.
+// snapshotHeader identifies the gateway that wrote the file, and the wall-clock time of writing.
 type snapshotHeader struct {
 	Node  int       `json:"node"`
 	Wrote time.Time `json:"wrote"`
@@ -36,21 +36,21 @@
 	Payload: "stores",
 }
 
-// SnapshotNodeMismatchError says that a file was written by the gateway of another number.
+// SnapshotNodeMismatchError reports that a snapshot file was written by a gateway with another number.
 type SnapshotNodeMismatchError struct{ Got, Want int }
 
 func (e *SnapshotNodeMismatchError) Error() string {
-	return fmt.Sprintf("of node %d, not %d", e.Got, e.Want)
+	return fmt.Sprintf("snapshot was written by node %d, want node %d", e.Got, e.Want)
 }
 
 func saveCustomerSnapshots(dir string, number int, now time.Time, list []policy.CustomerSnapshot) error {
-	header := snapshotHeader{Node: number, Wrote: now.Round(0)} // without the monotonic clock
+	header := snapshotHeader{Node: number, Wrote: now.Round(0)} // strips the monotonic clock reading
 	return customerSnapshots.Write(filepath.Join(dir, customerSnapshotFile), header, list)
 }
 
-// loadCustomerSnapshots returns what an earlier process of this gateway saved, or nothing where
-// there is none or it is too old. Errors are those of package snapshotfile and
-// [*SnapshotNodeMismatchError].
+// loadCustomerSnapshots returns the snapshot that an earlier process of this gateway saved, or the
+// zero value if there is none or it is older than maxSnapshotAge. Errors are those of package
+// snapshotfile and [*SnapshotNodeMismatchError].
 func loadCustomerSnapshots(dir string, number int, now time.Time) (policy.RestoreSnapshot, error) {
 	header, customers, err := customerSnapshots.Read(filepath.Join(dir, customerSnapshotFile))
 	switch {
@@ -61,7 +61,7 @@
 	case header.Node != number:
 		return policy.RestoreSnapshot{}, &SnapshotNodeMismatchError{Got: header.Node, Want: number}
 	}
-	// After the wall clock was set back, a snapshot counts as written now.
+	// If the wall clock was set back, the age would be negative: the snapshot is treated as new.
 	age := max(0, now.Sub(header.Wrote))
 	if age > maxSnapshotAge {
 		return policy.RestoreSnapshot{}, nil
@@ -69,7 +69,7 @@
 	return policy.RestoreSnapshot{Age: age, Customers: customers}, nil
 }
 
-// restoreCustomerSnapshots hands the policy what an earlier process saved.
+// restoreCustomerSnapshots passes the saved customer snapshots to the policy.
 func (g *Gateway) restoreCustomerSnapshots() {
 	snapshot, err := loadCustomerSnapshots(g.cfg.StateDir, g.cfg.Number, g.options.WallClock())
 	if err != nil {
@@ -83,8 +83,8 @@
 	g.node.RestoreSnapshot(snapshot)
 }
 
-// saveSnapshotsPeriodically saves until the context ends, and once more then, unless the gateway
-// was killed.
+// saveSnapshotsPeriodically saves the customer snapshots at every snapshotInterval until the context
+// ends, and once more then unless the gateway was killed.
 func (g *Gateway) saveSnapshotsPeriodically(ctx context.Context) {
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
@@ -94,7 +94,7 @@
 			g.saveSnapshots(ctx)
 		case <-ctx.Done():
 			if !g.killed.Load() {
-				g.saveSnapshots(context.WithoutCancel(ctx)) // the node's loop ends after this
+				g.saveSnapshots(context.WithoutCancel(ctx)) // the node's event loop ends only after this save
 			}
 			return
 		}
--- a/gateway/endpoints.go
+++ b/gateway/endpoints.go
@@ -12,11 +12,11 @@
 )
 
 // endpointCacheFile is the name of a file in the state directory, fixed by the stored format. The
-// file contains the last good endpoint list of the management server.
+// file contains the last valid endpoint list received from the management server.
 const endpointCacheFile = "servers"
 
-// startEndpoints hands the node the endpoint list of the configuration, or starts a client of the
-// management server that does.
+// startEndpoints passes the configured endpoint list to the node, or starts a client that receives
+// endpoint lists from the management server.
 func (g *Gateway) startEndpoints() error {
 	s := g.cfg.Servers
 	if s.EDSAddress == "" {
@@ -52,7 +52,7 @@
 	}
 	g.node.UpdateEndpoints(kind, list)
 	g.changePhase((*membership.StateMachine).EndpointsReady)
-	if g.accepting.Load() { // the first list came late: the node was not ready when it began to accept
+	if g.accepting.Load() { // StartServing had no effect if the listeners opened before the first list arrived
 		g.changePhase((*membership.StateMachine).StartServing)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway puts an instance together from its configuration: the policy in its event loop
-// (package node), listeners, connections to servers, peers, the endpoint list, the authorization
-// client and the files that outlive the process.
+// Package gateway assembles an instance from its configuration: the policy in its event loop (package
+// node), listeners, connections to servers, peers, the endpoint list, the authorization client and
+// the files in the state directory.
 package gateway
 
 import (
@@ -19,24 +19,26 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// Options is what a Gateway takes beside its configuration.
+// Options are the dependencies and settings of a Gateway that are not part of its configuration.
 type Options struct {
-	// Network is what the gateway listens and dials on. Required.
+	// Network opens the gateway's listeners and connections. Required.
 	Network network.Network
-	// Log takes the gateway's log. Required.
+	// Log receives the gateway's log records. Required.
 	Log *slog.Logger
-	// Seed of the random numbers of all decisions. Zero: a random one.
+	// Seed seeds the random numbers of all decisions. If it is zero, a random seed is used.
 	Seed uint64
-	// TransformEndpoints changes each endpoint list before it is used; for tests. It is called
-	// from the goroutine that receives lists. Nil: lists are used as they come.
+	// TransformEndpoints changes each endpoint list before it is used; it is meant for tests. It is
+	// called from the goroutine that receives lists. If it is nil, lists are used unchanged.
 	TransformEndpoints func([]node.Endpoint) []node.Endpoint
-	// WrapUpstream returns what is used in place of the connections to servers; for tests. Nil:
-	// they are used themselves.
+	// WrapUpstream returns the upstream to use in place of the one that sends attempts to servers; it
+	// is meant for tests. If it is nil, the upstream is used unchanged.
 	WrapUpstream func(node.Upstream) node.Upstream
-	// WallClock is the wall clock, which peers and the windows of the usage counter go by. It is
-	// called from several goroutines. Nil: the system's.
+	// WallClock returns the wall-clock time, which is used for peer messages, customer snapshots and
+	// the windows of the usage counter. It is called from several goroutines. If it is nil, time.Now
+	// is used.
 	WallClock func() time.Time
-	// Pause says how a pause of the process is detected. Zero: pause.DefaultSettings.
+	// Pause configures the detection of pauses of the process. If it is zero, pause.DefaultSettings is
+	// used.
 	Pause pause.Settings
 }
 
@@ -52,30 +54,30 @@
 	}
 }
 
-// Gateway is a running instance. [Gateway.Drain] or [Gateway.Kill] must be called once, and ends
+// Gateway is a running instance. [Gateway.Drain] or [Gateway.Kill] must be called once to release
 // everything that it owns: listeners, connections, files and goroutines.
 type Gateway struct {
 	cfg     *config.Config
 	options Options
 	node    *node.Node
-	// usageRecorder is nil where no counter is configured.
+	// usageRecorder is nil if no counter is configured.
 	usageRecorder *usageRecorder
-	// membership is nil where no roster is configured.
+	// membership is nil if no roster is configured.
 	membership *membershipLoop
-	// running is closed when node, usageRecorder and membership may be used by peers' messages.
+	// running is closed once node, usageRecorder and membership can receive peer messages.
 	running   chan struct{}
 	listeners []listener
-	serving   sync.WaitGroup // of the listeners' goroutines
-	// closers are called in reverse order: what was opened last is closed first, so that each part
-	// can use the earlier ones until it has ended.
+	serving   sync.WaitGroup // waits for the listeners' goroutines
+	// closers are called in the reverse order of opening, so that each part can use those opened
+	// before it until it has ended.
 	closers   background.Closers
-	killed    atomic.Bool // nothing may be saved any more
+	killed    atomic.Bool // nothing may be saved from now on
 	accepting atomic.Bool // the listeners are open
 }
 
-// Start starts a gateway and returns without waiting for peers or for an endpoint list. An error
-// says which part can't be used; what was opened until then is closed. The configuration must not
-// be changed afterwards.
+// Start starts a gateway and returns without waiting for peers or for an endpoint list. If a part
+// can't be started, Start closes those that it has opened and returns the error of that part. The
+// configuration must not be changed afterwards.
 func Start(cfg *config.Config, o Options) (*Gateway, error) {
 	o.setDefaults()
 	g := &Gateway{cfg: cfg, options: o, running: make(chan struct{})}
@@ -86,13 +88,13 @@
 	return g, nil
 }
 
-// runUntilClosed runs f in a goroutine. When the gateway closes, its context is canceled and
-// close waits for its end.
+// runUntilClosed runs f in a goroutine. When the gateway is closed, the context of f is canceled and
+// close waits until f has returned.
 func (g *Gateway) runUntilClosed(f func(context.Context)) { g.closers.Go(context.Background(), f) }
 
-// Drain shuts down in order: new connections are not accepted, requests under way are finished,
-// then everything is closed. When the context ends first, the requests that are left fail, and
-// its error is returned.
+// Drain shuts down gracefully: it stops accepting connections, finishes the open requests, then closes
+// everything. If the context ends first, the remaining requests fail and Drain returns the context's
+// error.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.changePhase((*membership.StateMachine).StartDraining)
 	g.stopListening()
@@ -109,23 +111,23 @@
 	return err
 }
 
-// Kill stops at once, as a killed process does: requests under way fail, and nothing is saved.
+// Kill stops at once, as if the process were killed: open requests fail, and nothing is saved.
 func (g *Gateway) Kill() {
 	g.killed.Store(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = g.Drain(ctx) // the error can only say that the context was canceled, as it was meant to be
+	_ = g.Drain(ctx) // the only possible error is that of the canceled context
 }
 
-// changePhase submits a step to the next phase of this gateway to the membership loop, where there is
-// one. It does not block.
+// changePhase submits a phase change of this gateway to the membership loop, if there is one. It does
+// not block.
 func (g *Gateway) changePhase(step func(*membership.StateMachine) []membership.Action) {
 	if g.membership != nil && !g.killed.Load() {
 		g.membership.submitPhaseStep(func() []membership.Action { return step(g.membership.machine) })
 	}
 }
 
-// close ends all that was started, the listeners first.
+// close closes the listeners first, then all other parts.
 func (g *Gateway) close() {
 	g.stopListening()
 	g.serving.Wait()
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	// maxBufferedBodies is how many bodies of the largest size one HTTP/2 connection may keep in memory.
+	// maxBufferedBodies is the number of request bodies of the maximum size that one HTTP/2 connection
+	// may keep in memory.
 	maxBufferedBodies = 4
-	// minBufferedBodyBytes stands for the largest size where that is configured to be smaller.
+	// minBufferedBodyBytes is used in place of the configured maximum size if that is smaller.
 	minBufferedBodyBytes = 64 << 10
-	// seedBits of the seed in a trace id keep those of two processes apart.
+	// seedBits is the number of bits of the seed in a trace ID. They distinguish the trace IDs of
+	// different processes.
 	seedBits = 24
 )
 
-// ListenerError says that a configured listener can't be opened.
+// ListenerError reports that a configured listener can't be opened.
 type ListenerError struct {
-	Name string // in the configuration
+	Name string // of the listener in the configuration
 	Err  error
 }
 
@@ -34,11 +36,11 @@
 // Unwrap returns the cause.
 func (e *ListenerError) Unwrap() error { return e.Err }
 
-// frontend is a server of one protocol.
+// frontend serves the connections of a listener.
 type frontend interface {
-	// Serve accepts connections until the listener is closed, and returns nil then.
+	// Serve accepts connections until the listener is closed, and then returns nil.
 	Serve(net.Listener) error
-	// Drain returns when all connections are closed, at the end of the context at the latest.
+	// Drain returns when all connections are closed, at the latest when the context ends.
 	Drain(context.Context)
 }
 
@@ -59,19 +61,19 @@
 }
 
 func (g *Gateway) listen(l config.Listener, in *intake.Intake) error {
-	open, err := g.options.Network.Listen(l.Address)
+	netListener, err := g.options.Network.Listen(l.Address)
 	if err != nil {
 		return err
 	}
 	log := g.options.Log.With("listener", l.Name)
-	log.Info("listening", "kind", string(l.Kind), "address", open.Addr().String())
-	f, err := g.newFrontend(l, in, log)
+	log.Info("listening", "kind", string(l.Kind), "address", netListener.Addr().String())
+	server, err := g.newFrontend(l, in, log)
 	if err != nil {
-		return errors.Join(err, open.Close())
+		return errors.Join(err, netListener.Close())
 	}
-	g.listeners = append(g.listeners, listener{open, f.Drain})
+	g.listeners = append(g.listeners, listener{netListener, server.Drain})
 	g.serving.Go(func() {
-		if err := f.Serve(open); err != nil {
+		if err := server.Serve(netListener); err != nil {
 			log.Error("listener failed", "error", err)
 		}
 	})
@@ -134,13 +136,13 @@
 	})
 }
 
-// tracePrefix begins the trace ids that a listener gives to requests; it differs between
-// processes.
+// tracePrefix returns the prefix of the trace IDs that a listener assigns to requests. It differs
+// between processes.
 func (g *Gateway) tracePrefix(l config.Listener) string {
 	return fmt.Sprintf("%s-%d-%x", l.Name, g.cfg.Number, g.options.Seed&(1<<seedBits-1))
 }
 
-// stopListening closes the listeners, which ends their Serve. A second call does nothing.
+// stopListening closes the listeners, so that Serve returns. A second call does nothing.
 func (g *Gateway) stopListening() {
 	for _, l := range g.listeners {
 		if err := l.net.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -22,40 +22,44 @@
 	// ticks of the state machine.
 	membershipTickInterval = 250 * time.Millisecond
 
-	// membershipQueueSize is the number of announcements that wait for the loop. Further ones are
-	// dropped: peers repeat them.
+	// membershipQueueSize is the maximum number of queued announcements. Further ones are dropped,
+	// which is harmless because peers repeat them.
 	membershipQueueSize = 256
 
-	// stopTimeout bounds the wait for the last announcement when the node ends, and
-	// announcementFlushTime is left to the transport's goroutine to send it.
+	// stopTimeout is the maximum time to wait for the membership loop to send the last announcement
+	// when the node stops. announcementFlushTime is the time that the transport's goroutine then has
+	// to send it.
 	stopTimeout           = time.Second
 	announcementFlushTime = 20 * time.Millisecond
 )
 
-// membershipEvent feeds one event to the state machine and returns what is to be done. It
+// membershipEvent passes one event to the state machine and returns the actions to execute. It
 // runs in the loop's goroutine.
 type membershipEvent func() []membership.Action
 
-// membershipLoop is the goroutine that owns the membership state machine. It feeds roster
-// files and peers' announcements to the state machine and carries out its actions one by one,
-// in order: a snapshot is durable before the policy or a peer learns of what follows from it.
-// Other goroutines call only submit, submitPhaseStep, receivePeerMessage and stop.
+// membershipLoop is the goroutine that owns the membership state machine. It passes roster files
+// and peers' announcements to the state machine and executes its actions one by one, in order: a
+// snapshot is durable before the change that it records takes effect in the policy or is announced
+// to a peer. Other goroutines call only submit, submitPhaseStep, receivePeerMessage, peerRestarted
+// and stop.
 type membershipLoop struct {
 	gateway    *Gateway
-	machine    *membership.StateMachine // of the loop's goroutine
+	machine    *membership.StateMachine // used only in the loop's goroutine
 	transport  *peer.Mail
 	events     chan membershipEvent
-	rosterFile []byte // content as last read
+	rosterFile []byte // content of the roster file as last read
 
-	phaseSteps  chan struct{} // signaled when there are steps in queuedSteps
+	phaseSteps  chan struct{} // signaled when queuedSteps is not empty
 	mu          sync.Mutex    // guards queuedSteps
 	queuedSteps []membershipEvent
 
-	restartedPeers map[int]bool // of which no announcement was taken since; of the transport's goroutine
+	// restartedPeers are the peers of which no announcement has been queued since their restart. It is
+	// used only in the transport's goroutine.
+	restartedPeers map[int]bool
 }
 
-// newMembershipLoop returns the loop of a fleet with a roster. A snapshot that cannot be read
-// counts as none.
+// newMembershipLoop returns the membership loop of a fleet with a roster. A snapshot that can't be
+// read is treated as absent.
 func (g *Gateway) newMembershipLoop() *membershipLoop {
 	snapshot, err := loadMembershipSnapshot(g.cfg.StateDir)
 	if err != nil {
@@ -72,7 +76,7 @@
 }
 
 // run accepts the configured roster and handles events until the context ends. Events that
-// are queued then are dropped.
+// are still queued then are dropped.
 func (l *membershipLoop) run(ctx context.Context) {
 	l.execute(ctx, l.machine.HandleRoster(time.Now(), *l.gateway.cfg.Roster))
 	tick := time.NewTicker(membershipTickInterval)
@@ -94,8 +98,8 @@
 	}
 }
 
-// submit queues an event. It does not block: the event is dropped where the queue is full, and
-// submit returns false.
+// submit queues an event. It does not block: if the queue is full, the event is dropped and submit
+// returns false.
 func (l *membershipLoop) submit(event membershipEvent) bool {
 	select {
 	case l.events <- event:
@@ -105,15 +109,15 @@
 	}
 }
 
-// submitPhaseStep queues a step to this node's next phase. It does not block, and drops none: nobody
-// repeats it.
+// submitPhaseStep queues a change of this node's phase. It does not block. It never drops a step,
+// because steps, unlike announcements, are not repeated.
 func (l *membershipLoop) submitPhaseStep(step membershipEvent) {
 	l.mu.Lock()
 	l.queuedSteps = append(l.queuedSteps, step)
 	l.mu.Unlock()
 	select {
 	case l.phaseSteps <- struct{}{}:
-	default: // the loop is to look already
+	default: // the loop has been signaled already
 	}
 }
 
@@ -125,8 +129,8 @@
 	return steps
 }
 
-// stop announces that this node has stopped. It returns when the announcement has had time to
-// leave, or after stopTimeout; the loop itself ends with its context.
+// stop announces that this node has stopped. It returns when the transport has had time to send the
+// announcement, or after stopTimeout; the loop itself runs until its context ends.
 func (l *membershipLoop) stop() {
 	handled := make(chan struct{})
 	l.submitPhaseStep(func() []membership.Action {
@@ -140,8 +144,8 @@
 	}
 }
 
-// receivePeerMessage takes a peer message and reports whether it is one of membership. It does not
-// block; a malformed announcement is dropped.
+// receivePeerMessage queues the announcement in a peer message and reports whether the message is an
+// announcement. It does not block; a malformed announcement is dropped.
 func (l *membershipLoop) receivePeerMessage(from int, message []byte) bool {
 	if len(message) == 0 || message[0] != announcementMessageType {
 		return false
@@ -152,11 +156,11 @@
 	return true
 }
 
-// peerRestarted notes that the next messages under a number are of another process.
+// peerRestarted records that further messages with a peer's number are from a new process.
 func (l *membershipLoop) peerRestarted(from int) { l.restartedPeers[from] = true }
 
-// submitAnnouncement queues an announcement, behind the restart of its process if it is the first
-// one of it.
+// submitAnnouncement queues an announcement. If it is the first one since the peer's restart, the
+// state machine handles the restart before it.
 func (l *membershipLoop) submitAnnouncement(from int, a membership.Announcement) {
 	restarted := l.restartedPeers[from]
 	queued := l.submit(func() []membership.Action {
@@ -187,7 +191,7 @@
 	l.execute(ctx, l.machine.HandleRoster(time.Now(), *roster))
 }
 
-// execute carries out actions in order. It drops the rest when the node ends meanwhile.
+// execute executes actions in order. If the node ends meanwhile, it drops the remaining ones.
 func (l *membershipLoop) execute(ctx context.Context, actions []membership.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -211,8 +215,8 @@
 	}
 }
 
-// saveSnapshot stores a snapshot. When that fails the change goes on: after a restart the
-// node enforces no share until a change completes.
+// saveSnapshot stores a snapshot. If that fails, the membership change continues: after a restart
+// the node enforces no quota share until a change completes.
 func (l *membershipLoop) saveSnapshot(s membership.Snapshot) {
 	if err := saveMembershipSnapshot(l.gateway.cfg.StateDir, s); err != nil {
 		l.gateway.options.Log.Error("saving the membership snapshot failed; after a restart this node enforces no quota share at first",
@@ -220,9 +224,9 @@
 	}
 }
 
-// resizeFleet sets the fleet's size in the policy and the usage recorder, and waits until the
-// node's event loop has done so, however long that takes: peers are notified only afterwards. It
-// reports false when the node ends before.
+// resizeFleet sets the fleet's size in the policy and the usage recorder, and waits without a timeout
+// until the node's event loop has done so: peers must be notified only afterwards. It returns false
+// if the node ends first.
 func (l *membershipLoop) resizeFleet(ctx context.Context, a membership.FleetResized) bool {
 	g := l.gateway
 	resized := make(chan struct{})
@@ -258,7 +262,8 @@
 // The file contains the epoch of the accepted roster and whether the change to it is complete.
 const membershipSnapshotFile = "roster-epoch"
 
-// loadMembershipSnapshot reads what an earlier process saved; the zero value where there is none.
+// loadMembershipSnapshot returns the snapshot that an earlier process saved, or the zero value if there
+// is none or dir is empty.
 func loadMembershipSnapshot(dir string) (membership.Snapshot, error) {
 	if dir == "" {
 		return membership.Snapshot{}, nil
@@ -270,7 +275,8 @@
 	return snapshot, err
 }
 
-// saveMembershipSnapshot replaces the file atomically and waits until it is on the disk.
+// saveMembershipSnapshot replaces the file atomically and waits until it is on disk. It does nothing if
+// dir is empty.
 func saveMembershipSnapshot(dir string, snapshot membership.Snapshot) error {
 	if dir == "" {
 		return nil
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -16,7 +16,7 @@
 	authzclient "yardcleat.example/yardcleat/upstream/extauthz"
 )
 
-// AuthorizerError says that the client of the authorization service can't be made.
+// AuthorizerError reports that the authorization client can't be created.
 type AuthorizerError struct{ Err error }
 
 func (e *AuthorizerError) Error() string { return fmt.Sprintf("authorizer: %v", e.Err) }
@@ -24,8 +24,8 @@
 // Unwrap returns the client's error.
 func (e *AuthorizerError) Unwrap() error { return e.Err }
 
-// start opens all parts in the order in which they depend on each other. Each step appends to
-// g.closes what it opens.
+// start opens all parts in the order of their dependencies. Each step adds a closer to g.closers for
+// what it opens.
 func (g *Gateway) start() error {
 	options := g.nodeOptions(g.startClock())
 	if err := g.dialAuthorizer(&options); err != nil {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// startClock starts the clock that detects pauses of the process. From then on the gateway's
-// network is watched by it.
+// startClock starts the clock that detects pauses of the process, and wraps the gateway's network so
+// that the clock watches all sockets opened from then on.
 func (g *Gateway) startClock() (clock *pauseclock.Clock, origin time.Time) {
 	origin = time.Now()
 	clock = pauseclock.New(origin, g.options.Network, g.options.Pause)
@@ -63,7 +63,7 @@
 	return clock, origin
 }
 
-// nodeOptions returns those of a gateway without peers, authorizer and usage counter.
+// nodeOptions returns the options for the node of a gateway without peers, authorizer and usage counter.
 func (g *Gateway) nodeOptions(clock *pauseclock.Clock, origin time.Time) node.Options {
 	return node.Options{
 		Settings:       g.cfg.Settings(),
@@ -96,13 +96,14 @@
 	return pool
 }
 
-// messageLimits are those of HTTP messages with bodies of a size.
+// messageLimits returns the limits for HTTP messages with bodies of at most bodyBytes.
 func (g *Gateway) messageLimits(bodyBytes int64) http1.Limits {
 	l := g.cfg.Limits
 	return http1.Limits{Line: l.MaxLineBytes, Fields: l.MaxHeaderFields, Header: l.MaxHeaderBytes, Body: bodyBytes}
 }
 
-// rejectionSignal is how servers say that they have not executed a request.
+// rejectionSignal returns the configured response by which servers signal that they have not executed a
+// request.
 func (g *Gateway) rejectionSignal() upstream.TurnedAway {
 	return upstream.TurnedAway{Status: g.cfg.Servers.RejectionStatus, Header: g.cfg.Servers.RejectionHeader}
 }
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// withErrorLogged returns a function that calls another one and logs its error.
+// withErrorLogged returns a function that calls f and logs its error, if any.
 func (g *Gateway) withErrorLogged(message string, f func() error) func() {
 	return func() {
 		if err := f(); err != nil {
@@ -160,8 +161,9 @@
 	return settings
 }
 
-// nextIncarnation returns the number that tells messages of this process apart from those of earlier
-// ones. Without a usable file the clock gives it, which must not have been set back then.
+// nextIncarnation returns the number that distinguishes messages of this process from those of earlier
+// ones. Without a usable incarnation file, it is the current time, and is greater than those of
+// earlier processes only if the clock has not been set back.
 func (g *Gateway) nextIncarnation(startedAt time.Time) uint64 {
 	incarnation, err := peer.Incarnation(g.cfg.StateDir, startedAt)
 	if err != nil {
@@ -170,7 +172,7 @@
 	return incarnation
 }
 
-// connectPeers joins the other gateways, where any are configured.
+// connectPeers starts the transport to the other gateways, if any are configured.
 func (g *Gateway) connectPeers(options *node.Options, incarnation uint64) error {
 	if g.cfg.Roster != nil {
 		g.membership = g.newMembershipLoop()
@@ -204,15 +206,15 @@
 	return nil
 }
 
-// peerRestarted notes that another process acts under a peer's number.
+// peerRestarted is called when a new process sends messages with a peer's number.
 func (g *Gateway) peerRestarted(from int) {
 	if g.membership != nil {
 		g.membership.peerRestarted(from)
 	}
 }
 
-// receivePeerMessage hands a message to the part that it is for. Messages that come before the
-// node runs are dropped, as the network may do with any.
+// receivePeerMessage passes a message to the part that handles it. Messages received before the node
+// runs are dropped, which is safe because the network may lose any message.
 func (g *Gateway) receivePeerMessage(from int, data []byte) {
 	select {
 	case <-g.running:
@@ -228,7 +230,7 @@
 	g.node.ReceivePeerMessage(from, data)
 }
 
-// openUsage opens the usage counter's client and the stored usage, where a counter is configured.
+// openUsage opens the usage counter's client and the stored usage, if a counter is configured.
 func (g *Gateway) openUsage(options *node.Options, incarnation uint64) error {
 	recorder, err := g.newUsageRecorder(incarnation, options.SendToPeer)
 	if err != nil || recorder == nil {
@@ -250,7 +252,7 @@
 	return nil
 }
 
-// startBackground starts what runs beside the node: snapshots, usage and membership.
+// startBackground starts the goroutines that run beside the node: snapshots, usage and membership.
 func (g *Gateway) startBackground() {
 	if g.cfg.StateDir != "" {
 		g.restoreCustomerSnapshots()
--- a/gateway/tls.go
+++ b/gateway/tls.go
@@ -22,8 +22,8 @@
 	certificateCheckInterval = time.Second
 )
 
-// tlsListener terminates TLS and hands each connection to the server of the protocol that ALPN
-// has chosen. The certificate is reloaded when its files change; open connections keep theirs.
+// tlsListener terminates TLS and passes each connection to the server of the protocol negotiated by
+// ALPN. The certificate is reloaded when its files change; open connections keep the old one.
 type tlsListener struct {
 	config    config.Listener
 	http1     *fronthttp.Server
@@ -31,13 +31,13 @@
 	log       *slog.Logger
 	tlsConfig *tls.Config
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	certificate *tls.Certificate
-	files       certificateFiles // that the certificate was loaded from
-	checkedAt   time.Time        // when the files were last looked at
+	files       certificateFiles // from which the certificate was loaded
+	checkedAt   time.Time        // time of the last check for changed files
 }
 
-// certificateFiles tells versions of a certificate's files apart.
+// certificateFiles identifies versions of a certificate file and its key file.
 type certificateFiles struct{ certificate, key fileVersion }
 
 type fileVersion struct {
@@ -45,7 +45,7 @@
 	size       int64 // bytes
 }
 
-// CertificateError says that a certificate and its key can't be used.
+// CertificateError reports that a certificate and its key can't be loaded.
 type CertificateError struct {
 	CertificateFile, KeyFile string
 	Err                      error
@@ -91,8 +91,8 @@
 	return fileVersion{modifiedAt: info.ModTime().UnixNano(), size: info.Size()}, nil
 }
 
-// loadCertificate loads the certificate. The files are those found before, so that a change in
-// between is found the next time.
+// loadCertificate loads the certificate. files must be determined before the call, so that a change
+// during loading is detected by the next check.
 func (t *tlsListener) loadCertificate(files certificateFiles) error {
 	certificate, err := tls.LoadX509KeyPair(t.config.CertFile, t.config.KeyFile)
 	if err != nil {
@@ -103,7 +103,9 @@
 	return nil
 }
 
-// currentCertificate returns the one to use now. When new files can't be used, the last one stays.
+// currentCertificate returns the certificate for a new connection. At most once per
+// certificateCheckInterval, it reloads the certificate if its files have changed. If the new files
+// can't be used, the current certificate is kept.
 func (t *tlsListener) currentCertificate() *tls.Certificate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +123,7 @@
 	return t.certificate
 }
 
-// reloadCertificate loads the certificate again where its files have changed.
+// reloadCertificate loads the certificate again if its files have changed.
 func (t *tlsListener) reloadCertificate() (reloaded bool, err error) {
 	files, err := t.statFiles()
 	if err != nil || files == t.files {
@@ -138,7 +140,7 @@
 	return network.Accept(l, t.log, t.serveConn)
 }
 
-// serveConn owns the connection, and returns when it has ended.
+// serveConn takes ownership of a connection, serves it and returns when it has ended.
 func (t *tlsListener) serveConn(conn net.Conn) {
 	tlsConn := tls.Server(conn, t.tlsConfig)
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
@@ -156,8 +158,8 @@
 
 // Drain drains the servers of both protocols.
 func (t *tlsListener) Drain(ctx context.Context) {
-	var both sync.WaitGroup
-	both.Go(func() { t.http1.Drain(ctx) })
-	both.Go(func() { t.http2.Drain(ctx) })
-	both.Wait()
+	var servers sync.WaitGroup
+	servers.Go(func() { t.http1.Drain(ctx) })
+	servers.Go(func() { t.http2.Drain(ctx) })
+	servers.Wait()
 }
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -17,21 +17,21 @@
 	usageTickInterval = 100 * time.Millisecond
 	usageSaveInterval = time.Second
 
-	// usageMessageShare is the share of the peer messages per second that usage may send;
-	// the policy's reports have 0.85.
+	// usageMessageShare is the fraction of the permitted peer messages per second that usage
+	// messages may use; the policy's load reports and outlier reports may use 0.85.
 	usageMessageShare = 0.05
 
-	// maxTotalsPerSave bounds the totals examined in one turn of the node's loop, which
-	// takes it well under a millisecond.
+	// maxTotalsPerSave is the maximum number of usage totals examined in one iteration of the
+	// node's event loop, which takes well under a millisecond.
 	maxTotalsPerSave = 2000
 
 	// usageDatabase is the name of a file in the state directory, fixed by the stored format.
-	// The file contains the usage that the counter may not have yet.
+	// The file contains the usage that the counter may not have recorded yet.
 	usageDatabase = "tally"
 )
 
-// usageRecorder runs a usage.Tracker in the node's loop, and performs its actions. Methods
-// run in the loop unless they say otherwise.
+// usageRecorder runs a usage.Tracker in the node's event loop and executes its actions. Methods
+// must be called in the loop unless their comment states otherwise.
 type usageRecorder struct {
 	gateway         *Gateway
 	tracker         *usage.Tracker
@@ -39,13 +39,13 @@
 	codec           usageMessageCodec
 	sendToPeer      func(to int, message []byte)
 	peersByCustomer map[string][]int
-	storage         *usageStorage // nil: no state directory
+	storage         *usageStorage // nil if there is no state directory
 }
 
 var _ node.UsageRecorder = (*usageRecorder)(nil)
 
-// newUsageRecorder opens the counter's client and the storage, before the node's loop runs.
-// The gateway closes them. It returns nil if no counter is configured.
+// newUsageRecorder opens the counter's client and the storage, which are closed with the gateway.
+// It must be called before the node's event loop runs. It returns nil if no counter is configured.
 func (g *Gateway) newUsageRecorder(incarnation uint64, sendToPeer func(int, []byte)) (*usageRecorder, error) {
 	counter := g.cfg.Counter
 	if counter == nil {
@@ -74,7 +74,7 @@
 	return r, r.openStorage()
 }
 
-// usageSettings are the tracker's settings for a fleet of a size.
+// usageSettings returns the tracker's settings for a fleet of the given number of gateways.
 func usageSettings(cfg *config.Config, incarnation uint64, gateways int) usage.Settings {
 	counter := cfg.Counter
 	plans := map[string]usage.Plan{}
@@ -92,7 +92,7 @@
 	}
 }
 
-// openStorage opens the database and loads what earlier processes have saved.
+// openStorage opens the database and loads the usage that earlier processes have saved.
 func (r *usageRecorder) openStorage() error {
 	g := r.gateway
 	store, contents, err := storage.Open(filepath.Join(g.cfg.StateDir, usageDatabase), g.cfg.Number)
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// assignPeers computes the nodes that serve each customer in a fleet of a size.
+// assignPeers computes the nodes that serve each customer in a fleet of the given number of gateways.
 func (r *usageRecorder) assignPeers(gateways int) {
 	clear(r.peersByCustomer)
 	for _, customer := range r.gateway.cfg.Customers {
@@ -120,7 +120,7 @@
 	}
 }
 
-// resize follows a change of the fleet's size.
+// resize adapts the recorder to a new number of gateways in the fleet.
 func (r *usageRecorder) resize(gateways int) {
 	r.assignPeers(gateways)
 	r.tracker.SetCommandsPerSecond(r.gateway.cfg.Counter.CommandsPerSecond / float64(gateways))
@@ -139,8 +139,8 @@
 }
 
 // run ticks the tracker and saves its changes until the context ends, and then saves once
-// more, unless the gateway was killed. It runs in a goroutine of its own, which must end
-// before the node's loop does.
+// more, unless the gateway was killed. It runs in its own goroutine, which must end before the
+// node's event loop does.
 func (r *usageRecorder) run(ctx context.Context) {
 	ticker := time.NewTicker(usageTickInterval)
 	defer ticker.Stop()
@@ -163,7 +163,7 @@
 	}
 }
 
-// execute carries out the tracker's actions.
+// execute executes the tracker's actions.
 func (r *usageRecorder) execute(actions []usage.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -179,7 +179,7 @@
 	}
 }
 
-// call makes a call to the counter; its response is handled in the loop.
+// call sends a call to the counter. The response is handled in the node's event loop.
 func (r *usageRecorder) call(call usage.CounterCall) {
 	r.client.Do(call, func(response usage.CounterResponse) {
 		r.gateway.node.DoWithResponse(func() {
@@ -197,8 +197,8 @@
 		"shard", note.Shard, "state", note.State.String(), "evidence", note.Evidence.String())
 }
 
-// receivePeerMessage takes a message from a peer, from any goroutine. It returns false if
-// the message is not about usage. A malformed message is dropped.
+// receivePeerMessage handles a message from a peer and reports whether it is a usage message. It may
+// be called from any goroutine. A malformed usage message is dropped.
 func (r *usageRecorder) receivePeerMessage(from int, message []byte) bool {
 	if !isUsageMessage(message) {
 		return false
--- a/gateway/usage_messages.go
+++ b/gateway/usage_messages.go
@@ -10,23 +10,24 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// A usage message is a mark, the incarnation of the sender's process (8 bytes), and entries
-// of that process: hash of the customer's name (8), window (4) and units in thousandths (8).
-// Numbers are big-endian.
+// A usage message consists of the message type (1 byte), the incarnation of the sender's process
+// (8 bytes), and counter entries of that process: hash of the customer's name (8 bytes), window
+// (4 bytes) and milli-units (8 bytes). Numbers are big-endian.
 const (
 	// usageMessageType is the first byte. Messages of the policy begin with their version,
-	// which is smaller.
+	// which is a smaller number.
 	usageMessageType = 'T'
 
 	usageMessageHeaderSize = 1 + 8
 	usageMessageEntrySize  = 8 + 4 + 8
 
-	// maxUsageUnits bounds the units that are taken from a peer, against overflow of sums.
+	// maxUsageUnits is the maximum number of milli-units accepted in a peer's entry, so that sums
+	// don't overflow.
 	maxUsageUnits = 1<<62 - 1
 )
 
-// errMalformedUsageMessage says that a message has no length of this format; a newer version
-// may have sent it.
+// errMalformedUsageMessage reports that the length of a message does not match the format; a newer
+// version may have sent it.
 var errMalformedUsageMessage = errors.New("malformed usage message")
 
 // usageMessageCodec encodes and decodes usage messages. It is safe for concurrent use.
@@ -43,12 +44,12 @@
 	return c
 }
 
-// isUsageMessage tells whether a peer's message is about usage.
+// isUsageMessage reports whether a peer message is a usage message.
 func isUsageMessage(message []byte) bool {
 	return len(message) > 0 && message[0] == usageMessageType
 }
 
-// encode makes a message of entries of this process.
+// encode encodes counter entries of this process in one message.
 func (c usageMessageCodec) encode(entries []usage.CounterEntry) []byte {
 	message := make([]byte, 0, usageMessageHeaderSize+usageMessageEntrySize*len(entries))
 	message = append(message, usageMessageType)
@@ -61,8 +62,8 @@
 	return message
 }
 
-// decode reads a message for which isUsageMessage holds. Entries of customers that are not
-// known here are left out. The error is errMalformedUsageMessage.
+// decode decodes a message for which isUsageMessage is true. Entries of unknown customers, and those
+// with more than maxUsageUnits, are skipped. The error is errMalformedUsageMessage.
 func (c usageMessageCodec) decode(from int, message []byte) ([]usage.CounterEntry, error) {
 	size := len(message) - usageMessageHeaderSize
 	if size < 0 || size%usageMessageEntrySize != 0 {
--- a/gateway/usage_storage.go
+++ b/gateway/usage_storage.go
@@ -7,18 +7,19 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// usageStorage saves the changes of a tracker, which belongs to the node's loop, in a
-// database. Requests wait for no more than the loop's turns that collect the changes.
+// usageStorage saves the changes of a tracker in a database. The changes are collected in the node's
+// event loop, which owns the tracker, and written outside it, so that requests do not wait for the
+// database.
 type usageStorage struct {
 	gateway *Gateway
 	tracker *usage.Tracker
 	store   *storage.Store
-	unsaved []usage.CounterEntry // that could not be saved; used by save alone
+	unsaved []usage.CounterEntry // collected but not saved yet; used only by save
 }
 
-// save saves what has changed, some totals at a time, until nothing is left or the context
-// ends. It must not run in the loop, nor in two goroutines at once. Changes that could not
-// be saved are saved with the next call.
+// save saves all changes, examining at most maxTotalsPerSave totals at a time, until none is left or
+// the context ends. It must not be called in the node's event loop, nor from two goroutines at once.
+// Changes that can't be saved are saved by the next call.
 func (s *usageStorage) save(ctx context.Context) {
 	for {
 		changes, more, err := s.collect(ctx)
@@ -32,7 +33,7 @@
 	}
 }
 
-// saveUnsaved saves the changes that were collected, if any, and reports whether none is left.
+// saveUnsaved saves the collected changes, if any, and reports whether all are saved.
 func (s *usageStorage) saveUnsaved() bool {
 	if len(s.unsaved) == 0 {
 		return true
@@ -45,7 +46,7 @@
 	return true
 }
 
-// collect takes changes from the tracker, in the loop. The error is the context's.
+// collect takes changes from the tracker in the node's event loop. The error is that of the context.
 func (s *usageStorage) collect(ctx context.Context) (changes []usage.CounterEntry, more bool, err error) {
 	type result struct {
 		changes []usage.CounterEntry
@@ -64,8 +65,8 @@
 	}
 }
 
-// close closes the database. What could not be saved is lost.
+// close closes the database. Changes that could not be saved are lost.
 func (s *usageStorage) close() {
-	// An error is of no consequence: what Save has stored is on disk.
+	// The error can be ignored: what Save has stored is on disk already.
 	_ = s.store.Close()
 }
