--- a/gateway/attempt_outcomes_test.go
+++ b/gateway/attempt_outcomes_test.go
@@ -13,14 +13,15 @@
 	"time"
 )
 
-// serveScripted replaces both servers by a scripted one. handle gets the connection of each
-// request, the request without its body, and its number over both servers from 1.
+// serveScripted replaces both servers by scripted ones. handle is called for each request with the
+// connection, the request, whose body has not been read, and its sequence number across both
+// servers, starting at 1.
 func (bed *testBed) serveScripted(handle func(c net.Conn, r *http.Request, n int)) (requests *atomic.Int32) {
 	requests = &atomic.Int32{}
 	bed.serveScriptedConnections(func(c net.Conn) {
-		br := bufio.NewReader(c)
+		reader := bufio.NewReader(c)
 		for {
-			req, err := http.ReadRequest(br)
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -30,9 +31,11 @@
 	return requests
 }
 
-// How an attempt ends decides, with the class of the request, whether it is retried.
+// The outcome of an attempt and the class of the request determine whether it is retried. A request that
+// a server may have executed is retried only if it is idempotent. One that is idempotent with key is
+// retried only within its dedup scope, a cell here, and the other server is in another cell.
 func TestRetryDependsOnAttemptOutcome(t *testing.T) {
-	ends := map[string]func(bed *testBed, c net.Conn){
+	outcomes := map[string]func(bed *testBed, c net.Conn){
 		"reset":  func(_ *testBed, c net.Conn) { c.(interface{ Reset() }).Reset() },
 		"closed": func(bed *testBed, c net.Conn) { mustClose(bed.t, c) },
 		"half-closed": func(bed *testBed, c net.Conn) {
@@ -40,36 +43,36 @@
 				bed.t.Error(err)
 			}
 		},
-		"cut in the body":  respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
-		"cut in the head":  respondAndClose("HTTP/1.1 200 OK\r\nConte"),
+		"truncated body":   respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
+		"truncated header": respondAndClose("HTTP/1.1 200 OK\r\nConte"),
 		"not HTTP":         respondAndClose("hello\r\n"),
 		"status 500":       func(bed *testBed, c net.Conn) { bed.respond(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n") },
 		"plain status 503": func(bed *testBed, c net.Conn) { bed.respond(c, "HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n") },
 	}
-	for name, end := range ends {
+	for name, endAttempt := range outcomes {
 		for _, c := range []struct {
 			method, path string
-			again        bool // may be sent again to the other server, of another cell
+			retried      bool // whether it may be sent again to the other server, which is in another cell
 		}{{"GET", "/records/1", true}, {"POST", "/loans/1", false}, {"POST", "/notes/1", false}} {
 			t.Run(name+" "+c.path, func(t *testing.T) {
 				runInTestBed(t, "", func(bed *testBed) {
 					n := bed.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 						if n == 1 {
-							end(bed, c)
+							endAttempt(bed, c)
 							return
 						}
 						bed.respondOK(c)
 					})
 					g := bed.do(c.method, c.path, "k-school", "Idempotency-Key", "k")
-					want, sent := 502, int32(1)
-					if c.again {
-						want, sent = 200, 2
+					wantStatus, wantAttempts := 502, int32(1)
+					if c.retried {
+						wantStatus, wantAttempts = 200, 2
 					}
-					if g.status != want || n.Load() != sent {
-						t.Errorf("status %d after %d attempts, want %d after %d: %s", g.status, n.Load(), want, sent, g.body)
+					if g.status != wantStatus || n.Load() != wantAttempts {
+						t.Errorf("status %d after %d attempts, want %d after %d: %s", g.status, n.Load(), wantStatus, wantAttempts, g.body)
 					}
-					if want == 502 && g.header.Get("Retry-After") != "" {
-						t.Error("a failure gives advice to retry")
+					if wantStatus == 502 && g.header.Get("Retry-After") != "" {
+						t.Error("a failure response has a Retry-After header")
 					}
 				})
 			})
@@ -77,7 +80,7 @@
 	}
 }
 
-// respondAndClose returns a scripted end of an attempt.
+// respondAndClose returns a function that writes a response and closes the connection.
 func respondAndClose(response string) func(*testBed, net.Conn) {
 	return func(bed *testBed, c net.Conn) {
 		bed.respond(c, response)
@@ -88,7 +91,7 @@
 // An attempt that was provably not executed is retried for any class.
 func TestUnexecutedAttemptsAreRetried(t *testing.T) {
 	for _, path := range []string{"/loans/1", "/notes/1"} {
-		t.Run("turned away "+path, func(t *testing.T) {
+		t.Run("rejection signal "+path, func(t *testing.T) {
 			runInTestBed(t, "", func(bed *testBed) {
 				n := bed.serveScripted(func(c net.Conn, _ *http.Request, n int) {
 					if n == 1 {
@@ -98,7 +101,7 @@
 					bed.respondOK(c)
 				})
 				if g := bed.do("POST", path, "k-school", "Idempotency-Key", "k"); g.status != 200 || n.Load() != 2 {
-					t.Errorf("status %d after %d attempts", g.status, n.Load())
+					t.Errorf("status %d after %d attempts, want 200 after 2", g.status, n.Load())
 				}
 			})
 		})
@@ -115,9 +118,9 @@
 	}
 }
 
-// A server closes an idle connection just as a request is sent on it: once bytes were sent it may
-// have been executed and is not retried. Closed before a byte was sent, the same attempt uses a
-// new connection.
+// A server closes an idle connection while a request is sent on it. Once bytes have been sent, the
+// request may have been executed and is not retried. If the connection was closed before any byte
+// was sent, the same attempt uses a new connection.
 func TestServerClosesIdleConnectionAsARequestIsSent(t *testing.T) {
 	runInTestBed(t, "", func(bed *testBed) {
 		n := bed.serveScripted(func(c net.Conn, _ *http.Request, n int) {
@@ -125,7 +128,7 @@
 			case 1, 2:
 				bed.respondOK(c)
 			case 3:
-				mustClose(t, c) // the request was on its way
+				mustClose(t, c) // the request has been sent
 			default:
 				bed.respondOK(c)
 			}
@@ -145,7 +148,7 @@
 	runInTestBed(t, "", func(bed *testBed) {
 		n := bed.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
 			bed.respondOK(c)
-			mustClose(t, c) // idle connections don't last
+			mustClose(t, c) // no connection stays idle
 		})
 		for i := range 6 {
 			if g := bed.do("POST", "/notes/1", "k-school"); g.status != 200 {
@@ -158,8 +161,8 @@
 	})
 }
 
-// A response after the timeout is discarded: the next request on the client's connection gets its
-// own.
+// A response received after the timeout is discarded. The next request on the client's connection must
+// get its own response, not the late one.
 func TestLateResponseIsDiscarded(t *testing.T) {
 	runInTestBed(t, "", func(bed *testBed) {
 		bed.serveScripted(func(c net.Conn, _ *http.Request, n int) {
@@ -181,12 +184,12 @@
 	})
 }
 
-// A server may respond before it has read the body.
+// A server may respond before it has read the request body.
 func TestResponseBeforeEndOfRequestBody(t *testing.T) {
 	runInTestBed(t, "", func(bed *testBed) {
 		bed.serveScripted(func(c net.Conn, _ *http.Request, _ int) {
 			bed.respondOK(c)
-			time.Sleep(10 * time.Second) // and never reads it
+			time.Sleep(10 * time.Second) // never reads the body
 			mustClose(t, c)
 		})
 		res, err := bed.client.Do(bed.postRequest("/notes/1", strings.NewReader(strings.Repeat("x", 500_000))))
--- a/gateway/authorization_test.go
+++ b/gateway/authorization_test.go
@@ -27,7 +27,7 @@
 	"yardcleat.example/yardcleat/standin/discovery"
 )
 
-// withTwoAuthorizers runs a test with an authorization service that has two addresses.
+// withTwoAuthorizers runs a test with an authorization service at two addresses.
 func withTwoAuthorizers(t *testing.T, f func(bed *testBed, second *authoriser.Server)) {
 	t.Helper()
 	runInTestBedWith(t, strings.Replace(testBedConfig, `authoriser { address = "10.0.2.1:80" }`,
@@ -39,7 +39,8 @@
 	})
 }
 
-// One of two addresses fails: requests are checked at the other one, in time.
+// If one of two addresses of the authorization service fails, requests are checked at the other one in
+// time.
 func TestChecksFailOverFromFaultyAuthorizer(t *testing.T) {
 	for _, fault := range []string{"dead", "silent", "slow"} {
 		t.Run(fault, func(t *testing.T) {
@@ -52,27 +53,27 @@
 				case "slow":
 					bed.setAuthorizerFault(second, "slow", "150ms")
 				}
-				refused := 0
+				rejected := 0
 				for i := range 40 {
 					g := bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint("k", i))
 					if g.status != 200 {
-						refused++
+						rejected++
 					}
 					if g.took > 700*time.Millisecond {
 						t.Errorf("%+v", g)
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				if refused > 0 {
-					t.Errorf("%d of 40 refused", refused)
+				if rejected > 0 {
+					t.Errorf("%d of 40 requests rejected", rejected)
 				}
 			})
 		})
 	}
 }
 
-// What the service is sent of a request, and what it may change: headers, query parameters and
-// headers of the response.
+// The authorization service receives the configured parts of a request, and may change headers, query
+// parameters and response headers.
 func TestAuthorizerReceivesAndChangesFields(t *testing.T) {
 	src := strings.Replace(testBedConfig, `authoriser { address = "10.0.2.1:80" }`, `authoriser {
   address = "10.0.2.9:80"
@@ -81,12 +82,12 @@
 }`, 1)
 	runInTestBedWith(t, src, func(bed *testBed) {
 		var sent *authv3.CheckRequest
-		a := authoriser.New()
+		authorizer := authoriser.New()
 		option := func(name, value string, add bool) *corev3.HeaderValueOption {
 			//nolint:staticcheck // Append is deprecated, but services still send it; this is the only test of it
 			return &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: name, Value: value}, Append: wrapperspb.Bool(add)}
 		}
-		a.Answer = func(req *authv3.CheckRequest) *authv3.CheckResponse {
+		authorizer.Answer = func(req *authv3.CheckRequest) *authv3.CheckResponse {
 			sent = req
 			return &authv3.CheckResponse{Status: &rpc.Status{}, HttpResponse: &authv3.CheckResponse_OkResponse{OkResponse: &authv3.OkHttpResponse{
 				Headers: []*corev3.HeaderValueOption{option("x-set", "new", false), option("x-more", "2", true), option("host", "evil", false),
@@ -96,10 +97,10 @@
 				QueryParametersToRemove: []string{"token"},
 				ResponseHeadersToAdd:    []*corev3.HeaderValueOption{option("x-told", "yes", false)}}}}
 		}
-		bed.serve(a.Serve, "10.0.2.9:80")
-		var got *http.Request
+		bed.serve(authorizer.Serve, "10.0.2.9:80")
+		var forwarded *http.Request
 		bed.serveScripted(func(c net.Conn, r *http.Request, _ int) {
-			got = r
+			forwarded = r
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				t.Error(err)
 			}
@@ -117,43 +118,43 @@
 		if res.StatusCode != 200 || res.Header.Get("X-Told") != "yes" {
 			t.Errorf("%d, %v", res.StatusCode, res.Header)
 		}
-		h := sent.GetAttributes().GetRequest().GetHttp()
-		if h.GetBody() != "abcd" || h.GetSize() != 6 || h.GetHeaders()["x-envoy-auth-partial-body"] != "true" || h.GetHeaders()["cookie"] != "" ||
-			h.GetHeaders()["x-api-key"] != "" || h.GetPath() != "/loans/1?token=t&who=x&y=1" || h.GetHost() != "10.0.0.1:80" {
-			t.Errorf("%+v", h)
+		checked := sent.GetAttributes().GetRequest().GetHttp()
+		if checked.GetBody() != "abcd" || checked.GetSize() != 6 || checked.GetHeaders()["x-envoy-auth-partial-body"] != "true" || checked.GetHeaders()["cookie"] != "" ||
+			checked.GetHeaders()["x-api-key"] != "" || checked.GetPath() != "/loans/1?token=t&who=x&y=1" || checked.GetHost() != "10.0.0.1:80" {
+			t.Errorf("%+v", checked)
 		}
-		at := sent.GetAttributes()
-		if at.GetSource().GetPrincipal() != "school" || at.GetSource().GetAddress().GetSocketAddress().GetPortValue() == 0 ||
-			at.GetDestination().GetAddress().GetSocketAddress().GetPortValue() != 80 || at.GetContextExtensions()["class"] != "loan-change" {
-			t.Errorf("%+v", at)
+		attributes := sent.GetAttributes()
+		if attributes.GetSource().GetPrincipal() != "school" || attributes.GetSource().GetAddress().GetSocketAddress().GetPortValue() == 0 ||
+			attributes.GetDestination().GetAddress().GetSocketAddress().GetPortValue() != 80 || attributes.GetContextExtensions()["class"] != "loan-change" {
+			t.Errorf("%+v", attributes)
 		}
-		if got.URL.RawQuery != "y=1&who=a+b" || got.Host != "10.0.0.1:80" || fmt.Sprint(got.Header["X-Set"], got.Header["X-More"], got.Header["X-Drop"],
-			got.Header["X-Bad"]) != "[new] [1 2] [] []" || got.ContentLength != 6 {
-			t.Errorf("%s, host %s, %v", got.URL, got.Host, got.Header)
+		if forwarded.URL.RawQuery != "y=1&who=a+b" || forwarded.Host != "10.0.0.1:80" || fmt.Sprint(forwarded.Header["X-Set"], forwarded.Header["X-More"], forwarded.Header["X-Drop"],
+			forwarded.Header["X-Bad"]) != "[new] [1 2] [] []" || forwarded.ContentLength != 6 {
+			t.Errorf("%s, host %s, %v", forwarded.URL, forwarded.Host, forwarded.Header)
 		}
-		a.Kill()
+		authorizer.Kill()
 	})
 }
 
 type accessLogStream = grpc.ClientStreamingClient[alsv3.StreamAccessLogsMessage, alsv3.StreamAccessLogsResponse]
 
-// dialAccessLogs opens a stream of access logs, as a proxy does. done ends it.
+// dialAccessLogs opens an access log stream as a proxy does. done closes it.
 func (bed *testBed) dialAccessLogs() (stream accessLogStream, done func()) {
 	bed.t.Helper()
-	cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
+	conn, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return bed.clientHost.Dial(ctx, addr) }))
 	if err != nil {
 		bed.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	stream, err = alsv3.NewAccessLogServiceClient(cc).StreamAccessLogs(ctx)
+	stream, err = alsv3.NewAccessLogServiceClient(conn).StreamAccessLogs(ctx)
 	if err != nil {
 		cancel()
 		bed.t.Fatal(err)
 	}
 	return stream, func() {
 		cancel()
-		mustClose(bed.t, cc)
+		mustClose(bed.t, conn)
 	}
 }
 
@@ -166,7 +167,7 @@
 	}
 }
 
-// accessLogEntry is the entry of an attempt that was answered with status 200.
+// accessLogEntry returns the entry of an attempt with response status 200.
 func accessLogEntry(token string) *datav3.HTTPAccessLogEntry {
 	return &datav3.HTTPAccessLogEntry{
 		Request:  &datav3.HTTPRequestProperties{RequestHeaders: map[string]string{extauthz.FieldAttempt: token}},
@@ -174,7 +175,7 @@
 	}
 }
 
-// attemptToken returns the token of the attempt that a check has allowed; ok tells whether it has.
+// attemptToken returns the token of the attempt that a check has allowed. ok is false if it was denied.
 func attemptToken(r *authv3.CheckResponse) (token string, ok bool) {
 	if r.GetOkResponse() == nil {
 		return "", false
@@ -187,23 +188,23 @@
 	return token, true
 }
 
-// When a share of the access logs is lost, their attempts hold the concurrency cap until their
-// timeout: the cap is never exceeded, and fewer requests pass.
+// If some access log entries are lost, their attempts count against the in-flight cap until their
+// timeout. The cap must never be exceeded; fewer requests are allowed meanwhile.
 func TestLostAccessLogsHoldCapacityUntilTimeout(t *testing.T) {
 	for _, share := range []float64{0, 0.01, 0.1} {
 		runInTestBed(t, cappedPlan, func(bed *testBed) {
 			passed, maxInFlight := bed.runChecksWithLostAccessLogs(share)
-			t.Logf("%.0f%% lost: %d of 600 pass, %d in flight at most", 100*share, passed, maxInFlight)
-			if least := map[float64]int{0: 600, 0.01: 580, 0.1: 450}[share]; passed < least || maxInFlight > 2 {
-				t.Errorf("%.2f lost: %d pass, %d in flight", share, passed, maxInFlight)
+			t.Logf("%.0f%% of entries lost: %d of 600 checks allowed, at most %d in flight", 100*share, passed, maxInFlight)
+			if minPassed := map[float64]int{0: 600, 0.01: 580, 0.1: 450}[share]; passed < minPassed || maxInFlight > 2 {
+				t.Errorf("share of entries lost %.2f: %d checks allowed, at most %d in flight", share, passed, maxInFlight)
 			}
 		})
 	}
 }
 
-// runChecksWithLostAccessLogs sends 600 checks, one every 50 ms for 20 ms of work, for which a cap of two
-// is ample. It loses a share of the access logs, and returns how many checks were allowed and how
-// many attempts were in flight at most.
+// runChecksWithLostAccessLogs sends 600 checks, one every 50 ms, for attempts of 20 ms each, which an
+// in-flight cap of two admits easily. It drops a share of the access log entries, and returns the
+// number of checks allowed and the maximum number of attempts in flight.
 func (bed *testBed) runChecksWithLostAccessLogs(share float64) (passed, maxInFlight int) {
 	bed.t.Helper()
 	const work = 20 * time.Millisecond
@@ -212,7 +213,7 @@
 	stream, closeStream := bed.dialAccessLogs()
 	defer closeStream()
 	rng := rand.New(rand.NewPCG(1, 1))
-	inFlight := map[string]time.Time{} // attempts by token, with the end of their work
+	inFlight := map[string]time.Time{} // end of each attempt by its token
 	for range 600 {
 		maps.DeleteFunc(inFlight, func(_ string, end time.Time) bool { return time.Now().After(end) })
 		if token, ok := attemptToken(check("/records/1")); ok {
@@ -228,8 +229,8 @@
 	return passed, maxInFlight
 }
 
-// Headers that are not UTF-8, which gRPC messages can't hold, do not look like failures of the
-// service.
+// Headers that are not valid UTF-8 can't be put in a gRPC message as they are. They must not be taken
+// for failures of the authorization service.
 func TestHeadersThatAreNotUTF8AreSentToTheAuthorizer(t *testing.T) {
 	runInTestBed(t, "", func(bed *testBed) {
 		for i := range 20 {
@@ -242,8 +243,9 @@
 	})
 }
 
-// Access logs come twice, late, out of order, for attempts of other gateways and from two proxies
-// for one attempt: only the first one of an attempt counts, and frees the cap once.
+// Access log entries arrive twice, late, out of order, for attempts of other gateways, and from two
+// proxies for one attempt. Only the first entry of an attempt counts, and it frees the in-flight cap
+// only once.
 func TestRepeatedAndForeignAccessLogsCountOnce(t *testing.T) {
 	runInTestBed(t, cappedPlan, func(bed *testBed) {
 		check, done := bed.dialChecks("3000")
@@ -252,33 +254,33 @@
 		defer closeFirst()
 		second, closeSecond := bed.dialAccessLogs()
 		defer closeSecond()
-		pass := func() (token string, ok bool) { return attemptToken(check("/records/1")) }
-		old := ""
+		startAttempt := func() (token string, ok bool) { return attemptToken(check("/records/1")) }
+		previous := ""
 		for range 10 {
-			a, ok1 := pass()
-			b, ok2 := pass()
+			a, ok1 := startAttempt()
+			b, ok2 := startAttempt()
 			if !ok1 || !ok2 {
-				t.Fatal("a place is not free")
+				t.Fatal("an attempt was denied below the cap of two")
 			}
-			if _, ok := pass(); ok {
-				t.Fatal("three places under a cap of two")
+			if _, ok := startAttempt(); ok {
+				t.Fatal("a third attempt was allowed under a cap of two")
 			}
-			logAttempts(t, first, b, old, b, "other/1/0", "", "desks-0-1/x/y") // doubled, old, foreign, malformed
-			logAttempts(t, second, b, old)
-			c, ok := pass()
+			logAttempts(t, first, b, previous, b, "other/1/0", "", "desks-0-1/x/y") // duplicate, old, of another gateway, malformed
+			logAttempts(t, second, b, previous)
+			c, ok := startAttempt()
 			if !ok {
-				t.Fatal("the place is not free")
+				t.Fatal("an attempt was denied after the entry of an earlier one")
 			}
-			if _, ok := pass(); ok {
-				t.Fatal("one line freed two places")
+			if _, ok := startAttempt(); ok {
+				t.Fatal("one access log entry freed the cap for two attempts")
 			}
-			old = b
+			previous = b
 			logAttempts(t, second, c, a)
 		}
 	})
 }
 
-// logAttempts sends the entries of attempts in one message, and waits until they have come.
+// logAttempts sends the entries of attempts in one message and waits until they have arrived.
 func logAttempts(t *testing.T, stream accessLogStream, tokens ...string) {
 	t.Helper()
 	var entries []*datav3.HTTPAccessLogEntry
@@ -291,23 +293,23 @@
 	time.Sleep(10 * time.Millisecond)
 }
 
-// Half of the checks fail with UNAVAILABLE, at one of two addresses and at both: they are retried at
-// the other one.
+// Half of the checks fail with UNAVAILABLE, at one of two addresses or at both. They are retried at the
+// other address.
 func TestUnavailableChecksAreRetried(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		runInTestBedWith(t, strings.Replace(testBedConfig, `authoriser { address = "10.0.2.1:80" }`,
 			`authoriser { addresses = ["10.0.2.8:80", "10.0.2.9:80"] }`, 1), func(bed *testBed) {
 			for i := range 2 {
 				rng := rand.New(rand.NewPCG(uint64(i), 1))
-				a := authoriser.New()
-				a.Answer = func(*authv3.CheckRequest) *authv3.CheckResponse {
+				authorizer := authoriser.New()
+				authorizer.Answer = func(*authv3.CheckRequest) *authv3.CheckResponse {
 					if (both || i == 0) && rng.Float64() < 0.5 {
-						return nil // which grpc can't marshal: an error to its client
+						return nil // gRPC can't marshal nil, so its client gets an error
 					}
 					return &authv3.CheckResponse{Status: &rpc.Status{}}
 				}
-				bed.serve(a.Serve, fmt.Sprintf("10.0.2.%d:80", 8+i))
-				bed.closers = append(bed.closers, a.Kill)
+				bed.serve(authorizer.Serve, fmt.Sprintf("10.0.2.%d:80", 8+i))
+				bed.closers = append(bed.closers, authorizer.Kill)
 			}
 			served := 0
 			for i := range 60 {
@@ -319,46 +321,47 @@
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			t.Logf("both %v: %d of 60 served", both, served)
-			if least := map[bool]int{false: 58, true: 35}[both]; served < least {
-				t.Errorf("both %v: %d of 60 served", both, served)
+			t.Logf("both addresses %v: %d of 60 requests served", both, served)
+			if minServed := map[bool]int{false: 58, true: 35}[both]; served < minServed {
+				t.Errorf("both addresses %v: only %d of 60 requests served", both, served)
 			}
 		})
 	}
 }
 
-// An earlier result, a denial too, replaces a missing one for as long as the class says.
+// If the authorization service does not respond, the cached result of an earlier check, allowed or
+// denied, is used until the cache TTL of the class has passed.
 func TestCachedAuthorizationIsUsedWhenAuthorizerFails(t *testing.T) {
 	src := strings.Replace(testBedConfig, `authorisation = "refuse"`, "authorisation = \"refuse\"\n  remember = \"10s\"", 1)
 	runInTestBedWith(t, src, func(bed *testBed) {
-		ask := func(key string) response {
+		send := func(key string) response {
 			return bed.do("POST", "/loans/1", key, "Idempotency-Key", fmt.Sprint(time.Now().UnixNano()))
 		}
-		if g := ask("k-school"); g.status != 200 {
+		if g := send("k-school"); g.status != 200 {
 			t.Fatalf("%+v", g)
 		}
-		if g := ask("k-denied"); g.status != 403 {
+		if g := send("k-denied"); g.status != 403 {
 			t.Fatalf("%+v", g)
 		}
 		bed.setAuthorizerFault(bed.authorizer, "silent", "")
-		if g := ask("k-school"); g.status != 200 {
+		if g := send("k-school"); g.status != 200 {
 			t.Errorf("%+v", g)
 		}
-		if g := ask("k-denied"); g.status != 403 || !strings.Contains(g.body, "no right") {
+		if g := send("k-denied"); g.status != 403 || !strings.Contains(g.body, "no right") {
 			t.Errorf("%+v", g)
 		}
 		if g := bed.do("POST", "/loans/2", "k-school", "Idempotency-Key", "x"); g.status != 503 {
-			t.Errorf("another resource: %+v", g)
+			t.Errorf("other resource, which has no cached result: %+v", g)
 		}
 		time.Sleep(11 * time.Second)
-		if g := ask("k-school"); g.status != 503 {
-			t.Errorf("after its life: %+v", g)
+		if g := send("k-school"); g.status != 503 {
+			t.Errorf("after the cache TTL: %+v", g)
 		}
 	})
 }
 
-// A server starts to drain after a request was allowed and before it is sent: the request goes to
-// the other one.
+// A server starts to drain while the authorization check of a request is in progress. The request must
+// be sent to the other server.
 func TestAllowedRequestAvoidsDrainingServer(t *testing.T) {
 	runInTestBed(t, fmt.Sprintf("node { state_dir = %q }", t.TempDir()), func(bed *testBed) {
 		d := discovery.New("c", 0, nil)
@@ -371,18 +374,18 @@
 		for i := range 4 {
 			go func() { done <- bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", fmt.Sprint(i)) }()
 		}
-		time.Sleep(50 * time.Millisecond) // their checks are sent, not answered yet
+		time.Sleep(50 * time.Millisecond) // the checks have been sent but have no response yet
 		list[0].Draining = true
 		d.Set(list)
 		time.Sleep(10 * time.Millisecond)
-		told := time.Now()
+		updatedAt := time.Now()
 		for range 4 {
 			if g := <-done; g.status != 200 {
 				t.Errorf("%+v", g)
 			}
 		}
 		for _, s := range bed.arrivedAttempts() {
-			if s.Server == "s1" && s.At.After(told) {
+			if s.Server == "s1" && s.At.After(updatedAt) {
 				t.Errorf("sent to the draining server: %+v", s)
 			}
 		}
@@ -390,8 +393,8 @@
 	})
 }
 
-// The service is slow, silent or dead: the class that needs it is rejected in time, others are
-// served.
+// If the authorization service is slow, silent or unreachable, requests of a class that requires it are
+// rejected in time, and requests of other classes are served.
 func TestFailedAuthorizerRejectsInTime(t *testing.T) {
 	for _, c := range []struct{ fault, arg, reason string }{
 		{"slow", "250ms", "authorisation-late"}, {"silent", "", "authorisation-late"}, {"dead", "", "authorisation-unreachable"},
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -68,8 +68,8 @@
 	return l
 }
 
-// serveUntilCleanup serves on a free port until the benchmark ends, and calls stop then. An error of
-// serve, but for that of a server that was stopped, fails the benchmark.
+// serveUntilCleanup serves on a free port until the benchmark ends, and then calls stop. An error of
+// serve fails the benchmark, unless it reports that the server was stopped.
 func serveUntilCleanup(b *testing.B, serve func(net.Listener) error, stop func()) (addr string) {
 	b.Helper()
 	l := listenLoopback(b)
@@ -84,7 +84,7 @@
 	return l.Addr().String()
 }
 
-// startBackend starts a server that responds at once, with the least work there is.
+// startBackend starts a server that responds immediately with minimal work.
 func startBackend(b *testing.B) string {
 	b.Helper()
 	l := listenLoopback(b)
@@ -104,7 +104,7 @@
 
 // respondUntilClosed writes a response to each request until the client closes the connection.
 func respondUntilClosed(c net.Conn, response []byte) {
-	// The connection has ended already; a response that was lost shows at the client.
+	// The client has closed the connection already; it would have reported a lost response.
 	defer func() { _ = c.Close() }()
 	r := http1.NewReader(c, http1.Limits{Line: 4096, Fields: 100, Header: 8192})
 	for {
@@ -141,46 +141,46 @@
 	return g, g.listeners[0].net.Addr().String(), g.listeners[1].net.Addr().String()
 }
 
-// runWorkers has each worker make one call after the other, b.N calls in all, and reports the rate
-// and the median and 99th percentile of a call's time. open returns the call of one worker, and what
-// ends it.
-func runWorkers(b *testing.B, workers int, open func() (call func() error, done func(), err error)) {
+// runWorkers runs workers that each make one call after the other, b.N calls in total, and reports the
+// rate and the median and 99th percentile of the duration of a call. newWorker returns the call of one
+// worker and the function that ends the worker.
+func runWorkers(b *testing.B, workers int, newWorker func() (call func() error, done func(), err error)) {
 	b.Helper()
-	var left atomic.Int64
-	left.Store(int64(b.N))
-	all := make([][]time.Duration, workers)
-	var wait sync.WaitGroup
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
+	workerDurations := make([][]time.Duration, workers)
+	var running sync.WaitGroup
 	b.ResetTimer()
 	for i := range workers {
-		wait.Go(func() {
-			call, done, err := open()
+		running.Go(func() {
+			call, done, err := newWorker()
 			if err != nil {
 				b.Error(err)
 				return
 			}
 			defer done()
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				start := time.Now()
 				if err := call(); err != nil {
 					b.Error(err)
 					return
 				}
-				all[i] = append(all[i], time.Since(start))
+				workerDurations[i] = append(workerDurations[i], time.Since(start))
 			}
 		})
 	}
-	wait.Wait()
+	running.Wait()
 	b.StopTimer()
-	took := slices.Concat(all...)
-	slices.Sort(took)
-	if len(took) > 0 {
-		b.ReportMetric(float64(len(took))/b.Elapsed().Seconds(), "req/s")
-		b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-µs")
-		b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-µs")
+	durations := slices.Concat(workerDurations...)
+	slices.Sort(durations)
+	if len(durations) > 0 {
+		b.ReportMetric(float64(len(durations))/b.Elapsed().Seconds(), "req/s")
+		b.ReportMetric(float64(durations[len(durations)/2].Microseconds()), "p50-µs")
+		b.ReportMetric(float64(durations[len(durations)*99/100].Microseconds()), "p99-µs")
 	}
 }
 
-// measureHTTP sends requests over connections kept open.
+// measureHTTP measures requests over persistent connections.
 func measureHTTP(b *testing.B, addr string, conns int) {
 	b.Helper()
 	request := "GET /records/1 HTTP/1.1\r\nHost: " + addr + "\r\nX-Api-Key: k\r\nUser-Agent: bench\r\nAccept: */*\r\n\r\n"
@@ -206,7 +206,7 @@
 	})
 }
 
-// startReverseProxy starts httputil.ReverseProxy before a server, over HTTP/1.1 and HTTP/2.
+// startReverseProxy starts httputil.ReverseProxy in front of a server. It accepts HTTP/1.1 and HTTP/2.
 func startReverseProxy(b *testing.B, server string) (addr string) {
 	b.Helper()
 	p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: server})
@@ -218,7 +218,7 @@
 	return serveUntilCleanup(b, s.Serve, func() { mustClose(b, s) })
 }
 
-// startManyServers starts so many servers that the limit of attempts in flight at one has no effect.
+// startManyServers starts enough servers that the limit of attempts in flight per server has no effect.
 func startManyServers(b *testing.B) (servers []string) {
 	b.Helper()
 	for range 64 {
@@ -227,7 +227,8 @@
 	return servers
 }
 
-// The HTTP listener with all decisions made, against httputil.ReverseProxy and no proxy at all.
+// BenchmarkProxying compares the HTTP listener, including all policy decisions, with
+// httputil.ReverseProxy and with no proxy at all.
 func BenchmarkProxying(b *testing.B) {
 	for _, conns := range []int{1, 64, 1000} {
 		b.Run(fmt.Sprintf("none/%d", conns), func(b *testing.B) { measureHTTP(b, startBackend(b), conns) })
@@ -239,7 +240,7 @@
 	}
 }
 
-// allowAllAuthorizer allows every Check.
+// allowAllAuthorizer is an authorization service that allows every Check.
 type allowAllAuthorizer struct {
 	authv3.UnimplementedAuthorizationServer
 }
@@ -249,16 +250,16 @@
 		OkResponse: &authv3.OkHttpResponse{}}}, nil
 }
 
-// Check with the decision made, against one that always allows.
+// BenchmarkCheck compares Check, including the policy decision, with a service that always allows.
 func BenchmarkCheck(b *testing.B) {
 	run := func(b *testing.B, addr string, workers int) {
 		b.Helper()
-		cc, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+		conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer mustClose(b, cc)
-		auth := authv3.NewAuthorizationClient(cc)
+		defer mustClose(b, conn)
+		auth := authv3.NewAuthorizationClient(conn)
 		req := &authv3.CheckRequest{Attributes: &authv3.AttributeContext{Request: &authv3.AttributeContext_Request{
 			Http: &authv3.AttributeContext_HttpRequest{Method: "GET", Path: "/records/1", Host: "h",
 				Headers: map[string]string{"x-api-key": "k", "x-envoy-expected-rq-timeout-ms": "20", "user-agent": "bench"}}}}}
@@ -282,12 +283,13 @@
 	}
 }
 
-// A request with and without usage tracking, which includes counter and storage.
+// BenchmarkUsageTracking compares requests with and without usage tracking, which includes the counter
+// and storage.
 func BenchmarkUsageTracking(b *testing.B) {
-	for _, with := range []bool{false, true} {
-		b.Run(fmt.Sprint(with), func(b *testing.B) {
+	for _, tracking := range []bool{false, true} {
+		b.Run(fmt.Sprint(tracking), func(b *testing.B) {
 			extra := ""
-			if with {
+			if tracking {
 				c := counter.New()
 				dir := b.TempDir()
 				addr := serveUntilCleanup(b, c.Serve, c.Kill)
@@ -301,7 +303,7 @@
 
 // newHTTP2Client returns a client over unencrypted HTTP/2, with one connection.
 func newHTTP2Client(addr string) *http.Client {
-	//nolint:staticcheck // deprecated, but it shares one connection between first requests, as the benchmark counts
+	//nolint:staticcheck // deprecated, but its first requests share one connection, as the benchmark assumes
 	transport := &http2.Transport{
 		AllowHTTP: true,
 		DialTLSContext: func(ctx context.Context, _, _ string, _ *tls.Config) (net.Conn, error) {
@@ -335,8 +337,8 @@
 
 const benchHTTP2Listener = "listener \"http2\" \"kiosks\" { address = \"127.0.0.1:0\" }\n"
 
-// The HTTP/2 listener against net/http's HTTP/2 server with ReverseProxy: 4 connections of 16
-// streams.
+// BenchmarkHTTP2 compares the HTTP/2 listener with net/http's HTTP/2 server and ReverseProxy, over 4
+// connections with 16 streams each.
 func BenchmarkHTTP2(b *testing.B) {
 	run := func(b *testing.B, addr string) {
 		b.Helper()
@@ -358,8 +360,8 @@
 	})
 }
 
-// Memory of 10,000 streams that wait for a server which does not respond, on 100 connections, client
-// side included.
+// BenchmarkHTTP2Memory measures the memory of 10,000 streams on 100 connections that wait for a server
+// which does not respond. It includes the memory of the clients.
 func BenchmarkHTTP2Memory(b *testing.B) {
 	l := listenLoopback(b)
 	defer mustClose(b, l)
@@ -375,7 +377,7 @@
 	})
 }
 
-// acceptSilently reads requests and responds to none, until the listener is closed.
+// acceptSilently reads requests without responding, until the listener is closed.
 func acceptSilently(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -388,10 +390,11 @@
 
 // discard reads until the connection ends.
 func discard(c net.Conn) {
-	_, _ = io.Copy(io.Discard, c) // how the connection ends is of no consequence
+	_, _ = io.Copy(io.Discard, c) // the error that ends the connection does not matter
 }
 
-// measureStreamMemory opens 100 connections of 100 streams to addr, and reports the memory of a stream.
+// measureStreamMemory opens 100 connections with 100 streams each to addr, and reports the memory per
+// stream.
 func measureStreamMemory(b *testing.B, addr string) {
 	b.Helper()
 	var before, after runtime.MemStats
@@ -412,12 +415,12 @@
 		}
 		go discard(c)
 	}
-	time.Sleep(250 * time.Millisecond) // all are there, none is answered yet
-	runtime.ReadMemStats(&after)       // without GC, which could outlast the requests
+	time.Sleep(250 * time.Millisecond) // all requests have arrived and none has a response yet
+	runtime.ReadMemStats(&after)       // without a GC, which could take longer than the requests last
 	b.ReportMetric(float64(after.HeapAlloc+after.StackInuse-before.HeapAlloc-before.StackInuse)/10_000, "B/stream")
 }
 
-// encodeHTTP2Requests returns what a client sends for n requests on a new connection.
+// encodeHTTP2Requests returns the bytes that a client sends for n requests on a new connection.
 func encodeHTTP2Requests(n uint32) ([]byte, error) {
 	var connection, block bytes.Buffer
 	connection.WriteString(http2.ClientPreface)
--- a/gateway/endpoint_cache_test.go
+++ b/gateway/endpoint_cache_test.go
@@ -12,9 +12,9 @@
 	"yardcleat.example/yardcleat/standin/discovery"
 )
 
-// A gateway restarts with its last endpoint list, which is stale: three servers in it are gone, one
-// is draining. What it can't know costs attempts; each request has a response, and a new list
-// from discovery counts at once.
+// A gateway restarts with a cached endpoint list that is stale: three of its servers no longer exist and
+// one is draining. Attempts to the missing servers fail, but each request gets a response, and a new
+// list from discovery takes effect immediately.
 func TestRestartWithAStaleEndpointCache(t *testing.T) {
 	dir := t.TempDir()
 	extra := `node { state_dir = "` + dir + `" }`
@@ -27,29 +27,29 @@
 	}
 	runInTestBed(t, extra, func(bed *testBed) {
 		served := 0
-		for i := range 8 { // discovery is not there yet
+		for i := range 8 { // discovery is not reachable yet
 			switch g := bed.do("GET", fmt.Sprint("/records/", i), "k-school"); {
 			case g.status == 200:
 				served++
-			case g.header.Get("X-Yardcleat-Reason") != "server-gone": // three attempts, three gone
+			case g.header.Get("X-Yardcleat-Reason") != "server-gone": // all three attempts chose missing servers
 				t.Errorf("%+v", g)
 			}
 		}
 		if served < 5 {
-			t.Errorf("%d of 8 served", served)
+			t.Errorf("%d of 8 requests served", served)
 		}
 		d := discovery.New("c", 0, nil)
 		bed.serve(d.Serve, "10.0.3.1:80")
 		d.Set([]discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Draining: true}, {Name: "s2", Address: "10.0.1.2:80", Cell: 1}})
-		time.Sleep(3 * time.Second) // the stream is opened again
-		told := time.Now()
+		time.Sleep(3 * time.Second) // until the discovery stream is reopened
+		updatedAt := time.Now()
 		for i := range 10 {
 			if g := bed.do("GET", fmt.Sprint("/records/", i), "k-school"); g.status != 200 {
 				t.Errorf("%+v", g)
 			}
 		}
 		for _, s := range bed.arrivedAttempts() {
-			if s.Server == "s1" && s.At.After(told) {
+			if s.Server == "s1" && s.At.After(updatedAt) {
 				t.Errorf("sent to the draining server: %+v", s)
 			}
 		}
--- a/gateway/ext_authz_proxy_test.go
+++ b/gateway/ext_authz_proxy_test.go
@@ -30,27 +30,27 @@
 }
 `
 
-// dialChecks returns a function that sends checks as a proxy does, without access logs.
-func (bed *testBed) dialChecks(patience string) (check func(path string) *authv3.CheckResponse, done func()) {
-	cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
+// dialChecks returns a function that sends checks as a proxy does that sends no access logs.
+func (bed *testBed) dialChecks(clientTimeout string) (check func(path string) *authv3.CheckResponse, done func()) {
+	conn, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return bed.clientHost.Dial(ctx, addr) }))
 	if err != nil {
 		bed.t.Fatal(err)
 	}
 	return func(path string) *authv3.CheckResponse {
-		resp, err := authv3.NewAuthorizationClient(cc).Check(context.Background(), &authv3.CheckRequest{
+		resp, err := authv3.NewAuthorizationClient(conn).Check(context.Background(), &authv3.CheckRequest{
 			Attributes: &authv3.AttributeContext{Request: &authv3.AttributeContext_Request{Http: &authv3.AttributeContext_HttpRequest{
 				Method: "GET", Path: path, Host: "h", Headers: map[string]string{"x-api-key": "k-capped",
-					"x-envoy-expected-rq-timeout-ms": patience}}}}})
+					"x-envoy-expected-rq-timeout-ms": clientTimeout}}}}})
 		if err != nil {
 			bed.t.Fatal(err)
 		}
 		return resp
-	}, func() { mustClose(bed.t, cc) }
+	}, func() { mustClose(bed.t, conn) }
 }
 
-// A check whose proxy never logs holds its share of the concurrency cap until its timeout, and no
-// longer.
+// An allowed check whose proxy sends no access log counts against the in-flight cap until its timeout,
+// and no longer.
 func TestCheckWithoutAccessLogHoldsCapacityUntilTimeout(t *testing.T) {
 	runInTestBed(t, cappedPlan, func(bed *testBed) {
 		check, done := bed.dialChecks("1000")
@@ -62,16 +62,16 @@
 		}
 		start := time.Now()
 		if r := check("/records/1"); r.GetDeniedResponse() == nil {
-			t.Errorf("a third attempt under a cap of two, %v after the first", time.Since(start))
+			t.Errorf("a third attempt was allowed under a cap of two, %v after the first", time.Since(start))
 		}
 		time.Sleep(1100*time.Millisecond - time.Since(start))
 		if r := check("/records/1"); r.GetOkResponse() == nil {
-			t.Errorf("the cap is still held after the time-outs: %v", r)
+			t.Errorf("the attempts still count against the cap after their timeouts: %v", r)
 		}
 	})
 }
 
-// A check that is queued when the gateway drains has its response.
+// A check that is queued when the gateway drains gets a response.
 func TestDrainAnswersQueuedCheck(t *testing.T) {
 	runInTestBed(t, cappedPlan, func(bed *testBed) {
 		check, done := bed.dialChecks("2000")
@@ -97,8 +97,8 @@
 	})
 }
 
-// A proxy that logs frees the concurrency cap at once, and its clients get the same responses as
-// those of the HTTP listener.
+// The access logs of a proxy free the in-flight cap immediately, and its clients get the same responses
+// as those of the HTTP listener.
 func TestRequestsThroughAnExtAuthzProxy(t *testing.T) {
 	runInTestBed(t, cappedPlan, func(bed *testBed) {
 		p, err := proxy.New(proxy.Options{Network: bed.clientHost, Gateway: "10.0.0.1:81", Patience: time.Second})
@@ -120,7 +120,7 @@
 			if res.StatusCode != 200 || !strings.Contains(string(body), `"class":"lookup"`) {
 				t.Errorf("%d: status %d, %s", i, res.StatusCode, body)
 			}
-			time.Sleep(5 * time.Millisecond) // the log line's way
+			time.Sleep(5 * time.Millisecond) // until the access log has arrived
 		}
 		if n := len(bed.arrivedAttempts()); n != 10 {
 			t.Errorf("%d attempts arrived", n)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -14,7 +14,7 @@
 			t.Errorf("loan-change: %+v", g)
 		}
 		if n := bed.authorizer.Checks(); n != 1 {
-			t.Errorf("%d Checks, want 1: lookup is not put to the authoriser", n)
+			t.Errorf("%d authorization checks, want 1: class lookup requires none", n)
 		}
 		if n := len(bed.arrivedAttempts()); n != 2 {
 			t.Errorf("%d attempts arrived, want 2", n)
@@ -36,7 +36,7 @@
 			{"GET", "/records/../loans/1", "k-school", nil, 400, "bad-request"},
 			{"GET", "/records/%2e%2E", "k-school", nil, 400, "bad-request"},
 			{"GET", "/records/a%2fb", "k-school", nil, 400, "bad-request"},
-			{"POST", "/loans/1", "k-school", nil, 400, "bad-request"}, // no key for a keyed class
+			{"POST", "/loans/1", "k-school", nil, 400, "bad-request"}, // no idempotency key for a class that is idempotent with key
 			{"GET", "/records/1", "k-school", []string{"X-Envoy-Expected-Rq-Timeout-Ms", "soon"}, 400, "bad-request"},
 			{"POST", "/loans/1", "k-denied", []string{"Idempotency-Key", "k"}, 403, "authorisation-denied"},
 		} {
@@ -52,23 +52,23 @@
 	})
 }
 
-// A customer beyond its quota is told so, with the time to come back.
+// Requests over a customer's quota are rejected with status 429, Retry-After and the rate limit policy.
 func TestCustomerOverQuotaIsRejectedWithRetryAfter(t *testing.T) {
 	runInTestBed(t, "", func(bed *testBed) {
-		served, refused := 0, 0
+		served, rejected := 0, 0
 		for range 60 {
 			switch g := bed.do("GET", "/records/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "500"); {
 			case g.status == 200:
 				served++
 			case g.status == 429 && g.header.Get("Retry-After") != "" && g.header.Get("X-Yardcleat-Reason") == "quota" &&
 				strings.Contains(g.header.Get("RateLimit-Policy"), `"basic";q=20;w=2`):
-				refused++
+				rejected++
 			default:
 				t.Fatalf("%+v", g)
 			}
 		}
-		if served < 20 || refused < 10 {
-			t.Errorf("%d served and %d refused of 60 at once", served, refused)
+		if served < 20 || rejected < 10 {
+			t.Errorf("%d served and %d rejected of 60 requests in a row", served, rejected)
 		}
 	})
 }
--- a/gateway/http2_test.go
+++ b/gateway/http2_test.go
@@ -27,7 +27,7 @@
 }
 `
 
-// rawHTTP2Client is a client that speaks frames.
+// rawHTTP2Client is an HTTP/2 client that writes and reads single frames.
 type rawHTTP2Client struct {
 	bed           *testBed
 	conn          net.Conn
@@ -38,21 +38,21 @@
 
 func (bed *testBed) dialHTTP2(settings ...http2.Setting) *rawHTTP2Client {
 	bed.t.Helper()
-	nc, err := bed.clientHost.Dial(context.Background(), "10.0.0.1:82")
+	conn, err := bed.clientHost.Dial(context.Background(), "10.0.0.1:82")
 	if err != nil {
 		bed.t.Fatal(err)
 	}
-	c := &rawHTTP2Client{bed: bed, conn: nc, framer: http2.NewFramer(nc, nc)}
+	c := &rawHTTP2Client{bed: bed, conn: conn, framer: http2.NewFramer(conn, conn)}
 	c.headerEncoder = hpack.NewEncoder(&c.headerBuffer)
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	if _, err := io.WriteString(nc, http2.ClientPreface); err != nil {
+	if _, err := io.WriteString(conn, http2.ClientPreface); err != nil {
 		bed.t.Fatal(err)
 	}
 	c.bed.logError(c.framer.WriteSettings(settings...))
 	return c
 }
 
-// encode appends a field to the header block in hbuf.
+// encode appends a field to the header block in headerBuffer.
 func (c *rawHTTP2Client) encode(field hpack.HeaderField) {
 	if err := c.headerEncoder.WriteField(field); err != nil {
 		c.bed.t.Fatal(err)
@@ -61,9 +61,9 @@
 
 func (c *rawHTTP2Client) headerBlock(method, path string, fields ...string) []byte {
 	c.headerBuffer.Reset()
-	all := append([]string{":method", method, ":scheme", "http", ":path", path, ":authority", "h", "x-api-key", "k-school"}, fields...)
-	for i := 0; i+1 < len(all); i += 2 {
-		c.encode(hpack.HeaderField{Name: all[i], Value: all[i+1]})
+	header := append([]string{":method", method, ":scheme", "http", ":path", path, ":authority", "h", "x-api-key", "k-school"}, fields...)
+	for i := 0; i+1 < len(header); i += 2 {
+		c.encode(hpack.HeaderField{Name: header[i], Value: header[i+1]})
 	}
 	return c.headerBuffer.Bytes()
 }
@@ -72,9 +72,10 @@
 	c.bed.logError(c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: c.headerBlock(method, path, fields...), EndStream: end, EndHeaders: true}))
 }
 
-// readFrames reads frames until the connection ends or a time is over.
-func (c *rawHTTP2Client) readFrames(d time.Duration) (frames []string) {
-	if err := c.conn.SetReadDeadline(time.Now().Add(d)); err != nil {
+// readFrames reads frames until the connection ends or the timeout expires. It returns a description of
+// each HEADERS, RST_STREAM and GOAWAY frame and of the end of the connection.
+func (c *rawHTTP2Client) readFrames(timeout time.Duration) (frames []string) {
+	if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		c.bed.t.Fatal(err)
 	}
 	for {
@@ -105,46 +106,47 @@
 	return n
 }
 
-// expectOtherClientsServed checks that others are served meanwhile.
+// expectOtherClientsServed checks that a request of another client is served within a second.
 func (bed *testBed) expectOtherClientsServed() {
 	bed.t.Helper()
 	if g := bed.do("GET", "/records/1", "k-school"); g.status != 200 || g.took > time.Second {
-		bed.t.Errorf("others are not served: %+v", g)
+		bed.t.Errorf("another client is not served: %+v", g)
 	}
 }
 
-// expectOtherClientsAnswered is fine where the quota may be used up: an answer comes at once.
+// expectOtherClientsAnswered checks that a request of another client is served, or rejected because the
+// quota is used up, within a second.
 func (bed *testBed) expectOtherClientsAnswered() {
 	bed.t.Helper()
 	if g := bed.do("GET", "/records/1", "k-school"); g.status != 200 && g.status != 429 || g.took > time.Second {
-		bed.t.Errorf("others are not answered: %+v", g)
+		bed.t.Errorf("another client gets no response: %+v", g)
 	}
 }
 
-// TestHTTP2Listener runs what clients do, well-behaved and abusive ones. Afterwards others are served
-// and nothing is in flight.
+// TestHTTP2Listener runs well-behaved and abusive clients against the HTTP/2 listener. Afterwards other
+// clients must be served and nothing may be in flight.
 func TestHTTP2Listener(t *testing.T) {
 	for name, test := range map[string]func(bed *testBed){
-		"plain":                     serveHTTP2Requests,
-		"reset is the client gone":  resetCancelsRequest,
-		"rapid reset":               limitRapidResets,
-		"too many streams":          refuseExcessStreams,
-		"pings":                     limitPings,
-		"settings":                  limitSettings,
-		"empty data":                limitEmptyData,
-		"continuations without end": limitContinuations,
-		"header bomb":               rejectHeaderBomb,
-		"window of zero":            cancelBlockedResponses,
-		"body that stops":           timeOutStalledBody,
-		"body too long":             rejectLargeBody,
-		"length that differs":       resetMalformedRequests,
-		"drain in the middle":       finishStreamsWhileDraining,
+		"requests":               serveHTTP2Requests,
+		"stream reset by client": resetCancelsRequest,
+		"rapid reset":            limitRapidResets,
+		"too many streams":       refuseExcessStreams,
+		"ping flood":             limitPings,
+		"settings flood":         limitSettings,
+		"empty data flood":       limitEmptyData,
+		"endless continuations":  limitContinuations,
+		"header bomb":            rejectHeaderBomb,
+		"zero window":            cancelBlockedResponses,
+		"stalled body":           timeOutStalledBody,
+		"body too long":          rejectLargeBody,
+		"malformed requests":     resetMalformedRequests,
+		"drain":                  finishStreamsWhileDraining,
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInTestBed(t, http2Listener, func(bed *testBed) {
 				test(bed)
 				bed.setServerFault("ok")
-				if name != "drain in the middle" {
+				if name != "drain" {
 					time.Sleep(3 * time.Second)
 					bed.expectOtherClientsServed()
 					bed.expectNothingInFlight()
@@ -154,7 +156,7 @@
 	}
 }
 
-// serveHTTP2Requests checks this: requests with and without a body are served.
+// serveHTTP2Requests checks that requests with and without a body are served.
 func serveHTTP2Requests(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -167,7 +169,7 @@
 	mustClose(bed.t, c.conn)
 }
 
-// resetCancelsRequest checks this: a reset stream counts as a client that has disconnected.
+// resetCancelsRequest checks that a stream reset is treated as a disconnected client.
 func resetCancelsRequest(bed *testBed) {
 	bed.t.Helper()
 	bed.setServerFault("hang")
@@ -177,12 +179,13 @@
 	bed.logError(c.framer.WriteRSTStream(1, http2.ErrCodeCancel))
 	time.Sleep(100 * time.Millisecond)
 	if n := bed.gateway.node.Unanswered(); n != 0 {
-		bed.t.Errorf("%d requests are still open", n)
+		bed.t.Errorf("%d requests are still unanswered", n)
 	}
 	mustClose(bed.t, c.conn)
 }
 
-// limitRapidResets checks this: a client that resets its streams at once is disconnected before it costs the servers much.
+// limitRapidResets checks that a client that resets its streams immediately is disconnected before many
+// attempts have reached the servers.
 func limitRapidResets(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -199,7 +202,7 @@
 	mustClose(bed.t, c.conn)
 }
 
-// refuseExcessStreams checks this: streams beyond the limit are refused.
+// refuseExcessStreams checks that streams beyond the limit are refused.
 func refuseExcessStreams(bed *testBed) {
 	bed.t.Helper()
 	bed.setServerFault("hang")
@@ -213,7 +216,7 @@
 	mustClose(bed.t, c.conn)
 }
 
-// limitPings checks this: a flood of pings ends the connection.
+// limitPings checks that a flood of PING frames ends the connection.
 func limitPings(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -226,7 +229,7 @@
 	mustClose(bed.t, c.conn)
 }
 
-// limitSettings checks this: a flood of settings ends the connection.
+// limitSettings checks that a flood of SETTINGS frames ends the connection.
 func limitSettings(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -239,7 +242,7 @@
 	mustClose(bed.t, c.conn)
 }
 
-// limitEmptyData checks this: a flood of empty data frames ends the connection.
+// limitEmptyData checks that a flood of empty DATA frames ends the connection.
 func limitEmptyData(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -253,7 +256,7 @@
 	mustClose(bed.t, c.conn)
 }
 
-// limitContinuations checks this: a header block that does not end ends the connection.
+// limitContinuations checks that a header block without an end causes the connection to be closed.
 func limitContinuations(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -271,13 +274,13 @@
 	mustClose(bed.t, c.conn)
 }
 
-// rejectHeaderBomb checks this: headers that are small when compressed are measured when decompressed.
+// rejectHeaderBomb checks that the header limit applies to the decompressed size.
 func rejectHeaderBomb(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
 	var fields []string
 	for range 500 {
-		fields = append(fields, "x-a", strings.Repeat("b", 500)) // one byte each, indexed
+		fields = append(fields, "x-a", strings.Repeat("b", 500)) // one byte each when compressed, as they are indexed
 	}
 	c.sendRequest(1, true, "GET", "/records/1", fields...)
 	if got := c.readFrames(time.Second); countFrames(got, "1: 431") != 1 {
@@ -286,30 +289,30 @@
 	mustClose(bed.t, c.conn)
 }
 
-// cancelBlockedResponses checks this: responses that a client does not take are canceled.
+// cancelBlockedResponses checks that responses are canceled if the client's flow control blocks them.
 func cancelBlockedResponses(bed *testBed) {
 	bed.t.Helper()
-	// A thousand streams on fifty connections that take no byte of an answer.
-	var all []*rawHTTP2Client
+	// 1000 streams on 50 connections, whose window of zero blocks all responses.
+	var clients []*rawHTTP2Client
 	for range 50 {
 		c := bed.dialHTTP2(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 		for i := range uint32(20) {
 			c.sendRequest(2*i+1, true, "GET", "/records/1")
 		}
-		all = append(all, c)
+		clients = append(clients, c)
 	}
 	time.Sleep(500 * time.Millisecond)
 	bed.expectOtherClientsAnswered()
-	got := all[0].readFrames(time.Minute)
+	got := clients[0].readFrames(time.Minute)
 	if countFrames(got, ": ") < 20 || countFrames(got, "CANCEL") != 20 {
 		bed.t.Error(got)
 	}
-	for _, c := range all {
+	for _, c := range clients {
 		mustClose(bed.t, c.conn)
 	}
 }
 
-// timeOutStalledBody checks this: a body that stops is answered by 408.
+// timeOutStalledBody checks that a request whose body stalls gets status 408.
 func timeOutStalledBody(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -321,7 +324,7 @@
 	mustClose(bed.t, c.conn)
 }
 
-// rejectLargeBody checks this: a body beyond the limit is answered by 413.
+// rejectLargeBody checks that a request whose body exceeds the limit gets status 413.
 func rejectLargeBody(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -336,7 +339,8 @@
 	mustClose(bed.t, c.conn)
 }
 
-// resetMalformedRequests checks this: requests that are malformed are reset and reach no server.
+// resetMalformedRequests checks that the streams of malformed requests are reset and that the requests
+// reach no server.
 func resetMalformedRequests(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -353,7 +357,7 @@
 	mustClose(bed.t, c.conn)
 }
 
-// finishStreamsWhileDraining checks this: a drain finishes the streams that are open and takes no further one.
+// finishStreamsWhileDraining checks that a drain finishes the open streams and accepts no new one.
 func finishStreamsWhileDraining(bed *testBed) {
 	bed.t.Helper()
 	c := bed.dialHTTP2()
@@ -379,8 +383,8 @@
 	mustClose(bed.t, c.conn)
 }
 
-// A gateway is paused while it writes several responses on one connection, at any moment: the
-// responses are written when it resumes.
+// A gateway is paused at varying moments while it writes several responses on one connection. The
+// responses must be written after it resumes.
 func TestResponsesSurviveAPauseWhileWriting(t *testing.T) {
 	for at := 50 * time.Millisecond; at < 56*time.Millisecond; at += 250 * time.Microsecond {
 		runInTestBed(t, http2Listener, func(bed *testBed) {
--- a/gateway/http2_upstream_test.go
+++ b/gateway/http2_upstream_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// http2ServersConfig is the test bed's configuration with servers that speak HTTP/2.
+// http2ServersConfig returns the test bed's configuration with servers that use HTTP/2.
 func http2ServersConfig() string {
 	return strings.Replace(testBedConfig, "servers {", "servers {\n  protocol = \"http2\"", 1)
 }
@@ -50,59 +50,59 @@
 	})
 }
 
-// How a stream ends decides whether a non-idempotent request is retried: only REFUSED_STREAM and a
-// GOAWAY below the stream prove that it was not executed.
+// The error that ends a stream determines whether a non-idempotent request is retried. Only
+// REFUSED_STREAM and a GOAWAY with a lower last stream ID prove that it was not executed.
 func TestHTTP2RetryDependsOnStreamError(t *testing.T) {
 	for name, c := range map[string]struct {
-		end   func(fr *http2.Framer, nc net.Conn, id uint32) error
-		retry bool
+		endStream func(fr *http2.Framer, conn net.Conn, id uint32) error
+		retry     bool
 	}{
-		"REFUSED_STREAM": {resetStream(http2.ErrCodeRefusedStream), true},
-		"GOAWAY below":   {func(fr *http2.Framer, _ net.Conn, _ uint32) error { return fr.WriteGoAway(0, http2.ErrCodeNo, nil) }, true},
-		"GOAWAY at it, then closed": {func(fr *http2.Framer, nc net.Conn, id uint32) error {
-			return errors.Join(fr.WriteGoAway(id, http2.ErrCodeNo, nil), nc.Close())
+		"REFUSED_STREAM":          {resetStream(http2.ErrCodeRefusedStream), true},
+		"GOAWAY below the stream": {func(fr *http2.Framer, _ net.Conn, _ uint32) error { return fr.WriteGoAway(0, http2.ErrCodeNo, nil) }, true},
+		"GOAWAY that includes the stream, then closed": {func(fr *http2.Framer, conn net.Conn, id uint32) error {
+			return errors.Join(fr.WriteGoAway(id, http2.ErrCodeNo, nil), conn.Close())
 		}, false},
 		"INTERNAL_ERROR": {resetStream(http2.ErrCodeInternal), false},
 		"CANCEL":         {resetStream(http2.ErrCodeCancel), false},
-		"closed":         {func(_ *http2.Framer, nc net.Conn, _ uint32) error { return nc.Close() }, false},
-		"reset": {func(_ *http2.Framer, nc net.Conn, _ uint32) error {
-			nc.(interface{ Reset() }).Reset()
+		"closed":         {func(_ *http2.Framer, conn net.Conn, _ uint32) error { return conn.Close() }, false},
+		"reset": {func(_ *http2.Framer, conn net.Conn, _ uint32) error {
+			conn.(interface{ Reset() }).Reset()
 			return nil
 		}, false},
-		"not HTTP/2": {func(_ *http2.Framer, nc net.Conn, _ uint32) error {
-			_, err := io.WriteString(nc, "HTTP/1.1 400 Bad\r\n\r\n")
-			return errors.Join(err, nc.Close())
+		"not HTTP/2": {func(_ *http2.Framer, conn net.Conn, _ uint32) error {
+			_, err := io.WriteString(conn, "HTTP/1.1 400 Bad\r\n\r\n")
+			return errors.Join(err, conn.Close())
 		}, false},
 		"data before headers": {func(fr *http2.Framer, _ net.Conn, id uint32) error { return fr.WriteData(id, true, []byte("x")) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInTestBedWith(t, http2ServersConfig(), func(bed *testBed) {
 				requests := 0
-				bed.serveScriptedHTTP2(func(fr *http2.Framer, nc net.Conn, id uint32) error {
+				bed.serveScriptedHTTP2(func(fr *http2.Framer, conn net.Conn, id uint32) error {
 					if requests++; requests == 1 {
-						return c.end(fr, nc, id)
+						return c.endStream(fr, conn, id)
 					}
 					return respondOKOverHTTP2(fr, id)
 				})
 				g := bed.do("POST", "/notes/1", "k-school")
-				want, sent := 502, 1
+				wantStatus, wantAttempts := 502, 1
 				if c.retry {
-					want, sent = 200, 2
+					wantStatus, wantAttempts = 200, 2
 				}
-				if g.status != want || requests != sent {
-					t.Errorf("status %d after %d attempts, want %d after %d: %s", g.status, requests, want, sent, g.body)
+				if g.status != wantStatus || requests != wantAttempts {
+					t.Errorf("status %d after %d attempts, want %d after %d: %s", g.status, requests, wantStatus, wantAttempts, g.body)
 				}
 			})
 		})
 	}
 }
 
-// resetStream returns a scripted end of a stream.
+// resetStream returns a function that resets a stream with an error code.
 func resetStream(code http2.ErrCode) func(*http2.Framer, net.Conn, uint32) error {
 	return func(fr *http2.Framer, _ net.Conn, id uint32) error { return fr.WriteRSTStream(id, code) }
 }
 
-// respondOKOverHTTP2 writes a response without a body.
+// respondOKOverHTTP2 writes a response with status 200 and without a body.
 func respondOKOverHTTP2(fr *http2.Framer, id uint32) error {
 	var block bytes.Buffer
 	if err := hpack.NewEncoder(&block).WriteField(hpack.HeaderField{Name: ":status", Value: "200"}); err != nil {
@@ -111,14 +111,14 @@
 	return fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: block.Bytes(), EndHeaders: true, EndStream: true})
 }
 
-// serveScriptedHTTP2 puts scripted HTTP/2 connections in the place of both servers. handle is called
-// for each request, when its headers have come.
-func (bed *testBed) serveScriptedHTTP2(handle func(fr *http2.Framer, nc net.Conn, id uint32) error) {
-	bed.serveScriptedConnections(func(nc net.Conn) {
-		if _, err := io.ReadFull(nc, make([]byte, len(http2.ClientPreface))); err != nil {
-			return // a connection that was not used
+// serveScriptedHTTP2 replaces both servers by scripted HTTP/2 servers. handle is called for each request
+// when its headers have been received.
+func (bed *testBed) serveScriptedHTTP2(handle func(fr *http2.Framer, conn net.Conn, id uint32) error) {
+	bed.serveScriptedConnections(func(conn net.Conn) {
+		if _, err := io.ReadFull(conn, make([]byte, len(http2.ClientPreface))); err != nil {
+			return // the connection was closed unused
 		}
-		fr := http2.NewFramer(nc, nc)
+		fr := http2.NewFramer(conn, conn)
 		fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 		bed.logError(fr.WriteSettings())
 		for {
@@ -127,13 +127,13 @@
 				return
 			}
 			if headers, ok := f.(*http2.MetaHeadersFrame); ok {
-				bed.logError(handle(fr, nc, headers.StreamID))
+				bed.logError(handle(fr, conn, headers.StreamID))
 			}
 		}
 	})
 }
 
-// serveScriptedConnections puts scripted connections in the place of both servers.
+// serveScriptedConnections replaces both servers by listeners that call serve for each connection.
 func (bed *testBed) serveScriptedConnections(serve func(net.Conn)) {
 	synctest.Wait()
 	for i, s := range bed.servers {
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -13,7 +13,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// A drain ends what is held, refuses what is new, and leaves nothing behind.
+// A drain finishes the requests in flight and accepts no new ones.
 func TestDrainFinishesRequestsInFlight(t *testing.T) {
 	runInTestBed(t, "", func(bed *testBed) {
 		done := make(chan response, 3)
@@ -37,7 +37,8 @@
 	})
 }
 
-// A panic in a decision fails what is held and is logged; the node goes on.
+// A panic in a policy decision fails all open requests and is logged; the node then continues to accept
+// requests.
 func TestPanicInADecisionIsContained(t *testing.T) {
 	var log bytes.Buffer
 	synctest.Test(t, func(t *testing.T) {
@@ -52,33 +53,33 @@
 		ended := make(chan struct{})
 		go func() { n.Run(ctx); close(ended) }()
 		n.UpdateEndpoints(policy.SnapshotUpdate, []node.Endpoint{{Address: "a", Server: policy.Server{ID: 1, Weight: 1}}})
-		answers := make(chan node.FinalResponse, 10)
-		try := func() *node.Request {
+		responses := make(chan node.FinalResponse, 10)
+		newRequest := func() *node.Request {
 			return &node.Request{Class: "c", Customer: "x", Plan: "p", Units: 1, GatewaySpread: 1, ClientTimeout: time.Second}
 		}
-		n.Submit(try(), func(a node.FinalResponse) { answers <- a })
+		n.Submit(newRequest(), func(response node.FinalResponse) { responses <- response })
 		synctest.Wait()
 		n.InjectPolicyPanic()
-		if a := <-answers; a.Kind != node.Failed || a.Reason != node.ReasonInternal {
-			t.Errorf("%+v", a)
+		if response := <-responses; response.Kind != node.Failed || response.Reason != node.ReasonInternal {
+			t.Errorf("%+v", response)
 		}
-		n.Submit(try(), func(a node.FinalResponse) { answers <- a })
+		n.Submit(newRequest(), func(response node.FinalResponse) { responses <- response })
 		time.Sleep(100 * time.Millisecond)
 		if n.Unanswered() != 1 {
-			t.Error("the node does not go on")
+			t.Error("the node does not accept requests after the panic")
 		}
 		cancel()
 		<-ended
-		if a := <-answers; a.Kind != node.Failed {
-			t.Errorf("%+v", a)
+		if response := <-responses; response.Kind != node.Failed {
+			t.Errorf("%+v", response)
 		}
 	})
 	if !strings.Contains(log.String(), "policy panicked; failing all requests and restarting policy") {
-		t.Error("not logged")
+		t.Error("the panic was not logged")
 	}
 }
 
-// silentUpstream is an upstream that takes attempts and never ends them.
+// silentUpstream is an upstream that accepts attempts and never returns a result.
 type silentUpstream struct{}
 
 func (silentUpstream) Start(node.Attempt, func(node.Result)) node.OutgoingAttempt {
--- a/gateway/membership_test.go
+++ b/gateway/membership_test.go
@@ -13,8 +13,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// withRosterGateway runs a test with a gateway of a fleet with a roster, whose peers do not exist, and returns what
-// the gateway has logged until its end.
+// withRosterGateway runs a test with a gateway of a fleet with a roster, whose peers do not exist. It
+// returns the gateway's complete log.
 func withRosterGateway(t *testing.T, test func(g *Gateway)) (logged string) {
 	t.Helper()
 	var log bytes.Buffer
@@ -30,12 +30,13 @@
 		time.Sleep(time.Second)
 		test(g)
 		g.Kill()
-		time.Sleep(time.Minute) // timers of what was closed run out
+		time.Sleep(time.Minute) // let the timers of closed parts expire
 	})
 	return log.String()
 }
 
-// A node's own change of phase is not lost behind peers' announcements, which fill the loop's queue.
+// A node's own phase change must not be dropped while peers' announcements fill the queue of the
+// membership loop.
 func TestPhaseChangeIsNotDroppedBehindAnnouncements(t *testing.T) {
 	withRosterGateway(t, func(g *Gateway) {
 		busy := make(chan struct{})
@@ -51,12 +52,13 @@
 		close(busy)
 		time.Sleep(time.Second)
 		if got := membershipPhase(g); got != membership.Draining {
-			t.Errorf("the node is %v", got)
+			t.Errorf("phase %v, want draining", got)
 		}
 	})
 }
 
-// A step of membership is carried out whole, also where the node's loop takes long to apply a resize.
+// All actions of a membership step are executed, even if the node's event loop takes long to apply a
+// resize.
 func TestMembershipStepWaitsForASlowResize(t *testing.T) {
 	logged := withRosterGateway(t, func(g *Gateway) {
 		busy := make(chan struct{})
@@ -69,11 +71,11 @@
 		time.Sleep(time.Second)
 	})
 	if !strings.Contains(logged, "after the resize") {
-		t.Error("the rest of the step was dropped")
+		t.Error("the actions after the resize were dropped")
 	}
 }
 
-// membershipPhase asks the membership loop for the node's phase.
+// membershipPhase returns the node's phase, read in the membership loop.
 func membershipPhase(g *Gateway) membership.Phase {
 	phase := make(chan membership.Phase, 1)
 	g.membership.submit(func() []membership.Action {
@@ -83,13 +85,13 @@
 	return <-phase
 }
 
-// A node whose first endpoint list comes after its listeners have opened serves from then on.
+// A node whose first endpoint list arrives after its listeners have opened enters the phase Serving then.
 func TestNodeServesAfterFirstEndpointList(t *testing.T) {
 	withRosterGateway(t, func(g *Gateway) {
 		g.updateEndpoints(policy.SnapshotUpdate, nil)
 		time.Sleep(time.Second)
 		if got := membershipPhase(g); got != membership.Serving {
-			t.Errorf("the node is %v", got)
+			t.Errorf("phase %v, want serving", got)
 		}
 	})
 }
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -23,8 +23,8 @@
 	"yardcleat.example/yardcleat/standin/catalogue"
 )
 
-// testBed is a gateway in a bubble of virtual time, with two fake servers and a fake authorization
-// service.
+// testBed runs a gateway with two fake servers and a fake authorization service in a synctest bubble,
+// that is, in virtual time.
 type testBed struct {
 	t            *testing.T
 	network      *network.Memory
@@ -33,10 +33,10 @@
 	authorizer   *authoriser.Server
 	gateway      *Gateway
 	client       *http.Client
-	clientHost   *network.Host // the clients'
+	clientHost   *network.Host // host of the clients
 	gatewayHost  *network.Host
 	closers      []func()
-	configSource string // the node's configuration
+	configSource string // source text of the gateway's configuration
 
 	mu       sync.Mutex
 	arrivals []audit.Seen
@@ -104,12 +104,12 @@
 }
 `
 
-// runInTestBed runs a test in a bubble, with more configuration. Every goroutine that it starts must
-// have ended when it returns: synctest fails it otherwise.
+// runInTestBed runs a test in a test bed with additional configuration. Every goroutine that the test
+// starts must have ended when it returns; otherwise synctest fails it.
 func runInTestBed(t *testing.T, extra string, f func(bed *testBed)) {
 	t.Helper()
 	src := testBedConfig
-	if strings.Contains(extra, "state_dir") && !strings.Contains(extra, "counter {") { // the list comes by discovery
+	if strings.Contains(extra, "state_dir") && !strings.Contains(extra, "counter {") { // the endpoint list is received by discovery
 		src = src[:strings.Index(src, "  server \"a\"")] + "  eds {\n    address = \"10.0.3.1:80\"\n    cluster = \"c\"\n  }\n" +
 			src[strings.Index(src, "  turned_away"):]
 	}
@@ -161,11 +161,11 @@
 			s.Kill()
 		}
 		bed.authorizer.Kill()
-		time.Sleep(time.Minute) // timers of what was closed run out
+		time.Sleep(time.Minute) // let the timers of closed parts expire
 	})
 }
 
-// serve runs a fake until it is closed; an earlier end is an error of the test.
+// serve runs a fake until it is stopped. If it ends with another error, the test fails.
 func (bed *testBed) serve(serve func(net.Listener) error, address string) {
 	bed.t.Helper()
 	l := bed.listen(address)
@@ -177,12 +177,12 @@
 	}()
 }
 
-// isServerStopped tells whether an error of Serve says that the server was stopped.
+// isServerStopped reports whether an error of Serve means that the server was stopped.
 func isServerStopped(err error) bool {
 	return errors.Is(err, http.ErrServerClosed) || errors.Is(err, grpc.ErrServerStopped)
 }
 
-// setAuthorizerFault sets a fault of an authorization service.
+// setAuthorizerFault sets the fault of a fake authorization service; "ok" clears it.
 func (bed *testBed) setAuthorizerFault(a *authoriser.Server, fault, arg string) {
 	bed.t.Helper()
 	if err := a.Do(fault, arg); err != nil {
@@ -190,12 +190,12 @@
 	}
 }
 
-// logError logs the error of a write to a connection that the gateway may close at any time. A
-// write that had to succeed shows in what the gateway does.
+// logError logs the error of a write to a connection that the gateway may close at any time. If a
+// write that must succeed fails, the test's checks of the gateway's behaviour fail.
 func (bed *testBed) logError(err error) {
 	bed.t.Helper()
 	if err != nil {
-		bed.t.Logf("not written: %v", err)
+		bed.t.Logf("write failed: %v", err)
 	}
 }
 
@@ -211,7 +211,7 @@
 	bed.respond(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 }
 
-// mustClose closes what must be open.
+// mustClose closes c and fails the test if that returns an error.
 func mustClose(tb testing.TB, c io.Closer) {
 	tb.Helper()
 	if err := c.Close(); err != nil {
@@ -251,9 +251,9 @@
 	took   time.Duration
 }
 
-// do sends a request with the headers in fields, names and values in turn, and returns the response.
-// Status -1 stands for a request without a response. It may be called from any goroutine, and
-// therefore reports what the test itself does wrong with Error, not with Fatal.
+// do sends a request and returns the response. fields contains additional headers, as alternating names
+// and values. Status -1 means that there was no response. do may be called from any goroutine, and
+// therefore reports errors of the test with Error, not with Fatal.
 func (bed *testBed) do(method, path, key string, fields ...string) response {
 	bed.t.Helper()
 	req, err := http.NewRequest(method, "http://10.0.0.1:80"+path, nil)
@@ -284,7 +284,7 @@
 	return bed.arrivals
 }
 
-// setServerFault sets a fault of both servers.
+// setServerFault sets the fault of both servers; "ok" clears it.
 func (bed *testBed) setServerFault(fault string) {
 	for _, s := range bed.servers {
 		if err := s.Do(fault, ""); err != nil {
--- a/gateway/tls_test.go
+++ b/gateway/tls_test.go
@@ -20,10 +20,10 @@
 	"time"
 )
 
-// certificateFilesOnDisk are the files of a listener's certificate, which a test replaces.
+// certificateFilesOnDisk are the paths of a listener's certificate and key files, which a test replaces.
 type certificateFilesOnDisk struct{ certificate, key string }
 
-// write replaces the files by a new certificate with a serial number.
+// write replaces the files by those of a new certificate with the given serial number.
 func (f certificateFilesOnDisk) write(t *testing.T, serial int64) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -49,8 +49,8 @@
 	writeFile(t, f.key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: key}))
 }
 
-// newTLSClient returns Go's own client, which offers one protocol in ALPN. It does not verify the
-// certificate: the test looks at the serial number.
+// newTLSClient returns a client of net/http that offers one protocol in ALPN. It does not verify the
+// certificate; the test checks the serial number instead.
 func (bed *testBed) newTLSClient(protocol string) *http.Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		conn, err := bed.clientHost.Dial(ctx, "10.0.0.1:443")
@@ -64,8 +64,8 @@
 	return &http.Client{Transport: &http.Transport{DialTLSContext: dial, ForceAttemptHTTP2: protocol == "h2"}}
 }
 
-// getOverTLS sends a request, which must succeed, and returns the protocol of its response and the
-// serial number of the connection's certificate.
+// getOverTLS sends a request, which must succeed, and returns the protocol of the response and the serial
+// number of the certificate of the connection.
 func (bed *testBed) getOverTLS(client *http.Client) (protocol string, serial int64) {
 	bed.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "https://gateway/records/1", nil)
@@ -85,13 +85,14 @@
 		bed.t.Errorf("status %d", res.StatusCode)
 	}
 	if res.TLS == nil {
-		bed.t.Fatal("the response came without TLS")
+		bed.t.Fatal("the response was not received over TLS")
 	}
 	return res.Proto, res.TLS.PeerCertificates[0].SerialNumber.Int64()
 }
 
-// Go's own client over HTTP/2 and TLS; the certificate is replaced in service, and open connections
-// keep theirs.
+// Clients of net/http use HTTP/2 and HTTP/1.1 over TLS while the certificate is replaced. An invalid file
+// must not replace the certificate in use; a valid one is used for new connections, and open connections
+// keep the old one.
 func TestTLSListenerReloadsItsCertificate(t *testing.T) {
 	dir := t.TempDir()
 	files := certificateFilesOnDisk{certificate: filepath.Join(dir, "cert"), key: filepath.Join(dir, "key")}
@@ -107,19 +108,19 @@
 			t.Errorf("%s, certificate %d", protocol, serial)
 		}
 		time.Sleep(2 * time.Second)
-		writeFile(t, files.certificate, []byte("torn"))
+		writeFile(t, files.certificate, []byte("invalid"))
 		other := bed.newTLSClient("h2")
 		if _, serial := bed.getOverTLS(other); serial != 1 {
-			t.Errorf("certificate %d after a torn one", serial)
+			t.Errorf("certificate %d after an invalid file, want 1", serial)
 		}
 		time.Sleep(2 * time.Second)
 		files.write(t, 2)
 		if _, serial := bed.getOverTLS(h2); serial != 1 {
-			t.Errorf("the open connection has certificate %d", serial)
+			t.Errorf("the open connection has certificate %d, want 1", serial)
 		}
 		fresh := bed.newTLSClient("h2")
 		if _, serial := bed.getOverTLS(fresh); serial != 2 {
-			t.Errorf("a new connection has certificate %d", serial)
+			t.Errorf("a new connection has certificate %d, want 2", serial)
 		}
 		for _, c := range []*http.Client{h2, h1, other, fresh} {
 			c.CloseIdleConnections()
--- a/gateway/untrusted_clients_test.go
+++ b/gateway/untrusted_clients_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// sendRaw sends bytes and returns what comes back until the end.
+// sendRaw sends the parts, one second apart, and returns all bytes received until the connection ends.
 func (bed *testBed) sendRaw(parts ...string) string {
 	c, err := bed.clientHost.Dial(context.Background(), "10.0.0.1:80")
 	if err != nil {
@@ -31,18 +31,19 @@
 	return string(b)
 }
 
-// Slow and endless clients are cut off in time; others are served meanwhile.
+// Clients whose requests are slow or never complete are disconnected by timeouts; other clients are
+// served meanwhile.
 func TestSlowClientsTimeOut(t *testing.T) {
 	runInTestBed(t, "", func(bed *testBed) {
 		done := make(chan struct{})
 		const key = "X-Api-Key: k-school\r\n"
-		slow := map[string][]string{
-			"header by the byte": strings.Split("GET /records/1 HTTP/1.1", ""),
-			"endless header":     append([]string{"GET / HTTP/1.1\r\n"}, strings.Split(strings.Repeat("X: y\r\n,", 30), ",")...),
-			"body that stops":    {"POST /notes/1 HTTP/1.1\r\nHost: h\r\n" + key + "Content-Length: 100\r\n\r\nabc"},
-			"nothing":            {""},
+		slowClients := map[string][]string{
+			"header sent bytewise": strings.Split("GET /records/1 HTTP/1.1", ""),
+			"endless header":       append([]string{"GET / HTTP/1.1\r\n"}, strings.Split(strings.Repeat("X: y\r\n,", 30), ",")...),
+			"stalled body":         {"POST /notes/1 HTTP/1.1\r\nHost: h\r\n" + key + "Content-Length: 100\r\n\r\nabc"},
+			"nothing":              {""},
 		}
-		for name, parts := range slow {
+		for name, parts := range slowClients {
 			go func() {
 				got := bed.sendRaw(parts...)
 				if name != "nothing" && !strings.HasPrefix(got, "HTTP/1.1 408 ") {
@@ -57,7 +58,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		for range slow {
+		for range slowClients {
 			<-done
 		}
 		if n := len(bed.arrivedAttempts()); n != 10 {
@@ -66,24 +67,24 @@
 	})
 }
 
-// Pipelined requests have their responses in order; 100 Continue comes before the body.
+// Responses to pipelined requests are sent in order, and 100 Continue is sent before the body is read.
 func TestPipelinedRequestsAndExpectContinue(t *testing.T) {
 	runInTestBed(t, "", func(bed *testBed) {
-		one := "GET /records/%d HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nX-Request-Id: r%d\r\n\r\n"
+		format := "GET /records/%d HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nX-Request-Id: r%d\r\n\r\n"
 		var in string
 		for i := range 5 {
-			in += fmt.Sprintf(one, i, i)
+			in += fmt.Sprintf(format, i, i)
 		}
 		got := bed.sendRaw(in + "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-		at := 0
+		position := 0
 		for i := range 5 {
-			k := strings.Index(got[at:], fmt.Sprintf("X-Request-Id: r%d\r\n", i))
-			if k < 0 {
-				t.Fatalf("answer %d is not there, or not in its place: %q", i, got)
+			offset := strings.Index(got[position:], fmt.Sprintf("X-Request-Id: r%d\r\n", i))
+			if offset < 0 {
+				t.Fatalf("response %d is missing or out of order: %q", i, got)
 			}
-			at += k
+			position += offset
 		}
-		if !strings.Contains(got[at:], "HTTP/1.1 401 ") || strings.Count(got, "HTTP/1.1 ") != 6 {
+		if !strings.Contains(got[position:], "HTTP/1.1 401 ") || strings.Count(got, "HTTP/1.1 ") != 6 {
 			t.Errorf("%q", got)
 		}
 		got = bed.sendRaw("POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nExpect: 100-continue\r\n"+
@@ -94,22 +95,22 @@
 	})
 }
 
-// Request smuggling: each input hides a request that a laxer parser would see. The client gets one
-// error, and nothing reaches a server.
+// Request smuggling: each input hides a second request that a more lenient parser would recognize. The
+// client gets one error response, and nothing reaches a server.
 func TestSmuggledRequestsAreRejected(t *testing.T) {
 	const head = "POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\n"
 	const hidden = "GET /records/smuggled HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\n\r\n"
 	for name, in := range map[string]string{
 		"CL.TE":               head + "Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
 		"TE.CL":               head + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n5c\r\n" + hidden + "0\r\n\r\n",
-		"TE.TE, obscured":     head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n\r\n0\r\n\r\n" + hidden,
+		"TE.TE, obfuscated":   head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n\r\n0\r\n\r\n" + hidden,
 		"space before colon":  head + "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n" + hidden,
 		"two lengths":         head + "Content-Length: 0\r\nContent-Length: 99\r\n\r\n" + hidden,
-		"folded coding":       head + "X: y\r\n Transfer-Encoding: chunked\r\n\r\n" + hidden,
+		"folded header":       head + "X: y\r\n Transfer-Encoding: chunked\r\n\r\n" + hidden,
 		"bare CR":             head + "X: y\rContent-Length: 99\r\n\r\n" + hidden,
 		"bare LF":             head + "X: y\nContent-Length: 99\r\n\r\n" + hidden,
 		"chunk size overflow": head + "Transfer-Encoding: chunked\r\n\r\n100000000000000000\r\n" + hidden,
-		"chunk longer":        head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n" + hidden,
+		"chunk exceeds size":  head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n" + hidden,
 		"HTTP/1.0 chunked":    "POST /notes/1 HTTP/1.0\r\nHost: h\r\nX-Api-Key: k-school\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -124,7 +125,7 @@
 			})
 		})
 	}
-	// A body is a body: what stands in it reaches the server as such.
+	// A request within a body of the declared length is only data and is forwarded as part of the body.
 	runInTestBed(t, "", func(bed *testBed) {
 		got := bed.sendRaw(head + fmt.Sprintf("Connection: close\r\nContent-Length: %d\r\n\r\n", len(hidden)) + hidden)
 		if !strings.HasPrefix(got, "HTTP/1.1 200 ") || strings.Count(got, "HTTP/1.1 ") != 1 {
@@ -136,25 +137,26 @@
 	})
 }
 
-// Over HTTP/1.1, the overhead of chunks is bounded in proportion to their content.
+// The overhead of chunked encoding in HTTP/1.1, such as chunk extensions, is limited in proportion to the
+// content.
 func TestChunkOverheadIsBounded(t *testing.T) {
 	runInTestBed(t, "", func(bed *testBed) {
-		nc, err := bed.clientHost.Dial(context.Background(), "10.0.0.1:80")
+		conn, err := bed.clientHost.Dial(context.Background(), "10.0.0.1:80")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer mustClose(t, nc)
-		if _, err := io.WriteString(nc, "POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+		defer mustClose(t, conn)
+		if _, err := io.WriteString(conn, "POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
 		go func() {
 			for range 12 {
-				if _, err := io.WriteString(nc, "1;"+strings.Repeat("e", 4000)+"\r\nx\r\n"); err != nil {
+				if _, err := io.WriteString(conn, "1;"+strings.Repeat("e", 4000)+"\r\nx\r\n"); err != nil {
 					return
 				}
 			}
 		}()
-		b, _ := io.ReadAll(nc)
+		b, _ := io.ReadAll(conn)
 		if !strings.HasPrefix(string(b), "HTTP/1.1 400 ") {
 			t.Errorf("%.80q", b)
 		}
--- a/gateway/usage_test.go
+++ b/gateway/usage_test.go
@@ -31,7 +31,7 @@
 }
 `
 
-// withFakeCounter runs a test in a test bed with a counter. stateDir is the node's state
+// withFakeCounter runs a test in a test bed with a fake counter. stateDir is the node's state
 // directory, or "" for none.
 func withFakeCounter(t *testing.T, stateDir string, test func(bed *testBed, c *counter.Server)) {
 	t.Helper()
@@ -74,7 +74,7 @@
 	return served
 }
 
-// storedUnits is the total of a customer that the counter holds, in thousandths.
+// storedUnits returns a customer's total in the counter, in milli-units.
 func storedUnits(c *counter.Server, customer string) int64 {
 	var sum int64
 	for _, v := range c.Totals("yt:{" + customer + "}") {
@@ -83,20 +83,20 @@
 	return sum
 }
 
-// The counter holds what was forwarded, in spite of its own faults, and no request waits
+// After faults of the counter, its totals match the forwarded requests, and no request has waited
 // for it.
 func TestCounterTotalsMatchForwardedRequestsAfterFaults(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		before, after counterFault // what happens to the counter before and after requests
+		before, after counterFault // faults applied before and after the requests
 	}{
 		{"none", counterFault{}, counterFault{}},
 		{"no response", counterFault{name: "silent"}, counterFault{name: "ok"}},
 		{"refused connections", counterFault{name: "refuse"}, counterFault{name: "ok"}},
 		{"slow responses", counterFault{name: "slow", argument: "100ms"}, counterFault{name: "ok"}},
 		{"lost responses", counterFault{name: "lose"}, counterFault{name: "ok"}},
-		{"emptied", counterFault{}, counterFault{name: "empty"}},
-		{"old copy", counterFault{name: "save"}, counterFault{name: "restore"}},
+		{"data lost", counterFault{}, counterFault{name: "empty"}},
+		{"restored from an old copy", counterFault{name: "save"}, counterFault{name: "restore"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withFakeCounter(t, "", func(bed *testBed, server *counter.Server) {
@@ -112,14 +112,14 @@
 				applyFault(t, server, c.after)
 				time.Sleep(15 * time.Second)
 				if got, want := storedUnits(server, "school"), int64(1000*forwarded); got != want {
-					t.Errorf("the counter holds %d, %d forwarded", got, want)
+					t.Errorf("the counter total is %d milli-units, want %d", got, want)
 				}
 			})
 		})
 	}
 }
 
-// counterFault is a fault of the fake counter, or its end. The zero value is none.
+// counterFault is a fault of the fake counter; "ok" clears it. The zero value is no fault.
 type counterFault struct{ name, argument string }
 
 // applyFault applies a fault to the counter.
@@ -133,8 +133,8 @@
 	}
 }
 
-// A node that was killed with usage that the counter had not confirmed writes it again from
-// its storage.
+// A node is killed while the counter has not confirmed some of its usage. After the restart, it writes
+// that usage to the counter again from its storage.
 func TestKilledNodeRestoresUnconfirmedUsageFromStorage(t *testing.T) {
 	dir := t.TempDir()
 	withFakeCounter(t, dir, func(bed *testBed, c *counter.Server) {
@@ -142,19 +142,19 @@
 		time.Sleep(2 * time.Second)
 		applyFault(t, c, counterFault{name: "silent"})
 		forwarded += bed.countServed(6, "k-school")
-		time.Sleep(2 * time.Second) // saved, not in the counter
+		time.Sleep(2 * time.Second) // saved in storage, but not in the counter
 		bed.restart()
 		applyFault(t, c, counterFault{name: "ok"})
 		forwarded += bed.countServed(3, "k-school")
 		time.Sleep(15 * time.Second)
 		if got, want := storedUnits(c, "school"), int64(1000*forwarded); got != want {
-			t.Errorf("the counter holds %d, %d forwarded", got, want)
+			t.Errorf("the counter total is %d milli-units, want %d", got, want)
 		}
 	})
 }
 
-// A restarted node knows from the counter what a customer has used. Without the counter it
-// would admit most of a bucket a second time.
+// A restarted node restores from the counter how much of the quota a customer has used. Without the
+// counter, it would admit most of a bucket a second time.
 func TestRestartedNodeRestoresUsedQuota(t *testing.T) {
 	with := servedAfterRestart(t, true)
 	without := servedAfterRestart(t, false)
@@ -172,9 +172,9 @@
 		if !counterUp {
 			applyFault(t, c, counterFault{name: "refuse"})
 		}
-		time.Sleep(21 * time.Second) // the time to fill the bucket: the first process knows it
+		time.Sleep(21 * time.Second) // until the bucket of the first process is full
 		if first := bed.countServed(25, "k-slow"); first < 15 || first > 23 {
-			t.Errorf("%d of a bucket of 20 served", first)
+			t.Errorf("%d requests served from a bucket of 20", first)
 		}
 		time.Sleep(time.Second)
 		bed.restart()
@@ -183,7 +183,7 @@
 	return served
 }
 
-// A save goes on behind totals that have not changed, however many there are.
+// A save continues past any number of unchanged totals to the changed ones behind them.
 func TestSaveContinuesPastUnchangedTotals(t *testing.T) {
 	runInTestBed(t, counterBlock, func(bed *testBed) {
 		path := filepath.Join(t.TempDir(), "tally")
