--- a/gateway/attempt_outcomes_test.go
+++ b/gateway/attempt_outcomes_test.go
@@ -110,7 +110,7 @@
 				bed.servers[0].Kill()
 				for i := range 6 {
 					if g := bed.do("POST", path, "k-school", "Idempotency-Key", fmt.Sprint(i)); g.status != 200 {
-						t.Errorf("%+v", g)
+						t.Errorf("unexpected response %+v", g)
 					}
 				}
 			})
@@ -135,11 +135,11 @@
 		})
 		for i := range 2 {
 			if g := bed.do("POST", "/notes/1", "k-school"); g.status != 200 {
-				t.Fatalf("%d: %+v", i, g)
+				t.Fatalf("request %d: unexpected response %+v", i, g)
 			}
 		}
 		if g := bed.do("POST", "/notes/1", "k-school"); g.status != 502 || g.header.Get("X-Yardcleat-Reason") != "server-gone" {
-			t.Errorf("%+v", g)
+			t.Errorf("unexpected response %+v", g)
 		}
 		if n.Load() != 3 {
 			t.Errorf("%d attempts, want 3", n.Load())
@@ -152,7 +152,7 @@
 		})
 		for i := range 6 {
 			if g := bed.do("POST", "/notes/1", "k-school"); g.status != 200 {
-				t.Fatalf("%d: %+v", i, g)
+				t.Fatalf("request %d: unexpected response %+v", i, g)
 			}
 		}
 		if n.Load() != 6 {
@@ -175,11 +175,11 @@
 		})
 		g := bed.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300")
 		if g.status != 504 || g.header.Get("X-Yardcleat-Reason") != "server-late" || g.took > 300*time.Millisecond {
-			t.Errorf("%+v", g)
+			t.Errorf("unexpected response %+v", g)
 		}
 		time.Sleep(2 * time.Second)
 		if g := bed.do("POST", "/notes/2", "k-school"); g.body != "ok" {
-			t.Errorf("%+v", g)
+			t.Errorf("unexpected response %+v", g)
 		}
 	})
 }
@@ -198,7 +198,7 @@
 		}
 		b, err := io.ReadAll(res.Body)
 		if err := errors.Join(err, res.Body.Close()); err != nil || res.StatusCode != 200 || string(b) != "ok" {
-			t.Errorf("status %d, %q, %v", res.StatusCode, b, err)
+			t.Errorf("status %d, body %q, error %v", res.StatusCode, b, err)
 		}
 	})
 }
--- a/gateway/authorization_test.go
+++ b/gateway/authorization_test.go
@@ -60,7 +60,7 @@
 						rejected++
 					}
 					if g.took > 700*time.Millisecond {
-						t.Errorf("%+v", g)
+						t.Errorf("unexpected response %+v", g)
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
@@ -116,21 +116,21 @@
 		}
 		mustClose(t, res.Body)
 		if res.StatusCode != 200 || res.Header.Get("X-Told") != "yes" {
-			t.Errorf("%d, %v", res.StatusCode, res.Header)
+			t.Errorf("response status %d, header %v", res.StatusCode, res.Header)
 		}
 		checked := sent.GetAttributes().GetRequest().GetHttp()
 		if checked.GetBody() != "abcd" || checked.GetSize() != 6 || checked.GetHeaders()["x-envoy-auth-partial-body"] != "true" || checked.GetHeaders()["cookie"] != "" ||
 			checked.GetHeaders()["x-api-key"] != "" || checked.GetPath() != "/loans/1?token=t&who=x&y=1" || checked.GetHost() != "10.0.0.1:80" {
-			t.Errorf("%+v", checked)
+			t.Errorf("HTTP attributes of the check: %+v", checked)
 		}
 		attributes := sent.GetAttributes()
 		if attributes.GetSource().GetPrincipal() != "school" || attributes.GetSource().GetAddress().GetSocketAddress().GetPortValue() == 0 ||
 			attributes.GetDestination().GetAddress().GetSocketAddress().GetPortValue() != 80 || attributes.GetContextExtensions()["class"] != "loan-change" {
-			t.Errorf("%+v", attributes)
+			t.Errorf("attributes of the check: %+v", attributes)
 		}
 		if forwarded.URL.RawQuery != "y=1&who=a+b" || forwarded.Host != "10.0.0.1:80" || fmt.Sprint(forwarded.Header["X-Set"], forwarded.Header["X-More"], forwarded.Header["X-Drop"],
 			forwarded.Header["X-Bad"]) != "[new] [1 2] [] []" || forwarded.ContentLength != 6 {
-			t.Errorf("%s, host %s, %v", forwarded.URL, forwarded.Host, forwarded.Header)
+			t.Errorf("forwarded request: URL %s, host %s, header %v", forwarded.URL, forwarded.Host, forwarded.Header)
 		}
 		authorizer.Kill()
 	})
@@ -237,7 +237,7 @@
 			got := bed.sendRaw(fmt.Sprintf("POST /loans/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nIdempotency-Key: k%d\xff\r\n"+
 				"X-Request-Id: \xc3\x28\r\nConnection: close\r\n\r\n", i))
 			if !strings.HasPrefix(got, "HTTP/1.1 200 ") && !strings.HasPrefix(got, "HTTP/1.1 429 ") {
-				t.Fatalf("%q", got)
+				t.Fatalf("unexpected response %q", got)
 			}
 		}
 	})
@@ -317,7 +317,7 @@
 				if g.status == 200 {
 					served++
 				} else if r := g.header.Get("X-Yardcleat-Reason"); r != "authorisation-unreachable" && r != "authorisation-late" {
-					t.Errorf("%+v", g)
+					t.Errorf("unexpected response %+v", g)
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -338,17 +338,17 @@
 			return bed.do("POST", "/loans/1", key, "Idempotency-Key", fmt.Sprint(time.Now().UnixNano()))
 		}
 		if g := send("k-school"); g.status != 200 {
-			t.Fatalf("%+v", g)
+			t.Fatalf("unexpected response %+v", g)
 		}
 		if g := send("k-denied"); g.status != 403 {
-			t.Fatalf("%+v", g)
+			t.Fatalf("unexpected response %+v", g)
 		}
 		bed.setAuthorizerFault(bed.authorizer, "silent", "")
 		if g := send("k-school"); g.status != 200 {
-			t.Errorf("%+v", g)
+			t.Errorf("unexpected response %+v", g)
 		}
 		if g := send("k-denied"); g.status != 403 || !strings.Contains(g.body, "no right") {
-			t.Errorf("%+v", g)
+			t.Errorf("unexpected response %+v", g)
 		}
 		if g := bed.do("POST", "/loans/2", "k-school", "Idempotency-Key", "x"); g.status != 503 {
 			t.Errorf("other resource, which has no cached result: %+v", g)
@@ -381,12 +381,12 @@
 		updatedAt := time.Now()
 		for range 4 {
 			if g := <-done; g.status != 200 {
-				t.Errorf("%+v", g)
+				t.Errorf("unexpected response %+v", g)
 			}
 		}
 		for _, s := range bed.arrivedAttempts() {
 			if s.Server == "s1" && s.At.After(updatedAt) {
-				t.Errorf("sent to the draining server: %+v", s)
+				t.Errorf("attempt sent to the draining server: %+v", s)
 			}
 		}
 		d.Kill()
@@ -408,13 +408,13 @@
 				}
 				g := bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k1")
 				if g.status != 503 || g.header.Get("X-Yardcleat-Reason") != c.reason || g.took > 250*time.Millisecond {
-					t.Errorf("%+v", g)
+					t.Errorf("unexpected response %+v", g)
 				}
 				if g := bed.do("GET", "/records/1", "k-school"); g.status != 200 {
 					t.Errorf("lookup: %+v", g)
 				}
 				if n := len(bed.arrivedAttempts()); n != 1 {
-					t.Errorf("%d attempts arrived", n)
+					t.Errorf("%d attempts arrived, want 1", n)
 				}
 			})
 		})
--- a/gateway/client_disconnect_test.go
+++ b/gateway/client_disconnect_test.go
@@ -43,7 +43,7 @@
 				const clientTimeout = 300 * time.Millisecond
 				g := bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k", "X-Envoy-Expected-Rq-Timeout-Ms", "300")
 				if g.status != 503 && g.status != 504 && g.status != 429 || g.took > clientTimeout {
-					t.Errorf("%+v", g)
+					t.Errorf("unexpected response %+v", g)
 				}
 				bed.expectNothingInFlight()
 			})
@@ -55,7 +55,7 @@
 				defer cancel()
 				if res, err := bed.client.Do(bed.postRequest("/loans/1", nil).WithContext(ctx)); err == nil {
 					mustClose(t, res.Body)
-					t.Errorf("status %d", res.StatusCode)
+					t.Errorf("status %d although the client disconnected", res.StatusCode)
 				}
 				disconnectedAt := time.Now()
 				time.Sleep(20 * time.Millisecond)
--- a/gateway/customer_snapshots_test.go
+++ b/gateway/customer_snapshots_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	if r, err := loadCustomerSnapshots(dir, 3, now.Add(5*time.Second)); err != nil || len(r.Customers) != 2 || r.Customers[0] != customers[0] || r.Age != 5*time.Second {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("snapshot 5 s old: %+v, %v", r, err)
 	}
 	if r, err := loadCustomerSnapshots(dir, 3, now.Add(2*time.Hour)); err != nil || len(r.Customers) != 0 {
 		t.Errorf("snapshot two hours old: %+v, %v", r, err)
--- a/gateway/endpoint_cache_test.go
+++ b/gateway/endpoint_cache_test.go
@@ -32,7 +32,7 @@
 			case g.status == 200:
 				served++
 			case g.header.Get("X-Yardcleat-Reason") != "server-gone": // all three attempts chose missing servers
-				t.Errorf("%+v", g)
+				t.Errorf("unexpected response %+v", g)
 			}
 		}
 		if served < 5 {
@@ -45,12 +45,12 @@
 		updatedAt := time.Now()
 		for i := range 10 {
 			if g := bed.do("GET", fmt.Sprint("/records/", i), "k-school"); g.status != 200 {
-				t.Errorf("%+v", g)
+				t.Errorf("unexpected response %+v", g)
 			}
 		}
 		for _, s := range bed.arrivedAttempts() {
 			if s.Server == "s1" && s.At.After(updatedAt) {
-				t.Errorf("sent to the draining server: %+v", s)
+				t.Errorf("attempt sent to the draining server: %+v", s)
 			}
 		}
 		d.Kill()
--- a/gateway/ext_authz_proxy_test.go
+++ b/gateway/ext_authz_proxy_test.go
@@ -57,7 +57,7 @@
 		defer done()
 		for i := range 2 {
 			if r := check("/records/1"); r.GetOkResponse() == nil {
-				t.Fatalf("%d: %v", i, r)
+				t.Fatalf("check %d was not allowed: %v", i, r)
 			}
 		}
 		start := time.Now()
@@ -89,7 +89,7 @@
 			drained <- bed.gateway.Drain(ctx)
 		}()
 		if r := <-answered; r.GetDeniedResponse().GetStatus().GetCode() != 429 {
-			t.Errorf("%v", r)
+			t.Errorf("unexpected response to the queued check: %v", r)
 		}
 		if err := <-drained; err != nil {
 			t.Error(err)
@@ -118,12 +118,12 @@
 				t.Error(err)
 			}
 			if res.StatusCode != 200 || !strings.Contains(string(body), `"class":"lookup"`) {
-				t.Errorf("%d: status %d, %s", i, res.StatusCode, body)
+				t.Errorf("request %d: status %d, body %s", i, res.StatusCode, body)
 			}
 			time.Sleep(5 * time.Millisecond) // until the access log has arrived
 		}
 		if n := len(bed.arrivedAttempts()); n != 10 {
-			t.Errorf("%d attempts arrived", n)
+			t.Errorf("%d attempts arrived, want 10", n)
 		}
 		p.Kill()
 		bed.expectNothingInFlight()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -47,7 +47,7 @@
 			}
 		}
 		if n := len(bed.arrivedAttempts()); n != 0 {
-			t.Errorf("%d attempts arrived", n)
+			t.Errorf("%d attempts arrived, want none", n)
 		}
 	})
 }
@@ -64,7 +64,7 @@
 				strings.Contains(g.header.Get("RateLimit-Policy"), `"basic";q=20;w=2`):
 				rejected++
 			default:
-				t.Fatalf("%+v", g)
+				t.Fatalf("unexpected response %+v", g)
 			}
 		}
 		if served < 20 || rejected < 10 {
--- a/gateway/http2_test.go
+++ b/gateway/http2_test.go
@@ -197,7 +197,7 @@
 		bed.t.Error(got)
 	}
 	if n := len(bed.arrivedAttempts()); n > 60 {
-		bed.t.Errorf("%d attempts reached servers", n)
+		bed.t.Errorf("%d attempts reached servers, want at most 60", n)
 	}
 	mustClose(bed.t, c.conn)
 }
@@ -397,7 +397,7 @@
 			time.Sleep(time.Second)
 			bed.gatewayHost.Resume()
 			if got := c.readFrames(3 * time.Second); countFrames(got, ": 200")+countFrames(got, ": 429") < 4 {
-				t.Errorf("paused after %v: %v", at, got)
+				t.Errorf("paused after %v: frames %v", at, got)
 			}
 			mustClose(bed.t, c.conn)
 		})
--- a/gateway/http2_upstream_test.go
+++ b/gateway/http2_upstream_test.go
@@ -28,7 +28,7 @@
 		}
 		for range 12 {
 			if g := <-done; g.status != 200 {
-				t.Errorf("%+v", g)
+				t.Errorf("unexpected response %+v", g)
 			}
 		}
 		res, err := bed.client.Do(bed.postRequest("/notes/1", strings.NewReader(strings.Repeat("x", 300_000))))
@@ -37,11 +37,11 @@
 		}
 		mustClose(t, res.Body)
 		if res.StatusCode != 200 {
-			t.Errorf("status %d", res.StatusCode)
+			t.Errorf("status %d, want 200", res.StatusCode)
 		}
 		bed.setServerFault("hang")
 		if g := bed.do("POST", "/notes/1", "k-school", "X-Envoy-Expected-Rq-Timeout-Ms", "300"); g.status != 504 {
-			t.Errorf("%+v", g)
+			t.Errorf("unexpected response %+v", g)
 		}
 		time.Sleep(100 * time.Millisecond)
 		if s := bed.arrivedAttempts()[len(bed.arrivedAttempts())-1]; s.End.Sub(s.At) > 310*time.Millisecond || s.Answered {
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -28,7 +28,7 @@
 		}
 		for range 3 {
 			if g := <-done; g.status != 200 {
-				t.Errorf("%+v", g)
+				t.Errorf("unexpected response %+v", g)
 			}
 		}
 		if g := bed.do("GET", "/records/1", "k-school"); g.status != -1 {
@@ -61,7 +61,7 @@
 		synctest.Wait()
 		n.InjectPolicyPanic()
 		if response := <-responses; response.Kind != node.Failed || response.Reason != node.ReasonInternal {
-			t.Errorf("%+v", response)
+			t.Errorf("unexpected response %+v", response)
 		}
 		n.Submit(newRequest(), func(response node.FinalResponse) { responses <- response })
 		time.Sleep(100 * time.Millisecond)
@@ -71,7 +71,7 @@
 		cancel()
 		<-ended
 		if response := <-responses; response.Kind != node.Failed {
-			t.Errorf("%+v", response)
+			t.Errorf("unexpected response %+v", response)
 		}
 	})
 	if !strings.Contains(log.String(), "policy panicked; failing all requests and restarting policy") {
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -26,9 +26,9 @@
 	// which is harmless because peers repeat them.
 	membershipQueueSize = 256
 
-	// stopTimeout is the maximum time to wait for the membership loop to send the last announcement
-	// when the node stops. announcementFlushTime is the time that the transport's goroutine then has
-	// to send it.
+	// stopTimeout is the maximum time that stop waits for the membership loop to handle the stop.
+	// announcementFlushTime is the time that stop then leaves the transport's goroutine to send the
+	// last announcement.
 	stopTimeout           = time.Second
 	announcementFlushTime = 20 * time.Millisecond
 )
--- a/gateway/tls_test.go
+++ b/gateway/tls_test.go
@@ -82,7 +82,7 @@
 		bed.t.Error(err)
 	}
 	if res.StatusCode != http.StatusOK {
-		bed.t.Errorf("status %d", res.StatusCode)
+		bed.t.Errorf("status %d, want 200", res.StatusCode)
 	}
 	if res.TLS == nil {
 		bed.t.Fatal("the response was not received over TLS")
@@ -102,10 +102,10 @@
 	runInTestBed(t, listener, func(bed *testBed) {
 		h2, h1 := bed.newTLSClient("h2"), bed.newTLSClient("http/1.1")
 		if protocol, serial := bed.getOverTLS(h2); protocol != "HTTP/2.0" || serial != 1 {
-			t.Errorf("%s, certificate %d", protocol, serial)
+			t.Errorf("protocol %s, certificate %d", protocol, serial)
 		}
 		if protocol, serial := bed.getOverTLS(h1); protocol != "HTTP/1.1" || serial != 1 {
-			t.Errorf("%s, certificate %d", protocol, serial)
+			t.Errorf("protocol %s, certificate %d", protocol, serial)
 		}
 		time.Sleep(2 * time.Second)
 		writeFile(t, files.certificate, []byte("invalid"))
--- a/gateway/untrusted_clients_test.go
+++ b/gateway/untrusted_clients_test.go
@@ -47,14 +47,14 @@
 			go func() {
 				got := bed.sendRaw(parts...)
 				if name != "nothing" && !strings.HasPrefix(got, "HTTP/1.1 408 ") {
-					t.Errorf("%s: %q", name, got)
+					t.Errorf("%s: unexpected response %q", name, got)
 				}
 				done <- struct{}{}
 			}()
 		}
 		for range 10 {
 			if g := bed.do("GET", "/records/1", "k-school"); g.status != 200 {
-				t.Errorf("%+v", g)
+				t.Errorf("unexpected response %+v", g)
 			}
 			time.Sleep(time.Second)
 		}
@@ -85,12 +85,12 @@
 			position += offset
 		}
 		if !strings.Contains(got[position:], "HTTP/1.1 401 ") || strings.Count(got, "HTTP/1.1 ") != 6 {
-			t.Errorf("%q", got)
+			t.Errorf("unexpected response %q", got)
 		}
 		got = bed.sendRaw("POST /notes/1 HTTP/1.1\r\nHost: h\r\nX-Api-Key: k-school\r\nExpect: 100-continue\r\n"+
 			"Content-Length: 3\r\nConnection: close\r\n\r\n", "abc")
 		if !strings.HasPrefix(got, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 ") {
-			t.Errorf("%q", got)
+			t.Errorf("unexpected response %q", got)
 		}
 	})
 }
@@ -117,10 +117,10 @@
 			runInTestBed(t, "", func(bed *testBed) {
 				got := bed.sendRaw(in)
 				if !strings.HasPrefix(got, "HTTP/1.1 400 ") || strings.Count(got, "HTTP/1.1 ") != 1 || !strings.Contains(got, "Connection: close\r\n") {
-					t.Errorf("%q", got)
+					t.Errorf("unexpected response %q", got)
 				}
 				if n := len(bed.arrivedAttempts()); n != 0 {
-					t.Errorf("%d attempts reached a server", n)
+					t.Errorf("%d attempts reached a server, want none", n)
 				}
 			})
 		})
@@ -129,7 +129,7 @@
 	runInTestBed(t, "", func(bed *testBed) {
 		got := bed.sendRaw(head + fmt.Sprintf("Connection: close\r\nContent-Length: %d\r\n\r\n", len(hidden)) + hidden)
 		if !strings.HasPrefix(got, "HTTP/1.1 200 ") || strings.Count(got, "HTTP/1.1 ") != 1 {
-			t.Errorf("%q", got)
+			t.Errorf("unexpected response %q", got)
 		}
 		if n := len(bed.arrivedAttempts()); n != 1 {
 			t.Errorf("%d attempts, want 1", n)
@@ -158,7 +158,7 @@
 		}()
 		b, _ := io.ReadAll(conn)
 		if !strings.HasPrefix(string(b), "HTTP/1.1 400 ") {
-			t.Errorf("%.80q", b)
+			t.Errorf("unexpected response %.80q", b)
 		}
 	})
 }
--- a/gateway/usage_test.go
+++ b/gateway/usage_test.go
@@ -160,7 +160,7 @@
 	without := servedAfterRestart(t, false)
 	t.Logf("served after the restart: %d with the counter, %d without", with, without)
 	if with > 8 || without < 15 {
-		t.Errorf("%d with, %d without", with, without)
+		t.Errorf("served after the restart: %d with the counter, %d without", with, without)
 	}
 }
 
@@ -212,7 +212,7 @@
 			t.Error(err)
 		}
 		if len(contents.Entries) != 1 || contents.Entries[0].Key.Customer != "school" || contents.Entries[0].Units != 3000 {
-			t.Errorf("saved %v", contents.Entries)
+			t.Errorf("saved %v, want only the entry of customer school", contents.Entries)
 		}
 		bed.gateway.Kill()
 	})
