--- a/cmd/yardcleat/main.go
+++ b/cmd/yardcleat/main.go
@@ -49,7 +49,7 @@
 // load reads a configuration; mistakes in it are told one by one.
 func load(path string) (*config.Config, error) {
 	cfg, err := config.Load(path)
-	var m *config.Mistakes
+	var m *config.ValidationError
 	if errors.As(err, &m) {
 		n := "a mistake"
 		if len(m.Diagnostics) != 1 {
--- a/cmd/yardcleat/roster.go
+++ b/cmd/yardcleat/roster.go
@@ -27,7 +27,7 @@
 				return err
 			}
 			tmp := path + ".new"
-			if err := os.WriteFile(tmp, config.WriteRoster(&r), 0o644); err != nil {
+			if err := os.WriteFile(tmp, config.FormatRoster(&r), 0o644); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: epoch %d, %d nodes, %d leaving\n", filepath.Base(path), r.Epoch, len(r.Nodes), len(r.Leaving))
--- a/config/mistakes.go
+++ b/config/diagnostics.go
@@ -9,9 +9,9 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Mistakes is the error of Load and Parse for a text that is not a valid configuration. It
+// ValidationError is the error of Load and Parse for a text that is not a valid configuration. It
 // contains every mistake that was found, ordered as sortByPlace says.
-type Mistakes struct {
+type ValidationError struct {
 	Diagnostics hcl.Diagnostics // at least one
 	files       map[string]*hcl.File
 }
@@ -20,7 +20,7 @@
 const sourceWidth = 100
 
 // Error returns a paragraph for each mistake, with the lines of the file around it.
-func (m *Mistakes) Error() string {
+func (m *ValidationError) Error() string {
 	var text bytes.Buffer
 	w := hcl.NewDiagnosticTextWriter(&text, m.files, sourceWidth, false)
 	if err := w.WriteDiagnostics(m.Diagnostics); err != nil {
--- a/config/every_key_test.go
+++ b/config/every_key_test.go
@@ -122,7 +122,7 @@
 	keyFile, rosterFile := filepath.Join(dir, "keys"), filepath.Join(dir, "roster.hcl")
 	roster := &membership.Roster{Epoch: 3, Nodes: []membership.Node{{Name: "a", Address: "10.0.0.1:7000"}, {Name: "b", Address: "10.0.0.2:7000"}}}
 	writeFile(t, keyFile, strings.Repeat("07", 32)+"\n"+strings.Repeat("08", 32)+"\n")
-	writeFile(t, rosterFile, string(WriteRoster(roster)))
+	writeFile(t, rosterFile, string(FormatRoster(roster)))
 	src := replaceAll(t, readFile(t, "every_key.hcl"), map[string]string{
 		`server "catalogue-1" {`: `eds {`,
 		`    address = "127.0.0.1:9001"
@@ -162,7 +162,7 @@
 			continue
 		}
 		_, err := Parse([]byte(strings.Replace(src, c.old, c.new, 1)), "node.hcl")
-		var m *Mistakes
+		var m *ValidationError
 		if !errors.As(err, &m) {
 			t.Errorf("%s: %v", c.new, err)
 			continue
--- a/config/load.go
+++ b/config/load.go
@@ -35,7 +35,7 @@
 	diags = append(diags, l.diags...)
 	if diags.HasErrors() {
 		sortByPlace(diags)
-		return nil, &Mistakes{Diagnostics: diags, files: parser.Files()}
+		return nil, &ValidationError{Diagnostics: diags, files: parser.Files()}
 	}
 	return l.config, nil
 }
--- a/config/load_test.go
+++ b/config/load_test.go
@@ -104,7 +104,7 @@
 
 func TestParseReportsAllMistakes(t *testing.T) {
 	_, err := Parse([]byte("plan \"a\" { rate = 1 }\nnode { number = \"x\" }\nwhat {}\n"), "node.hcl")
-	var m *Mistakes
+	var m *ValidationError
 	if !errors.As(err, &m) || len(m.Diagnostics) < 6 { // burst, number, what, listener, class, servers
 		t.Errorf("%v", err)
 	}
--- a/config/roster.go
+++ b/config/roster.go
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// WriteRoster returns the text of a file that ParseRoster reads back as the same roster.
-func WriteRoster(r *membership.Roster) []byte {
+// FormatRoster returns the text of a file that ParseRoster reads back as the same roster.
+func FormatRoster(r *membership.Roster) []byte {
 	f := hclwrite.NewEmptyFile()
 	body := f.Body()
 	body.SetAttributeValue("epoch", cty.NumberUIntVal(r.Epoch))
--- a/config/roster_test.go
+++ b/config/roster_test.go
@@ -12,9 +12,9 @@
 func TestRosterIsReadBackAsWritten(t *testing.T) {
 	r := &membership.Roster{Epoch: 7, Nodes: []membership.Node{{Name: "a", Address: "10.0.0.1:7000"}, {Name: "b", Address: "10.0.0.2:7000"}},
 		Leaving: []membership.LeavingNode{{Number: 2, Node: membership.Node{Name: "c", Address: "10.0.0.3:7000"}}}, RemovedNames: []string{"d", "e"}}
-	back, err := ParseRoster(WriteRoster(r), "r.hcl")
+	back, err := ParseRoster(FormatRoster(r), "r.hcl")
 	if err != nil || !reflect.DeepEqual(back, r) {
-		t.Errorf("%+v, %v\n%s", back, err, WriteRoster(r))
+		t.Errorf("%+v, %v\n%s", back, err, FormatRoster(r))
 	}
 	for _, c := range []struct{ text, want string }{
 		{"epoch = 1\nnode \"a\" {\n  address = \"nowhere\"\n}\n", `r.hcl:2: "nowhere" is not an address`},
--- a/day/fleet_changes.go
+++ b/day/fleet_changes.go
@@ -42,7 +42,7 @@
 		r.Leaving[k].Address = at(r.Leaving[k].Number)
 	}
 	path := filepath.Join(dir, "roster.hcl")
-	if err := os.WriteFile(path+".new", config.WriteRoster(&r), 0o600); err != nil {
+	if err := os.WriteFile(path+".new", config.FormatRoster(&r), 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
