--- a/config/authorizer.go
+++ b/config/authorizer.go
@@ -8,7 +8,7 @@
 func (l *loader) authorizer(in *authorizerBlock) {
 	if in == nil {
 		if slices.ContainsFunc(l.config.Classes, Class.authorized) {
-			l.mistake(l.endOfFile, "No authoriser", `A class is to be authorised; a block is needed such as: authoriser { address = "127.0.0.1:9200" }.`)
+			l.addError(l.endOfFile, "No authoriser", `A class is to be authorised; a block is needed such as: authoriser { address = "127.0.0.1:9200" }.`)
 		}
 		return
 	}
@@ -17,7 +17,7 @@
 		a.Addresses = append(a.Addresses, address)
 	}
 	if len(a.Addresses) == 0 {
-		l.mistake(in.DefRange, "No address", "Give address, or addresses for several of one service.")
+		l.addError(in.DefRange, "No address", "Give address, or addresses for several of one service.")
 	}
 	a.Timeout = l.duration(in.Timeout, durationBounds{Default: 200 * time.Millisecond, Min: time.Millisecond, Max: time.Minute})
 	a.MaxInFlight = l.integer(in.MaxInFlight, integerBounds{Default: 1000, Min: 1, Max: 1e6})
--- a/config/classes.go
+++ b/config/classes.go
@@ -10,7 +10,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// The values of the keys effect and group.
+// The values of the HCL keys effect and group.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"safe":   policy.Idempotent,
@@ -26,7 +26,7 @@
 
 func (l *loader) classes(in []classBlock) {
 	if len(in) == 0 {
-		l.mistake(l.endOfFile, "No class", `At least one block is needed such as: class "lookup" { … }.`)
+		l.addError(l.endOfFile, "No class", `At least one block is needed such as: class "lookup" { … }.`)
 	}
 	names := map[string]hcl.Range{}
 	routes := map[string]hcl.Range{}
@@ -45,7 +45,7 @@
 		Authorization:         oneOf(l, in.Authorization, SkipAuthorization, SkipAuthorization, FailClosed, FailOpen),
 	}
 	if len(in.Routes) == 0 {
-		l.mistake(in.NameRange, "No route", `A class needs at least one route, such as: route { method = "GET", path = "/records/{id}" }.`)
+		l.addError(in.NameRange, "No route", `A class needs at least one route, such as: route { method = "GET", path = "/records/{id}" }.`)
 	}
 	for _, r := range in.Routes {
 		out.Routes = append(out.Routes, l.route(r, routes))
@@ -53,7 +53,7 @@
 	return out
 }
 
-// policyClass is the part of a class that the policy decides by.
+// policyClass returns the part of a class that the policy uses.
 func (l *loader) policyClass(in classBlock) policy.Class {
 	out := policy.Class{
 		Name:        in.Name,
@@ -62,12 +62,12 @@
 		DedupWindow: l.duration(in.DedupWindow, durationBounds{Default: 0, Min: 0, Max: day}),
 	}
 	if out.Idempotency == policy.IdempotentWithKey && out.DedupWindow == 0 {
-		l.mistake(in.NameRange, "No window", `A keyed class needs the time for which servers drop repeats, such as: window = "2s".`)
+		l.addError(in.NameRange, "No window", `A keyed class needs the time for which servers drop repeats, such as: window = "2s".`)
 	}
 	out.LatencyObjective = l.duration(in.LatencyObjective, durationBounds{Default: time.Second, Min: time.Millisecond, Max: time.Hour})
 	out.Deadline = l.duration(in.Deadline, durationBounds{Default: time.Hour, Min: time.Millisecond, Max: time.Hour})
 	if out.Deadline < out.LatencyObjective {
-		l.mistake(in.Deadline.Range(), "Deadline before aim", "The deadline must be at least the aim, %v.", out.LatencyObjective)
+		l.addError(in.Deadline.Range(), "Deadline before aim", "The deadline must be at least the aim, %v.", out.LatencyObjective)
 	}
 	return out
 }
@@ -77,12 +77,12 @@
 	parameterPattern = regexp.MustCompile(`^\{[a-z_]+(\.\.\.)?\}$`)
 )
 
-// route checks a route. The keys of seen are the routes so far, with parameters' names
-// left out: two routes that match the same requests have the same key.
+// route validates a route. The keys of seen are the earlier routes without the names of their
+// parameters, so that two routes that match the same requests have the same key.
 func (l *loader) route(in routeBlock, seen map[string]hcl.Range) Route {
 	out := Route{Method: l.nonEmptyText(in.Method), Path: l.nonEmptyText(in.Path)}
 	if out.Method != "" && !methodPattern.MatchString(out.Method) {
-		l.mistake(in.Method.Range(), "Not a method", `An HTTP method in capitals is needed here, such as "GET".`)
+		l.addError(in.Method.Range(), "Not a method", `An HTTP method in capitals is needed here, such as "GET".`)
 	}
 	if out.Path == "" {
 		return out
@@ -90,7 +90,7 @@
 	segments := strings.Split(out.Path, "/")
 	at := in.Path.Range()
 	if segments[0] != "" {
-		l.mistake(at, "Not a path", `A path starts with "/".`)
+		l.addError(at, "Not a path", `A path starts with "/".`)
 	}
 	for i, segment := range segments {
 		last := i == len(segments)-1
@@ -98,21 +98,21 @@
 	}
 	key := out.Method + " " + strings.Join(segments, "/")
 	if first, used := seen[key]; used {
-		l.mistake(at, "Route used twice", "The same requests are routed at %s already.", first)
+		l.addError(at, "Route used twice", "The same requests are routed at %s already.", first)
 	}
 	seen[key] = at
 	return out
 }
 
-// routeSegment checks one segment of a path and returns it without a parameter's name.
+// routeSegment validates one segment of a path and returns it without the name of its parameter.
 func (l *loader) routeSegment(segment string, last bool, at hcl.Range) string {
 	isParameter := strings.ContainsAny(segment, "{}")
 	matchesRest := strings.HasSuffix(segment, "...}")
 	if isParameter && !parameterPattern.MatchString(segment) {
-		l.mistake(at, "Malformed path", "A segment is either plain or wholly {name} or {name...}.")
+		l.addError(at, "Malformed path", "A segment is either plain or wholly {name} or {name...}.")
 	}
 	if matchesRest && !last {
-		l.mistake(at, "Malformed path", "{name...} can only be the last segment.")
+		l.addError(at, "Malformed path", "{name...} can only be the last segment.")
 	}
 	switch {
 	case matchesRest:
--- a/config/counter.go
+++ b/config/counter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minRetainedWindows is how many windows a total outlives: gateways still read the last
-// window while they count the present one.
+// minRetainedWindows is the minimum retention of a total, in windows: gateways still read the
+// total of the previous window while they count the current one.
 const minRetainedWindows = 2
 
 func (l *loader) counter(in *counterBlock) {
@@ -18,10 +18,10 @@
 		Addresses:         l.addresses(in.Addresses),
 	}
 	if len(c.Addresses) == 0 {
-		l.mistake(in.Addresses.Range(), "No address", "At least one part of the counter is needed.")
+		l.addError(in.Addresses.Range(), "No address", "At least one part of the counter is needed.")
 	}
 	if shortest := minRetainedWindows * c.Window; c.Retention < shortest {
-		l.mistake(rangeOf(in.Retention, in.Addresses), "Kept too shortly", "Totals must be kept for at least two windows, %v.", shortest)
+		l.addError(rangeOf(in.Retention, in.Addresses), "Kept too shortly", "Totals must be kept for at least two windows, %v.", shortest)
 	}
 	l.config.Counter = c
 }
--- a/config/customers.go
+++ b/config/customers.go
@@ -28,17 +28,17 @@
 	}
 }
 
-func (l *loader) checkPlan(name string, at hcl.Expression) {
+func (l *loader) checkPlan(name string, expression hcl.Expression) {
 	var names []string
 	for _, plan := range l.config.Plans {
 		names = append(names, plan.Name)
 	}
 	if name != "" && !slices.Contains(names, name) {
-		l.mistake(at.Range(), "Unknown plan", "The plans are %s.", quoted(names))
+		l.addError(expression.Range(), "Unknown plan", "The plans are %s.", quoted(names))
 	}
 }
 
-// customerKeys is the list of a customer's keys; seen has those of all customers.
+// customerKeys returns the keys of one customer; seen contains those of all customers.
 func (l *loader) customerKeys(e hcl.Expression, seen map[string]hcl.Range) (keys []string) {
 	v, ok := l.value(e, cty.List(cty.String), "A list of texts")
 	if !ok {
@@ -46,12 +46,12 @@
 	}
 	for _, element := range v.AsValueSlice() {
 		if element.IsNull() || element.AsString() == "" {
-			l.mistake(e.Range(), "Empty key", "A key is a text of at least one character.")
+			l.addError(e.Range(), "Empty key", "A key is a text of at least one character.")
 			continue
 		}
 		key := element.AsString()
 		if first, used := seen[key]; used {
-			l.mistake(e.Range(), "Key used twice", "One of these keys is in use at %s already.", first)
+			l.addError(e.Range(), "Key used twice", "One of these keys is in use at %s already.", first)
 		}
 		seen[key] = e.Range()
 		keys = append(keys, key)
--- a/config/diagnostics.go
+++ b/config/diagnostics.go
@@ -10,29 +10,29 @@
 )
 
 // ValidationError is the error of Load and Parse for a text that is not a valid configuration. It
-// contains every mistake that was found, ordered as sortByPlace says.
+// contains every error that was found, in the order of sortByPosition.
 type ValidationError struct {
 	Diagnostics hcl.Diagnostics // at least one
 	files       map[string]*hcl.File
 }
 
-// sourceWidth is the column at which the text of Error wraps.
-const sourceWidth = 100
+// errorTextWidth is the column at which the text of Error wraps.
+const errorTextWidth = 100
 
-// Error returns a paragraph for each mistake, with the lines of the file around it.
-func (m *ValidationError) Error() string {
+// Error returns a paragraph for each diagnostic, with the lines of the file that it refers to.
+func (e *ValidationError) Error() string {
 	var text bytes.Buffer
-	w := hcl.NewDiagnosticTextWriter(&text, m.files, sourceWidth, false)
-	if err := w.WriteDiagnostics(m.Diagnostics); err != nil {
-		return m.Diagnostics.Error()
+	w := hcl.NewDiagnosticTextWriter(&text, e.files, errorTextWidth, false)
+	if err := w.WriteDiagnostics(e.Diagnostics); err != nil {
+		return e.Diagnostics.Error()
 	}
 	return strings.TrimSpace(text.String())
 }
 
-// sortByPlace puts diagnostics into the order of the file where each has a place; those at
-// the same place keep their order. A diagnostic without a place compares equal to every
-// other: where there is one, the order of the rest is not defined.
-func sortByPlace(diags hcl.Diagnostics) {
+// sortByPosition sorts diagnostics by their position in the file; those at the same position
+// keep their order. A diagnostic without a position compares equal to every other, so if there
+// is one, the order of the others is undefined.
+func sortByPosition(diags hcl.Diagnostics) {
 	slices.SortStableFunc(diags, func(a, b *hcl.Diagnostic) int {
 		if a.Subject == nil || b.Subject == nil {
 			return 0
@@ -41,8 +41,8 @@
 	})
 }
 
-// mistake adds a mistake at a place; detail describes a valid value.
-func (l *loader) mistake(at hcl.Range, summary, detail string, args ...any) {
+// addError adds an error at a position; detail describes a valid value.
+func (l *loader) addError(at hcl.Range, summary, detail string, args ...any) {
 	l.diags = append(l.diags, &hcl.Diagnostic{
 		Severity: hcl.DiagError,
 		Summary:  summary,
@@ -51,12 +51,13 @@
 	})
 }
 
-// checkUnique reports a name that is empty or in use, and marks it as used in seen.
-func (l *loader) checkUnique(seen map[string]hcl.Range, what, name string, at hcl.Range) {
+// checkUnique reports a name that is empty or already in seen, and adds it to seen. kind is the
+// kind of block that has the name.
+func (l *loader) checkUnique(seen map[string]hcl.Range, kind, name string, at hcl.Range) {
 	if name == "" {
-		l.mistake(at, "Empty name", "A %s needs a name.", what)
+		l.addError(at, "Empty name", "A %s needs a name.", kind)
 	} else if first, used := seen[name]; used {
-		l.mistake(at, "Name used twice", "There is a %s %q already, at %s.", what, name, first)
+		l.addError(at, "Name used twice", "There is a %s %q already, at %s.", kind, name, first)
 	}
 	seen[name] = at
 }
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,7 +1,8 @@
-// Package config reads the configuration of a gateway from HCL and checks all of it. Every
-// mistake is reported with its file, its line and what would be right.
+// Package config reads the configuration of a gateway from HCL and validates it. Every error
+// is reported with its file, its line and a description of a valid value.
 //
 // Parse decodes the text into the blocks of hcl_schema.go, whose values are still
-// expressions. Each block has a file of its own that evaluates them, applies defaults and
-// bounds, and fills its part of Config. Whatever is wrong is added to one *Mistakes.
+// expressions. The code of each block is in its own file: it evaluates the expressions, applies
+// defaults and bounds, and fills its part of Config. All errors are collected in one
+// *ValidationError.
 package config
--- a/config/every_key_test.go
+++ b/config/every_key_test.go
@@ -14,7 +14,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// fleetKey is the key in the files of testdata.
+// fleetKey is the fleet's key in the files of testdata.
 var fleetKey = []byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31}
 
 func parseTestdata(t *testing.T, name string) *Config {
@@ -116,7 +116,7 @@
 	})
 }
 
-// The keys that stand in place of others: an EDS source, a roster and a key file.
+// Keys that exclude others: an EDS source, a roster file and a key file.
 func TestAlternativeKeysAreRead(t *testing.T) {
 	dir := t.TempDir()
 	keyFile, rosterFile := filepath.Join(dir, "keys"), filepath.Join(dir, "roster.hcl")
@@ -153,22 +153,22 @@
 	}
 }
 
-// Each key with a value that it does not take: what is said, with file, line and columns.
+// An invalid value of a key is reported with file, line and columns.
 func TestEveryKeyOutOfBounds(t *testing.T) {
 	src := readFile(t, "every_key.hcl")
 	for _, c := range outOfBounds {
 		if strings.Count(src, c.old) != 1 {
-			t.Errorf("%q does not stand once in the file", c.old)
+			t.Errorf("%q does not occur exactly once in the file", c.old)
 			continue
 		}
 		_, err := Parse([]byte(strings.Replace(src, c.old, c.new, 1)), "node.hcl")
-		var m *ValidationError
-		if !errors.As(err, &m) {
+		var validation *ValidationError
+		if !errors.As(err, &validation) {
 			t.Errorf("%s: %v", c.new, err)
 			continue
 		}
 		var got []string
-		for _, d := range m.Diagnostics {
+		for _, d := range validation.Diagnostics {
 			got = append(got, d.Error())
 		}
 		if !reflect.DeepEqual(got, c.want) {
@@ -193,14 +193,15 @@
 	}
 }
 
-// replaceAll replaces texts that must stand in s.
+// replaceAll replaces the first occurrence of each key of replacements, which s must contain, by
+// its value.
 func replaceAll(t *testing.T, s string, replacements map[string]string) string {
 	t.Helper()
-	for old, with := range replacements {
+	for old, replacement := range replacements {
 		if !strings.Contains(s, old) {
-			t.Fatalf("%q does not stand in the file", old)
+			t.Fatalf("%q does not occur in the file", old)
 		}
-		s = strings.Replace(s, old, with, 1)
+		s = strings.Replace(s, old, replacement, 1)
 	}
 	return s
 }
--- a/config/hcl_schema.go
+++ b/config/hcl_schema.go
@@ -3,10 +3,10 @@
 import "github.com/hashicorp/hcl/v2"
 
 // The types below are the blocks of a configuration file as HCL decodes them. Values stay
-// expressions, so that a mistake can be reported with its place. The tags are the keys that
-// users write; they are part of the interface.
+// expressions so that errors can be reported with their position. The tags are the keys in
+// users' configuration files, so changing one is a breaking change.
 
-type file struct {
+type configFile struct {
 	Node       *nodeBlock       `hcl:"node,block"`
 	Log        *logBlock        `hcl:"log,block"`
 	Listeners  []listenerBlock  `hcl:"listener,block"`
--- a/config/keys_test.go
+++ b/config/keys_test.go
@@ -14,7 +14,7 @@
 	for _, bad := range []string{good[2:], good + "00", strings.Repeat("xy", keySize)} {
 		_, err := ParseKeys(good + "\n" + bad)
 		var e *KeyError
-		if !errors.As(err, &e) || e.Position != 2 || err.Error() != "key 2 is not of 32 bytes in hex" {
+		if !errors.As(err, &e) || e.Position != 2 || err.Error() != "key 2 is not 32 bytes in hex" {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
--- a/config/limits.go
+++ b/config/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// requestTimeBounds returns the bounds of a timeout within which a client acts.
+// requestTimeBounds returns the bounds of a timeout for reading from or writing to a client.
 func requestTimeBounds(defaultTime time.Duration) durationBounds {
 	return durationBounds{Default: defaultTime, Min: time.Millisecond, Max: time.Hour}
 }
--- a/config/listeners.go
+++ b/config/listeners.go
@@ -10,7 +10,7 @@
 
 func (l *loader) listeners(in []listenerBlock) {
 	if len(in) == 0 {
-		l.mistake(l.endOfFile, "No listener", `At least one block is needed such as: listener "http" "desks" { address = "127.0.0.1:8080" }.`)
+		l.addError(l.endOfFile, "No listener", `At least one block is needed such as: listener "http" "desks" { address = "127.0.0.1:8080" }.`)
 	}
 	names := map[string]hcl.Range{}
 	for _, block := range in {
@@ -21,7 +21,7 @@
 func (l *loader) listener(in listenerBlock, names map[string]hcl.Range) Listener {
 	kind := ListenerKind(in.Kind)
 	if !slices.Contains(listenerKinds, kind) {
-		l.mistake(in.KindRange, "Unknown kind of listener", "One of these is needed here: %s.", quoted(listenerKinds))
+		l.addError(in.KindRange, "Unknown kind of listener", "One of these is needed here: %s.", quoted(listenerKinds))
 	}
 	l.checkUnique(names, "listener", in.Name, in.NameRange)
 	out := Listener{
@@ -33,7 +33,7 @@
 	}
 	tls := kind == HTTPS
 	if tls != (out.CertFile != "") || tls != (out.KeyFile != "") {
-		l.mistake(in.NameRange, "Certificate", "A listener of kind \"https\" needs cert_file and key_file, and no other kind takes them.")
+		l.addError(in.NameRange, "Certificate", "A listener of kind \"https\" needs cert_file and key_file, and no other kind takes them.")
 	}
 	return out
 }
--- a/config/load.go
+++ b/config/load.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/hcl/v2/hclparse"
 )
 
-// Load reads and checks a file. The error is *Mistakes where the file could be read, and
-// that of os.ReadFile where it could not.
+// Load reads and validates a configuration file. The error is that of os.ReadFile if the file
+// can't be read, otherwise a *ValidationError.
 func Load(path string) (*Config, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -19,37 +19,38 @@
 	return Parse(src, path)
 }
 
-// Parse checks the text of a file, whose name is for messages only. A roster and a key
-// file that the text names are read too. The error is *Mistakes.
+// Parse validates the text of a configuration file. The name of the file is used only in
+// messages. Parse also reads the roster file and the key file that the text refers to. The
+// error is a *ValidationError.
 func Parse(src []byte, name string) (*Config, error) {
 	parser := hclparse.NewParser()
 	parsed, diags := parser.ParseHCL(src, name)
 	l := &loader{config: &Config{}}
 	if !diags.HasErrors() {
-		var decoded file
+		var decoded configFile
 		diags = append(diags, gohcl.DecodeBody(parsed.Body, nil, &decoded)...)
 		l.endOfFile = parsed.Body.MissingItemRange()
 		l.requireKeys(reflect.ValueOf(decoded), l.endOfFile)
-		l.file(&decoded)
+		l.evaluate(&decoded)
 	}
 	diags = append(diags, l.diags...)
 	if diags.HasErrors() {
-		sortByPlace(diags)
+		sortByPosition(diags)
 		return nil, &ValidationError{Diagnostics: diags, files: parser.Files()}
 	}
 	return l.config, nil
 }
 
-// loader evaluates the blocks of one file into a Config and collects mistakes.
+// loader evaluates the blocks of one file into a Config and collects the errors.
 type loader struct {
 	config    *Config
 	diags     hcl.Diagnostics
-	endOfFile hcl.Range // the place of a block that is missing
+	endOfFile hcl.Range // position reported for a missing block
 }
 
-// file evaluates all blocks. Blocks that others refer to come first: classes before the
-// authorizer, plans and peers before customers.
-func (l *loader) file(in *file) {
+// evaluate evaluates all blocks. Blocks that others depend on are evaluated first: classes
+// before the authorizer, plans and peers before customers.
+func (l *loader) evaluate(in *configFile) {
 	l.node(in.Node)
 	l.log(in.Log)
 	l.listeners(in.Listeners)
--- a/config/load_test.go
+++ b/config/load_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func example(t *testing.T) string {
+func readExample(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("..", "deploy", "example.hcl"))
 	if err != nil {
@@ -19,7 +19,7 @@
 }
 
 func TestExampleIsValid(t *testing.T) {
-	cfg, err := Parse([]byte(example(t)), "example.hcl")
+	cfg, err := Parse([]byte(readExample(t)), "example.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,8 +29,8 @@
 	}
 }
 
-// Every mistake names its line and says what would be right.
-func TestMistakeSaysWhatWouldBeRight(t *testing.T) {
+// Every error contains its line and describes a valid value.
+func TestErrorDescribesValidValue(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`effect        = "safe"`, `effect = "saef"`, `One of these is needed here: "safe", "keyed", "unsafe"`},
 		{`effect        = "safe"`, `efect = "safe"`, `Did you mean "effect"?`},
@@ -74,15 +74,15 @@
 		{`authoriser {`, `authorizer {`, `Did you mean "authoriser"?`},
 	} {
 		t.Run(c.new, func(t *testing.T) {
-			src := example(t)
+			src := readExample(t)
 			at := strings.Index(src, c.old)
 			if at < 0 {
-				t.Fatalf("%q does not stand in the example", c.old)
+				t.Fatalf("%q does not occur in the example", c.old)
 			}
 			src = src[:at] + c.new + src[at+len(c.old):]
 			_, err := Parse([]byte(src), "node.hcl")
 			if err == nil {
-				t.Fatal("taken as good")
+				t.Fatal("invalid configuration accepted")
 			}
 			if !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "on node.hcl line ") {
 				t.Errorf("%v\nwant: %s", err, c.want)
@@ -91,8 +91,8 @@
 	}
 }
 
-func TestMistakeNamesItsLine(t *testing.T) {
-	src := example(t)
+func TestErrorContainsLine(t *testing.T) {
+	src := readExample(t)
 	for _, old := range []string{`aim           = "800ms"`, `burst = 5`, `plan = "basic"`} {
 		at := strings.Index(src, old)
 		_, err := Parse([]byte(src[:at]+"wrong = 1 # "+src[at:]), "node.hcl")
@@ -102,10 +102,10 @@
 	}
 }
 
-func TestParseReportsAllMistakes(t *testing.T) {
+func TestParseReportsAllErrors(t *testing.T) {
 	_, err := Parse([]byte("plan \"a\" { rate = 1 }\nnode { number = \"x\" }\nwhat {}\n"), "node.hcl")
-	var m *ValidationError
-	if !errors.As(err, &m) || len(m.Diagnostics) < 6 { // burst, number, what, listener, class, servers
+	var validation *ValidationError
+	if !errors.As(err, &validation) || len(validation.Diagnostics) < 6 { // burst, number, what, listener, class, servers
 		t.Errorf("%v", err)
 	}
 }
@@ -121,9 +121,9 @@
 	})
 }
 
-// Each key that a block needs is asked for where it is missing: nothing stands in for it.
-func TestMissingKeyIsAMistake(t *testing.T) {
-	src := example(t)
+// A missing required key is reported; no default replaces it.
+func TestMissingKeyIsReported(t *testing.T) {
+	src := readExample(t)
 	for _, c := range []struct{ line, key string }{
 		{`{ address = "127.0.0.1:8080" }`, "address"},
 		{`  effect        = "safe"` + "\n", "effect"},
@@ -139,7 +139,7 @@
 		{`    header = "x-not-run"` + "\n", "header"},
 	} {
 		if strings.Count(src, c.line) != 1 {
-			t.Fatalf("%q stands %d times in the example", c.line, strings.Count(src, c.line))
+			t.Fatalf("%q occurs %d times in the example", c.line, strings.Count(src, c.line))
 		}
 		replacement := ""
 		if strings.HasPrefix(c.line, "{") {
--- a/config/node.go
+++ b/config/node.go
@@ -2,8 +2,7 @@
 
 import "log/slog"
 
-// maxGatewayNumber is the highest number of a gateway; messages between gateways carry it
-// in 16 bits.
+// maxGatewayNumber is the highest number of a gateway; it has 16 bits in peer messages.
 const maxGatewayNumber = 65535
 
 func (l *loader) node(in *nodeBlock) {
--- a/config/out_of_bounds_test.go
+++ b/config/out_of_bounds_test.go
@@ -1,6 +1,7 @@
 package config
 
-// outOfBounds are changes of testdata/every_key.hcl and what is said of each.
+// outOfBounds lists replacements in testdata/every_key.hcl that make it invalid, and the errors that
+// are reported for each.
 var outOfBounds = []struct {
 	old, new string
 	want     []string
--- a/config/peers.go
+++ b/config/peers.go
@@ -34,51 +34,51 @@
 	n, err := strconv.Atoi(in.Number)
 	switch {
 	case err != nil || n < 0 || n > maxGatewayNumber:
-		l.mistake(in.NumberRange, "Not a node number", `A peer is named by its number, such as: peer "1" { address = … }.`)
+		l.addError(in.NumberRange, "Not a node number", `A peer is named by its number, such as: peer "1" { address = … }.`)
 		return
 	case n == l.config.Number:
-		l.mistake(in.NumberRange, "Peer with this node's number", "This node is number %d; list only the others.", n)
+		l.addError(in.NumberRange, "Peer with this node's number", "This node is number %d; list only the others.", n)
 		return
 	case addresses[n] != "":
-		l.mistake(in.NumberRange, "Number used twice", "There is a peer %d already.", n)
+		l.addError(in.NumberRange, "Number used twice", "There is a peer %d already.", n)
 	}
 	addresses[n] = l.address(in.Address)
 }
 
-// checkNumbering reports gaps: the numbers of the peers and of this gateway together are
-// 0 and up, without any left out.
+// checkNumbering reports gaps: the numbers of the peers and of this gateway together must be
+// consecutive from 0.
 func (l *loader) checkNumbering(in *peersBlock) {
 	addresses := l.config.Peers.Addresses
 	self := l.config.Number
 	for _, n := range slices.Sorted(maps.Keys(addresses)) {
 		if n > len(addresses) {
-			l.mistake(in.DefRange, "Numbers with gaps", "Nodes are numbered from 0 to %d, this one (%d) included; there is a %d.",
+			l.addError(in.DefRange, "Numbers with gaps", "Nodes are numbered from 0 to %d, this one (%d) included; there is a %d.",
 				len(addresses), self, n)
 			break
 		}
 	}
 	if self > len(addresses) {
-		l.mistake(in.DefRange, "Numbers with gaps", "This node's number, %d, is above the number of its peers, %d.",
+		l.addError(in.DefRange, "Numbers with gaps", "This node's number, %d, is above the number of its peers, %d.",
 			self, len(addresses))
 	}
 }
 
-// roster reads the fleet from the file of a roster, which gives this gateway's number by
-// its name.
+// roster reads the fleet from a roster file. The number of this gateway is the position of its
+// name in the roster.
 func (l *loader) roster(in *peersBlock, path string) {
 	if len(in.Peers) > 0 {
-		l.mistake(in.DefRange, "Roster and peers", "Give either a roster or peer blocks.")
+		l.addError(in.DefRange, "Roster and peers", "Give either a roster or peer blocks.")
 	}
 	roster, err := LoadRoster(path)
 	if err != nil {
-		l.mistake(in.RosterFile.Range(), "Roster not usable", "%v", err)
+		l.addError(in.RosterFile.Range(), "Roster not usable", "%v", err)
 		return
 	}
 	l.config.Roster = roster
 	l.config.Peers.RosterFile = path
 	l.config.Number = slices.IndexFunc(roster.Nodes, func(n membership.Node) bool { return n.Name == l.config.Name })
 	if l.config.Number < 0 {
-		l.mistake(in.RosterFile.Range(), "Not in the roster", "The roster of epoch %d has no node %q; it is known by name in the block node.",
+		l.addError(in.RosterFile.Range(), "Not in the roster", "The roster of epoch %d has no node %q; it is known by name in the block node.",
 			roster.Epoch, l.config.Name)
 		l.config.Number = 0
 	}
--- a/config/plans.go
+++ b/config/plans.go
@@ -6,12 +6,12 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// rateBounds are those of rates and bursts; 0 means that there is no such limit.
+// rateBounds are the bounds of rates and bursts; 0 means no limit.
 var rateBounds = numberBounds{Default: 0, Min: 0, Max: 1e9}
 
 func (l *loader) plans(in []planBlock) {
 	if len(in) == 0 {
-		l.mistake(l.endOfFile, "No plan", `At least one block is needed such as: plan "basic" { rate = 1, burst = 5 }.`)
+		l.addError(l.endOfFile, "No plan", `At least one block is needed such as: plan "basic" { rate = 1, burst = 5 }.`)
 	}
 	names := map[string]hcl.Range{}
 	for _, block := range in {
@@ -32,13 +32,13 @@
 		HardBurst:      l.number(in.HardBurst, rateBounds),
 	}
 	if (out.Rate > 0) != (out.Burst > 0) {
-		l.mistake(in.NameRange, "Rate without burst", "Give both rate (units a second) and burst (units that may be used at once), or neither.")
+		l.addError(in.NameRange, "Rate without burst", "Give both rate (units a second) and burst (units that may be used at once), or neither.")
 	}
 	if (out.HardRate > 0) != (out.HardBurst > 0) {
-		l.mistake(in.NameRange, "Ceiling without burst", "Give both hard_rate and hard_burst, or neither.")
+		l.addError(in.NameRange, "Ceiling without burst", "Give both hard_rate and hard_burst, or neither.")
 	}
 	if out.HardRate > 0 && out.HardRate < out.Rate {
-		l.mistake(in.HardRate.Range(), "Ceiling below the quota", "hard_rate must be at least rate, %v.", out.Rate)
+		l.addError(in.HardRate.Range(), "Ceiling below the quota", "hard_rate must be at least rate, %v.", out.Rate)
 	}
 	return out
 }
--- a/config/roster.go
+++ b/config/roster.go
@@ -15,8 +15,8 @@
 	"yardcleat.example/yardcleat/membership"
 )
 
-// LoadRoster reads the roster of a fleet from a file. The error is that of os.ReadFile or
-// of ParseRoster.
+// LoadRoster reads the roster of a fleet from a file. It returns the errors of os.ReadFile and
+// ParseRoster.
 func LoadRoster(path string) (*membership.Roster, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -25,12 +25,12 @@
 	return ParseRoster(src, path)
 }
 
-// rosterFile is a roster's file as HCL decodes it. The tags are the keys that users write.
+// rosterFile is a roster file as HCL decodes it. The tags are the keys in the file.
 type rosterFile struct {
-	Epoch   int                  `hcl:"epoch"`
-	Gone    []string             `hcl:"gone,optional"`
-	Nodes   []rosterNodeBlock    `hcl:"node,block"`
-	Leaving []rosterLeavingBlock `hcl:"leaving,block"`
+	Epoch        int                  `hcl:"epoch"`
+	RemovedNames []string             `hcl:"gone,optional"`
+	Nodes        []rosterNodeBlock    `hcl:"node,block"`
+	Leaving      []rosterLeavingBlock `hcl:"leaving,block"`
 }
 
 type rosterNodeBlock struct {
@@ -46,7 +46,7 @@
 	DefRange hcl.Range `hcl:",def_range"`
 }
 
-// AddressError is the error of ParseRoster for an address that is not host:port.
+// AddressError is returned by ParseRoster for an address that is not host:port.
 type AddressError struct {
 	File    string
 	Line    int // from 1
@@ -57,8 +57,8 @@
 	return fmt.Sprintf("%s:%d: %q is not an address such as \"10.0.0.1:7000\"", e.File, e.Line, e.Address)
 }
 
-// ParseRoster reads a roster; the name of its file is for messages, which have its lines.
-// Of several wrong addresses the error joins one *AddressError each.
+// ParseRoster parses and validates a roster. The name of its file is used in error messages,
+// together with the line. The error joins an *AddressError for each invalid address.
 func ParseRoster(src []byte, name string) (*membership.Roster, error) {
 	in, err := decodeRoster(src, name)
 	if err != nil {
@@ -67,7 +67,7 @@
 	if in.Epoch < 0 {
 		return nil, fmt.Errorf("%s: the epoch is below 0", name)
 	}
-	roster := &membership.Roster{Epoch: uint64(in.Epoch), RemovedNames: in.Gone}
+	roster := &membership.Roster{Epoch: uint64(in.Epoch), RemovedNames: in.RemovedNames}
 	var errs []error
 	for _, n := range in.Nodes {
 		errs = append(errs, checkRosterAddress(n.Address, n.DefRange))
@@ -75,8 +75,8 @@
 	}
 	for _, n := range in.Leaving {
 		errs = append(errs, checkRosterAddress(n.Address, n.DefRange))
-		leaver := membership.LeavingNode{Number: n.Number, Node: membership.Node{Name: n.Name, Address: n.Address}}
-		roster.Leaving = append(roster.Leaving, leaver)
+		leaving := membership.LeavingNode{Number: n.Number, Node: membership.Node{Name: n.Name, Address: n.Address}}
+		roster.Leaving = append(roster.Leaving, leaving)
 	}
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	return in, nil
 }
 
-// checkRosterAddress returns nil or an *AddressError at a place.
+// checkRosterAddress returns nil for host:port, otherwise an *AddressError with the position.
 func checkRosterAddress(address string, at hcl.Range) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return &AddressError{File: at.Filename, Line: at.Start.Line, Address: address}
@@ -106,17 +106,17 @@
 	return nil
 }
 
-// FormatRoster returns the text of a file that ParseRoster reads back as the same roster.
+// FormatRoster returns the text of a roster file. ParseRoster returns the same roster for it.
 func FormatRoster(r *membership.Roster) []byte {
 	f := hclwrite.NewEmptyFile()
 	body := f.Body()
 	body.SetAttributeValue("epoch", cty.NumberUIntVal(r.Epoch))
 	if len(r.RemovedNames) > 0 {
-		var gone []cty.Value
-		for _, g := range r.RemovedNames {
-			gone = append(gone, cty.StringVal(g))
+		var names []cty.Value
+		for _, name := range r.RemovedNames {
+			names = append(names, cty.StringVal(name))
 		}
-		body.SetAttributeValue("gone", cty.ListVal(gone))
+		body.SetAttributeValue("gone", cty.ListVal(names))
 	}
 	for _, n := range r.Nodes {
 		body.AppendNewline()
--- a/config/roster_test.go
+++ b/config/roster_test.go
@@ -9,7 +9,7 @@
 	"yardcleat.example/yardcleat/membership"
 )
 
-func TestRosterIsReadBackAsWritten(t *testing.T) {
+func TestFormattedRosterParsesToSameRoster(t *testing.T) {
 	r := &membership.Roster{Epoch: 7, Nodes: []membership.Node{{Name: "a", Address: "10.0.0.1:7000"}, {Name: "b", Address: "10.0.0.2:7000"}},
 		Leaving: []membership.LeavingNode{{Number: 2, Node: membership.Node{Name: "c", Address: "10.0.0.3:7000"}}}, RemovedNames: []string{"d", "e"}}
 	back, err := ParseRoster(FormatRoster(r), "r.hcl")
--- a/config/servers.go
+++ b/config/servers.go
@@ -8,7 +8,7 @@
 
 func (l *loader) servers(in *serversBlock) {
 	if in == nil {
-		l.mistake(l.endOfFile, "No servers", `A block is needed such as: servers { server "a" { address = "127.0.0.1:9001" } }.`)
+		l.addError(l.endOfFile, "No servers", `A block is needed such as: servers { server "a" { address = "127.0.0.1:9001" } }.`)
 		return
 	}
 	s := &l.config.Servers
@@ -22,7 +22,7 @@
 		s.EDSCluster = l.nonEmptyText(in.EDS.Cluster)
 	}
 	if (in.EDS != nil) == (len(in.Static) > 0) {
-		l.mistake(in.DefRange, "No source of servers, or two", "Give either server blocks or one eds block.")
+		l.addError(in.DefRange, "No source of servers, or two", "Give either server blocks or one eds block.")
 	}
 	s.HTTP2 = oneOf(l, in.Protocol, "http1", "http1", "http2") == "http2"
 	s.InitialCapacity = l.number(in.InitialCapacity, numberBounds{Default: 0.2, Min: 0.001, Max: 1})
--- a/config/values.go
+++ b/config/values.go
@@ -14,8 +14,8 @@
 	"github.com/zclconf/go-cty/cty/convert"
 )
 
-// The bounds of a key's value, both included, and its value where the key is not set or
-// its value is wrong.
+// The inclusive bounds of a key's value, and the default, which is used if the key is not set
+// or its value is invalid.
 type (
 	numberBounds   struct{ Default, Min, Max float64 }
 	integerBounds  struct{ Default, Min, Max int }
@@ -24,9 +24,9 @@
 
 const day = 24 * time.Hour
 
-// value evaluates an expression and converts it to a type. It returns false where the key
-// is not set or its value is wrong.
-func (l *loader) value(e hcl.Expression, t cty.Type, what string) (cty.Value, bool) {
+// value evaluates an expression and converts it to a type, which description names in errors.
+// It returns false if the key is not set or its value is invalid.
+func (l *loader) value(e hcl.Expression, t cty.Type, description string) (cty.Value, bool) {
 	if e == nil {
 		return cty.NilVal, false // the decoder reported the missing key
 	}
@@ -40,7 +40,7 @@
 	}
 	v, err := convert.Convert(v, t)
 	if err != nil || !v.IsWhollyKnown() {
-		l.mistake(e.Range(), "Wrong type", "%s is needed here.", what)
+		l.addError(e.Range(), "Wrong type", "%s is needed here.", description)
 		return v, false
 	}
 	return v, true
@@ -55,7 +55,7 @@
 	return !v.IsNull()
 }
 
-// rangeOf is the place of a key, or of another where the first is not set.
+// rangeOf returns the range of e, or of other if the key of e is not set.
 func rangeOf(e, other hcl.Expression) hcl.Range {
 	if isSet(e) {
 		return e.Range()
@@ -63,7 +63,8 @@
 	return other.Range()
 }
 
-// text is a text that may be empty.
+// text returns a string that may be empty. It returns the default if the key is not set or its
+// value is invalid.
 func (l *loader) text(e hcl.Expression, defaultText string) string {
 	if v, ok := l.value(e, cty.String, "A text"); ok {
 		return v.AsString()
@@ -71,16 +72,18 @@
 	return defaultText
 }
 
-// nonEmptyText is a text of at least one character, or "" where the key is not set.
+// nonEmptyText returns a string of at least one character, or "" if the key is not set. An empty
+// string in the file is an error.
 func (l *loader) nonEmptyText(e hcl.Expression) string {
 	s := l.text(e, "")
 	if s == "" && isSet(e) {
-		l.mistake(e.Range(), "Empty text", "A text of at least one character is needed here.")
+		l.addError(e.Range(), "Empty text", "A text of at least one character is needed here.")
 	}
 	return s
 }
 
-// number is a number within bounds, and the default beside a mistake.
+// number returns a number within bounds. It returns the default if the key is not set and, after
+// reporting an error, if the value is invalid.
 func (l *loader) number(e hcl.Expression, bounds numberBounds) float64 {
 	v, ok := l.value(e, cty.Number, "A number")
 	if !ok {
@@ -88,14 +91,14 @@
 	}
 	f, _ := v.AsBigFloat().Float64()
 	if f < bounds.Min || f > bounds.Max {
-		l.mistake(e.Range(), "Number out of range", "A number from %v to %v is needed here.", bounds.Min, bounds.Max)
+		l.addError(e.Range(), "Number out of range", "A number from %v to %v is needed here.", bounds.Min, bounds.Max)
 		return bounds.Default
 	}
 	return f
 }
 
-// integer is a whole number within bounds. A number with a fraction is a mistake, and the
-// result beside it is the number without the fraction.
+// integer returns a whole number within bounds. A number with a fraction is an error; after
+// reporting it, integer returns the number without the fraction.
 func (l *loader) integer(e hcl.Expression, bounds integerBounds) int {
 	f := l.number(e, numberBounds{
 		Default: float64(bounds.Default),
@@ -104,12 +107,13 @@
 	})
 	n := int(f)
 	if f != float64(n) {
-		l.mistake(e.Range(), "Not a whole number", "A whole number from %d to %d is needed here.", bounds.Min, bounds.Max)
+		l.addError(e.Range(), "Not a whole number", "A whole number from %d to %d is needed here.", bounds.Min, bounds.Max)
 	}
 	return n
 }
 
-// duration is a duration within bounds, and the default beside a mistake.
+// duration returns a duration within bounds. It returns the default if the key is not set and,
+// after reporting an error, if the value is invalid.
 func (l *loader) duration(e hcl.Expression, bounds durationBounds) time.Duration {
 	v, ok := l.value(e, cty.String, `A duration such as "250ms"`)
 	if !ok {
@@ -117,23 +121,22 @@
 	}
 	d, err := time.ParseDuration(v.AsString())
 	if err != nil {
-		l.mistake(e.Range(), "Not a duration", `A number with a unit is needed here, such as "250ms", "1.5s" or "2m".`)
+		l.addError(e.Range(), "Not a duration", `A number with a unit is needed here, such as "250ms", "1.5s" or "2m".`)
 		return bounds.Default
 	}
 	if d < bounds.Min || d > bounds.Max {
-		l.mistake(e.Range(), "Duration out of range", "A duration from %v to %v is needed here.", bounds.Min, bounds.Max)
+		l.addError(e.Range(), "Duration out of range", "A duration from %v to %v is needed here.", bounds.Min, bounds.Max)
 		return bounds.Default
 	}
 	return d
 }
 
-// oneOf returns the text of a key that must be one of the allowed ones. It returns
-// defaultText where the key is not set, and, beside the mistake, where its text is not
-// allowed.
+// oneOf returns the value of a key that must be one of the allowed strings. It returns
+// defaultText if the key is not set and, after reporting an error, if its value is not allowed.
 func oneOf[T ~string](l *loader, e hcl.Expression, defaultText T, allowed ...T) T {
 	s := T(l.text(e, string(defaultText)))
 	if !slices.Contains(allowed, s) {
-		l.mistake(e.Range(), "Unknown name", "One of these is needed here: %s.", quoted(allowed))
+		l.addError(e.Range(), "Unknown name", "One of these is needed here: %s.", quoted(allowed))
 		return defaultText
 	}
 	return s
@@ -158,19 +161,19 @@
 	return err == nil && port >= 0 && port <= maxPort
 }
 
-// address is host:port, or "" where the key is not set.
+// address returns host:port, or "" if the key is not set.
 func (l *loader) address(e hcl.Expression) string {
 	s := l.text(e, "")
 	if s == "" {
 		return l.nonEmptyText(e)
 	}
 	if !validAddress(s) {
-		l.mistake(e.Range(), "Not an address", `An address is a host and a port, such as "127.0.0.1:8080" or "[::1]:8080".`)
+		l.addError(e.Range(), "Not an address", `An address is a host and a port, such as "127.0.0.1:8080" or "[::1]:8080".`)
 	}
 	return s
 }
 
-// addresses is a list of host:port. Wrong ones are left out.
+// addresses returns a list of host:port. Invalid addresses are reported and omitted.
 func (l *loader) addresses(e hcl.Expression) (list []string) {
 	v, ok := l.value(e, cty.List(cty.String), "A list of addresses")
 	if !ok {
@@ -178,7 +181,7 @@
 	}
 	for _, a := range v.AsValueSlice() {
 		if a.IsNull() || !validAddress(a.AsString()) {
-			l.mistake(e.Range(), "Not an address", `An address is a host and a port, such as "127.0.0.1:6379".`)
+			l.addError(e.Range(), "Not an address", `An address is a host and a port, such as "127.0.0.1:6379".`)
 			continue
 		}
 		list = append(list, a.AsString())
@@ -189,16 +192,17 @@
 // headerName matches a token of RFC 9110, 5.6.2.
 var headerName = regexp.MustCompile("^[!#$%&'*+.^_`|~0-9A-Za-z-]+$")
 
-// header is the name of a header field in canonical form.
+// header returns the name of a header field in canonical form.
 func (l *loader) header(e hcl.Expression, defaultName string) string {
 	s := l.text(e, defaultName)
 	if s != "" && !headerName.MatchString(s) {
-		l.mistake(e.Range(), "Not a field name", "The name of an HTTP header field is needed here.")
+		l.addError(e.Range(), "Not a field name", "The name of an HTTP header field is needed here.")
 	}
 	return textproto.CanonicalMIMEHeaderKey(s)
 }
 
-// headers is a list of names of header fields in canonical form. Wrong ones are left out.
+// headers returns the names of header fields in canonical form. Invalid names are reported and
+// omitted.
 func (l *loader) headers(e hcl.Expression) (list []string) {
 	v, ok := l.value(e, cty.List(cty.String), "A list of texts")
 	if !ok {
@@ -206,7 +210,7 @@
 	}
 	for _, name := range v.AsValueSlice() {
 		if name.IsNull() || !headerName.MatchString(name.AsString()) {
-			l.mistake(e.Range(), "Not a field name", "The names of HTTP header fields are needed here.")
+			l.addError(e.Range(), "Not a field name", "The names of HTTP header fields are needed here.")
 			continue
 		}
 		list = append(list, textproto.CanonicalMIMEHeaderKey(name.AsString()))
--- a/deploy/example.hcl
+++ b/deploy/example.hcl
@@ -1,4 +1,4 @@
-# One node of a fleet of two, with static servers. Check it with:
+# Configuration of one of the two nodes of a fleet, with a static list of servers. Validate it with:
 #   go run ./cmd/yardcleat check -c deploy/example.hcl
 
 node {
--- a/internal/archtest/no_io_test.go
+++ b/internal/archtest/no_io_test.go
@@ -1,5 +1,6 @@
-// Package archtest checks rules of the architecture in the source: packages and files that make
-// decisions do no I/O, start no goroutines and read no clock.
+// Package archtest checks architecture rules in the source code: packages and files that make
+// decisions do no I/O, start no goroutines and read no clock; the adapter has no external
+// dependencies.
 package archtest
 
 import (
@@ -13,15 +14,15 @@
 	"testing"
 )
 
-// filesWithoutIO are patterns of the files that make decisions, from the root of the module.
+// filesWithoutIO lists the files that make decisions, as patterns relative to the module's root.
 var filesWithoutIO = []string{"policy/*.go", "authz/*.go", "audit/*.go", "intake/*.go", "internal/timers/*.go", "usage/*.go", "lab/*.go", "lab/hunt/*.go", "peer/guard.go",
 	"pause/*.go", "membership/*.go", "upstream/ends.go", "upstream/trust.go", "front/http1/room.go", "edgenode/protocol/*.go", "edgenode/discovery/list.go", "edgenode/discovery/endpoint_table.go", "edgenode/shutdown.go", "edgenode/resource_limits.go", "edgenode/discovery/timeouts.go", "front/extauthz/ends.go"}
 
-// bannedImports are packages that do I/O, share memory between goroutines or are not deterministic.
+// bannedImports lists packages that do I/O, synchronize goroutines or are not deterministic.
 var bannedImports = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "syscall": true, "io/fs": true,
 	"sync": true, "sync/atomic": true, "context": true, "log/slog": true, "math/rand": true}
 
-// clockFunctions are those of package time that read the clock or wait for it.
+// clockFunctions lists the functions of package time that read the clock or wait for a time.
 var clockFunctions = map[string]bool{"Now": true, "Since": true, "Until": true, "Sleep": true, "After": true, "AfterFunc": true,
 	"NewTimer": true, "NewTicker": true, "Tick": true}
 
@@ -65,8 +66,8 @@
 	})
 }
 
-// The adapter depends on no library outside the module.
-func TestAdapterIsLean(t *testing.T) {
+// The adapter imports no packages from outside the module except the standard library.
+func TestAdapterHasNoExternalDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
 		"yardcleat.example/yardcleat/cmd/adapter").Output()
 	if err != nil {
--- a/internal/background/closers_test.go
+++ b/internal/background/closers_test.go
@@ -12,7 +12,7 @@
 	closers.Add(func() { ended = append(ended, "first") })
 	closers.Go(t.Context(), func(ctx context.Context) {
 		<-ctx.Done()
-		ended = append(ended, "goroutine") // Close waits for it: no race
+		ended = append(ended, "goroutine") // no data race, since Close waits for the goroutine
 	})
 	closers.Add(func() { ended = append(ended, "last") })
 	if len(ended) != 0 {
@@ -20,11 +20,11 @@
 	}
 	closers.Close()
 	if want := []string{"last", "goroutine", "first"}; !slices.Equal(ended, want) {
-		t.Errorf("ended %v, want %v", ended, want)
+		t.Errorf("closed %v, want %v", ended, want)
 	}
 }
 
-func TestCloseWithoutParts(*testing.T) {
+func TestCloseOfEmptyClosers(*testing.T) {
 	var closers Closers
 	closers.Close()
 }
@@ -46,7 +46,7 @@
 	stop()
 	stop()
 	if early != nil {
-		t.Errorf("context ended with the caller's: %v", early)
+		t.Errorf("cancelling the caller's context cancelled the goroutine's: %v", early)
 	}
 	if value != "value" {
 		t.Errorf("context has value %v", value)
--- a/internal/files/replace.go
+++ b/internal/files/replace.go
@@ -1,4 +1,4 @@
-// Package files replaces files in one step.
+// Package files replaces files atomically.
 package files
 
 import (
@@ -7,9 +7,10 @@
 	"path/filepath"
 )
 
-// Replace writes a file anew. After a kill at any moment either the old content or the new one is
-// there, complete; once Replace has returned nil, the new one is on the disk. It blocks on the
-// disk. Calls for different paths may run concurrently. On an error the old content stays.
+// Replace atomically replaces the content of a file, or creates the file. If the process is killed
+// at any moment, the file has either the complete old content or the complete new content. When
+// Replace returns nil, the new content has been synced to the disk; on an error the old content
+// stays. Replace blocks on disk I/O. Calls for different paths may run concurrently.
 func Replace(path string, content []byte) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+"-*")
 	if err != nil {
--- a/internal/files/replace_test.go
+++ b/internal/files/replace_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// names are those of all files in a directory.
-func names(t *testing.T, dir string) (list []string) {
+// fileNames returns the names of all files in a directory.
+func fileNames(t *testing.T, dir string) (list []string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -29,25 +29,25 @@
 		if b, err := os.ReadFile(path); err != nil || string(b) != content {
 			t.Errorf("%q, %v, want %q", b, err, content)
 		}
-		if got := names(t, dir); len(got) != 1 {
+		if got := fileNames(t, dir); len(got) != 1 {
 			t.Errorf("files %q", got)
 		}
 	}
 }
 
-func TestReplaceLeavesNothingWhereItFails(t *testing.T) {
+func TestFailedReplaceLeavesNoTemporaryFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a")
 	if err := os.MkdirAll(filepath.Join(path, "not-empty"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := Replace(path, []byte("x")); err == nil {
-		t.Error("a directory was replaced")
+		t.Error("replacing a directory succeeded")
 	}
 	if err := Replace(filepath.Join(dir, "none", "a"), []byte("x")); err == nil {
-		t.Error("a file in no directory was replaced")
+		t.Error("replacing a file in a missing directory succeeded")
 	}
-	if got := names(t, dir); len(got) != 1 {
+	if got := fileNames(t, dir); len(got) != 1 {
 		t.Errorf("files %q", got)
 	}
 }
--- a/internal/snapshotfile/snapshotfile.go
+++ b/internal/snapshotfile/snapshotfile.go
@@ -1,15 +1,15 @@
-// Package snapshotfile reads and writes JSON files that outlive the process: with a
-// version and a checksum ([Format]), or plain ([ReadPlain], [WritePlain]).
+// Package snapshotfile reads and writes JSON files that persist across restarts of the process:
+// with a version and a checksum ([Format]), or plain ([ReadPlain], [WritePlain]).
 //
-// A file is replaced in one step: a reader finds the old content or the new one, also
-// after the process was killed while it wrote. A reader tells apart
+// A file is replaced atomically: a reader finds either the old or the new content, even if the
+// process was killed during a write. Read errors distinguish
 //
 //   - an absent file: errors.Is(err, fs.ErrNotExist);
-//   - content that is no JSON of the expected shape, or was changed: [*DamagedError];
+//   - content that is not JSON of the expected type, or was changed: [*DamagedError];
 //   - a file of another version: [*VersionError].
 //
-// Functions block on the disk. Calls for different paths may run concurrently; writers of
-// one path must not.
+// Functions block on disk I/O. Calls for different paths may run concurrently; writers of one
+// path must not.
 package snapshotfile
 
 import (
@@ -25,49 +25,49 @@
 	"yardcleat.example/yardcleat/internal/files"
 )
 
-// ErrChecksum is the cause in a [*DamagedError] where the payload is not the one that was written.
-var ErrChecksum = errors.New("its sum differs")
+// ErrChecksum is the cause of a [*DamagedError] if the payload does not match its checksum.
+var ErrChecksum = errors.New("checksum mismatch")
 
-// DamagedError says that a file was truncated, was changed, or holds something else.
+// DamagedError means that a file was truncated, was changed, or has another content.
 type DamagedError struct {
 	// Cause is ErrChecksum or the error of the JSON decoder.
 	Cause error
 }
 
-// Error describes the damage without the path, which the caller knows.
+// Error describes the damage. It does not contain the path, which the caller knows.
 func (e *DamagedError) Error() string {
 	if errors.Is(e.Cause, ErrChecksum) {
 		return "damaged: " + e.Cause.Error()
 	}
-	return "torn or foreign: " + e.Cause.Error()
+	return "truncated or in another format: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (e *DamagedError) Unwrap() error { return e.Cause }
 
-// VersionError says that a file has another version than the reader's.
+// VersionError means that the version of a file is not the one that the reader expects.
 type VersionError struct{ Got, Want int }
 
 func (e *VersionError) Error() string { return fmt.Sprintf("of version %d, not %d", e.Got, e.Want) }
 
-// Format is one kind of snapshot file, a JSON object of these members in this order:
-// "version", the members of the header H, "sum" (BLAKE3 of the payload's bytes, in hex) and
-// the payload P under its own name. H must encode to a JSON object without any of the other
-// names; struct{} stands for none.
+// Format is one kind of snapshot file, a JSON object with these members in this order:
+// "version", the members of the header H, "sum" (the BLAKE3 checksum of the payload's JSON, in
+// hex) and the payload P under the name Payload. H must encode to a JSON object that has none of
+// the other names; for no header, H is struct{}.
 type Format[H, P any] struct {
-	// Version is written, and the only one that is read.
+	// Version is written to files; files of other versions are rejected.
 	Version int
-	// Payload is the member's name of the payload.
+	// Payload is the name of the payload's member.
 	Payload string
 }
 
-// envelope is what all formats have in common.
+// envelope contains the members that all formats have in common.
 type envelope struct {
 	Version int    `json:"version"`
 	Sum     string `json:"sum"`
 }
 
-// Write replaces the file at path. The content is on the disk once Write has returned nil.
+// Write replaces the file at path. When it returns nil, the content has been synced to the disk.
 func (f Format[H, P]) Write(path string, header H, payload P) error {
 	content, err := f.encode(header, payload)
 	if err != nil {
@@ -77,7 +77,7 @@
 }
 
 // Read returns the header and the payload of the file at path, or zero values and one of the
-// errors that the package describes. An error of the file system is returned as it came.
+// errors described in the package comment. File system errors are returned unchanged.
 func (f Format[H, P]) Read(path string) (header H, payload P, err error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -140,8 +140,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// WritePlain replaces the file at path by the JSON of a value, without version and checksum.
-// The content is on the disk once WritePlain has returned nil.
+// WritePlain replaces the content of the file at path with the JSON of a value, without version
+// and checksum. When it returns nil, the content has been synced to the disk.
 func WritePlain[P any](path string, value P) error {
 	content, err := json.Marshal(value)
 	if err != nil {
@@ -150,7 +150,8 @@
 	return files.Replace(path, content)
 }
 
-// ReadPlain returns what [WritePlain] wrote. Damage shows only where the content is no JSON of P.
+// ReadPlain returns the value written by [WritePlain]. It detects damage only if the content is not
+// JSON of type P.
 func ReadPlain[P any](path string) (value P, err error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/snapshotfile/snapshotfile_test.go
+++ b/internal/snapshotfile/snapshotfile_test.go
@@ -38,7 +38,7 @@
 
 func TestWrittenSnapshotIsReadBack(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snapshot")
-	for _, names := range [][]string{testNames, {}, nil} { // each one replaces the one before
+	for _, names := range [][]string{testNames, {}, nil} { // each write replaces the previous content
 		if err := withHeader.Write(path, testHeader{Node: 3}, names); err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestMembersStandInOrder(t *testing.T) {
+func TestMembersAreWrittenInOrder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snapshot")
 	if err := withHeader.Write(path, testHeader{Node: 3}, testNames); err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	if err := withHeader.Write(path, testHeader{Node: 3}, testNames); err != nil {
 		t.Fatal(err)
 	}
-	whole := readFile(t, path)
+	complete := readFile(t, path)
 	emptySum := checksum(nil)
 	for _, c := range []struct {
 		name, content string
@@ -80,34 +80,34 @@
 		wantVersion   int // 0: a DamagedError is wanted
 	}{
 		{name: "empty", content: ""},
-		{name: "no JSON", content: "servers"},
-		{name: "JSON of another shape", content: "[1]"},
-		{name: "followed by something", content: whole + "}"},
-		{name: "payload changed", content: strings.Replace(whole, `"a"`, `"z"`, 1), wantChecksum: true},
-		{name: "sum changed", content: strings.Replace(whole, `"sum":"`, `"sum":"0`, 1), wantChecksum: true},
+		{name: "not JSON", content: "servers"},
+		{name: "JSON of another type", content: "[1]"},
+		{name: "trailing data", content: complete + "}"},
+		{name: "payload changed", content: strings.Replace(complete, `"a"`, `"z"`, 1), wantChecksum: true},
+		{name: "sum changed", content: strings.Replace(complete, `"sum":"`, `"sum":"0`, 1), wantChecksum: true},
 		{name: "without a sum", content: `{"version":2,"node":3,"names":[]}`, wantChecksum: true},
 		{name: "without a payload", content: `{"version":2,"node":3,"sum":"` + emptySum + `"}`},
-		{name: "header of another type", content: strings.Replace(whole, `"node":3`, `"node":"three"`, 1)},
+		{name: "header of another type", content: strings.Replace(complete, `"node":3`, `"node":"three"`, 1)},
 		{name: "payload of another type", content: `{"version":2,"sum":"` + checksum([]byte("7")) + `","names":7}`},
-		{name: "newer version", content: strings.Replace(whole, `"version":2`, `"version":3`, 1), wantVersion: 3},
-		{name: "older version", content: strings.Replace(whole, `"version":2`, `"version":1`, 1), wantVersion: 1},
+		{name: "newer version", content: strings.Replace(complete, `"version":2`, `"version":3`, 1), wantVersion: 3},
+		{name: "older version", content: strings.Replace(complete, `"version":2`, `"version":1`, 1), wantVersion: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			writeFile(t, path, c.content)
 			header, payload, err := withHeader.Read(path)
 			if header != (testHeader{}) || payload != nil {
-				t.Errorf("read %+v, %q beside an error", header, payload)
+				t.Errorf("read %+v, %q together with an error", header, payload)
 			}
 			if c.wantVersion > 0 {
 				var version *VersionError
 				if !errors.As(err, &version) || version.Got != c.wantVersion || version.Want != 2 {
-					t.Errorf("error %v, want one of version %d", err, c.wantVersion)
+					t.Errorf("error %v, want a VersionError for version %d", err, c.wantVersion)
 				}
 				return
 			}
 			var damaged *DamagedError
 			if !errors.As(err, &damaged) || errors.Is(err, ErrChecksum) != c.wantChecksum {
-				t.Errorf("error %v, want damage; by checksum: %v", err, c.wantChecksum)
+				t.Errorf("error %v, want a DamagedError; checksum mismatch: %v", err, c.wantChecksum)
 			}
 		})
 	}
@@ -118,9 +118,9 @@
 	if err := withHeader.Write(path, testHeader{Node: 3}, testNames); err != nil {
 		t.Fatal(err)
 	}
-	whole := readFile(t, path)
-	for size := range whole {
-		writeFile(t, path, whole[:size])
+	complete := readFile(t, path)
+	for size := range complete {
+		writeFile(t, path, complete[:size])
 		var damaged *DamagedError
 		if _, payload, err := withHeader.Read(path); !errors.As(err, &damaged) || payload != nil {
 			t.Errorf("truncated to %d bytes: read %q, %v", size, payload, err)
@@ -166,18 +166,18 @@
 	}
 	unencodable := Format[struct{}, chan int]{Version: 1, Payload: "c"}
 	if err := unencodable.Write(filepath.Join(t.TempDir(), "s"), struct{}{}, nil); err == nil {
-		t.Error("a payload that JSON can't hold was written")
+		t.Error("writing a payload that can't be encoded as JSON succeeded")
 	}
 }
 
-func TestErrorTextsSayWhatIsWrong(t *testing.T) {
+func TestErrorTexts(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want string
 	}{
 		{&VersionError{Got: 2, Want: 1}, "of version 2, not 1"},
-		{&DamagedError{ErrChecksum}, "damaged: its sum differs"},
-		{&DamagedError{errors.New("unexpected end")}, "torn or foreign: unexpected end"},
+		{&DamagedError{ErrChecksum}, "damaged: checksum mismatch"},
+		{&DamagedError{errors.New("unexpected end")}, "truncated or in another format: unexpected end"},
 	} {
 		if got := c.err.Error(); got != c.want {
 			t.Errorf("%q, want %q", got, c.want)
