--- a/config/config.go
+++ b/config/config.go
@@ -103,7 +103,7 @@
 	RosterFile        string         // reloaded when it changes; "": Addresses lists the fleet
 	Listen            string         // host:port on which peer messages are received (UDP)
 	Addresses         map[int]string // host:port by gateway number, without this gateway's
-	Keys              [][]byte       // 32 bytes each; the first authenticates sent messages, received ones may use any
+	Keys              [][]byte       // 32 bytes each; the first authenticates sent messages, any of them received ones
 	KeyFile           string         // reloaded when it changes; "": Keys is fixed
 	MessagesPerSecond float64        // received by one gateway; 1 to 1e6, default 60
 	MaxMessageAge     time.Duration  // older messages are dropped; 100 ms to 1 h, default 10 s
--- a/config/load_test.go
+++ b/config/load_test.go
@@ -105,7 +105,7 @@
 func TestParseReportsAllErrors(t *testing.T) {
 	_, err := Parse([]byte("plan \"a\" { rate = 1 }\nnode { number = \"x\" }\nwhat {}\n"), "node.hcl")
 	var validation *ValidationError
-	if !errors.As(err, &validation) || len(validation.Diagnostics) < 6 { // burst, number, what, listener, class, servers
+	if !errors.As(err, &validation) || len(validation.Diagnostics) < 6 { // of burst, number, what, listener, class and servers
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/snapshotfile/snapshotfile.go
+++ b/internal/snapshotfile/snapshotfile.go
@@ -28,7 +28,7 @@
 // ErrChecksum is the cause of a [*DamagedError] if the payload does not match its checksum.
 var ErrChecksum = errors.New("checksum mismatch")
 
-// DamagedError means that a file was truncated, was changed, or has another content.
+// DamagedError means that a file was truncated, was changed, or holds other data.
 type DamagedError struct {
 	// Cause is ErrChecksum or the error of the JSON decoder.
 	Cause error
