--- a/day/callers.go
+++ b/day/callers.go
@@ -55,7 +55,7 @@
 }
 
 func newCallers(d *stage) *callers {
-	o := upstream.Options{Network: d.o.Env.Network("clients"), ConnectTime: time.Second, Idle: 256,
+	o := upstream.Options{Network: d.o.Env.Network("clients"), ConnectTimeout: time.Second, MaxIdlePerServer: 256,
 		Limits: http1.Limits{Line: 8 << 10, Fields: 100, Header: 32 << 10, Body: 8 << 20}}
 	c := &callers{d: d, counts: map[string]int{}, pool: upstream.New(o)}
 	o.HTTP2 = true
--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -114,16 +114,16 @@
 
 func (e *Edge) startPool(cfg *Config, limits resourceLimits, paused func(since time.Time) bool) {
 	e.pool = upstream.New(upstream.Options{
-		Network:        e.network,
-		ConnectTime:    cfg.DialTimeout,
-		Idle:           limits.maxServerConnections,
-		MaxConnections: limits.maxServerConnections,
-		IdleTime:       time.Duration(serverIdleFraction * float64(cfg.ServerIdleTimeout)),
-		Patience:       protocol.HeaderClientTimeout,
-		Limits:         messageLimits(limits.maxResponseBody),
-		Held:           limits.maxBufferedResponses,
-		TurnedAway:     upstream.TurnedAway{Status: 503, Also: 504, Header: protocol.HeaderRejection, Only: 200},
-		PausedSince:    paused,
+		Network:              e.network,
+		ConnectTimeout:       cfg.DialTimeout,
+		MaxIdlePerServer:     limits.maxServerConnections,
+		MaxConnections:       limits.maxServerConnections,
+		IdleTimeout:          time.Duration(serverIdleFraction * float64(cfg.ServerIdleTimeout)),
+		TimeoutHeader:        protocol.HeaderClientTimeout,
+		Limits:               messageLimits(limits.maxResponseBody),
+		MaxBufferedBodyBytes: limits.maxBufferedResponses,
+		RejectionSignal:      upstream.RejectionSignal{Status: 503, AlternateStatus: 504, Header: protocol.HeaderRejection, SuccessStatus: 200},
+		PausedSince:          paused,
 	})
 	e.closers.Add(e.pool.Close)
 }
@@ -152,13 +152,13 @@
 
 // listenForPeers opens the datagram socket. Messages that arrive before the node runs are
 // lost, as any datagram may be.
-func (e *Edge) listenForPeers(cfg *Config, nodeStarted <-chan struct{}) (*peer.Bare, error) {
-	transport, err := peer.ListenBare(peer.BareOptions{
+func (e *Edge) listenForPeers(cfg *Config, nodeStarted <-chan struct{}) (*peer.PlainTransport, error) {
+	transport, err := peer.ListenPlain(peer.PlainOptions{
 		Network:   e.network,
 		Listen:    cfg.PeerListen,
 		Addresses: cfg.Peers,
-		All:       cfg.PeersAll,
-		Me:        cfg.Policy.SelfIndex,
+		Broadcast: cfg.PeersAll,
+		SelfIndex: cfg.Policy.SelfIndex,
 		Deliver: func(from int, data []byte) {
 			select {
 			case <-nodeStarted:
--- a/edgenode/endpoints.go
+++ b/edgenode/endpoints.go
@@ -32,7 +32,7 @@
 		e.node.UpdateEndpoints(update.Kind, update.Servers)
 	}
 	for _, key := range update.ClosedConnections {
-		e.pool.Leave(key)
+		e.pool.CloseIdle(key)
 	}
 	if update.Kind == policy.SnapshotUpdate {
 		e.hasEndpoints.Store(true)
--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -56,7 +56,7 @@
 	Intake     *intake.Intake
 	Log        *slog.Logger
 	Name       string // begins traces and attempt names; differs for every process
-	TurnedAway upstream.TurnedAway
+	TurnedAway upstream.RejectionSignal
 }
 
 // Server serves Checks and access logs.
--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -120,7 +120,7 @@
 			Limits:     http1.Limits{Line: 4096, Fields: 50, Header: 8192, Body: 1000},
 			HeaderTime: time.Second, BodyTime: time.Second, IdleTime: time.Minute, WriteTime: time.Second})
 		gs := extauthz.New(extauthz.Options{Node: n, Intake: in, Log: log, Name: "g",
-			TurnedAway: upstream.TurnedAway{Status: 503, Header: "X-Not-Run"}})
+			TurnedAway: upstream.RejectionSignal{Status: 503, Header: "X-Not-Run"}})
 		listen := func(addr string) net.Listener {
 			l, err := host.Listen(addr)
 			if err != nil {
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -45,7 +45,7 @@
 type membershipLoop struct {
 	gateway    *Gateway
 	machine    *membership.StateMachine // used only in the loop's goroutine
-	transport  *peer.Mail
+	transport  *peer.AuthenticatedTransport
 	events     chan membershipEvent
 	rosterFile []byte // content of the roster file as last read
 
@@ -203,7 +203,7 @@
 			}
 		case membership.AddressAssigned:
 			if a.Number != l.machine.Number() {
-				l.transport.Reach(a.Number, a.Address)
+				l.transport.SetAddress(a.Number, a.Address)
 			}
 		case membership.SendAnnouncement:
 			l.transport.Send(a.To, encodeAnnouncement(a.Announcement))
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -81,13 +81,13 @@
 
 func (g *Gateway) newUpstream(clock *pauseclock.Clock) node.Upstream {
 	pool := upstream.New(upstream.Options{
-		Network:     g.options.Network,
-		ConnectTime: g.cfg.Limits.ConnectTimeout,
-		Idle:        g.cfg.Limits.MaxIdleUpstream,
-		Limits:      g.messageLimits(g.cfg.Limits.MaxResponseBody),
-		TurnedAway:  g.rejectionSignal(),
-		HTTP2:       g.cfg.Servers.HTTP2,
-		PausedSince: clock.PausedSince,
+		Network:          g.options.Network,
+		ConnectTimeout:   g.cfg.Limits.ConnectTimeout,
+		MaxIdlePerServer: g.cfg.Limits.MaxIdleUpstream,
+		Limits:           g.messageLimits(g.cfg.Limits.MaxResponseBody),
+		RejectionSignal:  g.rejectionSignal(),
+		HTTP2:            g.cfg.Servers.HTTP2,
+		PausedSince:      clock.PausedSince,
 	})
 	g.closers.Add(pool.Close)
 	if g.options.WrapUpstream != nil {
@@ -104,8 +104,8 @@
 
 // rejectionSignal returns the configured response by which servers signal that they have not executed a
 // request.
-func (g *Gateway) rejectionSignal() upstream.TurnedAway {
-	return upstream.TurnedAway{Status: g.cfg.Servers.RejectionStatus, Header: g.cfg.Servers.RejectionHeader}
+func (g *Gateway) rejectionSignal() upstream.RejectionSignal {
+	return upstream.RejectionSignal{Status: g.cfg.Servers.RejectionStatus, Header: g.cfg.Servers.RejectionHeader}
 }
 
 func (g *Gateway) dialAuthorizer(options *node.Options) error {
@@ -185,13 +185,13 @@
 		Network:     g.options.Network,
 		Listen:      p.Listen,
 		Addresses:   p.Addresses,
-		Me:          g.cfg.Number,
+		SelfIndex:   g.cfg.Number,
 		Keys:        peer.NewKeyring(p.Keys, p.KeyFile, g.options.Log),
 		Incarnation: incarnation,
 		Freshness:   p.MaxMessageAge,
 		Rate:        p.MessagesPerSecond,
 		Log:         g.options.Log,
-		Wall:        g.options.WallClock,
+		WallClock:   g.options.WallClock,
 		Deliver:     g.receivePeerMessage,
 		Restarted:   g.peerRestarted,
 	})
--- a/peer/mail.go
+++ b/peer/authenticated_transport.go
@@ -23,13 +23,13 @@
 	Network     network.Network
 	Listen      string
 	Addresses   map[int]string // of the others, by number
-	Me          int
+	SelfIndex   int
 	Keys        *Keyring
 	Incarnation uint64
 	Freshness   time.Duration
 	Rate        float64 // messages a second taken in
 	Log         *slog.Logger
-	Wall        func() time.Time // the wall clock; nil: the system's
+	WallClock   func() time.Time // the wall clock; nil: the system's
 	Deliver     func(from int, data []byte)
 
 	// Restarted is called before Deliver with the first message of a process that acts under
@@ -37,8 +37,8 @@
 	Restarted func(from int)
 }
 
-// Mail sends and takes messages.
-type Mail struct {
+// AuthenticatedTransport sends and takes messages.
+type AuthenticatedTransport struct {
 	o     Options
 	pc    net.PacketConn
 	mu    sync.Mutex
@@ -57,8 +57,8 @@
 const mostWaiting = 4096 // letters waiting to be sent; more are lost
 
 // Listen starts a Mail.
-func Listen(o Options) (*Mail, error) {
-	m := &Mail{o: o, to: map[int]net.Addr{}, out: make(chan letter, mostWaiting), done: make(chan struct{})}
+func Listen(o Options) (*AuthenticatedTransport, error) {
+	m := &AuthenticatedTransport{o: o, to: map[int]net.Addr{}, out: make(chan letter, mostWaiting), done: make(chan struct{})}
 	for n, addr := range o.Addresses {
 		a, err := network.Addr(o.Network, addr)
 		if err != nil {
@@ -71,16 +71,16 @@
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	m.pc = pc
-	if m.o.Wall == nil {
-		m.o.Wall = time.Now
+	if m.o.WallClock == nil {
+		m.o.WallClock = time.Now
 	}
 	m.ended.Go(m.send)
 	m.ended.Go(m.receive)
 	return m, nil
 }
 
-// Reach sets where a number is reached from now on; "": nowhere.
-func (m *Mail) Reach(number int, address string) {
+// SetAddress sets where a number is reached from now on; "": nowhere.
+func (m *AuthenticatedTransport) SetAddress(number int, address string) {
 	var a net.Addr
 	if address != "" {
 		var err error
@@ -99,7 +99,7 @@
 }
 
 // Send sends a message, or loses it; it does not block.
-func (m *Mail) Send(to int, data []byte) {
+func (m *AuthenticatedTransport) Send(to int, data []byte) {
 	select {
 	case m.out <- letter{to, data}:
 	default:
@@ -107,13 +107,13 @@
 }
 
 // Close ends the Mail.
-func (m *Mail) Close() {
+func (m *AuthenticatedTransport) Close() {
 	close(m.done)
 	m.pc.Close()
 	m.ended.Wait()
 }
 
-func (m *Mail) send() {
+func (m *AuthenticatedTransport) send() {
 	var seq uint64
 	for {
 		select {
@@ -123,8 +123,8 @@
 			m.mu.Unlock()
 			if addr != nil && len(l.data) <= MaxPayload {
 				seq++
-				m.pc.WriteTo(Seal(m.o.Keys.Keys()[0], Header{From: uint16(m.o.Me), To: uint16(l.to), Incarnation: m.o.Incarnation,
-					Seq: seq, Sent: m.o.Wall()}, l.data), addr)
+				m.pc.WriteTo(Seal(m.o.Keys.Keys()[0], Header{From: uint16(m.o.SelfIndex), To: uint16(l.to), Incarnation: m.o.Incarnation,
+					Seq: seq, Sent: m.o.WallClock()}, l.data), addr)
 			}
 		case <-m.done:
 			return
@@ -144,10 +144,10 @@
 	return true
 }
 
-func (m *Mail) receive() {
-	g := NewGuard(m.o.Me, len(m.o.Addresses)+1, m.o.Incarnation, m.o.Freshness, m.o.Rate)
+func (m *AuthenticatedTransport) receive() {
+	g := NewPacketFilter(m.o.SelfIndex, len(m.o.Addresses)+1, m.o.Incarnation, m.o.Freshness, m.o.Rate)
 	processes := knownProcesses{}
-	var told [wordsCount]time.Time
+	var told [packetStatusCount]time.Time
 	b := make([]byte, headerSize+MaxPayload+macSize+1)
 	for {
 		n, from, err := m.pc.ReadFrom(b)
@@ -158,14 +158,14 @@
 			continue // ICMP errors of earlier sends, on some systems
 		}
 		h, payload, ok := m.o.Keys.open(b[:n])
-		now, word := m.o.Wall(), Foreign
+		now, word := m.o.WallClock(), Misaddressed
 		if ok {
 			m.mu.Lock()
 			g.Grow(m.most)
 			m.mu.Unlock()
-			word = g.Judge(now, h)
+			word = g.Check(now, h)
 		}
-		if word == Accept {
+		if word == Accepted {
 			if processes.isNew(h) && m.o.Restarted != nil {
 				m.o.Restarted(int(h.From))
 			}
@@ -178,7 +178,7 @@
 		}
 		told[word] = now
 		level := slog.LevelDebug
-		if word == Twice || word == TwiceHere {
+		if word == DuplicateNumber || word == DuplicateOwnNumber {
 			level = slog.LevelError
 		}
 		m.o.Log.Log(context.Background(), level, "message dropped: "+word.String(), "number", h.From, "from", from.String())
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -48,7 +48,7 @@
 			}
 		})
 		var got []byte
-		b, err := ListenBare(BareOptions{Network: mem.Host("me"), Listen: addresses[0], Addresses: addresses,
+		b, err := ListenPlain(PlainOptions{Network: mem.Host("me"), Listen: addresses[0], Addresses: addresses,
 			Deliver: func(_ int, data []byte) { got = data }})
 		if err != nil {
 			t.Fatal(err)
@@ -56,7 +56,7 @@
 		defer b.Close()
 		message := []byte{3, 1, 0, 255}
 		b.Send(1, message)
-		buf := make([]byte, MaxBare)
+		buf := make([]byte, MaxPlainPayload)
 		n, from, err := other.ReadFrom(buf)
 		if err != nil || !bytes.Equal(buf[:n], message) {
 			t.Errorf("sent as %x, %v", buf[:n], err)
--- a/peer/keyring.go
+++ b/peer/keyring.go
@@ -25,8 +25,8 @@
 	look time.Time
 }
 
-// KeyringLook is how often the file is looked at.
-const KeyringLook = time.Second
+// KeyFileCheckInterval is how often the file is looked at.
+const KeyFileCheckInterval = time.Second
 
 // NewKeyring returns a Keyring of keys, from a file where the path is not "".
 func NewKeyring(keys [][]byte, path string, log *slog.Logger) *Keyring {
@@ -42,7 +42,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if k.path == "" || now.Sub(k.look) < KeyringLook {
+	if k.path == "" || now.Sub(k.look) < KeyFileCheckInterval {
 		return k.keys
 	}
 	k.look = now
--- a/peer/guard.go
+++ b/peer/packet.go
@@ -64,34 +64,34 @@
 	return h, body[headerSize:], true
 }
 
-// Word is what a Guard says of a message.
-type Word int
+// PacketStatus is what a Guard says of a message.
+type PacketStatus int
 
 // The words.
 const (
-	Accept     Word = iota
-	Foreign         // not for this node, or from a number that is not in the fleet
-	Stale           // sent too long ago, or clocks differ by more than the freshness
-	Replayed        // seen before
-	Older           // from an earlier process of the peer
-	TooMany         // beyond the mail a node takes in
-	Twice           // two processes act under the sender's number
-	TwiceHere       // another process acts under this node's number
-	wordsCount int  = iota
+	Accepted             PacketStatus = iota
+	Misaddressed                      // not for this node, or from a number that is not in the fleet
+	Stale                             // sent too long ago, or clocks differ by more than the freshness
+	Replayed                          // seen before
+	FromOlderIncarnation              // from an earlier process of the peer
+	RateLimited                       // beyond the mail a node takes in
+	DuplicateNumber                   // two processes act under the sender's number
+	DuplicateOwnNumber                // another process acts under this node's number
+	packetStatusCount    int          = iota
 )
 
-func (w Word) String() string {
+func (w PacketStatus) String() string {
 	return [...]string{"accepted", "foreign", "stale", "replayed", "from an older process", "too many",
 		"number in use twice", "this node's number in use twice"}[w]
 }
 
-// Guard decides which messages are taken. It has no I/O; its time is what it is
+// PacketFilter decides which messages are taken. It has no I/O; its time is what it is
 // given. It is not safe for concurrent use.
 //
 // It rests on clocks of the fleet that agree to within the freshness: a node
 // that has just started knows no sequence numbers, and only the time of sending
 // keeps old packets out then.
-type Guard struct {
+type PacketFilter struct {
 	me          uint16
 	incarnation uint64
 	freshness   time.Duration
@@ -111,32 +111,32 @@
 // burstTime is the mail of this time that may come at once.
 const burstTime = 0.5
 
-// NewGuard returns a Guard for a node of a fleet.
-func NewGuard(me, nodes int, incarnation uint64, freshness time.Duration, rate float64) *Guard {
-	return &Guard{me: uint16(me), incarnation: incarnation, freshness: freshness, rate: rate,
+// NewPacketFilter returns a Guard for a node of a fleet.
+func NewPacketFilter(me, nodes int, incarnation uint64, freshness time.Duration, rate float64) *PacketFilter {
+	return &PacketFilter{me: uint16(me), incarnation: incarnation, freshness: freshness, rate: rate,
 		tokens: max(1, rate*burstTime), peers: make([]sender, nodes)}
 }
 
 // Grow makes room for senders with numbers below one; there is never less.
-func (g *Guard) Grow(nodes int) {
+func (g *PacketFilter) Grow(nodes int) {
 	if more := nodes - len(g.peers); more > 0 {
 		g.peers = append(g.peers, make([]sender, more)...)
 	}
 }
 
-// Judge says whether an authentic message is taken.
-func (g *Guard) Judge(now time.Time, h Header) Word {
+// Check says whether an authentic message is taken.
+func (g *PacketFilter) Check(now time.Time, h Header) PacketStatus {
 	if int(h.From) >= len(g.peers) || h.To != g.me && h.From != g.me {
-		return Foreign
+		return Misaddressed
 	}
 	if age := now.Sub(h.Sent); age > g.freshness || age < -g.freshness {
 		return Stale
 	}
 	if h.From == g.me {
 		if h.Incarnation == g.incarnation {
-			return Foreign // its own, sent back
+			return Misaddressed // its own, sent back
 		}
-		return TwiceHere
+		return DuplicateOwnNumber
 	}
 	p := &g.peers[h.From]
 	switch {
@@ -144,9 +144,9 @@
 		// What was under way at a restart is merely old. A process that still
 		// sends after its successor began is a second one.
 		if h.Sent.After(p.since) {
-			return Twice
+			return DuplicateNumber
 		}
-		return Older
+		return FromOlderIncarnation
 	case h.Incarnation > p.incarnation:
 		*p = sender{incarnation: h.Incarnation, since: h.Sent}
 	}
@@ -156,10 +156,10 @@
 	g.tokens = min(max(1, g.rate*burstTime), g.tokens+g.rate*now.Sub(g.at).Seconds())
 	g.at = now
 	if g.tokens < 1 {
-		return TooMany
+		return RateLimited
 	}
 	g.tokens--
-	return Accept
+	return Accepted
 }
 
 // fresh notes a sequence number; false where it was seen, or is too old to tell.
--- a/peer/guard_test.go
+++ b/peer/packet_test.go
@@ -55,29 +55,29 @@
 	type step struct {
 		at   time.Duration
 		h    Header
-		want Word
+		want PacketStatus
 	}
 	for name, steps := range map[string][]step{
-		"in order":                        {{0, msg(1, 0, 5, 1, 0), Accept}, {0, msg(1, 0, 5, 2, 0), Accept}},
-		"out of order":                    {{0, msg(1, 0, 5, 9, 0), Accept}, {0, msg(1, 0, 5, 2, 0), Accept}, {0, msg(1, 0, 5, 2, 0), Replayed}},
-		"replayed":                        {{0, msg(1, 0, 5, 1, 0), Accept}, {0, msg(1, 0, 5, 1, 0), Replayed}},
-		"far behind":                      {{0, msg(1, 0, 5, 100, 0), Accept}, {0, msg(1, 0, 5, 36, 0), Replayed}, {0, msg(1, 0, 5, 37, 0), Accept}},
-		"replayed late":                   {{0, msg(1, 0, 5, 1, 0), Accept}, {2 * fresh, msg(1, 0, 5, 1, 0), Stale}},
+		"in order":                        {{0, msg(1, 0, 5, 1, 0), Accepted}, {0, msg(1, 0, 5, 2, 0), Accepted}},
+		"out of order":                    {{0, msg(1, 0, 5, 9, 0), Accepted}, {0, msg(1, 0, 5, 2, 0), Accepted}, {0, msg(1, 0, 5, 2, 0), Replayed}},
+		"replayed":                        {{0, msg(1, 0, 5, 1, 0), Accepted}, {0, msg(1, 0, 5, 1, 0), Replayed}},
+		"far behind":                      {{0, msg(1, 0, 5, 100, 0), Accepted}, {0, msg(1, 0, 5, 36, 0), Replayed}, {0, msg(1, 0, 5, 37, 0), Accepted}},
+		"replayed late":                   {{0, msg(1, 0, 5, 1, 0), Accepted}, {2 * fresh, msg(1, 0, 5, 1, 0), Stale}},
 		"stale, to one that just started": {{2 * fresh, msg(1, 0, 5, 1, 0), Stale}},
 		"from the future":                 {{0, msg(1, 0, 5, 1, 2*fresh), Stale}},
-		"for another":                     {{0, msg(1, 2, 5, 1, 0), Foreign}},
-		"number not in the fleet":         {{0, msg(7, 0, 5, 1, 0), Foreign}},
-		"own, sent back":                  {{0, msg(0, 1, 77, 1, 0), Foreign}},
-		"own number elsewhere":            {{0, msg(0, 1, 78, 1, 0), TwiceHere}},
-		"restarted": {{0, msg(1, 0, 5, 10, 0), Accept}, {1, msg(1, 0, 6, 1, 10), Accept},
-			{2, msg(1, 0, 5, 11, 5), Older}, {3, msg(1, 0, 6, 1, 10), Replayed}},
-		"number in use twice": {{0, msg(1, 0, 5, 10, 0), Accept}, {1, msg(1, 0, 6, 1, 10), Accept}, {2, msg(1, 0, 5, 11, 20), Twice}},
+		"for another":                     {{0, msg(1, 2, 5, 1, 0), Misaddressed}},
+		"number not in the fleet":         {{0, msg(7, 0, 5, 1, 0), Misaddressed}},
+		"own, sent back":                  {{0, msg(0, 1, 77, 1, 0), Misaddressed}},
+		"own number elsewhere":            {{0, msg(0, 1, 78, 1, 0), DuplicateOwnNumber}},
+		"restarted": {{0, msg(1, 0, 5, 10, 0), Accepted}, {1, msg(1, 0, 6, 1, 10), Accepted},
+			{2, msg(1, 0, 5, 11, 5), FromOlderIncarnation}, {3, msg(1, 0, 6, 1, 10), Replayed}},
+		"number in use twice": {{0, msg(1, 0, 5, 10, 0), Accepted}, {1, msg(1, 0, 6, 1, 10), Accepted}, {2, msg(1, 0, 5, 11, 20), DuplicateNumber}},
 		"number 0":            {{0, msg(1, 0, 5, 0, 0), Replayed}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := NewGuard(0, 3, 77, fresh, 100)
+			g := NewPacketFilter(0, 3, 77, fresh, 100)
 			for i, s := range steps {
-				if got := g.Judge(epoch.Add(s.at), s.h); got != s.want {
+				if got := g.Check(epoch.Add(s.at), s.h); got != s.want {
 					t.Errorf("step %d: %v, want %v", i, got, s.want)
 				}
 			}
@@ -87,11 +87,11 @@
 
 // The mail taken in keeps to the rate, however much comes.
 func TestRate(t *testing.T) {
-	g := NewGuard(0, 2, 1, time.Hour, 60)
+	g := NewPacketFilter(0, 2, 1, time.Hour, 60)
 	taken := 0
 	for i := range 10_000 {
 		at := epoch.Add(time.Duration(i) * time.Millisecond)
-		if g.Judge(at, Header{From: 1, To: 0, Incarnation: 1, Seq: uint64(i + 1), Sent: at}) == Accept {
+		if g.Check(at, Header{From: 1, To: 0, Incarnation: 1, Seq: uint64(i + 1), Sent: at}) == Accepted {
 			taken++
 		}
 	}
@@ -104,7 +104,7 @@
 // no message is taken twice.
 func TestNeverTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := NewGuard(0, 2, 1, time.Hour, 1e9)
+		g := NewPacketFilter(0, 2, 1, time.Hour, 1e9)
 		taken := map[Header]bool{}
 		var sent []Header
 		inc, seq, now := uint64(1), uint64(0), epoch
@@ -120,7 +120,7 @@
 					return
 				}
 				h := sent[rapid.IntRange(max(0, len(sent)-80), len(sent)-1).Draw(t, "which")]
-				if g.Judge(now, h) == Accept {
+				if g.Check(now, h) == Accepted {
 					if taken[h] {
 						t.Fatalf("%+v taken twice", h)
 					}
@@ -138,9 +138,9 @@
 		var mu sync.Mutex
 		var log bytes.Buffer
 		got := 0
-		open := func(host, addr string, me int, inc uint64, w io.Writer) *Mail {
+		open := func(host, addr string, me int, inc uint64, w io.Writer) *AuthenticatedTransport {
 			m, err := Listen(Options{Network: mem.Host(host), Listen: addr, Addresses: map[int]string{1 - me: map[int]string{0: "a:1", 1: "b:1"}[1-me]},
-				Me: me, Keys: NewKeyring([][]byte{key}, "", slog.New(slog.DiscardHandler)), Incarnation: inc, Freshness: time.Second, Rate: 1000, Log: slog.New(slog.NewTextHandler(w, nil)),
+				SelfIndex: me, Keys: NewKeyring([][]byte{key}, "", slog.New(slog.DiscardHandler)), Incarnation: inc, Freshness: time.Second, Rate: 1000, Log: slog.New(slog.NewTextHandler(w, nil)),
 				Deliver: func(int, []byte) {
 					mu.Lock()
 					defer mu.Unlock()
@@ -153,18 +153,18 @@
 		}
 		a := open("a", "a:1", 0, 1, &log)
 		b1, b2 := open("b", "b:1", 1, 1, io.Discard), open("c", "c:1", 1, 2, io.Discard)
-		foreign, err := Listen(Options{Network: mem.Host("d"), Listen: "d:1", Addresses: map[int]string{0: "a:1"}, Me: 1,
+		foreign, err := Listen(Options{Network: mem.Host("d"), Listen: "d:1", Addresses: map[int]string{0: "a:1"}, SelfIndex: 1,
 			Keys: NewKeyring([][]byte{bytes.Repeat([]byte{9}, 32)}, "", slog.New(slog.DiscardHandler)), Incarnation: 9, Freshness: time.Second, Rate: 1000, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 5 {
-			for _, m := range []*Mail{b1, b2, foreign} {
+			for _, m := range []*AuthenticatedTransport{b1, b2, foreign} {
 				m.Send(0, []byte("x"))
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
-		for _, m := range []*Mail{a, b1, b2, foreign} {
+		for _, m := range []*AuthenticatedTransport{a, b1, b2, foreign} {
 			m.Close()
 		}
 		mu.Lock()
@@ -196,7 +196,7 @@
 		keyOf := func(b byte) string { return strings.Repeat(fmt.Sprintf("%02x", b), 32) + "\n" }
 		var mu sync.Mutex
 		got := map[int]int{}
-		var all []*Mail
+		var all []*AuthenticatedTransport
 		write := func(n int, text string) {
 			if err := os.WriteFile(filepath.Join(dir, fmt.Sprint(n)), []byte(text), 0o600); err != nil {
 				t.Fatal(err)
@@ -211,7 +211,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m, err := Listen(Options{Network: mem.Host(addresses[n]), Listen: addresses[n], Addresses: others, Me: n,
+			m, err := Listen(Options{Network: mem.Host(addresses[n]), Listen: addresses[n], Addresses: others, SelfIndex: n,
 				Keys:        NewKeyring(old, filepath.Join(dir, fmt.Sprint(n)), slog.New(slog.DiscardHandler)),
 				Incarnation: 1, Freshness: time.Second, Rate: 1000, Log: slog.New(slog.DiscardHandler),
 				Deliver: func(from int, _ []byte) {
--- a/peer/bare.go
+++ b/peer/plain_transport.go
@@ -10,20 +10,20 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-// BareOptions is what a Bare is made of.
-type BareOptions struct {
+// PlainOptions is what a Bare is made of.
+type PlainOptions struct {
 	Network   network.Network
 	Listen    string
 	Addresses []string // of all nodes, by number, this one's own among them
-	All       string   // reaches every node; "": each is sent to by itself
-	Me        int
+	Broadcast string   // reaches every node; "": each is sent to by itself
+	SelfIndex int
 	Deliver   func(from int, data []byte)
 }
 
-// Bare sends and takes messages without a seal, where the network itself vouches
+// PlainTransport sends and takes messages without a seal, where the network itself vouches
 // for the sender's address and datagrams have no room for more.
-type Bare struct {
-	o       BareOptions
+type PlainTransport struct {
+	o       PlainOptions
 	pc      net.PacketConn
 	to      []net.Addr
 	all     net.Addr
@@ -34,12 +34,12 @@
 	foreign atomic.Int64
 }
 
-// MaxBare is the largest message, in bytes.
-const MaxBare = 256
+// MaxPlainPayload is the largest message, in bytes.
+const MaxPlainPayload = 256
 
-// ListenBare starts a Bare.
-func ListenBare(o BareOptions) (*Bare, error) {
-	b := &Bare{o: o, from: map[string]int{}, out: make(chan letter, mostWaiting), done: make(chan struct{})}
+// ListenPlain starts a Bare.
+func ListenPlain(o PlainOptions) (*PlainTransport, error) {
+	b := &PlainTransport{o: o, from: map[string]int{}, out: make(chan letter, mostWaiting), done: make(chan struct{})}
 	for n, address := range o.Addresses {
 		a, err := network.Addr(o.Network, address)
 		if err != nil {
@@ -48,8 +48,8 @@
 		b.to, b.from[a.String()] = append(b.to, a), n
 	}
 	var err error
-	if o.All != "" {
-		if b.all, err = network.Addr(o.Network, o.All); err != nil {
+	if o.Broadcast != "" {
+		if b.all, err = network.Addr(o.Network, o.Broadcast); err != nil {
 			return nil, fmt.Errorf("all peers: %w", err)
 		}
 	}
@@ -63,8 +63,8 @@
 
 // Send sends a message to a node, or to all with a number below 0, or loses it; it
 // does not block.
-func (b *Bare) Send(to int, data []byte) {
-	if len(data) > MaxBare || to >= len(b.to) || to == b.o.Me {
+func (b *PlainTransport) Send(to int, data []byte) {
+	if len(data) > MaxPlainPayload || to >= len(b.to) || to == b.o.SelfIndex {
 		return
 	}
 	select {
@@ -73,17 +73,17 @@
 	}
 }
 
-// Foreign counts the datagrams dropped for their size or sender.
-func (b *Bare) Foreign() int64 { return b.foreign.Load() }
+// DroppedDatagrams counts the datagrams dropped for their size or sender.
+func (b *PlainTransport) DroppedDatagrams() int64 { return b.foreign.Load() }
 
 // Close ends the Bare.
-func (b *Bare) Close() {
+func (b *PlainTransport) Close() {
 	close(b.done)
 	b.pc.Close()
 	b.ended.Wait()
 }
 
-func (b *Bare) send() {
+func (b *PlainTransport) send() {
 	for {
 		select {
 		case l := <-b.out:
@@ -94,7 +94,7 @@
 				b.pc.WriteTo(l.data, b.all)
 			default:
 				for n, a := range b.to {
-					if n != b.o.Me {
+					if n != b.o.SelfIndex {
 						b.pc.WriteTo(l.data, a)
 					}
 				}
@@ -105,8 +105,8 @@
 	}
 }
 
-func (b *Bare) receive() {
-	buf := make([]byte, MaxBare+1)
+func (b *PlainTransport) receive() {
+	buf := make([]byte, MaxPlainPayload+1)
 	for {
 		n, from, err := b.pc.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -116,11 +116,11 @@
 			continue // ICMP errors of earlier sends, on some systems
 		}
 		num, known := b.from[from.String()]
-		if !known || n == 0 || n > MaxBare {
+		if !known || n == 0 || n > MaxPlainPayload {
 			b.foreign.Add(1)
 			continue
 		}
-		if num != b.o.Me { // a message to all comes back, too
+		if num != b.o.SelfIndex { // a message to all comes back, too
 			b.o.Deliver(num, append([]byte(nil), buf[:n]...))
 		}
 	}
--- a/peer/bare_test.go
+++ b/peer/plain_transport_test.go
@@ -18,9 +18,9 @@
 		mem := network.NewMemory(time.Millisecond, 1)
 		addresses := []string{"10.0.0.1:70", "10.0.0.2:70", "10.0.0.3:70"}
 		got := make([][]string, len(addresses))
-		var nodes []*Bare
+		var nodes []*PlainTransport
 		for n, a := range addresses {
-			b, err := ListenBare(BareOptions{Network: mem.Host(fmt.Sprint("n", n)), Listen: a, Addresses: addresses, Me: n,
+			b, err := ListenPlain(PlainOptions{Network: mem.Host(fmt.Sprint("n", n)), Listen: a, Addresses: addresses, SelfIndex: n,
 				Deliver: func(from int, data []byte) { got[n] = append(got[n], fmt.Sprint(from, ":", len(data))) }})
 			if err != nil {
 				t.Fatal(err)
@@ -37,8 +37,8 @@
 		}
 		stranger.WriteTo([]byte("hello"), to)
 		nodes[0].Send(1, []byte("one"))
-		nodes[0].Send(1, []byte(strings.Repeat("x", MaxBare)))
-		nodes[0].Send(1, []byte(strings.Repeat("x", MaxBare+1)))
+		nodes[0].Send(1, []byte(strings.Repeat("x", MaxPlainPayload)))
+		nodes[0].Send(1, []byte(strings.Repeat("x", MaxPlainPayload+1)))
 		nodes[0].Send(0, []byte("self"))
 		nodes[0].Send(7, []byte("nobody"))
 		nodes[2].Send(-1, []byte("all"))
@@ -48,7 +48,7 @@
 		if s := fmt.Sprint(got); s != "[[2:3] [0:256 0:3 2:3] []]" {
 			t.Error(s)
 		}
-		if n := nodes[1].Foreign(); n != 1 {
+		if n := nodes[1].DroppedDatagrams(); n != 1 {
 			t.Errorf("%d foreign", n)
 		}
 		stranger.Close()
--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	s := &Server{o: o, cc: cc, logs: make(chan *datav3.HTTPAccessLogEntry, 4096), done: make(chan struct{}),
-		pool: upstream.New(upstream.Options{Network: o.Network, ConnectTime: 250 * time.Millisecond, Idle: 64,
+		pool: upstream.New(upstream.Options{Network: o.Network, ConnectTimeout: 250 * time.Millisecond, MaxIdlePerServer: 64,
 			Limits: http1.Limits{Line: 8 << 10, Fields: 100, Header: 32 << 10, Body: 8 << 20}})}
 	s.hs = &http.Server{Handler: s}
 	s.wait.Go(s.report)
--- a/upstream/ends.go
+++ b/upstream/attempt_outcome.go
@@ -48,28 +48,28 @@
 // the time is enough for another attempt. 0: for any time.
 func stalled(timeout time.Duration) time.Duration { return timeout * 3 / 20 }
 
-// TurnedAway is the response that proves, by the servers' contract, that a
+// RejectionSignal is the response that proves, by the servers' contract, that a
 // request did not run: a status with a header field. Zero: none does.
-type TurnedAway struct {
-	Status int
-	Also   int    // another status that proves it; 0: none
-	Header string // in canonical form
-	Only   int    // the one status that is an answer, all others are errors; 0: all below 500 are
+type RejectionSignal struct {
+	Status          int
+	AlternateStatus int    // another status that proves it; 0: none
+	Header          string // in canonical form
+	SuccessStatus   int    // the one status that is an answer, all others are errors; 0: all below 500 are
 }
 
-// Is tells whether a response is such a one; has looks a field up by its name
+// Matches tells whether a response is such a one; has looks a field up by its name
 // in lower case.
-func (t TurnedAway) Is(status int, has func(lower string) bool) bool {
-	return t.Status != 0 && (status == t.Status || status == t.Also) && has(strings.ToLower(t.Header))
+func (t RejectionSignal) Matches(status int, has func(lower string) bool) bool {
+	return t.Status != 0 && (status == t.Status || status == t.AlternateStatus) && has(strings.ToLower(t.Header))
 }
 
 // code is what a whole response says. A status below 500 is the answer to the
 // client's request, whatever it says; one above may come after work was done.
-func (t TurnedAway) code(res *http1.Response) policy.ResultCode {
+func (t RejectionSignal) code(res *http1.Response) policy.ResultCode {
 	switch {
-	case t.Is(res.Status, func(string) bool { return res.Header.Has(t.Header) }):
+	case t.Matches(res.Status, func(string) bool { return res.Header.Has(t.Header) }):
 		return policy.Rejected
-	case t.Only != 0 && res.Status != t.Only, t.Only == 0 && res.Status >= 500:
+	case t.SuccessStatus != 0 && res.Status != t.SuccessStatus, t.SuccessStatus == 0 && res.Status >= 500:
 		return policy.Error
 	}
 	return policy.OK
--- a/upstream/http2.go
+++ b/upstream/http2.go
@@ -489,7 +489,7 @@
 	if !c.remove(s) {
 		return
 	}
-	result := node.Result{Code: c.p.o.TurnedAway.code(s.head), Latency: s.t.took(c.nc), Response: &node.Response{Status: s.head.Status,
+	result := node.Result{Code: c.p.o.RejectionSignal.code(s.head), Latency: s.t.took(c.nc), Response: &node.Response{Status: s.head.Status,
 		Header: s.head.Header.EndToEnd(), Body: s.body}}
 	if s.head.Status >= 500 {
 		result.Detail = fmt.Sprintf("status %d", s.head.Status)
--- a/upstream/paused_test.go
+++ b/upstream/paused_test.go
@@ -37,7 +37,7 @@
 				}
 			}()
 			stood := false
-			p := New(Options{Network: m.Host("node"), ConnectTime: time.Second, Idle: 4, HTTP2: protocol2,
+			p := New(Options{Network: m.Host("node"), ConnectTimeout: time.Second, MaxIdlePerServer: 4, HTTP2: protocol2,
 				Limits:      http1.Limits{Line: 1000, Fields: 10, Header: 1000, Body: 1000},
 				PausedSince: func(time.Time) bool { return stood }})
 			stood = true
--- a/upstream/crossing_test.go
+++ b/upstream/races_test.go
@@ -57,7 +57,7 @@
 // attempt starts. That one must not take it for its own.
 func TestSecondAnswerCrossesTheNextAttempt(t *testing.T) {
 	s := listen(t)
-	p := New(Options{Network: network.OS{}, ConnectTime: 10 * time.Second, Idle: 4, Limits: testLimits})
+	p := New(Options{Network: network.OS{}, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, Limits: testLimits})
 	defer p.Close()
 	_, ended := start(p, s, "/one", 10*time.Second)
 	nc, r := s.accept()
@@ -103,7 +103,7 @@
 // its request is written: that is no answer, and the attempt goes on another connection.
 func TestHalfALineCrossesTheNextAttempt(t *testing.T) {
 	s := listen(t)
-	p := New(Options{Network: network.OS{}, ConnectTime: 10 * time.Second, Idle: 4, Limits: testLimits})
+	p := New(Options{Network: network.OS{}, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, Limits: testLimits})
 	defer p.Close()
 	dialled, err := net.Dial("tcp", s.l.Addr().String())
 	if err != nil {
@@ -145,7 +145,7 @@
 	for _, end := range []string{"withdrawn", "cancelled", "in time"} {
 		s := listen(t)
 		d := &slowDial{dialing: make(chan struct{}), release: make(chan struct{})}
-		p := New(Options{Network: d, ConnectTime: 10 * time.Second, Idle: 4, Limits: testLimits, Patience: "X-Time-Left-Ms"})
+		p := New(Options{Network: d, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, Limits: testLimits, TimeoutHeader: "X-Time-Left-Ms"})
 		sending, ended := start(p, s, "/late", 10*time.Second)
 		<-d.dialing
 		switch end {
@@ -223,7 +223,7 @@
 func TestWithdrawCrossesTheWrite(t *testing.T) {
 	s := listen(t)
 	d := &slowWrite{writing: make(chan struct{}), release: make(chan struct{})}
-	p := New(Options{Network: d, ConnectTime: 10 * time.Second, Idle: 4, Limits: testLimits})
+	p := New(Options{Network: d, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, Limits: testLimits})
 	sending, ended := start(p, s, "/left", 10*time.Second)
 	nc, r := s.accept()
 	<-d.writing
@@ -250,7 +250,7 @@
 // blame.
 func TestAttemptWithoutASpareConnection(t *testing.T) {
 	s := listen(t)
-	p := New(Options{Network: network.OS{}, ConnectTime: 10 * time.Second, Idle: 4, MaxConnections: 1, Limits: testLimits})
+	p := New(Options{Network: network.OS{}, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, MaxConnections: 1, Limits: testLimits})
 	sending, _ := start(p, s, "/first", 10*time.Second)
 	s.accept()
 	_, ended := start(p, s, "/second", 10*time.Second)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -22,17 +22,17 @@
 
 // Options bounds what a Pool does.
 type Options struct {
-	Network     network.Network
-	Limits      http1.Limits  // of responses
-	ConnectTime time.Duration // to connect to a server
-	Idle        int           // idle connections kept to each server
-	IdleTime    time.Duration // one idle for longer is closed, not used; 0: any time
+	Network          network.Network
+	Limits           http1.Limits  // of responses
+	ConnectTimeout   time.Duration // to connect to a server
+	MaxIdlePerServer int           // idle connections kept to each server
+	IdleTimeout      time.Duration // one idle for longer is closed, not used; 0: any time
 	// MaxConnections bounds the connections over HTTP/1.1; 0: any number.
-	MaxConnections int
-	Held           int64  // bytes of long bodies being read, all together; 0: any number
-	Patience       string // field that states an attempt's time-out in ms; "": none
-	TurnedAway     TurnedAway
-	HTTP2          bool // servers speak HTTP/2, by prior knowledge
+	MaxConnections       int
+	MaxBufferedBodyBytes int64  // bytes of long bodies being read, all together; 0: any number
+	TimeoutHeader        string // field that states an attempt's time-out in ms; "": none
+	RejectionSignal      RejectionSignal
+	HTTP2                bool // servers speak HTTP/2, by prior knowledge
 	// PausedSince reports whether the process was paused after a time; nil: it never
 	// is. What was decided before is not sent after.
 	PausedSince func(since time.Time) bool
@@ -78,7 +78,7 @@
 
 // Start makes an attempt; see node.Upstream.
 func (p *Pool) Start(a node.Attempt, done func(node.Result)) node.OutgoingAttempt {
-	ctx, stop := context.WithTimeout(context.Background(), p.o.ConnectTime)
+	ctx, stop := context.WithTimeout(context.Background(), p.o.ConnectTimeout)
 	t := &attempt{Attempt: a, p: p, done: done, dial: stop, start: time.Now()}
 	if p.o.HTTP2 {
 		go t.runHTTP2(ctx)
@@ -148,7 +148,7 @@
 	case reusable:
 		// A server may answer before it has read the body. It must read on soon.
 		t.keep = true
-		c.nc.SetWriteDeadline(time.Now().Add(t.p.o.ConnectTime))
+		c.nc.SetWriteDeadline(time.Now().Add(t.p.o.ConnectTimeout))
 	default:
 		c.nc.Close()
 	}
@@ -221,9 +221,9 @@
 func (t *attempt) request(b []byte) []byte {
 	call := &t.Request.HTTP
 	header := call.Header
-	if t.p.o.Patience != "" {
+	if t.p.o.TimeoutHeader != "" {
 		left := max(0, t.Timeout-time.Since(t.start))
-		header = append(header[:len(header):len(header)], http1.Field{Name: t.p.o.Patience, Value: strconv.FormatInt(left.Milliseconds(), 10)})
+		header = append(header[:len(header):len(header)], http1.Field{Name: t.p.o.TimeoutHeader, Value: strconv.FormatInt(left.Milliseconds(), 10)})
 	}
 	return http1.AppendRequest(b, call.Method, call.Target, call.Host, header, call.Body)
 }
@@ -324,7 +324,7 @@
 
 func (p *Pool) stale(c *conn, now time.Time) bool {
 	idle := now.Sub(c.since)
-	return p.o.IdleTime > 0 && idle >= p.o.IdleTime || p.trust.limit > 0 && idle >= p.trust.limit
+	return p.o.IdleTimeout > 0 && idle >= p.o.IdleTimeout || p.trust.limit > 0 && idle >= p.trust.limit
 }
 
 // room counts one more connection; where there are too many the longest idle one
@@ -373,15 +373,15 @@
 			p.idle[key] = list[n:]
 		}
 	}
-	if p.closed || len(p.idle[c.key]) >= p.o.Idle {
+	if p.closed || len(p.idle[c.key]) >= p.o.MaxIdlePerServer {
 		c.nc.Close()
 		return
 	}
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// Leave closes the idle connections to a server that is gone.
-func (p *Pool) Leave(key string) {
+// CloseIdle closes the idle connections to a server that is gone.
+func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[key] {
@@ -555,7 +555,7 @@
 		return false
 	}
 	res := &node.Response{Status: head.Status, Header: head.Header.EndToEnd(), Body: body}
-	result := node.Result{Code: c.p.o.TurnedAway.code(head), Response: res, Latency: t.took(c.nc)}
+	result := node.Result{Code: c.p.o.RejectionSignal.code(head), Response: res, Latency: t.took(c.nc)}
 	if result.Code != policy.OK {
 		result.Detail = fmt.Sprintf("status %d", head.Status)
 	}
@@ -581,7 +581,7 @@
 
 // hold counts a long body; false where there is no place for it.
 func (p *Pool) hold(long int64) bool {
-	if p.held.Add(long) > p.o.Held && p.o.Held > 0 && long > 0 {
+	if p.held.Add(long) > p.o.MaxBufferedBodyBytes && p.o.MaxBufferedBodyBytes > 0 && long > 0 {
 		p.held.Add(-long)
 		return false
 	}
