--- a/fleet/cache.go
+++ b/fleet/cache.go
@@ -12,10 +12,10 @@
 )
 
 // cacheFormat is the format of the file that holds the last good list.
-var cacheFormat = snapshotfile.Format[struct{}, []cachedServer]{Version: 1, Payload: "servers"}
+var cacheFormat = snapshotfile.Format[struct{}, []cachedEndpoint]{Version: 1, Payload: "servers"}
 
-// cachedServer is a server in the file. Its ID is left out, since it follows from the address.
-type cachedServer struct {
+// cachedEndpoint is a server in the file. Its ID is left out, since it follows from the address.
+type cachedEndpoint struct {
 	Address string             `json:"address"`
 	Zone    string             `json:"zone,omitempty"`
 	Cell    int                `json:"cell,omitempty"`
@@ -24,15 +24,15 @@
 	Started *time.Time         `json:"started,omitempty"` // nil: not known
 }
 
-func newCachedServer(s node.Endpoint) cachedServer {
-	cached := cachedServer{Address: s.Address, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, State: s.State}
+func newCachedEndpoint(s node.Endpoint) cachedEndpoint {
+	cached := cachedEndpoint{Address: s.Address, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, State: s.State}
 	if !s.StartTime.IsZero() {
 		cached.Started = &s.StartTime
 	}
 	return cached
 }
 
-func (c cachedServer) server() node.Endpoint {
+func (c cachedEndpoint) endpoint() node.Endpoint {
 	s := node.Endpoint{
 		Address: c.Address,
 		Server:  policy.Server{ID: ID(c.Address), Zone: c.Zone, Cell: c.Cell, Weight: c.Weight, State: c.State},
@@ -46,9 +46,9 @@
 // SaveCache replaces the file at path by a list, in one step. The list is on the disk once
 // SaveCache has returned nil.
 func SaveCache(path string, list []node.Endpoint) error {
-	cached := make([]cachedServer, 0, len(list))
+	cached := make([]cachedEndpoint, 0, len(list))
 	for _, s := range list {
-		cached = append(cached, newCachedServer(s))
+		cached = append(cached, newCachedEndpoint(s))
 	}
 	return cacheFormat.Write(path, struct{}{}, cached)
 }
@@ -65,7 +65,7 @@
 	}
 	var list []node.Endpoint
 	for _, c := range cached {
-		list = append(list, c.server())
+		list = append(list, c.endpoint())
 	}
 	return list, sortUnique(list)
 }
--- a/peer/authenticated_transport.go
+++ b/peer/authenticated_transport.go
@@ -39,43 +39,43 @@
 
 // AuthenticatedTransport sends and takes messages.
 type AuthenticatedTransport struct {
-	o     Options
-	pc    net.PacketConn
-	mu    sync.Mutex
-	to    map[int]net.Addr
-	most  int // above the highest number ever reached
-	out   chan letter
-	done  chan struct{}
-	ended sync.WaitGroup
+	options    Options
+	socket     net.PacketConn
+	mu         sync.Mutex
+	addresses  map[int]net.Addr
+	nodes      int // above the highest number ever reached
+	queue      chan outgoingMessage
+	done       chan struct{}
+	goroutines sync.WaitGroup
 }
 
-type letter struct {
-	to   int
-	data []byte
+type outgoingMessage struct {
+	to      int
+	payload []byte
 }
 
-const mostWaiting = 4096 // letters waiting to be sent; more are lost
+const maxQueuedMessages = 4096 // letters waiting to be sent; more are lost
 
 // Listen starts a Mail.
 func Listen(o Options) (*AuthenticatedTransport, error) {
-	m := &AuthenticatedTransport{o: o, to: map[int]net.Addr{}, out: make(chan letter, mostWaiting), done: make(chan struct{})}
+	m := &AuthenticatedTransport{options: o, addresses: map[int]net.Addr{}, queue: make(chan outgoingMessage, maxQueuedMessages), done: make(chan struct{})}
 	for n, addr := range o.Addresses {
 		a, err := network.Addr(o.Network, addr)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", n, err)
 		}
-		m.to[n] = a
+		m.addresses[n] = a
 	}
 	pc, err := o.Network.ListenPacket(o.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	m.pc = pc
-	if m.o.WallClock == nil {
-		m.o.WallClock = time.Now
+	m.socket = pc
+	if m.options.WallClock == nil {
+		m.options.WallClock = time.Now
 	}
-	m.ended.Go(m.send)
-	m.ended.Go(m.receive)
+	m.goroutines.Go(m.send)
+	m.goroutines.Go(m.receive)
 	return m, nil
 }
 
@@ -84,24 +84,24 @@
 	var a net.Addr
 	if address != "" {
 		var err error
-		if a, err = network.Addr(m.o.Network, address); err != nil {
-			m.o.Log.Error("a peer's address can't be used", "number", number, "address", address, "error", err)
+		if a, err = network.Addr(m.options.Network, address); err != nil {
+			m.options.Log.Error("a peer's address can't be used", "number", number, "address", address, "error", err)
 			return
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if a == nil {
-		delete(m.to, number)
+		delete(m.addresses, number)
 		return
 	}
-	m.to[number], m.most = a, max(m.most, number+1)
+	m.addresses[number], m.nodes = a, max(m.nodes, number+1)
 }
 
 // Send sends a message, or loses it; it does not block.
 func (m *AuthenticatedTransport) Send(to int, data []byte) {
 	select {
-	case m.out <- letter{to, data}:
+	case m.queue <- outgoingMessage{to, data}:
 	default:
 	}
 }
@@ -109,22 +109,22 @@
 // Close ends the Mail.
 func (m *AuthenticatedTransport) Close() {
 	close(m.done)
-	m.pc.Close()
-	m.ended.Wait()
+	m.socket.Close()
+	m.goroutines.Wait()
 }
 
 func (m *AuthenticatedTransport) send() {
 	var seq uint64
 	for {
 		select {
-		case l := <-m.out:
+		case l := <-m.queue:
 			m.mu.Lock()
-			addr := m.to[l.to]
+			addr := m.addresses[l.to]
 			m.mu.Unlock()
-			if addr != nil && len(l.data) <= MaxPayload {
+			if addr != nil && len(l.payload) <= MaxPayload {
 				seq++
-				m.pc.WriteTo(Seal(m.o.Keys.Keys()[0], Header{From: uint16(m.o.SelfIndex), To: uint16(l.to), Incarnation: m.o.Incarnation,
-					Seq: seq, Sent: m.o.WallClock()}, l.data), addr)
+				m.socket.WriteTo(Seal(m.options.Keys.Keys()[0], Header{From: uint16(m.options.SelfIndex), To: uint16(l.to), Incarnation: m.options.Incarnation,
+					Seq: seq, Sent: m.options.WallClock()}, l.payload), addr)
 			}
 		case <-m.done:
 			return
@@ -145,31 +145,31 @@
 }
 
 func (m *AuthenticatedTransport) receive() {
-	g := NewPacketFilter(m.o.SelfIndex, len(m.o.Addresses)+1, m.o.Incarnation, m.o.Freshness, m.o.Rate)
+	g := NewPacketFilter(m.options.SelfIndex, len(m.options.Addresses)+1, m.options.Incarnation, m.options.Freshness, m.options.Rate)
 	processes := knownProcesses{}
 	var told [packetStatusCount]time.Time
 	b := make([]byte, headerSize+MaxPayload+macSize+1)
 	for {
-		n, from, err := m.pc.ReadFrom(b)
+		n, from, err := m.socket.ReadFrom(b)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue // ICMP errors of earlier sends, on some systems
 		}
-		h, payload, ok := m.o.Keys.open(b[:n])
-		now, word := m.o.WallClock(), Misaddressed
+		h, payload, ok := m.options.Keys.open(b[:n])
+		now, word := m.options.WallClock(), Misaddressed
 		if ok {
 			m.mu.Lock()
-			g.Grow(m.most)
+			g.Grow(m.nodes)
 			m.mu.Unlock()
 			word = g.Check(now, h)
 		}
 		if word == Accepted {
-			if processes.isNew(h) && m.o.Restarted != nil {
-				m.o.Restarted(int(h.From))
+			if processes.isNew(h) && m.options.Restarted != nil {
+				m.options.Restarted(int(h.From))
 			}
-			m.o.Deliver(int(h.From), append([]byte(nil), payload...))
+			m.options.Deliver(int(h.From), append([]byte(nil), payload...))
 			continue
 		}
 		const every = time.Second // lines of one kind
@@ -181,7 +181,7 @@
 		if word == DuplicateNumber || word == DuplicateOwnNumber {
 			level = slog.LevelError
 		}
-		m.o.Log.Log(context.Background(), level, "message dropped: "+word.String(), "number", h.From, "from", from.String())
+		m.options.Log.Log(context.Background(), level, "message dropped: "+word.String(), "number", h.From, "from", from.String())
 	}
 }
 
--- a/peer/keyring.go
+++ b/peer/keyring.go
@@ -16,13 +16,13 @@
 // take the old one out. A node that has only a key taken out is out of the fleet
 // within KeyringLook of that.
 type Keyring struct {
-	path string
-	log  *slog.Logger
-	mu   sync.Mutex
-	keys [][]byte
-	mod  time.Time
-	size int64
-	look time.Time
+	path      string
+	log       *slog.Logger
+	mu        sync.Mutex
+	keys      [][]byte
+	modTime   time.Time
+	size      int64
+	checkedAt time.Time
 }
 
 // KeyFileCheckInterval is how often the file is looked at.
@@ -32,7 +32,7 @@
 func NewKeyring(keys [][]byte, path string, log *slog.Logger) *Keyring {
 	k := &Keyring{path: path, log: log, keys: keys}
 	if info, err := os.Stat(path); err == nil {
-		k.mod, k.size = info.ModTime(), info.Size()
+		k.modTime, k.size = info.ModTime(), info.Size()
 	}
 	return k
 }
@@ -42,17 +42,17 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if k.path == "" || now.Sub(k.look) < KeyFileCheckInterval {
+	if k.path == "" || now.Sub(k.checkedAt) < KeyFileCheckInterval {
 		return k.keys
 	}
-	k.look = now
+	k.checkedAt = now
 	info, err := os.Stat(k.path)
-	if err == nil && info.ModTime().Equal(k.mod) && info.Size() == k.size {
+	if err == nil && info.ModTime().Equal(k.modTime) && info.Size() == k.size {
 		return k.keys
 	}
 	var b []byte
 	if err == nil {
-		k.mod, k.size = info.ModTime(), info.Size()
+		k.modTime, k.size = info.ModTime(), info.Size()
 		b, err = os.ReadFile(k.path)
 	}
 	var keys [][]byte
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -92,69 +92,69 @@
 // that has just started knows no sequence numbers, and only the time of sending
 // keeps old packets out then.
 type PacketFilter struct {
-	me          uint16
+	selfIndex   uint16
 	incarnation uint64
 	freshness   time.Duration
 	rate        float64 // messages a second taken in
 	tokens      float64
-	at          time.Time
-	peers       []sender
+	refilledAt  time.Time
+	senders     []senderState
 }
 
-type sender struct {
+type senderState struct {
 	incarnation uint64
-	since       time.Time // when its first message was sent
-	seq         uint64
-	window      uint64 // which of the 64 up to seq were seen
+	startedAt   time.Time // when its first message was sent
+	highestSeq  uint64
+	seen        uint64 // which of the 64 up to seq were seen
 }
 
-// burstTime is the mail of this time that may come at once.
-const burstTime = 0.5
+// burstSeconds is the mail of this time that may come at once.
+const burstSeconds = 0.5
 
 // NewPacketFilter returns a Guard for a node of a fleet.
 func NewPacketFilter(me, nodes int, incarnation uint64, freshness time.Duration, rate float64) *PacketFilter {
-	return &PacketFilter{me: uint16(me), incarnation: incarnation, freshness: freshness, rate: rate,
-		tokens: max(1, rate*burstTime), peers: make([]sender, nodes)}
+	return &PacketFilter{selfIndex: uint16(me), incarnation: incarnation, freshness: freshness, rate: rate,
+		tokens: max(1, rate*burstSeconds), senders: make([]senderState, nodes)}
 }
 
 // Grow makes room for senders with numbers below one; there is never less.
 func (g *PacketFilter) Grow(nodes int) {
-	if more := nodes - len(g.peers); more > 0 {
-		g.peers = append(g.peers, make([]sender, more)...)
+	if more := nodes - len(g.senders); more > 0 {
+		g.senders = append(g.senders, make([]senderState, more)...)
 	}
 }
 
 // Check says whether an authentic message is taken.
 func (g *PacketFilter) Check(now time.Time, h Header) PacketStatus {
-	if int(h.From) >= len(g.peers) || h.To != g.me && h.From != g.me {
+	if int(h.From) >= len(g.senders) || h.To != g.selfIndex && h.From != g.selfIndex {
 		return Misaddressed
 	}
 	if age := now.Sub(h.Sent); age > g.freshness || age < -g.freshness {
 		return Stale
 	}
-	if h.From == g.me {
+	if h.From == g.selfIndex {
 		if h.Incarnation == g.incarnation {
 			return Misaddressed // its own, sent back
 		}
 		return DuplicateOwnNumber
 	}
-	p := &g.peers[h.From]
+	p := &g.senders[h.From]
 	switch {
 	case h.Incarnation < p.incarnation:
 		// What was under way at a restart is merely old. A process that still
 		// sends after its successor began is a second one.
-		if h.Sent.After(p.since) {
+		if h.Sent.After(p.startedAt) {
 			return DuplicateNumber
 		}
 		return FromOlderIncarnation
 	case h.Incarnation > p.incarnation:
-		*p = sender{incarnation: h.Incarnation, since: h.Sent}
+		*p = senderState{incarnation: h.Incarnation, startedAt: h.Sent}
 	}
-	if !p.fresh(h.Seq) {
+	if !p.markSeen(h.Seq) {
 		return Replayed
 	}
-	g.tokens = min(max(1, g.rate*burstTime), g.tokens+g.rate*now.Sub(g.at).Seconds())
-	g.at = now
+	g.tokens = min(max(1, g.rate*burstSeconds), g.tokens+g.rate*now.Sub(g.refilledAt).Seconds())
+	g.refilledAt = now
 	if g.tokens < 1 {
 		return RateLimited
 	}
@@ -162,22 +162,22 @@
 	return Accepted
 }
 
-// fresh notes a sequence number; false where it was seen, or is too old to tell.
-func (p *sender) fresh(seq uint64) bool {
+// markSeen notes a sequence number; false where it was seen, or is too old to tell.
+func (p *senderState) markSeen(seq uint64) bool {
 	switch {
 	case seq == 0:
 		return false
-	case seq > p.seq:
-		if shift := seq - p.seq; shift < 64 {
-			p.window = p.window<<shift | 1
+	case seq > p.highestSeq:
+		if shift := seq - p.highestSeq; shift < 64 {
+			p.seen = p.seen<<shift | 1
 		} else {
-			p.window = 1
+			p.seen = 1
 		}
-		p.seq = seq
+		p.highestSeq = seq
 		return true
-	case p.seq-seq >= 64 || p.window>>(p.seq-seq)&1 == 1:
+	case p.highestSeq-seq >= 64 || p.seen>>(p.highestSeq-seq)&1 == 1:
 		return false
 	}
-	p.window |= 1 << (p.seq - seq)
+	p.seen |= 1 << (p.highestSeq - seq)
 	return true
 }
--- a/peer/plain_transport.go
+++ b/peer/plain_transport.go
@@ -23,15 +23,15 @@
 // PlainTransport sends and takes messages without a seal, where the network itself vouches
 // for the sender's address and datagrams have no room for more.
 type PlainTransport struct {
-	o       PlainOptions
-	pc      net.PacketConn
-	to      []net.Addr
-	all     net.Addr
-	from    map[string]int // by address
-	out     chan letter
-	done    chan struct{}
-	ended   sync.WaitGroup
-	foreign atomic.Int64
+	options    PlainOptions
+	socket     net.PacketConn
+	addresses  []net.Addr
+	broadcast  net.Addr
+	indexes    map[string]int // by address
+	queue      chan outgoingMessage
+	done       chan struct{}
+	goroutines sync.WaitGroup
+	dropped    atomic.Int64
 }
 
 // MaxPlainPayload is the largest message, in bytes.
@@ -39,63 +39,63 @@
 
 // ListenPlain starts a Bare.
 func ListenPlain(o PlainOptions) (*PlainTransport, error) {
-	b := &PlainTransport{o: o, from: map[string]int{}, out: make(chan letter, mostWaiting), done: make(chan struct{})}
+	b := &PlainTransport{options: o, indexes: map[string]int{}, queue: make(chan outgoingMessage, maxQueuedMessages), done: make(chan struct{})}
 	for n, address := range o.Addresses {
 		a, err := network.Addr(o.Network, address)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", n, err)
 		}
-		b.to, b.from[a.String()] = append(b.to, a), n
+		b.addresses, b.indexes[a.String()] = append(b.addresses, a), n
 	}
 	var err error
 	if o.Broadcast != "" {
-		if b.all, err = network.Addr(o.Network, o.Broadcast); err != nil {
+		if b.broadcast, err = network.Addr(o.Network, o.Broadcast); err != nil {
 			return nil, fmt.Errorf("all peers: %w", err)
 		}
 	}
-	if b.pc, err = o.Network.ListenPacket(o.Listen); err != nil {
+	if b.socket, err = o.Network.ListenPacket(o.Listen); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	b.ended.Go(b.send)
-	b.ended.Go(b.receive)
+	b.goroutines.Go(b.send)
+	b.goroutines.Go(b.receive)
 	return b, nil
 }
 
 // Send sends a message to a node, or to all with a number below 0, or loses it; it
 // does not block.
 func (b *PlainTransport) Send(to int, data []byte) {
-	if len(data) > MaxPlainPayload || to >= len(b.to) || to == b.o.SelfIndex {
+	if len(data) > MaxPlainPayload || to >= len(b.addresses) || to == b.options.SelfIndex {
 		return
 	}
 	select {
-	case b.out <- letter{to, data}:
+	case b.queue <- outgoingMessage{to, data}:
 	default:
 	}
 }
 
 // DroppedDatagrams counts the datagrams dropped for their size or sender.
-func (b *PlainTransport) DroppedDatagrams() int64 { return b.foreign.Load() }
+func (b *PlainTransport) DroppedDatagrams() int64 { return b.dropped.Load() }
 
 // Close ends the Bare.
 func (b *PlainTransport) Close() {
 	close(b.done)
-	b.pc.Close()
-	b.ended.Wait()
+	b.socket.Close()
+	b.goroutines.Wait()
 }
 
 func (b *PlainTransport) send() {
 	for {
 		select {
-		case l := <-b.out:
+		case l := <-b.queue:
 			switch {
 			case l.to >= 0:
-				b.pc.WriteTo(l.data, b.to[l.to])
-			case b.all != nil:
-				b.pc.WriteTo(l.data, b.all)
+				b.socket.WriteTo(l.payload, b.addresses[l.to])
+			case b.broadcast != nil:
+				b.socket.WriteTo(l.payload, b.broadcast)
 			default:
-				for n, a := range b.to {
-					if n != b.o.SelfIndex {
-						b.pc.WriteTo(l.data, a)
+				for n, a := range b.addresses {
+					if n != b.options.SelfIndex {
+						b.socket.WriteTo(l.payload, a)
 					}
 				}
 			}
@@ -108,20 +108,20 @@
 func (b *PlainTransport) receive() {
 	buf := make([]byte, MaxPlainPayload+1)
 	for {
-		n, from, err := b.pc.ReadFrom(buf)
+		n, from, err := b.socket.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue // ICMP errors of earlier sends, on some systems
 		}
-		num, known := b.from[from.String()]
+		num, known := b.indexes[from.String()]
 		if !known || n == 0 || n > MaxPlainPayload {
-			b.foreign.Add(1)
+			b.dropped.Add(1)
 			continue
 		}
-		if num != b.o.SelfIndex { // a message to all comes back, too
-			b.o.Deliver(num, append([]byte(nil), buf[:n]...))
+		if num != b.options.SelfIndex { // a message to all comes back, too
+			b.options.Deliver(num, append([]byte(nil), buf[:n]...))
 		}
 	}
 }
--- a/upstream/idle_timeout.go
+++ b/upstream/idle_timeout.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// trust learns how long a connection may lie idle and still be used. Servers, and
+// idleLimitEstimator learns how long a connection may lie idle and still be used. Servers, and
 // what stands between, forget idle connections without a word, or with a word that
 // crosses the next request: it breaks, and may have run. How often connections break
 // at their next request is counted by how long they were idle; where one step from
 // seldom to often explains that far better than none, the step is the limit. What
 // was seen wears off, and longer ones are tried again.
-type trust struct {
-	at           time.Duration
-	used, broken [trustAges]float64 // connections used, and of these broken, by age
-	limit        time.Duration      // 0: any
-	looked       time.Duration
+type idleLimitEstimator struct {
+	decayedAt    time.Duration
+	used, broken [idleBuckets]float64 // connections used, and of these broken, by age
+	limit        time.Duration        // 0: any
+	estimatedAt  time.Duration
 }
 
 const (
-	trustAges  = 34                     // in steps of half an octave from a millisecond on
-	trustLife  = 15 * time.Second       // what was seen wears off by 1/e in it
-	trustGain  = 5                      // in nats: the step must explain so much more
-	trustShare = 0.08                   // and so many must break beyond it
-	trustEvery = 200 * time.Millisecond // between looks without a break
+	idleBuckets       = 34                     // in steps of half an octave from a millisecond on
+	decayTime         = 15 * time.Second       // what was seen wears off by 1/e in it
+	minLikelihoodGain = 5                      // in nats: the step must explain so much more
+	minBreakFraction  = 0.08                   // and so many must break beyond it
+	estimateInterval  = 200 * time.Millisecond // between looks without a break
 )
 
-// quiet is how long a connection rests after an answer before it is used again. A server
+// minIdleBeforeReuse is how long a connection rests after an answer before it is used again. A server
 // may send more than belongs to an answer, milliseconds late; on a connection that was
 // given the next request by then it would pass for the answer to that. What comes while
 // it rests ends it.
-const quiet = 25 * time.Millisecond
+const minIdleBeforeReuse = 25 * time.Millisecond
 
-// age is the step of an idle time; 0 is that of new connections, too.
-func age(idle time.Duration) int {
+// idleBucket is the step of an idle time; 0 is that of new connections, too.
+func idleBucket(idle time.Duration) int {
 	ms := uint64(max(0, idle/time.Millisecond))
 	if ms == 0 {
 		return 0
@@ -44,61 +44,61 @@
 	if float64(ms) >= math.Sqrt2*float64(uint64(1)<<octave) {
 		half = 1
 	}
-	return min(2*octave+half+1, trustAges-1)
+	return min(2*octave+half+1, idleBuckets-1)
 }
 
-// least is the shortest idle time of a step.
-func least(age int) time.Duration {
+// bucketStart is the shortest idle time of a step.
+func bucketStart(age int) time.Duration {
 	return time.Duration(math.Ceil(math.Pow(2, float64(age-1)/2))) * time.Millisecond
 }
 
-// ended notes how the first use of a connection after an idle time has ended.
-func (t *trust) ended(now, idle time.Duration, broke bool) {
-	if dt := now - t.at; dt > 0 {
-		keep := math.Exp(-float64(dt) / float64(trustLife))
+// record notes how the first use of a connection after an idle time has record.
+func (t *idleLimitEstimator) record(now, idle time.Duration, broke bool) {
+	if dt := now - t.decayedAt; dt > 0 {
+		keep := math.Exp(-float64(dt) / float64(decayTime))
 		for i := range t.used {
 			t.used[i] *= keep
 			t.broken[i] *= keep
 		}
-		t.at = now
+		t.decayedAt = now
 	}
-	i := age(idle)
+	i := idleBucket(idle)
 	t.used[i]++
 	if broke {
 		t.broken[i]++
 	}
-	if broke || now-t.looked >= trustEvery {
-		t.looked = now
-		t.look()
+	if broke || now-t.estimatedAt >= estimateInterval {
+		t.estimatedAt = now
+		t.estimate()
 	}
 }
 
-// look finds the step.
-func (t *trust) look() {
+// estimate finds the step.
+func (t *idleLimitEstimator) estimate() {
 	var used, broken float64
 	for i := range t.used {
 		used += t.used[i]
 		broken += t.broken[i]
 	}
-	none := likely(broken, used)
+	none := logLikelihood(broken, used)
 	t.limit = 0
-	best := none + trustGain
+	best := none + minLikelihoodGain
 	var u, b float64
-	for i := 1; i < trustAges; i++ {
+	for i := 1; i < idleBuckets; i++ {
 		u += t.used[i-1]
 		b += t.broken[i-1]
 		over, overBroken := used-u, broken-b
-		if over <= 0 || overBroken < trustShare*over || overBroken*u <= b*over {
+		if over <= 0 || overBroken < minBreakFraction*over || overBroken*u <= b*over {
 			continue
 		}
-		if l := likely(b, u) + likely(overBroken, over); l > best {
-			best, t.limit = l, least(i)
+		if l := logLikelihood(b, u) + logLikelihood(overBroken, over); l > best {
+			best, t.limit = l, bucketStart(i)
 		}
 	}
 }
 
-// likely is the log likelihood of so many breaks at their own rate.
-func likely(broken, used float64) float64 {
+// logLikelihood is the log likelihood of so many breaks at their own rate.
+func logLikelihood(broken, used float64) float64 {
 	if broken <= 0 || broken >= used {
 		return 0
 	}
--- a/upstream/idle_timeout_test.go
+++ b/upstream/idle_timeout_test.go
@@ -9,7 +9,7 @@
 // Connections that break by a step of their idle time are found out, the limit is
 // near the step, and is lifted once the fault is over.
 func TestTrustFindsTheStep(t *testing.T) {
-	var tr trust
+	var tr idleLimitEstimator
 	rng := rand.New(rand.NewPCG(1, 1))
 	now := time.Duration(0)
 	use := func(step time.Duration, often, seldom float64) {
@@ -22,7 +22,7 @@
 		if step > 0 && idle >= step {
 			p = often
 		}
-		tr.ended(now, idle, rng.Float64() < p)
+		tr.record(now, idle, rng.Float64() < p)
 	}
 	for range 3000 {
 		use(0, 0, 0.03)
@@ -46,9 +46,9 @@
 
 func TestAges(t *testing.T) {
 	for idle := time.Duration(0); idle < time.Hour; idle = idle*9/8 + 100*time.Microsecond {
-		a := age(idle)
-		if a > 0 && least(a) > idle+time.Millisecond || a+1 < trustAges && least(a+1) <= idle {
-			t.Fatalf("%v is of step %d, from %v to %v", idle, a, least(a), least(a+1))
+		a := idleBucket(idle)
+		if a > 0 && bucketStart(a) > idle+time.Millisecond || a+1 < idleBuckets && bucketStart(a+1) <= idle {
+			t.Fatalf("%v is of step %d, from %v to %v", idle, a, bucketStart(a), bucketStart(a+1))
 		}
 	}
 }
--- a/upstream/races_test.go
+++ b/upstream/races_test.go
@@ -110,14 +110,14 @@
 		t.Fatal(err)
 	}
 	nc, _ := s.accept()
-	c := p.connection("key", dialled)
-	given := &attempt{p: p, Attempt: node.Attempt{Request: call("/")}, done: func(r node.Result) { t.Errorf("it ended with %v", r.Code) }}
+	c := p.addConnection("key", dialled)
+	given := &attempt{pool: p, Attempt: node.Attempt{Request: call("/")}, done: func(r node.Result) { t.Errorf("it ended with %v", r.Code) }}
 	if !c.assign(given) {
 		t.Fatal("the connection ended by itself")
 	}
 	nc.Write([]byte("HTTP/1.1 2"))
-	p.conns.Wait() // its reader has seen that, and ended
-	if c.sends() {
+	p.readers.Wait() // its reader has seen that, and ended
+	if c.startWrite() {
 		t.Error("the request would be written, and half a line taken for its answer")
 	}
 	if !c.unassign(given) {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -41,49 +41,49 @@
 // Pool keeps connections to servers and makes attempts on them. It is a
 // node.Upstream.
 type Pool struct {
-	o      Options
-	mu     sync.Mutex
-	idle   map[string][]*conn // by server; the last used goes first
-	open   int                // connections over HTTP/1.1, those being made among them
-	held   atomic.Int64       // bytes of long bodies being read
-	swept  time.Time          // when idle ones were last looked through
-	trust  trust
-	base   time.Time // trust's time 0
-	h2     map[string][]*h2conn
-	closed bool
-	conns  sync.WaitGroup
+	options         Options
+	mu              sync.Mutex
+	idle            map[string][]*conn // by server; the last used goes first
+	openConnections int                // connections over HTTP/1.1, those being made among them
+	bufferedBytes   atomic.Int64       // bytes of long bodies being read
+	sweptAt         time.Time          // when idle ones were last looked through
+	idleLimit       idleLimitEstimator
+	createdAt       time.Time // trust's time 0
+	h2Conns         map[string][]*h2Conn
+	closed          bool
+	readers         sync.WaitGroup
 }
 
 // New returns an empty Pool.
 func New(o Options) *Pool {
-	return &Pool{o: o, idle: map[string][]*conn{}, h2: map[string][]*h2conn{}, base: time.Now()}
+	return &Pool{options: o, idle: map[string][]*conn{}, h2Conns: map[string][]*h2Conn{}, createdAt: time.Now()}
 }
 
 // attempt is one attempt on its way.
 type attempt struct {
 	node.Attempt
-	p    *Pool
+	pool *Pool
 	done func(node.Result)
 
-	mu    sync.Mutex
-	over  bool // it has ended, or was cancelled
-	c     *conn
-	dial  context.CancelFunc
-	start time.Time
-	reset func() // over HTTP/2: ends its stream
-	begun bool   // its request is being written: from here on nobody knows how much has left
-	wrote bool   // the whole request has left
-	keep  bool   // it ended well before that
+	mu           sync.Mutex
+	ended        bool // it has ended, or was cancelled
+	conn         *conn
+	cancelDial   context.CancelFunc
+	startedAt    time.Time
+	resetStream  func() // over HTTP/2: ends its stream
+	writeStarted bool   // its request is being written: from here on nobody knows how much has left
+	requestSent  bool   // the whole request has left
+	keepWhenSent bool   // it ended well before that
 }
 
 // Start makes an attempt; see node.Upstream.
 func (p *Pool) Start(a node.Attempt, done func(node.Result)) node.OutgoingAttempt {
-	ctx, stop := context.WithTimeout(context.Background(), p.o.ConnectTimeout)
-	t := &attempt{Attempt: a, p: p, done: done, dial: stop, start: time.Now()}
-	if p.o.HTTP2 {
+	ctx, stop := context.WithTimeout(context.Background(), p.options.ConnectTimeout)
+	t := &attempt{Attempt: a, pool: p, done: done, cancelDial: stop, startedAt: time.Now()}
+	if p.options.HTTP2 {
 		go t.runHTTP2(ctx)
 	} else {
-		go t.run(ctx)
+		go t.runHTTP1(ctx)
 	}
 	return t
 }
@@ -93,8 +93,8 @@
 func (t *attempt) Cancel() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.over {
-		t.abandon()
+	if !t.ended {
+		t.cancelLocked()
 	}
 }
 
@@ -103,104 +103,104 @@
 func (t *attempt) Withdraw() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.over || t.begun {
+	if t.ended || t.writeStarted {
 		return false
 	}
-	t.abandon()
+	t.cancelLocked()
 	return true
 }
 
-// begin notes that the request is written from now on; false where the attempt is over.
-func (t *attempt) begin() bool {
+// startWrite notes that the request is written from now on; false where the attempt is over.
+func (t *attempt) startWrite() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.begun = !t.over
-	return t.begun
+	t.writeStarted = !t.ended
+	return t.writeStarted
 }
 
-// abandon is Cancel under t.mu.
-func (t *attempt) abandon() {
-	t.over = true
-	t.dial()
-	if t.c != nil {
-		t.c.nc.Close()
+// cancelLocked is Cancel under t.mu.
+func (t *attempt) cancelLocked() {
+	t.ended = true
+	t.cancelDial()
+	if t.conn != nil {
+		t.conn.netConn.Close()
 	}
-	if t.reset != nil {
-		go t.reset() // it writes; the loop must not wait
+	if t.resetStream != nil {
+		go t.resetStream() // it writes; the loop must not wait
 	}
 }
 
-// end reports how the attempt ended, once. Its connection is kept only where
+// finish reports how the attempt ended, once. Its connection is kept only where
 // the response was read whole and the request written whole.
-func (t *attempt) end(res node.Result, reusable bool) {
+func (t *attempt) finish(res node.Result, reusable bool) {
 	t.mu.Lock()
-	if t.over {
+	if t.ended {
 		t.mu.Unlock()
 		return
 	}
-	t.over = true
-	c := t.c
-	t.dial()
+	t.ended = true
+	c := t.conn
+	t.cancelDial()
 	switch {
 	case c == nil:
-	case reusable && t.wrote:
-		t.p.keep(c)
+	case reusable && t.requestSent:
+		t.pool.putIdle(c)
 	case reusable:
 		// A server may answer before it has read the body. It must read on soon.
-		t.keep = true
-		c.nc.SetWriteDeadline(time.Now().Add(t.p.o.ConnectTimeout))
+		t.keepWhenSent = true
+		c.netConn.SetWriteDeadline(time.Now().Add(t.pool.options.ConnectTimeout))
 	default:
-		c.nc.Close()
+		c.netConn.Close()
 	}
 	t.mu.Unlock()
 	t.done(res)
 }
 
-func (t *attempt) run(ctx context.Context) {
+func (t *attempt) runHTTP1(ctx context.Context) {
 	var buf []byte
 	for {
 		c, fresh, err := t.connect(ctx)
 		if err == errNoConnection {
-			t.end(noConnection, false)
+			t.finish(resultNoConnection, false)
 			return
 		}
 		if err != nil {
-			code, detail := ended(notConnected, err)
-			t.end(node.Result{Code: code, Detail: detail}, false)
+			code, detail := attemptOutcome(beforeConnect, err)
+			t.finish(node.Result{Code: code, Detail: detail}, false)
 			return
 		}
 		t.mu.Lock()
-		if t.over {
+		if t.ended {
 			t.mu.Unlock()
-			t.p.keep(c) // nothing was sent on it
+			t.pool.putIdle(c) // nothing was sent on it
 			return
 		}
-		t.c = c
+		t.conn = c
 		t.mu.Unlock()
-		if t.late() {
-			t.end(tooLate, true)
-			t.written()
+		if t.expired() {
+			t.finish(resultTooLate, true)
+			t.markRequestSent()
 			return
 		}
-		buf = t.request(buf[:0])
+		buf = t.appendRequest(buf[:0])
 		n, assigned := 0, c.assign(t)
-		if err = net.ErrClosed; assigned && c.sends() {
-			if !t.begin() {
+		if err = net.ErrClosed; assigned && c.startWrite() {
+			if !t.startWrite() {
 				return // and the connection is closed
 			}
-			n, err = c.nc.Write(buf)
+			n, err = c.netConn.Write(buf)
 		}
 		switch {
 		case err == nil:
-			t.written()
+			t.markRequestSent()
 			return
 		case n > 0:
-			code, detail := ended(partSent, err)
-			t.end(node.Result{Code: code, Detail: detail}, false)
+			code, detail := attemptOutcome(duringWrite, err)
+			t.finish(node.Result{Code: code, Detail: detail}, false)
 			return
 		case fresh:
-			code, detail := ended(nothingSent, err)
-			t.end(node.Result{Code: code, Detail: detail}, false)
+			code, detail := attemptOutcome(beforeWrite, err)
+			t.finish(node.Result{Code: code, Detail: detail}, false)
 			return
 		}
 		// A kept connection that the server closed in the meantime, and that took
@@ -208,43 +208,43 @@
 		if assigned && !c.unassign(t) {
 			return // its reader reports the end
 		}
-		t.p.learn(c, true)
-		c.nc.Close()
+		t.pool.recordUse(c, true)
+		c.netConn.Close()
 		t.mu.Lock()
-		t.begun = false
+		t.writeStarted = false
 		t.mu.Unlock()
 	}
 }
 
-// request appends the attempt's bytes. The time that it states is what is left as it is
+// appendRequest appends the attempt's bytes. The time that it states is what is left as it is
 // written: a dial may have taken some of it.
-func (t *attempt) request(b []byte) []byte {
+func (t *attempt) appendRequest(b []byte) []byte {
 	call := &t.Request.HTTP
 	header := call.Header
-	if t.p.o.TimeoutHeader != "" {
-		left := max(0, t.Timeout-time.Since(t.start))
-		header = append(header[:len(header):len(header)], http1.Field{Name: t.p.o.TimeoutHeader, Value: strconv.FormatInt(left.Milliseconds(), 10)})
+	if t.pool.options.TimeoutHeader != "" {
+		left := max(0, t.Timeout-time.Since(t.startedAt))
+		header = append(header[:len(header):len(header)], http1.Field{Name: t.pool.options.TimeoutHeader, Value: strconv.FormatInt(left.Milliseconds(), 10)})
 	}
 	return http1.AppendRequest(b, call.Method, call.Target, call.Host, header, call.Body)
 }
 
-// tooLate is how an attempt ends that is not sent because too much time has passed,
+// resultTooLate is how an attempt ends that is not sent because too much time has passed,
 // or the process stood still, since it was decided: its client may have left, and
 // its server drain.
-var tooLate = node.Result{Code: policy.TooLate, Detail: "too late to send"}
+var resultTooLate = node.Result{Code: policy.TooLate, Detail: "too late to send"}
 
-// noConnection is how an attempt ends for want of a connection of this node's own; it says
+// resultNoConnection is how an attempt ends for want of a connection of this node's own; it says
 // nothing of the server.
-var noConnection = node.Result{Code: policy.NoConnection, Detail: "no connection to spare"}
+var resultNoConnection = node.Result{Code: policy.NoConnection, Detail: "no connection to spare"}
 
 var errNoConnection = errors.New("upstream: all connections are in use")
 
-func (t *attempt) late() bool {
-	return t.Timeout > 0 && time.Since(t.start) >= t.Timeout || t.p.o.PausedSince != nil && t.p.o.PausedSince(t.DecidedAt)
+func (t *attempt) expired() bool {
+	return t.Timeout > 0 && time.Since(t.startedAt) >= t.Timeout || t.pool.options.PausedSince != nil && t.pool.options.PausedSince(t.DecidedAt)
 }
 
-// took is how long a response was on its way that a connection has just given.
-func (t *attempt) took(nc net.Conn) time.Duration {
+// latency is how long a response was on its way that a connection has just given.
+func (t *attempt) latency(nc net.Conn) time.Duration {
 	at := pauseclock.ArrivalTime(nc)
 	if at.IsZero() || t.DecidedAt.IsZero() {
 		return 0 // the node's to measure
@@ -252,52 +252,52 @@
 	return max(1, at.Sub(t.DecidedAt))
 }
 
-// key names the server that the attempt's connections belong to.
-func (t *attempt) key() string { return cmp.Or(t.ConnectionKey, t.Address) }
+// connectionKey names the server that the attempt's connections belong to.
+func (t *attempt) connectionKey() string { return cmp.Or(t.ConnectionKey, t.Address) }
 
 // connect takes a kept connection or makes one.
 func (t *attempt) connect(ctx context.Context) (c *conn, fresh bool, err error) {
-	if c := t.p.take(t.key()); c != nil {
+	if c := t.pool.takeIdle(t.connectionKey()); c != nil {
 		return c, false, nil
 	}
-	if !t.p.room() {
+	if !t.pool.reserveConnection() {
 		return nil, true, errNoConnection
 	}
-	nc, err := t.p.o.Network.Dial(ctx, t.Address)
+	nc, err := t.pool.options.Network.Dial(ctx, t.Address)
 	if err != nil {
-		t.p.unroom()
+		t.pool.releaseConnection()
 		return nil, true, err
 	}
-	if c = t.p.connection(t.key(), nc); c == nil {
+	if c = t.pool.addConnection(t.connectionKey(), nc); c == nil {
 		nc.Close()
-		t.p.unroom()
+		t.pool.releaseConnection()
 		return nil, true, net.ErrClosed
 	}
 	return c, true, nil
 }
 
-// written notes that the whole request has left. Where the response was quicker
+// markRequestSent notes that the whole request has left. Where the response was quicker
 // the connection is kept only now.
-func (t *attempt) written() {
+func (t *attempt) markRequestSent() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.wrote = true
-	if t.keep {
-		t.p.keep(t.c)
+	t.requestSent = true
+	if t.keepWhenSent {
+		t.pool.putIdle(t.conn)
 	}
 }
 
-// take takes an idle connection to a server, or nil: the one used last that has been
+// takeIdle takes an idle connection to a server, or nil: the one used last that has been
 // quiet since. What has lain idle for too long, or holds what nobody asked for, is closed
 // instead.
-func (p *Pool) take(key string) *conn {
+func (p *Pool) takeIdle(key string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for {
 		list := p.idle[key]
 		i := len(list) - 1
-		for i >= 0 && now.Sub(list[i].since) < quiet {
+		for i >= 0 && now.Sub(list[i].lastUsedAt) < minIdleBeforeReuse {
 			i--
 		}
 		if i < 0 {
@@ -305,76 +305,76 @@
 		}
 		c := list[i]
 		p.idle[key] = slices.Delete(list, i, i+1)
-		r, ok := c.nc.(interface{ Readable() bool })
-		if p.stale(c, now) || ok && r.Readable() {
-			c.nc.Close()
+		r, ok := c.netConn.(interface{ Readable() bool })
+		if p.idleTooLong(c, now) || ok && r.Readable() {
+			c.netConn.Close()
 			continue
 		}
-		c.idle = now.Sub(c.since)
+		c.idleTime = now.Sub(c.lastUsedAt)
 		return c
 	}
 }
 
-// learn notes whether a connection broke at the use that has just ended.
-func (p *Pool) learn(c *conn, broke bool) {
+// recordUse notes whether a connection broke at the use that has just ended.
+func (p *Pool) recordUse(c *conn, broke bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trust.ended(time.Since(p.base), c.idle, broke)
+	p.idleLimit.record(time.Since(p.createdAt), c.idleTime, broke)
 }
 
-func (p *Pool) stale(c *conn, now time.Time) bool {
-	idle := now.Sub(c.since)
-	return p.o.IdleTimeout > 0 && idle >= p.o.IdleTimeout || p.trust.limit > 0 && idle >= p.trust.limit
+func (p *Pool) idleTooLong(c *conn, now time.Time) bool {
+	idle := now.Sub(c.lastUsedAt)
+	return p.options.IdleTimeout > 0 && idle >= p.options.IdleTimeout || p.idleLimit.limit > 0 && idle >= p.idleLimit.limit
 }
 
-// room counts one more connection; where there are too many the longest idle one
+// reserveConnection counts one more connection; where there are too many the longest idle one
 // goes. It is false where none is idle.
-func (p *Pool) room() bool {
+func (p *Pool) reserveConnection() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.o.MaxConnections > 0 && p.open >= p.o.MaxConnections {
+	if p.options.MaxConnections > 0 && p.openConnections >= p.options.MaxConnections {
 		oldest := ""
 		for key, list := range p.idle {
-			if len(list) > 0 && (oldest == "" || list[0].since.Before(p.idle[oldest][0].since)) {
+			if len(list) > 0 && (oldest == "" || list[0].lastUsedAt.Before(p.idle[oldest][0].lastUsedAt)) {
 				oldest = key
 			}
 		}
 		if oldest == "" {
 			return false
 		}
-		p.idle[oldest][0].nc.Close()
+		p.idle[oldest][0].netConn.Close()
 		p.idle[oldest] = p.idle[oldest][1:]
 	}
-	p.open++
+	p.openConnections++
 	return true
 }
 
-// unroom takes back what room counted.
-func (p *Pool) unroom() {
+// releaseConnection takes back what room counted.
+func (p *Pool) releaseConnection() {
 	p.mu.Lock()
-	p.open--
+	p.openConnections--
 	p.mu.Unlock()
 }
 
-// keep puts a connection back, or closes it. Once in a while it looks for others
+// putIdle puts a connection back, or closes it. Once in a while it looks for others
 // that have been idle for too long.
-func (p *Pool) keep(c *conn) {
+func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if c.since = now; now.Sub(p.swept) >= time.Second {
-		p.swept = now
+	if c.lastUsedAt = now; now.Sub(p.sweptAt) >= time.Second {
+		p.sweptAt = now
 		for key, list := range p.idle {
 			n := 0
-			for n < len(list) && p.stale(list[n], now) {
-				list[n].nc.Close()
+			for n < len(list) && p.idleTooLong(list[n], now) {
+				list[n].netConn.Close()
 				n++
 			}
 			p.idle[key] = list[n:]
 		}
 	}
-	if p.closed || len(p.idle[c.key]) >= p.o.MaxIdlePerServer {
-		c.nc.Close()
+	if p.closed || len(p.idle[c.key]) >= p.options.MaxIdlePerServer {
+		c.netConn.Close()
 		return
 	}
 	p.idle[c.key] = append(p.idle[c.key], c)
@@ -385,15 +385,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[key] {
-		c.nc.Close()
+		c.netConn.Close()
 	}
 	delete(p.idle, key)
 }
 
-func (p *Pool) drop(c *conn) {
+func (p *Pool) remove(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openConnections--
 	list := p.idle[c.key]
 	for i := range list {
 		if list[i] == c {
@@ -410,179 +410,179 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
-	for _, list := range p.h2 {
+	for _, list := range p.h2Conns {
 		for _, c := range list {
-			c.nc.Close()
+			c.netConn.Close()
 		}
 	}
 	for _, list := range p.idle {
 		for _, c := range list {
-			c.nc.Close()
+			c.netConn.Close()
 		}
 	}
 	p.mu.Unlock()
-	p.conns.Wait()
+	p.readers.Wait()
 }
 
 // conn is one connection, with a goroutine that reads from it, idle or not: a
 // server that closes it is noticed before a request is lost on it.
 type conn struct {
-	p     *Pool
-	key   string // of its server
-	nc    net.Conn
-	r     *http1.Reader
-	since time.Time     // when it was last used; under the pool's lock
-	idle  time.Duration // it was idle before the use under way
-	stall time.Duration // a read that brings nothing for so long fails; 0: none does. The reader's alone
+	pool         *Pool
+	key          string // of its server
+	netConn      net.Conn
+	reader       *http1.Reader
+	lastUsedAt   time.Time     // when it was last used; under the pool's lock
+	idleTime     time.Duration // it was idle before the use under way
+	stallTimeout time.Duration // a read that brings nothing for so long fails; 0: none does. The reader's alone
 
-	mu   sync.Mutex
-	t    *attempt // whose response is awaited
-	sent bool     // its request is being written: what comes now may answer it
-	bad  bool     // it has ended
+	mu           sync.Mutex
+	attempt      *attempt // whose response is awaited
+	writeStarted bool     // its request is being written: what comes now may answer it
+	broken       bool     // it has ended
 }
 
-// connection takes in a connection that has come up. It returns nil where the pool was closed meanwhile:
+// addConnection takes in a addConnection that has come up. It returns nil where the pool was closed meanwhile:
 // Close waits for the readers of those alone that it knows.
-func (p *Pool) connection(key string, nc net.Conn) *conn {
+func (p *Pool) addConnection(key string, nc net.Conn) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil
 	}
-	c := &conn{p: p, key: key, nc: nc}
-	c.r = http1.NewReader(c, p.o.Limits)
-	p.conns.Add(1)
-	go c.read()
+	c := &conn{pool: p, key: key, netConn: nc}
+	c.reader = http1.NewReader(c, p.options.Limits)
+	p.readers.Add(1)
+	go c.readLoop()
 	return c
 }
 
 // Read reads for the connection's http1.Reader.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.stall > 0 {
-		c.nc.SetReadDeadline(time.Now().Add(c.stall))
+	if c.stallTimeout > 0 {
+		c.netConn.SetReadDeadline(time.Now().Add(c.stallTimeout))
 	}
-	return c.nc.Read(b)
+	return c.netConn.Read(b)
 }
 
 // assign gives the connection an attempt to carry; false where it has ended.
 func (c *conn) assign(t *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.bad {
+	if c.broken {
 		return false // the server ended it, or spoke unasked
 	}
-	c.t, c.sent = t, false
+	c.attempt, c.writeStarted = t, false
 	return true
 }
 
-// sends notes that the request is written from now on; false where something came
+// startWrite notes that the request is written from now on; false where something came
 // before, which can't be the answer to it.
-func (c *conn) sends() bool {
+func (c *conn) startWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sent = true
-	return !c.bad
+	c.writeStarted = true
+	return !c.broken
 }
 
 // unassign takes an attempt back; false where its end was seen already.
 func (c *conn) unassign(t *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.t != t {
+	if c.attempt != t {
 		return false
 	}
-	c.t = nil
+	c.attempt = nil
 	return true
 }
 
-func (c *conn) read() {
-	defer c.p.conns.Done()
+func (c *conn) readLoop() {
+	defer c.pool.readers.Done()
 	for {
-		err := c.r.Await()
+		err := c.reader.Await()
 		c.mu.Lock()
-		if !c.sent {
+		if !c.writeStarted {
 			// Nobody asked yet: an attempt that was just given the connection goes on
 			// another, which it learns from sends.
-			c.bad = true
+			c.broken = true
 			c.mu.Unlock()
 			break
 		}
-		t := c.t
-		c.t, c.sent = nil, false
-		c.bad = err != nil || t == nil
+		t := c.attempt
+		c.attempt, c.writeStarted = nil, false
+		c.broken = err != nil || t == nil
 		c.mu.Unlock()
 		if t == nil {
 			break
 		}
 		if !errors.Is(err, net.ErrClosed) { // it was not closed here
-			c.p.learn(c, err != nil)
+			c.pool.recordUse(c, err != nil)
 		}
 		if err != nil {
-			code, detail := ended(noResponse, err)
-			t.end(node.Result{Code: code, Detail: detail}, false)
+			code, detail := attemptOutcome(beforeResponse, err)
+			t.finish(node.Result{Code: code, Detail: detail}, false)
 			break
 		}
-		c.stall = stalled(t.Timeout)
-		again := c.response(t)
-		if c.stall = 0; !again {
+		c.stallTimeout = responseStallTimeout(t.Timeout)
+		again := c.readResponse(t)
+		if c.stallTimeout = 0; !again {
 			break
 		}
-		c.nc.SetReadDeadline(time.Time{})
+		c.netConn.SetReadDeadline(time.Time{})
 	}
-	c.p.drop(c)
-	c.nc.Close()
+	c.pool.remove(c)
+	c.netConn.Close()
 }
 
-// response reads the response to an attempt. It tells whether the connection
+// readResponse reads the readResponse to an attempt. It tells whether the connection
 // may be used further.
-func (c *conn) response(t *attempt) bool {
-	head, err := c.r.Response(t.Request.HTTP.Method)
+func (c *conn) readResponse(t *attempt) bool {
+	head, err := c.reader.Response(t.Request.HTTP.Method)
 	if err != nil {
-		code, detail := ended(badResponse, err)
-		t.end(node.Result{Code: code, Detail: detail}, false)
+		code, detail := attemptOutcome(duringResponse, err)
+		t.finish(node.Result{Code: code, Detail: detail}, false)
 		return false
 	}
-	long := c.p.long(head)
-	if !c.p.hold(long) {
-		t.end(tooMuch, false)
+	long := c.pool.bodyBytesToReserve(head)
+	if !c.pool.reserveBodyBytes(long) {
+		t.finish(resultBufferFull, false)
 		return false
 	}
-	body, err := c.r.Body(head.Framing, head.Length)
-	c.p.held.Add(-long)
+	body, err := c.reader.Body(head.Framing, head.Length)
+	c.pool.bufferedBytes.Add(-long)
 	if err != nil {
-		code, detail := ended(badResponse, err)
-		t.end(node.Result{Code: code, Detail: detail}, false)
+		code, detail := attemptOutcome(duringResponse, err)
+		t.finish(node.Result{Code: code, Detail: detail}, false)
 		return false
 	}
 	res := &node.Response{Status: head.Status, Header: head.Header.EndToEnd(), Body: body}
-	result := node.Result{Code: c.p.o.RejectionSignal.code(head), Response: res, Latency: t.took(c.nc)}
+	result := node.Result{Code: c.pool.options.RejectionSignal.resultCode(head), Response: res, Latency: t.latency(c.netConn)}
 	if result.Code != policy.OK {
 		result.Detail = fmt.Sprintf("status %d", head.Status)
 	}
-	t.end(result, head.KeepAlive() && c.r.Buffered() == 0)
+	t.finish(result, head.KeepAlive() && c.reader.Buffered() == 0)
 	return head.KeepAlive()
 }
 
-// tooMuch is how an attempt ends whose response has no place here.
-var tooMuch = node.Result{Code: policy.Reset, Detail: "response too long for what is held already"}
+// resultBufferFull is how an attempt ends whose response has no place here.
+var resultBufferFull = node.Result{Code: policy.Reset, Detail: "response too long for what is held already"}
 
-const longBody = 64 << 10 // bytes; shorter bodies are not counted
+const minCountedBodyBytes = 64 << 10 // bytes; shorter bodies are not counted
 
-// long is what a body may come to hold, where it is long.
-func (p *Pool) long(head *http1.Response) int64 {
+// bodyBytesToReserve is what a body may come to hold, where it is bodyBytesToReserve.
+func (p *Pool) bodyBytesToReserve(head *http1.Response) int64 {
 	switch {
-	case head.Framing == http1.Length && head.Length <= longBody || head.Framing == http1.NoBody:
+	case head.Framing == http1.Length && head.Length <= minCountedBodyBytes || head.Framing == http1.NoBody:
 		return 0
 	case head.Framing == http1.Length:
 		return head.Length
 	}
-	return p.o.Limits.Body
+	return p.options.Limits.Body
 }
 
-// hold counts a long body; false where there is no place for it.
-func (p *Pool) hold(long int64) bool {
-	if p.held.Add(long) > p.o.MaxBufferedBodyBytes && p.o.MaxBufferedBodyBytes > 0 && long > 0 {
-		p.held.Add(-long)
+// reserveBodyBytes counts a long body; false where there is no place for it.
+func (p *Pool) reserveBodyBytes(long int64) bool {
+	if p.bufferedBytes.Add(long) > p.options.MaxBufferedBodyBytes && p.options.MaxBufferedBodyBytes > 0 && long > 0 {
+		p.bufferedBytes.Add(-long)
 		return false
 	}
 	return true
