--- a/peer/authenticated_transport.go
+++ b/peer/authenticated_transport.go
@@ -18,32 +18,33 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-// Options is what a Mail is made of.
+// Options configures an AuthenticatedTransport.
 type Options struct {
 	Network     network.Network
 	Listen      string
-	Addresses   map[int]string // of the others, by number
+	Addresses   map[int]string // of the other nodes, by number
 	SelfIndex   int
 	Keys        *Keyring
 	Incarnation uint64
 	Freshness   time.Duration
-	Rate        float64 // messages a second taken in
+	Rate        float64 // messages accepted per second
 	Log         *slog.Logger
-	WallClock   func() time.Time // the wall clock; nil: the system's
+	WallClock   func() time.Time // nil: time.Now
 	Deliver     func(from int, data []byte)
 
-	// Restarted is called before Deliver with the first message of a process that acts under
-	// another gateway's number. It may be nil.
+	// Restarted is called with the number of a peer before its first message is delivered, and
+	// again before the first message of each later process with that number. It may be nil.
 	Restarted func(from int)
 }
 
-// AuthenticatedTransport sends and takes messages.
+// AuthenticatedTransport sends sealed messages to peers and delivers the messages of peers that
+// are authentic, fresh and not replayed.
 type AuthenticatedTransport struct {
 	options    Options
 	socket     net.PacketConn
 	mu         sync.Mutex
 	addresses  map[int]net.Addr
-	nodes      int // above the highest number ever reached
+	nodes      int // one more than the highest number that SetAddress gave an address
 	queue      chan outgoingMessage
 	done       chan struct{}
 	goroutines sync.WaitGroup
@@ -54,88 +55,90 @@
 	payload []byte
 }
 
-const maxQueuedMessages = 4096 // letters waiting to be sent; more are lost
+const maxQueuedMessages = 4096 // messages waiting to be sent; further ones are dropped
 
-// Listen starts a Mail.
+// Listen starts an AuthenticatedTransport.
 func Listen(o Options) (*AuthenticatedTransport, error) {
-	m := &AuthenticatedTransport{options: o, addresses: map[int]net.Addr{}, queue: make(chan outgoingMessage, maxQueuedMessages), done: make(chan struct{})}
-	for n, addr := range o.Addresses {
+	t := &AuthenticatedTransport{options: o, addresses: map[int]net.Addr{}, queue: make(chan outgoingMessage, maxQueuedMessages), done: make(chan struct{})}
+	for number, addr := range o.Addresses {
 		a, err := network.Addr(o.Network, addr)
 		if err != nil {
-			return nil, fmt.Errorf("peer %d: %w", n, err)
+			return nil, fmt.Errorf("peer %d: %w", number, err)
 		}
-		m.addresses[n] = a
+		t.addresses[number] = a
 	}
-	pc, err := o.Network.ListenPacket(o.Listen)
+	socket, err := o.Network.ListenPacket(o.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("listening for peer messages: %w", err)
 	}
-	m.socket = pc
-	if m.options.WallClock == nil {
-		m.options.WallClock = time.Now
+	t.socket = socket
+	if t.options.WallClock == nil {
+		t.options.WallClock = time.Now
 	}
-	m.goroutines.Go(m.send)
-	m.goroutines.Go(m.receive)
-	return m, nil
+	t.goroutines.Go(t.send)
+	t.goroutines.Go(t.receive)
+	return t, nil
 }
 
-// SetAddress sets where a number is reached from now on; "": nowhere.
-func (m *AuthenticatedTransport) SetAddress(number int, address string) {
+// SetAddress sets the address of the peer with a number from now on. "": the peer has none, and
+// messages to it are dropped.
+func (t *AuthenticatedTransport) SetAddress(number int, address string) {
 	var a net.Addr
 	if address != "" {
 		var err error
-		if a, err = network.Addr(m.options.Network, address); err != nil {
-			m.options.Log.Error("a peer's address can't be used", "number", number, "address", address, "error", err)
+		if a, err = network.Addr(t.options.Network, address); err != nil {
+			t.options.Log.Error("a peer's address can't be used", "number", number, "address", address, "error", err)
 			return
 		}
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if a == nil {
-		delete(m.addresses, number)
+		delete(t.addresses, number)
 		return
 	}
-	m.addresses[number], m.nodes = a, max(m.nodes, number+1)
+	t.addresses[number], t.nodes = a, max(t.nodes, number+1)
 }
 
-// Send sends a message, or loses it; it does not block.
-func (m *AuthenticatedTransport) Send(to int, data []byte) {
+// Send sends a message to a peer. It does not block; a message that can't be queued, is too large
+// or is for a peer without an address is dropped.
+func (t *AuthenticatedTransport) Send(to int, data []byte) {
 	select {
-	case m.queue <- outgoingMessage{to, data}:
+	case t.queue <- outgoingMessage{to, data}:
 	default:
 	}
 }
 
-// Close ends the Mail.
-func (m *AuthenticatedTransport) Close() {
-	close(m.done)
-	m.socket.Close()
-	m.goroutines.Wait()
+// Close stops the transport and waits for its goroutines to end.
+func (t *AuthenticatedTransport) Close() {
+	close(t.done)
+	t.socket.Close()
+	t.goroutines.Wait()
 }
 
-func (m *AuthenticatedTransport) send() {
+func (t *AuthenticatedTransport) send() {
 	var seq uint64
 	for {
 		select {
-		case l := <-m.queue:
-			m.mu.Lock()
-			addr := m.addresses[l.to]
-			m.mu.Unlock()
-			if addr != nil && len(l.payload) <= MaxPayload {
+		case message := <-t.queue:
+			t.mu.Lock()
+			addr := t.addresses[message.to]
+			t.mu.Unlock()
+			if addr != nil && len(message.payload) <= MaxPayload {
 				seq++
-				m.socket.WriteTo(Seal(m.options.Keys.Keys()[0], Header{From: uint16(m.options.SelfIndex), To: uint16(l.to), Incarnation: m.options.Incarnation,
-					Seq: seq, Sent: m.options.WallClock()}, l.payload), addr)
+				t.socket.WriteTo(Seal(t.options.Keys.Keys()[0], Header{From: uint16(t.options.SelfIndex), To: uint16(message.to), Incarnation: t.options.Incarnation,
+					Seq: seq, Sent: t.options.WallClock()}, message.payload), addr)
 			}
-		case <-m.done:
+		case <-t.done:
 			return
 		}
 	}
 }
 
-// knownProcesses has the process that last acted under each number, by its incarnation.
+// knownProcesses holds the incarnation of the last known process of each number.
 type knownProcesses map[uint16]uint64
 
-// isNew reports whether a message is the first that was accepted of its process.
+// isNew reports whether an accepted message is the first one of its process, and records the process.
 func (k knownProcesses) isNew(h Header) bool {
 	if k[h.From] == h.Incarnation {
 		return false
@@ -144,50 +147,51 @@
 	return true
 }
 
-func (m *AuthenticatedTransport) receive() {
-	g := NewPacketFilter(m.options.SelfIndex, len(m.options.Addresses)+1, m.options.Incarnation, m.options.Freshness, m.options.Rate)
+func (t *AuthenticatedTransport) receive() {
+	filter := NewPacketFilter(t.options.SelfIndex, len(t.options.Addresses)+1, t.options.Incarnation, t.options.Freshness, t.options.Rate)
 	processes := knownProcesses{}
-	var told [packetStatusCount]time.Time
-	b := make([]byte, headerSize+MaxPayload+macSize+1)
+	var loggedAt [packetStatusCount]time.Time
+	buf := make([]byte, headerSize+MaxPayload+macSize+1)
 	for {
-		n, from, err := m.socket.ReadFrom(b)
+		n, from, err := t.socket.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // ICMP errors of earlier sends, on some systems
+			continue // some systems report ICMP errors of earlier sends here
 		}
-		h, payload, ok := m.options.Keys.open(b[:n])
-		now, word := m.options.WallClock(), Misaddressed
+		h, payload, ok := t.options.Keys.open(buf[:n])
+		now, status := t.options.WallClock(), Misaddressed
 		if ok {
-			m.mu.Lock()
-			g.Grow(m.nodes)
-			m.mu.Unlock()
-			word = g.Check(now, h)
+			t.mu.Lock()
+			filter.Grow(t.nodes)
+			t.mu.Unlock()
+			status = filter.Check(now, h)
 		}
-		if word == Accepted {
-			if processes.isNew(h) && m.options.Restarted != nil {
-				m.options.Restarted(int(h.From))
+		if status == Accepted {
+			if processes.isNew(h) && t.options.Restarted != nil {
+				t.options.Restarted(int(h.From))
 			}
-			m.options.Deliver(int(h.From), append([]byte(nil), payload...))
+			t.options.Deliver(int(h.From), append([]byte(nil), payload...))
 			continue
 		}
-		const every = time.Second // lines of one kind
-		if now.Sub(told[word]) < every {
+		const logInterval = time.Second // between log lines of one status
+		if now.Sub(loggedAt[status]) < logInterval {
 			continue
 		}
-		told[word] = now
+		loggedAt[status] = now
 		level := slog.LevelDebug
-		if word == DuplicateNumber || word == DuplicateOwnNumber {
+		if status == DuplicateNumber || status == DuplicateOwnNumber {
 			level = slog.LevelError
 		}
-		m.options.Log.Log(context.Background(), level, "message dropped: "+word.String(), "number", h.From, "from", from.String())
+		t.options.Log.Log(context.Background(), level, "message dropped: "+status.String(), "number", h.From, "from", from.String())
 	}
 }
 
-// Incarnation draws the number of a process: its start in nanoseconds of Unix
-// time, and above the last one remembered in a directory; "" remembers nothing.
-// The number is good also where remembering failed, as the error then says.
+// Incarnation returns the incarnation of a process: its start in nanoseconds of Unix time, but
+// higher than the last one stored in a directory, where it is then stored itself. "": nothing is
+// stored. The incarnation can be used even if there is an error, which says that reading or
+// storing failed.
 func Incarnation(dir string, now time.Time) (uint64, error) {
 	inc := uint64(now.UnixNano())
 	if dir == "" {
@@ -195,12 +199,12 @@
 	}
 	path := filepath.Join(dir, "incarnation")
 	b, err := os.ReadFile(path)
-	var torn error
-	switch last, perr := strconv.ParseUint(strings.TrimSpace(string(b)), 10, 64); {
-	case err == nil && perr == nil:
+	var invalid error
+	switch last, parseErr := strconv.ParseUint(strings.TrimSpace(string(b)), 10, 64); {
+	case err == nil && parseErr == nil:
 		inc = max(inc, last+1)
 	case err == nil:
-		torn = fmt.Errorf("peer: %s is torn or foreign; the clock alone gives the incarnation", path)
+		invalid = fmt.Errorf("peer: %s is not a valid incarnation file; using the clock alone", path)
 	case !errors.Is(err, fs.ErrNotExist):
 		return inc, err
 	}
@@ -208,5 +212,5 @@
 	if err := os.WriteFile(tmp, []byte(strconv.FormatUint(inc, 10)+"\n"), 0o600); err != nil {
 		return inc, err
 	}
-	return inc, cmp.Or(torn, os.Rename(tmp, path))
+	return inc, cmp.Or(invalid, os.Rename(tmp, path))
 }
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -12,7 +12,7 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-// An authenticated packet has exactly these bytes, in both directions.
+// The format of an authenticated packet does not change, in either direction.
 func TestSealedPacketHasGoldenBytes(t *testing.T) {
 	const golden = "01" + "0003" + "0004" + "0102030405060708" + "000000000000002a" + "0000019adde0f800" + // header
 		"68656c6c6f" + // payload
@@ -33,7 +33,7 @@
 	}
 }
 
-// A plain datagram is the message itself, in both directions.
+// A plain datagram consists of the message alone, in either direction.
 func TestPlainDatagramIsTheMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mem := network.NewMemory(time.Millisecond, 1)
@@ -67,12 +67,12 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if !bytes.Equal(got, message) {
-			t.Errorf("taken as %x", got)
+			t.Errorf("delivered as %x", got)
 		}
 	})
 }
 
-// The last incarnation is kept in a file of this name and form.
+// The name and the format of the file that stores the last incarnation do not change.
 func TestIncarnationFileIsGolden(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "incarnation")
--- a/peer/keyring.go
+++ b/peer/keyring.go
@@ -10,11 +10,11 @@
 	"yardcleat.example/yardcleat/config"
 )
 
-// Keyring holds the fleet's keys: the first seals, all open. Keys from a file are
-// read again when it changes, so a key is replaced in service in three steps, each
-// at all nodes before the next: add the new one as the last, make it the first,
-// take the old one out. A node that has only a key taken out is out of the fleet
-// within KeyringLook of that.
+// Keyring holds the fleet's keys. Packets are sealed with the first key and opened with any of
+// them. A key file is read again when it changes, so a key can be replaced while the fleet is in
+// service, in three steps, each completed at all nodes before the next: add the new key as the
+// last one, make it the first one, remove the old key. A node that has only a removed key is
+// excluded from the fleet within KeyFileCheckInterval.
 type Keyring struct {
 	path      string
 	log       *slog.Logger
@@ -25,10 +25,11 @@
 	checkedAt time.Time
 }
 
-// KeyFileCheckInterval is how often the file is looked at.
+// KeyFileCheckInterval is the minimum time between checks of the key file for changes.
 const KeyFileCheckInterval = time.Second
 
-// NewKeyring returns a Keyring of keys, from a file where the path is not "".
+// NewKeyring returns a Keyring of keys. path is the file that they were read from; "": they did not
+// come from a file and do not change.
 func NewKeyring(keys [][]byte, path string, log *slog.Logger) *Keyring {
 	k := &Keyring{path: path, log: log, keys: keys}
 	if info, err := os.Stat(path); err == nil {
@@ -37,7 +38,8 @@
 	return k
 }
 
-// Keys are those to use now. A file that can't be used changes nothing.
+// Keys returns the current keys. It reads the key file again if it has changed; an invalid or
+// unreadable file leaves the keys as they are.
 func (k *Keyring) Keys() [][]byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -60,11 +62,11 @@
 		keys, err = config.ParseKeys(string(b))
 	}
 	if err != nil {
-		k.log.Error("the fleet's new keys can't be used; the last ones are kept", "error", err)
+		k.log.Error("reloading the peer keys failed; keeping the current ones", "error", err)
 		return k.keys
 	}
 	k.keys = keys
-	k.log.Info("the fleet's keys were replaced", "keys", fmt.Sprint(len(keys)))
+	k.log.Info("peer keys reloaded", "keys", fmt.Sprint(len(keys)))
 	return k.keys
 }
 
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -1,5 +1,5 @@
-// Package peer carries the module's messages between the nodes of a fleet over
-// UDP, authenticated and protected against replay.
+// Package peer sends messages between the nodes of a fleet over UDP: authenticated and protected
+// against replay, or plain on networks that guarantee the sender's address.
 package peer
 
 import (
@@ -13,8 +13,8 @@
 // Header precedes every message.
 type Header struct {
 	From, To    uint16
-	Incarnation uint64 // of the sender's process; a later start has a higher one
-	Seq         uint64 // counts the process's messages from 1
+	Incarnation uint64 // of the sender's process; a process started later has a higher one
+	Seq         uint64 // sequence number of the message in its process, from 1
 	Sent        time.Time
 }
 
@@ -22,11 +22,11 @@
 	version    = 1
 	headerSize = 1 + 2 + 2 + 8 + 8 + 8
 	macSize    = 16
-	// MaxPayload is the most a message carries.
+	// MaxPayload is the maximum size of a message's payload in bytes.
 	MaxPayload = 256
 )
 
-// Seal makes a packet: header, payload, and the first 16 bytes of their keyed
+// Seal returns a packet: header, payload, and the first 16 bytes of their keyed
 // BLAKE3 hash. The key has 32 bytes.
 func Seal(key []byte, h Header, payload []byte) []byte {
 	b := make([]byte, 0, headerSize+len(payload)+macSize)
@@ -43,13 +43,14 @@
 func mac(key, b []byte) []byte {
 	h, err := blake3.NewKeyed(key)
 	if err != nil {
-		panic(err) // the key's length was checked
+		panic(err) // can't happen: the length of the key was checked when it was loaded
 	}
 	h.Write(b)
 	return h.Sum(nil)[:macSize]
 }
 
-// Open checks a packet's form and hash; false for any that the key did not seal.
+// Open checks the format and the hash of a packet and returns its contents. ok is false if the
+// packet was not sealed with the key.
 func Open(key, b []byte) (h Header, payload []byte, ok bool) {
 	if len(b) < headerSize+macSize || len(b) > headerSize+MaxPayload+macSize || b[0] != version {
 		return h, nil, false
@@ -64,120 +65,122 @@
 	return h, body[headerSize:], true
 }
 
-// PacketStatus is what a Guard says of a message.
+// PacketStatus is the verdict of a PacketFilter on a message.
 type PacketStatus int
 
-// The words.
+// Verdicts on a message. All but Accepted are reasons to drop it.
 const (
 	Accepted             PacketStatus = iota
-	Misaddressed                      // not for this node, or from a number that is not in the fleet
-	Stale                             // sent too long ago, or clocks differ by more than the freshness
-	Replayed                          // seen before
+	Misaddressed                      // not for this node, from a number outside the fleet, or not authentic
+	Stale                             // sent too long ago, or the clocks differ by more than the freshness
+	Replayed                          // received before, or too old for the replay window to tell
 	FromOlderIncarnation              // from an earlier process of the peer
-	RateLimited                       // beyond the mail a node takes in
-	DuplicateNumber                   // two processes act under the sender's number
-	DuplicateOwnNumber                // another process acts under this node's number
+	RateLimited                       // beyond the rate at which a node accepts messages
+	DuplicateNumber                   // two processes use the sender's number
+	DuplicateOwnNumber                // another process uses this node's number
 	packetStatusCount    int          = iota
 )
 
-func (w PacketStatus) String() string {
+func (s PacketStatus) String() string {
 	return [...]string{"accepted", "foreign", "stale", "replayed", "from an older process", "too many",
-		"number in use twice", "this node's number in use twice"}[w]
+		"number in use twice", "this node's number in use twice"}[s]
 }
 
-// PacketFilter decides which messages are taken. It has no I/O; its time is what it is
-// given. It is not safe for concurrent use.
+// PacketFilter decides which authentic messages are accepted: by address, age, incarnation, replay
+// window and rate. It does no I/O and reads no clock. It is not safe for concurrent use.
 //
-// It rests on clocks of the fleet that agree to within the freshness: a node
-// that has just started knows no sequence numbers, and only the time of sending
-// keeps old packets out then.
+// It requires that the clocks of the fleet agree to within the freshness: a node that has just
+// started knows no sequence numbers, so only the send time excludes replayed packets at first.
 type PacketFilter struct {
 	selfIndex   uint16
 	incarnation uint64
 	freshness   time.Duration
-	rate        float64 // messages a second taken in
+	rate        float64 // messages accepted per second, from all senders together
 	tokens      float64
 	refilledAt  time.Time
-	senders     []senderState
+	senders     []senderState // by number
 }
 
+// senderState is what is known of the latest process of a sender. highestSeq and seen are its
+// replay window.
 type senderState struct {
 	incarnation uint64
-	startedAt   time.Time // when its first message was sent
+	startedAt   time.Time // send time of its first message
 	highestSeq  uint64
-	seen        uint64 // which of the 64 up to seq were seen
+	seen        uint64 // bit i is set if highestSeq-i was received
 }
 
-// burstSeconds is the mail of this time that may come at once.
+// burstSeconds is the size of the token bucket, in seconds at the rate.
 const burstSeconds = 0.5
 
-// NewPacketFilter returns a Guard for a node of a fleet.
-func NewPacketFilter(me, nodes int, incarnation uint64, freshness time.Duration, rate float64) *PacketFilter {
-	return &PacketFilter{selfIndex: uint16(me), incarnation: incarnation, freshness: freshness, rate: rate,
+// NewPacketFilter returns a PacketFilter for a node of a fleet.
+func NewPacketFilter(selfIndex, nodes int, incarnation uint64, freshness time.Duration, rate float64) *PacketFilter {
+	return &PacketFilter{selfIndex: uint16(selfIndex), incarnation: incarnation, freshness: freshness, rate: rate,
 		tokens: max(1, rate*burstSeconds), senders: make([]senderState, nodes)}
 }
 
-// Grow makes room for senders with numbers below one; there is never less.
-func (g *PacketFilter) Grow(nodes int) {
-	if more := nodes - len(g.senders); more > 0 {
-		g.senders = append(g.senders, make([]senderState, more)...)
+// Grow makes room for senders with numbers below nodes. It never removes a sender.
+func (f *PacketFilter) Grow(nodes int) {
+	if more := nodes - len(f.senders); more > 0 {
+		f.senders = append(f.senders, make([]senderState, more)...)
 	}
 }
 
-// Check says whether an authentic message is taken.
-func (g *PacketFilter) Check(now time.Time, h Header) PacketStatus {
-	if int(h.From) >= len(g.senders) || h.To != g.selfIndex && h.From != g.selfIndex {
+// Check decides whether an authentic message is accepted.
+func (f *PacketFilter) Check(now time.Time, h Header) PacketStatus {
+	if int(h.From) >= len(f.senders) || h.To != f.selfIndex && h.From != f.selfIndex {
 		return Misaddressed
 	}
-	if age := now.Sub(h.Sent); age > g.freshness || age < -g.freshness {
+	if age := now.Sub(h.Sent); age > f.freshness || age < -f.freshness {
 		return Stale
 	}
-	if h.From == g.selfIndex {
-		if h.Incarnation == g.incarnation {
-			return Misaddressed // its own, sent back
+	if h.From == f.selfIndex {
+		if h.Incarnation == f.incarnation {
+			return Misaddressed // this process's own message, sent back
 		}
 		return DuplicateOwnNumber
 	}
-	p := &g.senders[h.From]
+	sender := &f.senders[h.From]
 	switch {
-	case h.Incarnation < p.incarnation:
-		// What was under way at a restart is merely old. A process that still
-		// sends after its successor began is a second one.
-		if h.Sent.After(p.startedAt) {
+	case h.Incarnation < sender.incarnation:
+		// Messages in transit during a restart are sent before the new process's first
+		// message. One sent after it shows that the older process is still running.
+		if h.Sent.After(sender.startedAt) {
 			return DuplicateNumber
 		}
 		return FromOlderIncarnation
-	case h.Incarnation > p.incarnation:
-		*p = senderState{incarnation: h.Incarnation, startedAt: h.Sent}
+	case h.Incarnation > sender.incarnation:
+		*sender = senderState{incarnation: h.Incarnation, startedAt: h.Sent}
 	}
-	if !p.markSeen(h.Seq) {
+	if !sender.markSeen(h.Seq) {
 		return Replayed
 	}
-	g.tokens = min(max(1, g.rate*burstSeconds), g.tokens+g.rate*now.Sub(g.refilledAt).Seconds())
-	g.refilledAt = now
-	if g.tokens < 1 {
+	f.tokens = min(max(1, f.rate*burstSeconds), f.tokens+f.rate*now.Sub(f.refilledAt).Seconds())
+	f.refilledAt = now
+	if f.tokens < 1 {
 		return RateLimited
 	}
-	g.tokens--
+	f.tokens--
 	return Accepted
 }
 
-// markSeen notes a sequence number; false where it was seen, or is too old to tell.
-func (p *senderState) markSeen(seq uint64) bool {
+// markSeen records a sequence number. It returns false if the number was recorded before or is
+// too old for the replay window to tell.
+func (s *senderState) markSeen(seq uint64) bool {
 	switch {
 	case seq == 0:
 		return false
-	case seq > p.highestSeq:
-		if shift := seq - p.highestSeq; shift < 64 {
-			p.seen = p.seen<<shift | 1
+	case seq > s.highestSeq:
+		if shift := seq - s.highestSeq; shift < 64 {
+			s.seen = s.seen<<shift | 1
 		} else {
-			p.seen = 1
+			s.seen = 1
 		}
-		p.highestSeq = seq
+		s.highestSeq = seq
 		return true
-	case p.highestSeq-seq >= 64 || p.seen>>(p.highestSeq-seq)&1 == 1:
+	case s.highestSeq-seq >= 64 || s.seen>>(s.highestSeq-seq)&1 == 1:
 		return false
 	}
-	p.seen |= 1 << (p.highestSeq - seq)
+	s.seen |= 1 << (s.highestSeq - seq)
 	return true
 }
--- a/peer/plain_transport.go
+++ b/peer/plain_transport.go
@@ -10,18 +10,18 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-// PlainOptions is what a Bare is made of.
+// PlainOptions configures a PlainTransport.
 type PlainOptions struct {
 	Network   network.Network
 	Listen    string
-	Addresses []string // of all nodes, by number, this one's own among them
-	Broadcast string   // reaches every node; "": each is sent to by itself
+	Addresses []string // of all nodes, by index, including this node's own
+	Broadcast string   // address that reaches every node; "": a message to all is sent to each node separately
 	SelfIndex int
 	Deliver   func(from int, data []byte)
 }
 
-// PlainTransport sends and takes messages without a seal, where the network itself vouches
-// for the sender's address and datagrams have no room for more.
+// PlainTransport sends and receives messages without authentication. It is for networks that
+// guarantee the sender's address and whose datagrams have no room for an authentication code.
 type PlainTransport struct {
 	options    PlainOptions
 	socket     net.PacketConn
@@ -34,94 +34,95 @@
 	dropped    atomic.Int64
 }
 
-// MaxPlainPayload is the largest message, in bytes.
+// MaxPlainPayload is the size of the largest message in bytes.
 const MaxPlainPayload = 256
 
-// ListenPlain starts a Bare.
+// ListenPlain starts a PlainTransport.
 func ListenPlain(o PlainOptions) (*PlainTransport, error) {
-	b := &PlainTransport{options: o, indexes: map[string]int{}, queue: make(chan outgoingMessage, maxQueuedMessages), done: make(chan struct{})}
-	for n, address := range o.Addresses {
+	t := &PlainTransport{options: o, indexes: map[string]int{}, queue: make(chan outgoingMessage, maxQueuedMessages), done: make(chan struct{})}
+	for i, address := range o.Addresses {
 		a, err := network.Addr(o.Network, address)
 		if err != nil {
-			return nil, fmt.Errorf("peer %d: %w", n, err)
+			return nil, fmt.Errorf("peer %d: %w", i, err)
 		}
-		b.addresses, b.indexes[a.String()] = append(b.addresses, a), n
+		t.addresses, t.indexes[a.String()] = append(t.addresses, a), i
 	}
 	var err error
 	if o.Broadcast != "" {
-		if b.broadcast, err = network.Addr(o.Network, o.Broadcast); err != nil {
-			return nil, fmt.Errorf("all peers: %w", err)
+		if t.broadcast, err = network.Addr(o.Network, o.Broadcast); err != nil {
+			return nil, fmt.Errorf("broadcast address: %w", err)
 		}
 	}
-	if b.socket, err = o.Network.ListenPacket(o.Listen); err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+	if t.socket, err = o.Network.ListenPacket(o.Listen); err != nil {
+		return nil, fmt.Errorf("listening for peer messages: %w", err)
 	}
-	b.goroutines.Go(b.send)
-	b.goroutines.Go(b.receive)
-	return b, nil
+	t.goroutines.Go(t.send)
+	t.goroutines.Go(t.receive)
+	return t, nil
 }
 
-// Send sends a message to a node, or to all with a number below 0, or loses it; it
-// does not block.
-func (b *PlainTransport) Send(to int, data []byte) {
-	if len(data) > MaxPlainPayload || to >= len(b.addresses) || to == b.options.SelfIndex {
+// Send sends a message to a node, or to all nodes if the index is negative. It does not block;
+// a message that can't be queued or is too large is dropped.
+func (t *PlainTransport) Send(to int, data []byte) {
+	if len(data) > MaxPlainPayload || to >= len(t.addresses) || to == t.options.SelfIndex {
 		return
 	}
 	select {
-	case b.queue <- outgoingMessage{to, data}:
+	case t.queue <- outgoingMessage{to, data}:
 	default:
 	}
 }
 
-// DroppedDatagrams counts the datagrams dropped for their size or sender.
-func (b *PlainTransport) DroppedDatagrams() int64 { return b.dropped.Load() }
+// DroppedDatagrams returns the number of received datagrams dropped because of their size or
+// an unknown sender.
+func (t *PlainTransport) DroppedDatagrams() int64 { return t.dropped.Load() }
 
-// Close ends the Bare.
-func (b *PlainTransport) Close() {
-	close(b.done)
-	b.socket.Close()
-	b.goroutines.Wait()
+// Close stops the transport and waits for its goroutines to end.
+func (t *PlainTransport) Close() {
+	close(t.done)
+	t.socket.Close()
+	t.goroutines.Wait()
 }
 
-func (b *PlainTransport) send() {
+func (t *PlainTransport) send() {
 	for {
 		select {
-		case l := <-b.queue:
+		case message := <-t.queue:
 			switch {
-			case l.to >= 0:
-				b.socket.WriteTo(l.payload, b.addresses[l.to])
-			case b.broadcast != nil:
-				b.socket.WriteTo(l.payload, b.broadcast)
+			case message.to >= 0:
+				t.socket.WriteTo(message.payload, t.addresses[message.to])
+			case t.broadcast != nil:
+				t.socket.WriteTo(message.payload, t.broadcast)
 			default:
-				for n, a := range b.addresses {
-					if n != b.options.SelfIndex {
-						b.socket.WriteTo(l.payload, a)
+				for i, a := range t.addresses {
+					if i != t.options.SelfIndex {
+						t.socket.WriteTo(message.payload, a)
 					}
 				}
 			}
-		case <-b.done:
+		case <-t.done:
 			return
 		}
 	}
 }
 
-func (b *PlainTransport) receive() {
+func (t *PlainTransport) receive() {
 	buf := make([]byte, MaxPlainPayload+1)
 	for {
-		n, from, err := b.socket.ReadFrom(buf)
+		n, from, err := t.socket.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // ICMP errors of earlier sends, on some systems
+			continue // some systems report ICMP errors of earlier sends here
 		}
-		num, known := b.indexes[from.String()]
+		index, known := t.indexes[from.String()]
 		if !known || n == 0 || n > MaxPlainPayload {
-			b.dropped.Add(1)
+			t.dropped.Add(1)
 			continue
 		}
-		if num != b.options.SelfIndex { // a message to all comes back, too
-			b.options.Deliver(num, append([]byte(nil), buf[:n]...))
+		if index != t.options.SelfIndex { // a broadcast is also received by its sender
+			t.options.Deliver(index, append([]byte(nil), buf[:n]...))
 		}
 	}
 }
