--- a/fleet/cache.go
+++ b/fleet/cache.go
@@ -11,17 +11,17 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// cacheFormat is the format of the file that holds the last good list.
+// cacheFormat is the format of the file that holds the last valid list.
 var cacheFormat = snapshotfile.Format[struct{}, []cachedEndpoint]{Version: 1, Payload: "servers"}
 
-// cachedEndpoint is a server in the file. Its ID is left out, since it follows from the address.
+// cachedEndpoint is an endpoint in the file. Its ID is left out, since it follows from the address.
 type cachedEndpoint struct {
 	Address string             `json:"address"`
 	Zone    string             `json:"zone,omitempty"`
 	Cell    int                `json:"cell,omitempty"`
 	Weight  float64            `json:"weight"`
 	State   policy.ServerState `json:"state,omitempty"`
-	Started *time.Time         `json:"started,omitempty"` // nil: not known
+	Started *time.Time         `json:"started,omitempty"` // nil: unknown
 }
 
 func newCachedEndpoint(s node.Endpoint) cachedEndpoint {
@@ -43,8 +43,8 @@
 	return s
 }
 
-// SaveCache replaces the file at path by a list, in one step. The list is on the disk once
-// SaveCache has returned nil.
+// SaveCache atomically replaces the file at path by a list. The list is on the disk once SaveCache
+// has returned nil.
 func SaveCache(path string, list []node.Endpoint) error {
 	cached := make([]cachedEndpoint, 0, len(list))
 	for _, s := range list {
@@ -53,8 +53,8 @@
 	return cacheFormat.Write(path, struct{}{}, cached)
 }
 
-// LoadCache returns the list in a file, or nil without an error where there is no file. Errors wrap
-// those of package snapshotfile; a list with an address or an ID twice is an error, too.
+// LoadCache returns the list in a file, or nil without an error if there is no file. Errors wrap
+// those of package snapshotfile; a list in which an address or an ID occurs twice is an error, too.
 func LoadCache(path string) ([]node.Endpoint, error) {
 	_, cached, err := cacheFormat.Read(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/fleet/eds.go
+++ b/fleet/eds.go
@@ -22,7 +22,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// TypeURL names the resources of EDS.
+// TypeURL is the type of the resources of EDS.
 const TypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
 // Metadata is the filter name of the metadata that an endpoint may have: cell (a number) and
@@ -34,28 +34,28 @@
 
 // Options is what Watch needs. All fields but CachePath are required.
 type Options struct {
-	// Network is what the management server is dialed on.
+	// Network is used to dial the management server.
 	Network network.Network
 	// Address of the management server, as host:port.
 	Address string
 	// Cluster is the name of the cluster whose endpoints are watched.
 	Cluster string
-	// NodeID names this node to the management server.
+	// NodeID identifies this node to the management server.
 	NodeID string
-	// CachePath is the file that holds the last good list. "": the list is not cached.
+	// CachePath is the file that holds the last valid list. "": the list is not cached.
 	CachePath string
-	// Log takes events of discovery.
+	// Log receives the log lines of discovery.
 	Log *slog.Logger
-	// Deliver receives each list, sorted by address, from the goroutine that runs Watch. The
-	// list belongs to the receiver, which must not block for long: no further list is read
-	// meanwhile.
+	// Deliver is called with each list, sorted by address, from the goroutine that runs Watch.
+	// It may keep and change the list. It must not block for long, since no further list is
+	// read meanwhile.
 	Deliver func(kind policy.EndpointUpdateKind, list []node.Endpoint)
 }
 
 // Watch delivers the cached list, then every list that the management server sends, until the
-// context ends. A list that is not valid is answered by a NACK and changes nothing. A stream
-// that ends is opened again after reconnectDelay. An error says that no client of the server
-// can be made or closed.
+// context ends. It answers an invalid list with a NACK and keeps the current one. It opens a stream
+// that has ended again after reconnectDelay. It returns an error if the client of the server can't
+// be created or closed.
 func Watch(ctx context.Context, o Options) error {
 	o.deliverCached()
 	conn, err := o.dial()
@@ -66,7 +66,7 @@
 	return conn.Close()
 }
 
-// deliverCached delivers the list that an earlier process has cached, where there is one.
+// deliverCached delivers the list that an earlier process has cached, if there is one.
 func (o *Options) deliverCached() {
 	if o.CachePath == "" {
 		return
@@ -83,7 +83,7 @@
 	o.Deliver(policy.CachedUpdate, list)
 }
 
-// dial makes a client of the management server. It does not wait for a connection.
+// dial returns a client of the management server. It does not wait for a connection.
 func (o *Options) dial() (*grpc.ClientConn, error) {
 	dialer := func(ctx context.Context, address string) (net.Conn, error) { return o.Network.Dial(ctx, address) }
 	return grpc.NewClient("passthrough:///"+o.Address,
@@ -108,9 +108,9 @@
 	}
 }
 
-// followStream follows one stream of the state-of-the-world protocol until it ends. A request
-// acknowledges the response before it: with its version, or with an error for a NACK, which
-// repeats the last good version.
+// followStream follows one stream of the state-of-the-world protocol until it ends. Each request
+// acknowledges the previous response with its version, or rejects it (NACK) with an error and the
+// last accepted version.
 func (o *Options) followStream(ctx context.Context, client edsv3.EndpointDiscoveryServiceClient) error {
 	stream, err := client.StreamEndpoints(ctx)
 	if err != nil {
@@ -139,8 +139,8 @@
 	}
 }
 
-// handleResponse delivers the list of a response and caches it. The error says why the
-// response is rejected. A list that can't be cached is used all the same.
+// handleResponse delivers the list of a response and caches it. It returns an error if the
+// response is invalid. A list that can't be cached is used nevertheless.
 func (o *Options) handleResponse(response *discoveryv3.DiscoveryResponse) error {
 	list, found, err := parseResponse(response, o.Cluster)
 	if err != nil {
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// parseResponse makes a list of a response. An EDS response need not hold all resources:
-// without this cluster it changes nothing, and found is false.
+// parseResponse returns the endpoint list of a response. An EDS response need not contain all
+// resources: found is false if it does not contain the cluster, and the current list stays.
 func parseResponse(response *discoveryv3.DiscoveryResponse, cluster string) (list []node.Endpoint, found bool, err error) {
 	if response.GetTypeUrl() != TypeURL {
 		return nil, false, fmt.Errorf("resources of type %q", response.GetTypeUrl())
@@ -197,7 +197,7 @@
 	return list, nil
 }
 
-// parseEndpoint reads one endpoint. Without a weight it has 1; metadata it does not know is skipped.
+// parseEndpoint converts one endpoint. The default weight is 1; unknown metadata is ignored.
 func parseEndpoint(e *endpointv3.LbEndpoint, zone string) (node.Endpoint, error) {
 	a := e.GetEndpoint().GetAddress().GetSocketAddress()
 	if a.GetAddress() == "" || a.GetPortValue() == 0 || a.GetPortValue() > 65535 {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet provides the list of endpoints that a node sends requests to: from the
-// configuration, or from an xDS management server over EDS, with the last good list cached on
+// configuration, or from an xDS management server over EDS, with the last valid list cached on
 // disk.
 package fleet
 
@@ -14,8 +14,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// ID returns the ID of the server at an address, in the policy and in messages between nodes.
-// It depends on the address alone, so that all nodes compute the same one.
+// ID returns the ID of the server at an address, as the policy and messages between nodes use it.
+// It depends only on the address, so all nodes compute the same ID.
 func ID(address string) policy.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(address))
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -12,8 +12,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// The endpoint list that an earlier build cached is loaded completely, and is written with the same
-// bytes again.
+// An endpoint list that was cached by an earlier build is loaded completely, and is written again
+// with the same bytes.
 func TestCachedListOfAnEarlierBuild(t *testing.T) {
 	golden := filepath.Join("testdata", "servers")
 	got, err := LoadCache(golden)
@@ -42,14 +42,14 @@
 	}
 }
 
-// Servers have the same ID at all nodes, of whatever build.
+// The ID of a server is the same at all nodes of all builds.
 func TestServerIDIsGolden(t *testing.T) {
 	if got, want := ID("127.0.0.1:9001"), policy.ServerID(0x70657ca2); got != want {
 		t.Errorf("ID %#x, want %#x", uint32(got), uint32(want))
 	}
 }
 
-// Metadata of an endpoint, and the type asked for, have these names in discovery.
+// The names of the endpoint metadata and of the resource type do not change.
 func TestDiscoveryNamesAreGolden(t *testing.T) {
 	if Metadata != "yardcleat" {
 		t.Errorf("metadata %q", Metadata)
--- a/upstream/http2.go
+++ b/upstream/http2.go
@@ -19,43 +19,44 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// Attempts over HTTP/2 (RFC 9113) by prior knowledge: many on one connection,
-// each ended alone. x/net's own client repeats requests by itself, which is not
-// its to decide here, so the frames are spoken directly.
+// Attempts over HTTP/2 (RFC 9113) with prior knowledge share connections, and each can be canceled
+// alone. This file works on frames, since the HTTP/2 client of golang.org/x/net retries requests
+// by itself, and here only the policy may decide on retries.
 
 const (
-	receiveWindow     = 1 << 20 // bytes a server may send on a stream, and on a connection, before it is told to go on
-	defaultWindow     = 65535
-	defaultMaxStreams = 100 // on one connection until its server says another bound
+	receiveWindow     = 1 << 20 // flow-control window in bytes, of each stream and of each connection
+	defaultWindow     = 65535   // initial window by RFC 9113, section 6.9.2
+	defaultMaxStreams = 100     // per connection, until the server states its own limit
 	h2WriteTimeout    = 5 * time.Second
 )
 
-// errTooLate ends a request that is too late to be sent.
+// errTooLate is the error of a request that is too late to be sent; see resultTooLate.
 var errTooLate = errors.New("too late to send")
 
-// h2Conn is one connection to a server.
+// h2Conn is one HTTP/2 connection to a server.
 type h2Conn struct {
 	pool    *Pool
 	address string
 	netConn net.Conn
 	framer  *http2.Framer
 
-	writeLock     h2.Lock // over writes
+	writeLock     h2.Lock // serializes writes; also protects headerBlock and headerEncoder
 	headerBlock   bytes.Buffer
 	headerEncoder *hpack.Encoder
 
 	mu                sync.Mutex
 	cond              *sync.Cond
-	streams           map[uint32]*h2Stream
+	streams           map[uint32]*h2Stream // by stream ID, or by placeholder ID until the request is sent
 	nextStreamID      uint32
-	maxStreams        int   // streams open at once
-	sendWindow        int64 // on all streams
-	initialSendWindow int64 // on a new one
-	unreturnedWindow  int64
-	lastFrameAt       time.Time // when its server last sent a frame
-	noNewStreams      bool      // takes no more streams
+	maxStreams        int       // maximum number of concurrent streams
+	sendWindow        int64     // of the connection
+	initialSendWindow int64     // of a new stream
+	unreturnedWindow  int64     // bytes received since the last WINDOW_UPDATE of the connection; used only by readLoop
+	lastFrameAt       time.Time // when the server last sent a frame
+	noNewStreams      bool
 }
 
+// h2Stream is the stream of one attempt. Its id is 0 until the request is sent.
 type h2Stream struct {
 	attempt    *attempt
 	id         uint32
@@ -83,7 +84,7 @@
 	}
 	switch {
 	case over || errors.Is(err, errTooLate):
-		c.removeStream(s) // not a byte of it was sent
+		c.removeStream(s) // no byte of the request was sent
 		t.finish(resultTooLate, false)
 	case err != nil:
 		c.failStream(s, duringWrite, err)
@@ -92,7 +93,7 @@
 	}
 }
 
-// openStream opens a openStream on a connection with room, or on a new connection.
+// openStream reserves a stream on a connection that has not reached its limit, or on a new one.
 func (p *Pool) openStream(ctx context.Context, t *attempt) (*h2Conn, *h2Stream, error) {
 	p.mu.Lock()
 	for _, c := range p.h2Conns[t.Address] {
@@ -102,18 +103,18 @@
 		}
 	}
 	p.mu.Unlock()
-	nc, err := p.options.Network.Dial(ctx, t.Address)
+	netConn, err := p.options.Network.Dial(ctx, t.Address)
 	if err != nil {
 		return nil, nil, err
 	}
-	c := &h2Conn{pool: p, address: t.Address, netConn: nc, framer: http2.NewFramer(nc, nc), streams: map[uint32]*h2Stream{}, nextStreamID: 1,
+	c := &h2Conn{pool: p, address: t.Address, netConn: netConn, framer: http2.NewFramer(netConn, netConn), streams: map[uint32]*h2Stream{}, nextStreamID: 1,
 		maxStreams: defaultMaxStreams, sendWindow: defaultWindow, initialSendWindow: defaultWindow}
 	c.cond, c.writeLock = sync.NewCond(&c.mu), h2.NewLock()
 	c.headerEncoder = hpack.NewEncoder(&c.headerBlock)
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	c.framer.MaxHeaderListSize = uint32(p.options.Limits.Header)
 	err = c.write(func() error {
-		if _, err := nc.Write([]byte(http2.ClientPreface)); err != nil {
+		if _, err := netConn.Write([]byte(http2.ClientPreface)); err != nil {
 			return err
 		}
 		if err := c.framer.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 0},
@@ -123,14 +124,14 @@
 		return c.framer.WriteWindowUpdate(0, receiveWindow-defaultWindow)
 	})
 	if err != nil {
-		nc.Close()
+		netConn.Close()
 		return nil, nil, err
 	}
 	s := c.reserveStream(t)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		nc.Close()
+		netConn.Close()
 		return nil, nil, net.ErrClosed
 	}
 	p.h2Conns[t.Address] = append(p.h2Conns[t.Address], c)
@@ -139,7 +140,7 @@
 	return c, s, nil
 }
 
-// reserveStream takes a stream for an attempt; nil where there is no room.
+// reserveStream reserves a stream for an attempt. It returns nil if the connection takes no more.
 func (c *h2Conn) reserveStream(t *attempt) *h2Stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,13 +148,14 @@
 		return nil
 	}
 	s := &h2Stream{attempt: t, sendWindow: c.initialSendWindow}
-	// Its number is drawn as it is sent; until then it holds a place by itself.
+	// The stream gets its ID when the request is sent. Until then a placeholder ID counts it
+	// towards the limit.
 	c.streams[c.placeholderID()] = s
 	return s
 }
 
-// placeholderID is a number for a stream that is not sent yet: even, so that no server
-// can mean it.
+// placeholderID returns an unused ID for a stream whose request is not sent yet. It is even: the
+// IDs of a client's streams are odd.
 func (c *h2Conn) placeholderID() uint32 {
 	for id := uint32(2); ; id += 2 {
 		if c.streams[id] == nil {
@@ -162,6 +164,8 @@
 	}
 }
 
+// write calls a function that writes to the connection under the write lock and a timeout. It
+// closes the connection if the function fails.
 func (c *h2Conn) write(f func() error) error {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
@@ -173,7 +177,8 @@
 	return err
 }
 
-// sendRequest sends a sendRequest; numbers of streams rise in the order they are sent.
+// sendRequest sends the request of a stream. It assigns the stream ID under the write lock, since
+// IDs must increase in the order in which streams are opened.
 func (c *h2Conn) sendRequest(s *h2Stream, call *node.HTTPRequest) error {
 	late := false
 	err := c.write(func() error {
@@ -183,7 +188,7 @@
 		c.mu.Lock()
 		if c.noNewStreams || s.ended {
 			c.mu.Unlock()
-			return nil // its end is told by who ended it
+			return nil // whoever ended it reports the result
 		}
 		for id, other := range c.streams {
 			if other == s {
@@ -211,7 +216,7 @@
 		return h2.WriteBlock(c.framer, s.id, c.headerBlock.Bytes(), len(call.Body) == 0)
 	})
 	if late {
-		return errTooLate // the connection is as good as before
+		return errTooLate // nothing was written, so the connection can still be used
 	}
 	body := call.Body
 	for err == nil && len(body) > 0 {
@@ -233,7 +238,7 @@
 	return err
 }
 
-// removeStream takes a stream out; false where it was out already.
+// removeStream removes a stream from the connection. It returns false if it was removed already.
 func (c *h2Conn) removeStream(s *h2Stream) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -250,9 +255,9 @@
 	return true
 }
 
-// resetStream ends a stream's work at the server; the others go on. Where the server
-// has sent nothing since, the connection may be dead: it takes no more streams,
-// and is closed with its last one.
+// resetStream resets a stream; the other streams of the connection continue. If the server has sent
+// no frame since the request of the stream, the connection may be dead: it takes no more streams,
+// and is closed when none is left.
 func (c *h2Conn) resetStream(s *h2Stream, code http2.ErrCode) {
 	if !c.removeStream(s) || s.id == 0 {
 		return
@@ -267,14 +272,15 @@
 	}
 }
 
-func (c *h2Conn) failStream(s *h2Stream, p failurePhase, err error) {
+// failStream removes a stream and reports the failure of its attempt.
+func (c *h2Conn) failStream(s *h2Stream, phase failurePhase, err error) {
 	if c.removeStream(s) {
-		code, detail := attemptOutcome(p, err)
+		code, detail := attemptOutcome(phase, err)
 		s.attempt.finish(node.Result{Code: code, Detail: detail}, false)
 	}
 }
 
-// readLoop reads frames until the connection ends.
+// readLoop reads frames until the connection ends, then fails the remaining streams.
 func (c *h2Conn) readLoop() {
 	defer c.pool.readers.Done()
 	var err error
@@ -286,12 +292,12 @@
 			c.mu.Unlock()
 			err = c.handleFrame(f)
 		}
-		var se http2.StreamError
-		if errors.As(err, &se) {
+		var streamError http2.StreamError
+		if errors.As(err, &streamError) {
 			err = nil
-			if s := c.activeStream(se.StreamID); s != nil {
-				c.write(func() error { return c.framer.WriteRSTStream(se.StreamID, se.Code) })
-				c.failStream(s, duringResponse, se)
+			if s := c.activeStream(streamError.StreamID); s != nil {
+				c.write(func() error { return c.framer.WriteRSTStream(streamError.StreamID, streamError.Code) })
+				c.failStream(s, duringResponse, streamError)
 			}
 		}
 	}
@@ -307,12 +313,12 @@
 	c.pool.mu.Unlock()
 	c.mu.Lock()
 	c.noNewStreams = true
-	left := make([]*h2Stream, 0, len(c.streams))
+	remaining := make([]*h2Stream, 0, len(c.streams))
 	for _, s := range c.streams {
-		left = append(left, s)
+		remaining = append(remaining, s)
 	}
 	c.mu.Unlock()
-	for _, s := range left {
+	for _, s := range remaining {
 		if s.id == 0 {
 			c.failStream(s, beforeWrite, err)
 			continue
@@ -321,6 +327,8 @@
 	}
 }
 
+// activeStream returns the stream with an ID, or nil. It does not return streams whose request is
+// not sent yet.
 func (c *h2Conn) activeStream(id uint32) *h2Stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -330,6 +338,7 @@
 	return nil
 }
 
+// handleFrame processes a frame. An error other than a stream error ends the connection.
 func (c *h2Conn) handleFrame(f http2.Frame) error {
 	switch f := f.(type) {
 	case *http2.MetaHeadersFrame:
@@ -339,26 +348,26 @@
 	case *http2.RSTStreamFrame:
 		if s := c.activeStream(f.StreamID); s != nil {
 			if s.head != nil && f.ErrCode == http2.ErrCodeNo {
-				return nil // the rest of the request's body is not wanted
+				return nil // the server does not need the rest of the request body (RFC 9113, section 8.1)
 			}
-			p := beforeResponse
+			phase := beforeResponse
 			if f.ErrCode == http2.ErrCodeRefusedStream {
-				p = streamRefused
+				phase = streamRefused
 			}
-			c.failStream(s, p, fmt.Errorf("stream reset: %v", f.ErrCode))
+			c.failStream(s, phase, fmt.Errorf("stream reset: %v", f.ErrCode))
 		}
 	case *http2.GoAwayFrame:
 		c.mu.Lock()
 		c.noNewStreams = true
-		var above []*h2Stream
+		var refused []*h2Stream
 		for id, s := range c.streams {
 			if s.id == 0 || id > f.LastStreamID {
-				above = append(above, s)
+				refused = append(refused, s)
 			}
 		}
-		empty := len(above) == len(c.streams)
+		empty := len(refused) == len(c.streams)
 		c.mu.Unlock()
-		for _, s := range above {
+		for _, s := range refused {
 			c.failStream(s, streamRefused, fmt.Errorf("above the last stream of GOAWAY: %v", f.ErrCode))
 		}
 		if empty {
@@ -385,25 +394,26 @@
 	return nil
 }
 
+// handleSettings applies and acknowledges the settings of the server.
 func (c *h2Conn) handleSettings(f *http2.SettingsFrame) error {
 	if f.IsAck() {
 		return nil
 	}
-	err := f.ForeachSetting(func(s http2.Setting) error {
-		if err := s.Valid(); err != nil {
+	err := f.ForeachSetting(func(setting http2.Setting) error {
+		if err := setting.Valid(); err != nil {
 			return err
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		switch s.ID {
+		switch setting.ID {
 		case http2.SettingInitialWindowSize:
-			for _, st := range c.streams {
-				st.sendWindow += int64(s.Val) - c.initialSendWindow
+			for _, stream := range c.streams {
+				stream.sendWindow += int64(setting.Val) - c.initialSendWindow
 			}
-			c.initialSendWindow = int64(s.Val)
+			c.initialSendWindow = int64(setting.Val)
 			c.cond.Broadcast()
 		case http2.SettingMaxConcurrentStreams:
-			c.maxStreams = int(min(s.Val, 1000))
+			c.maxStreams = int(min(setting.Val, 1000))
 		}
 		return nil
 	})
@@ -411,17 +421,18 @@
 		return err
 	}
 	return c.write(func() error {
-		if v, ok := f.Value(http2.SettingHeaderTableSize); ok {
-			c.headerEncoder.SetMaxDynamicTableSize(min(v, 4096))
+		if size, ok := f.Value(http2.SettingHeaderTableSize); ok {
+			c.headerEncoder.SetMaxDynamicTableSize(min(size, 4096))
 		}
 		return c.framer.WriteSettingsAck()
 	})
 }
 
+// handleHeaders processes a response head, an informational response or trailers.
 func (c *h2Conn) handleHeaders(f *http2.MetaHeadersFrame) error {
 	s := c.activeStream(f.StreamID)
 	if s == nil {
-		return nil // reset in the meantime
+		return nil // the stream was reset in the meantime
 	}
 	if s.head == nil {
 		status, err := strconv.Atoi(f.PseudoValue("status"))
@@ -442,6 +453,7 @@
 	return nil
 }
 
+// handleData processes a part of a response body and returns flow-control window to the server.
 func (c *h2Conn) handleData(f *http2.DataFrame) error {
 	s := c.activeStream(f.StreamID)
 	c.unreturnedWindow += int64(f.Length)
@@ -459,16 +471,16 @@
 		c.finishStream(s)
 		s = nil
 	}
-	owed := c.unreturnedWindow
-	if owed >= receiveWindow/4 {
+	unreturned := c.unreturnedWindow
+	if unreturned >= receiveWindow/4 {
 		c.unreturnedWindow = 0
 	}
-	if owed < receiveWindow/4 && (s == nil || f.Length == 0) {
+	if unreturned < receiveWindow/4 && (s == nil || f.Length == 0) {
 		return nil
 	}
 	return c.write(func() error {
-		if owed >= receiveWindow/4 {
-			if err := c.framer.WriteWindowUpdate(0, uint32(owed)); err != nil {
+		if unreturned >= receiveWindow/4 {
+			if err := c.framer.WriteWindowUpdate(0, uint32(unreturned)); err != nil {
 				return err
 			}
 		}
@@ -479,11 +491,11 @@
 	})
 }
 
-// finishStream hands over a whole response.
+// finishStream removes a stream whose response is complete and reports the result of its attempt.
 func (c *h2Conn) finishStream(s *h2Stream) {
-	if n, err := strconv.ParseInt(s.head.Header.Get("Content-Length"), 10, 64); err == nil && n != int64(len(s.body)) &&
+	if length, err := strconv.ParseInt(s.head.Header.Get("Content-Length"), 10, 64); err == nil && length != int64(len(s.body)) &&
 		s.attempt.Request.HTTP.Method != "HEAD" && s.head.Status != 204 && s.head.Status != 304 {
-		c.failStream(s, duringResponse, fmt.Errorf("body of %d bytes, %d announced", len(s.body), n))
+		c.failStream(s, duringResponse, fmt.Errorf("body of %d bytes, %d announced", len(s.body), length))
 		return
 	}
 	if !c.removeStream(s) {
--- a/upstream/idle_timeout.go
+++ b/upstream/idle_timeout.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// idleLimitEstimator learns how long a connection may lie idle and still be used. Servers, and
-// what stands between, forget idle connections without a word, or with a word that
-// crosses the next request: it breaks, and may have run. How often connections break
-// at their next request is counted by how long they were idle; where one step from
-// seldom to often explains that far better than none, the step is the limit. What
-// was seen wears off, and longer ones are tried again.
+// idleLimitEstimator estimates how long a connection may be idle and still be reused. Servers and
+// middleboxes drop idle connections silently, or close them just as the next request is sent; that
+// request fails, although it may have been executed. The estimator counts, by idle time, how many
+// connections break at their next request. If a model with one step, from a low to a high rate of
+// breaks, explains the counts much better than a constant rate, the position of the step is the
+// limit. Old samples decay, so that longer idle times are tried again.
 type idleLimitEstimator struct {
 	decayedAt    time.Duration
-	used, broken [idleBuckets]float64 // connections used, and of these broken, by age
-	limit        time.Duration        // 0: any
+	used, broken [idleBuckets]float64 // connections reused, and those of them that broke, by bucket
+	limit        time.Duration        // 0: no limit
 	estimatedAt  time.Duration
 }
 
 const (
-	idleBuckets       = 34                     // in steps of half an octave from a millisecond on
-	decayTime         = 15 * time.Second       // what was seen wears off by 1/e in it
-	minLikelihoodGain = 5                      // in nats: the step must explain so much more
-	minBreakFraction  = 0.08                   // and so many must break beyond it
-	estimateInterval  = 200 * time.Millisecond // between looks without a break
+	idleBuckets       = 34                     // each is half an octave wide, from one millisecond on
+	decayTime         = 15 * time.Second       // in which the weight of a sample falls to 1/e
+	minLikelihoodGain = 5                      // log likelihood by which the step must exceed a constant rate, in nats
+	minBreakFraction  = 0.08                   // of the connections beyond the step that must have broken
+	estimateInterval  = 200 * time.Millisecond // between estimates while no connection breaks
 )
 
-// minIdleBeforeReuse is how long a connection rests after an answer before it is used again. A server
-// may send more than belongs to an answer, milliseconds late; on a connection that was
-// given the next request by then it would pass for the answer to that. What comes while
-// it rests ends it.
+// minIdleBeforeReuse is how long a connection must be idle after a response before it is reused. A
+// server may send surplus data some milliseconds after a response. If the next request were already
+// written by then, the data would be taken for its response; data that arrives on an idle
+// connection closes the connection instead.
 const minIdleBeforeReuse = 25 * time.Millisecond
 
-// idleBucket is the step of an idle time; 0 is that of new connections, too.
+// idleBucket returns the bucket of an idle time. New connections are in bucket 0, too.
 func idleBucket(idle time.Duration) int {
 	ms := uint64(max(0, idle/time.Millisecond))
 	if ms == 0 {
@@ -47,57 +47,57 @@
 	return min(2*octave+half+1, idleBuckets-1)
 }
 
-// bucketStart is the shortest idle time of a step.
-func bucketStart(age int) time.Duration {
-	return time.Duration(math.Ceil(math.Pow(2, float64(age-1)/2))) * time.Millisecond
+// bucketStart returns the shortest idle time of a bucket.
+func bucketStart(bucket int) time.Duration {
+	return time.Duration(math.Ceil(math.Pow(2, float64(bucket-1)/2))) * time.Millisecond
 }
 
-// record notes how the first use of a connection after an idle time has record.
-func (t *idleLimitEstimator) record(now, idle time.Duration, broke bool) {
-	if dt := now - t.decayedAt; dt > 0 {
-		keep := math.Exp(-float64(dt) / float64(decayTime))
-		for i := range t.used {
-			t.used[i] *= keep
-			t.broken[i] *= keep
+// record adds a sample: whether a connection broke at its first use after an idle time.
+func (e *idleLimitEstimator) record(now, idle time.Duration, broke bool) {
+	if elapsed := now - e.decayedAt; elapsed > 0 {
+		factor := math.Exp(-float64(elapsed) / float64(decayTime))
+		for i := range e.used {
+			e.used[i] *= factor
+			e.broken[i] *= factor
 		}
-		t.decayedAt = now
+		e.decayedAt = now
 	}
 	i := idleBucket(idle)
-	t.used[i]++
+	e.used[i]++
 	if broke {
-		t.broken[i]++
+		e.broken[i]++
 	}
-	if broke || now-t.estimatedAt >= estimateInterval {
-		t.estimatedAt = now
-		t.estimate()
+	if broke || now-e.estimatedAt >= estimateInterval {
+		e.estimatedAt = now
+		e.estimate()
 	}
 }
 
-// estimate finds the step.
-func (t *idleLimitEstimator) estimate() {
+// estimate sets the limit to the most likely step, or to 0 if no step is likely enough.
+func (e *idleLimitEstimator) estimate() {
 	var used, broken float64
-	for i := range t.used {
-		used += t.used[i]
-		broken += t.broken[i]
+	for i := range e.used {
+		used += e.used[i]
+		broken += e.broken[i]
 	}
-	none := logLikelihood(broken, used)
-	t.limit = 0
-	best := none + minLikelihoodGain
-	var u, b float64
+	constantRate := logLikelihood(broken, used)
+	e.limit = 0
+	best := constantRate + minLikelihoodGain
+	var usedBelow, brokenBelow float64
 	for i := 1; i < idleBuckets; i++ {
-		u += t.used[i-1]
-		b += t.broken[i-1]
-		over, overBroken := used-u, broken-b
-		if over <= 0 || overBroken < minBreakFraction*over || overBroken*u <= b*over {
+		usedBelow += e.used[i-1]
+		brokenBelow += e.broken[i-1]
+		usedAbove, brokenAbove := used-usedBelow, broken-brokenBelow
+		if usedAbove <= 0 || brokenAbove < minBreakFraction*usedAbove || brokenAbove*usedBelow <= brokenBelow*usedAbove {
 			continue
 		}
-		if l := logLikelihood(b, u) + logLikelihood(overBroken, over); l > best {
-			best, t.limit = l, bucketStart(i)
+		if likelihood := logLikelihood(brokenBelow, usedBelow) + logLikelihood(brokenAbove, usedAbove); likelihood > best {
+			best, e.limit = likelihood, bucketStart(i)
 		}
 	}
 }
 
-// logLikelihood is the log likelihood of so many breaks at their own rate.
+// logLikelihood returns the log likelihood of a number of breaks under their observed rate.
 func logLikelihood(broken, used float64) float64 {
 	if broken <= 0 || broken >= used {
 		return 0
--- a/upstream/idle_timeout_test.go
+++ b/upstream/idle_timeout_test.go
@@ -6,49 +6,50 @@
 	"time"
 )
 
-// Connections that break by a step of their idle time are found out, the limit is
-// near the step, and is lifted once the fault is over.
-func TestTrustFindsTheStep(t *testing.T) {
-	var tr idleLimitEstimator
+// If connections break more often above some idle time, the estimated limit is near that time. There
+// is no limit if breaks do not depend on the idle time, nor long after the fault has ended.
+func TestEstimatedIdleLimit(t *testing.T) {
+	var estimator idleLimitEstimator
 	rng := rand.New(rand.NewPCG(1, 1))
 	now := time.Duration(0)
-	use := func(step time.Duration, often, seldom float64) {
+	use := func(step time.Duration, rateAbove, rateBelow float64) {
 		now += 10 * time.Millisecond
 		idle := time.Duration(rng.ExpFloat64() * float64(150*time.Millisecond))
-		if tr.limit > 0 && idle >= tr.limit {
+		if estimator.limit > 0 && idle >= estimator.limit {
 			idle = 0
 		}
-		p := seldom
+		p := rateBelow
 		if step > 0 && idle >= step {
-			p = often
+			p = rateAbove
 		}
-		tr.record(now, idle, rng.Float64() < p)
+		estimator.record(now, idle, rng.Float64() < p)
 	}
 	for range 3000 {
 		use(0, 0, 0.03)
-		if tr.limit != 0 {
-			t.Fatalf("a limit of %v where age does not matter", tr.limit)
+		if estimator.limit != 0 {
+			t.Fatalf("limit %v while breaks do not depend on the idle time", estimator.limit)
 		}
 	}
 	for range 1500 {
 		use(100*time.Millisecond, 0.5, 0.03)
 	}
-	if tr.limit < 60*time.Millisecond || tr.limit > 140*time.Millisecond {
-		t.Errorf("a limit of %v where connections break from 100 ms on", tr.limit)
+	if estimator.limit < 60*time.Millisecond || estimator.limit > 140*time.Millisecond {
+		t.Errorf("limit %v while connections break from 100 ms on", estimator.limit)
 	}
 	for range 6000 {
 		use(0, 0, 0.03)
 	}
-	if tr.limit != 0 {
-		t.Errorf("a limit of %v long after", tr.limit)
+	if estimator.limit != 0 {
+		t.Errorf("limit %v long after the fault", estimator.limit)
 	}
 }
 
-func TestAges(t *testing.T) {
+// Each idle time lies within the bounds of its bucket.
+func TestIdleBuckets(t *testing.T) {
 	for idle := time.Duration(0); idle < time.Hour; idle = idle*9/8 + 100*time.Microsecond {
-		a := idleBucket(idle)
-		if a > 0 && bucketStart(a) > idle+time.Millisecond || a+1 < idleBuckets && bucketStart(a+1) <= idle {
-			t.Fatalf("%v is of step %d, from %v to %v", idle, a, bucketStart(a), bucketStart(a+1))
+		bucket := idleBucket(idle)
+		if bucket > 0 && bucketStart(bucket) > idle+time.Millisecond || bucket+1 < idleBuckets && bucketStart(bucket+1) <= idle {
+			t.Fatalf("%v is in bucket %d, from %v to %v", idle, bucket, bucketStart(bucket), bucketStart(bucket+1))
 		}
 	}
 }
--- a/upstream/paused_test.go
+++ b/upstream/paused_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-
 	"testing"
 	"testing/synctest"
 	"time"
@@ -13,10 +12,10 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// An attempt that was decided before a gap is not written after it, on a kept
-// connection or a new one, by either protocol: nothing of it reaches the server.
-func TestDecidedBeforeAGap(t *testing.T) {
-	for _, protocol2 := range []bool{false, true} {
+// An attempt that was decided before a pause of the process is not sent after it, over either
+// protocol: its client may have disconnected or its server may drain.
+func TestAttemptDecidedBeforeAPauseIsNotSent(t *testing.T) {
+	for _, http2 := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			m := network.NewMemory(time.Millisecond, 1)
 			l, err := m.Host("server").Listen("10.0.0.2:80")
@@ -36,11 +35,11 @@
 					}()
 				}
 			}()
-			stood := false
-			p := New(Options{Network: m.Host("node"), ConnectTimeout: time.Second, MaxIdlePerServer: 4, HTTP2: protocol2,
+			paused := false
+			p := New(Options{Network: m.Host("node"), ConnectTimeout: time.Second, MaxIdlePerServer: 4, HTTP2: http2,
 				Limits:      http1.Limits{Line: 1000, Fields: 10, Header: 1000, Body: 1000},
-				PausedSince: func(time.Time) bool { return stood }})
-			stood = true
+				PausedSince: func(time.Time) bool { return paused }})
+			paused = true
 			ended := make(chan node.Result, 1)
 			p.Start(node.Attempt{Address: "10.0.0.2:80", Timeout: time.Second, DecidedAt: time.Now(),
 				Request: &node.Request{HTTP: node.HTTPRequest{Method: "POST", Target: "/secret", Host: "h"}}}, func(r node.Result) { ended <- r })
@@ -54,8 +53,8 @@
 			for wait := true; wait; {
 				select {
 				case b := <-got:
-					if len(b) > 0 && !protocol2 {
-						t.Errorf("the server got %q", b)
+					if len(b) > 0 && !http2 {
+						t.Errorf("the server received %q", b)
 					}
 				default:
 					wait = false
--- a/upstream/races_test.go
+++ b/upstream/races_test.go
@@ -20,7 +20,7 @@
 	return &node.Request{Trace: target, HTTP: node.HTTPRequest{Method: "GET", Target: target, Host: "h"}}
 }
 
-// server is a real listener whose connections a test plays by hand.
+// server is a TCP listener whose connections the test reads and writes itself.
 type server struct {
 	t *testing.T
 	l net.Listener
@@ -53,9 +53,9 @@
 		func(r node.Result) { ended <- r }), ended
 }
 
-// A second answer comes late, on a connection that has been put back: right as the next
-// attempt starts. That one must not take it for its own.
-func TestSecondAnswerCrossesTheNextAttempt(t *testing.T) {
+// A surplus response arrives on a connection that is idle again, just as the next attempt starts.
+// That attempt must not take it for its own response.
+func TestSurplusResponseRacesWithTheNextAttempt(t *testing.T) {
 	s := listen(t)
 	p := New(Options{Network: network.OS{}, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, Limits: testLimits})
 	defer p.Close()
@@ -70,110 +70,110 @@
 		t.Fatalf("%+v", res)
 	}
 	_, ended = start(p, s, "/two", 10*time.Second)
-	type asked struct {
+	type receivedRequest struct {
 		nc  net.Conn
 		err error
 	}
-	first := make(chan asked, 2)
+	received := make(chan receivedRequest, 2)
 	go func() {
 		_, err := r.Request()
-		first <- asked{nc, err}
+		received <- receivedRequest{nc, err}
 	}()
 	go func() {
 		nc, err := s.l.Accept()
 		if err == nil {
 			_, err = http1.NewReader(nc, testLimits).Request()
 		}
-		first <- asked{nc, err}
+		received <- receivedRequest{nc, err}
 	}()
-	a := <-first
-	if a.err != nil {
-		t.Fatal(a.err)
+	second := <-received
+	if second.err != nil {
+		t.Fatal(second.err)
 	}
 	nc.Write([]byte(one))
-	a.nc.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo"))
+	second.nc.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo"))
 	if res := <-ended; res.Code != policy.OK || string(res.Response.Body) != "two" {
 		t.Errorf("the second attempt ended with %v and %q", res.Code, res.Response.Body)
 	}
 	s.l.Close()
-	a.nc.Close()
+	second.nc.Close()
 }
 
-// Half a line comes on a resting connection that an attempt has just been given, before
-// its request is written: that is no answer, and the attempt goes on another connection.
-func TestHalfALineCrossesTheNextAttempt(t *testing.T) {
+// Part of a status line arrives on an idle connection that was just assigned to an attempt, before
+// the request is written. It can't be a response, and the attempt must use another connection.
+func TestUnsolicitedDataRacesWithTheNextAttempt(t *testing.T) {
 	s := listen(t)
 	p := New(Options{Network: network.OS{}, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, Limits: testLimits})
 	defer p.Close()
-	dialled, err := net.Dial("tcp", s.l.Addr().String())
+	dialed, err := net.Dial("tcp", s.l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	nc, _ := s.accept()
-	c := p.addConnection("key", dialled)
-	given := &attempt{pool: p, Attempt: node.Attempt{Request: call("/")}, done: func(r node.Result) { t.Errorf("it ended with %v", r.Code) }}
-	if !c.assign(given) {
-		t.Fatal("the connection ended by itself")
+	c := p.addConnection("key", dialed)
+	assigned := &attempt{pool: p, Attempt: node.Attempt{Request: call("/")}, done: func(r node.Result) { t.Errorf("the attempt ended with %v", r.Code) }}
+	if !c.assign(assigned) {
+		t.Fatal("the connection has ended before any data arrived")
 	}
 	nc.Write([]byte("HTTP/1.1 2"))
-	p.readers.Wait() // its reader has seen that, and ended
+	p.readers.Wait() // readLoop has received the data and returned
 	if c.startWrite() {
-		t.Error("the request would be written, and half a line taken for its answer")
+		t.Error("the request would be written, and the partial line taken for its response")
 	}
-	if !c.unassign(given) {
-		t.Error("the attempt can't go on another connection")
+	if !c.unassign(assigned) {
+		t.Error("the attempt can't use another connection")
 	}
 }
 
-// slowDial dials late: the connection comes up after the attempt was given up.
-type slowDial struct {
+// slowDialNetwork delays dialing until release is closed.
+type slowDialNetwork struct {
 	network.OS
 	once    sync.Once
 	dialing chan struct{}
 	release chan struct{}
 }
 
-func (d *slowDial) Dial(_ context.Context, addr string) (net.Conn, error) {
+func (d *slowDialNetwork) Dial(_ context.Context, addr string) (net.Conn, error) {
 	d.once.Do(func() { close(d.dialing) })
 	<-d.release
 	return d.OS.Dial(context.Background(), addr)
 }
 
-// A connection that comes up after its attempt was withdrawn, or cancelled, carries no
-// byte of it; one that comes up late tells its server the time that is left then.
-func TestDialThatComesUpLate(t *testing.T) {
-	for _, end := range []string{"withdrawn", "cancelled", "in time"} {
+// No byte of an attempt that was withdrawn or canceled during its dial is written to the connection.
+// If dialing takes long, the timeout header states the time that is left afterwards.
+func TestSlowDial(t *testing.T) {
+	for _, end := range []string{"withdrawn", "canceled", "completed"} {
 		s := listen(t)
-		d := &slowDial{dialing: make(chan struct{}), release: make(chan struct{})}
+		d := &slowDialNetwork{dialing: make(chan struct{}), release: make(chan struct{})}
 		p := New(Options{Network: d, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, Limits: testLimits, TimeoutHeader: "X-Time-Left-Ms"})
-		sending, ended := start(p, s, "/late", 10*time.Second)
+		outgoing, ended := start(p, s, "/late", 10*time.Second)
 		<-d.dialing
 		switch end {
 		case "withdrawn":
-			if !sending.Withdraw() {
-				t.Error("an attempt in its dial was not withdrawn")
+			if !outgoing.Withdraw() {
+				t.Error("an attempt was not withdrawn during its dial")
 			}
-		case "cancelled":
-			sending.Cancel()
+		case "canceled":
+			outgoing.Cancel()
 		default:
-			time.Sleep(50 * time.Millisecond) // that is the time the dial takes
+			time.Sleep(50 * time.Millisecond) // the duration of the dial
 		}
 		close(d.release)
 		nc, r := s.accept()
-		if end != "in time" {
-			// The connection is put back with nothing written on it.
+		if end != "completed" {
+			// The connection is returned to the pool without a write.
 			for range 1000 {
 				p.mu.Lock()
-				back := len(p.idle)
+				idle := len(p.idle)
 				p.mu.Unlock()
-				if back == 1 {
+				if idle == 1 {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 			p.Close()
 			if req, err := r.Request(); err != io.EOF {
-				t.Errorf("%s: the server got %+v, %v", end, req, err)
+				t.Errorf("%s: the server received %+v, %v", end, req, err)
 			}
 			s.l.Close()
 			continue
@@ -183,52 +183,53 @@
 			t.Fatal(err)
 		}
 		if left := req.Header.Get("X-Time-Left-Ms"); req.Target != "/late" || len(left) != 4 || left > "9950" {
-			t.Errorf("%s with %s ms left, of 10000 when the dial began", req.Target, left)
+			t.Errorf("target %s with %s ms left, of 10000 ms before the dial", req.Target, left)
 		}
 		nc.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		<-ended
-		if sending.Withdraw() {
-			t.Error("an attempt that has ended was withdrawn")
+		if outgoing.Withdraw() {
+			t.Error("an attempt was withdrawn after it had ended")
 		}
 		s.l.Close()
 		p.Close()
 	}
 }
 
-// slowWrite holds a write until it may go on.
-type slowWrite struct {
+// slowWriteNetwork delays the return of each write until release is closed.
+type slowWriteNetwork struct {
 	network.OS
 	writing, release chan struct{}
 }
 
 type slowWriteConn struct {
 	net.Conn
-	d *slowWrite
+	network *slowWriteNetwork
 }
 
-func (d *slowWrite) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (d *slowWriteNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	nc, err := d.OS.Dial(ctx, addr)
 	return &slowWriteConn{nc, d}, err
 }
 
 func (c *slowWriteConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.d.writing <- struct{}{}
-	<-c.d.release
+	c.network.writing <- struct{}{}
+	<-c.network.release
 	return n, err
 }
 
-// An attempt is taken back just as its request has left, before its writer knows so: it
-// can't be, and ends with what its server says.
-func TestWithdrawCrossesTheWrite(t *testing.T) {
+// An attempt can't be withdrawn when its request was sent but the write has not returned yet: the
+// server may execute it, so a withdrawal would lead to a second execution elsewhere. The attempt ends
+// with the response.
+func TestWithdrawRacesWithTheWrite(t *testing.T) {
 	s := listen(t)
-	d := &slowWrite{writing: make(chan struct{}), release: make(chan struct{})}
+	d := &slowWriteNetwork{writing: make(chan struct{}), release: make(chan struct{})}
 	p := New(Options{Network: d, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, Limits: testLimits})
-	sending, ended := start(p, s, "/left", 10*time.Second)
+	outgoing, ended := start(p, s, "/left", 10*time.Second)
 	nc, r := s.accept()
 	<-d.writing
-	if sending.Withdraw() {
-		t.Error("withdrawn after its last byte has left: it would be sent again elsewhere")
+	if outgoing.Withdraw() {
+		t.Error("withdrawn after its last byte was sent: it would be sent again elsewhere")
 	}
 	close(d.release)
 	if _, err := r.Request(); err != nil {
@@ -241,22 +242,22 @@
 			t.Errorf("%+v", res)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("no end")
+		t.Error("the attempt did not end")
 	}
 	p.Close()
 }
 
-// An attempt for which all connections of this node are in use ends as such: neither its time nor its server is to
-// blame.
-func TestAttemptWithoutASpareConnection(t *testing.T) {
+// An attempt for which no connection is free because of MaxConnections ends with NoConnection, which
+// counts neither as a timeout nor as a failure of the server.
+func TestAttemptWithoutAFreeConnection(t *testing.T) {
 	s := listen(t)
 	p := New(Options{Network: network.OS{}, ConnectTimeout: 10 * time.Second, MaxIdlePerServer: 4, MaxConnections: 1, Limits: testLimits})
-	sending, _ := start(p, s, "/first", 10*time.Second)
+	outgoing, _ := start(p, s, "/first", 10*time.Second)
 	s.accept()
 	_, ended := start(p, s, "/second", 10*time.Second)
 	if r := <-ended; r.Code != policy.NoConnection {
-		t.Errorf("ended with %v, %s", r.Code, r.Detail)
+		t.Errorf("ended with %v: %s", r.Code, r.Detail)
 	}
-	sending.Cancel()
+	outgoing.Cancel()
 	p.Close()
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,4 +1,5 @@
-// Package upstream makes attempts at servers over HTTP/1.1 on kept connections.
+// Package upstream sends attempts to servers over pooled HTTP/1.1 or HTTP/2 connections, and
+// decides which ends of an attempt prove that its request was not executed.
 package upstream
 
 import (
@@ -20,38 +21,37 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Options bounds what a Pool does.
+// Options configures a Pool.
 type Options struct {
 	Network          network.Network
 	Limits           http1.Limits  // of responses
 	ConnectTimeout   time.Duration // to connect to a server
 	MaxIdlePerServer int           // idle connections kept to each server
-	IdleTimeout      time.Duration // one idle for longer is closed, not used; 0: any time
-	// MaxConnections bounds the connections over HTTP/1.1; 0: any number.
+	IdleTimeout      time.Duration // connections idle for longer are closed instead of reused; 0: no limit
+	// MaxConnections limits the number of HTTP/1.1 connections, to all servers together. 0: no limit.
 	MaxConnections       int
-	MaxBufferedBodyBytes int64  // bytes of long bodies being read, all together; 0: any number
-	TimeoutHeader        string // field that states an attempt's time-out in ms; "": none
+	MaxBufferedBodyBytes int64  // of all response bodies above minCountedBodyBytes that are being read; 0: no limit
+	TimeoutHeader        string // request header that states the remaining time of an attempt in ms; "": none
 	RejectionSignal      RejectionSignal
-	HTTP2                bool // servers speak HTTP/2, by prior knowledge
-	// PausedSince reports whether the process was paused after a time; nil: it never
-	// is. What was decided before is not sent after.
+	HTTP2                bool // use HTTP/2 with prior knowledge
+	// PausedSince reports whether the process was paused after a time. nil: it never is. An
+	// attempt that was decided before a pause is not sent after it.
 	PausedSince func(since time.Time) bool
 }
 
-// Pool keeps connections to servers and makes attempts on them. It is a
-// node.Upstream.
+// Pool keeps connections to servers and makes attempts on them. It implements [node.Upstream].
 type Pool struct {
 	options         Options
 	mu              sync.Mutex
-	idle            map[string][]*conn // by server; the last used goes first
-	openConnections int                // connections over HTTP/1.1, those being made among them
-	bufferedBytes   atomic.Int64       // bytes of long bodies being read
-	sweptAt         time.Time          // when idle ones were last looked through
+	idle            map[string][]*conn // by server, in the order of last use; the most recent is reused first
+	openConnections int                // over HTTP/1.1, including those being dialed
+	bufferedBytes   atomic.Int64       // reserved for response bodies being read
+	sweptAt         time.Time          // time of the last check for connections idle too long
 	idleLimit       idleLimitEstimator
-	createdAt       time.Time // trust's time 0
-	h2Conns         map[string][]*h2Conn
+	createdAt       time.Time            // time 0 of idleLimit
+	h2Conns         map[string][]*h2Conn // by address
 	closed          bool
-	readers         sync.WaitGroup
+	readers         sync.WaitGroup // goroutines that read from connections
 }
 
 // New returns an empty Pool.
@@ -59,27 +59,27 @@
 	return &Pool{options: o, idle: map[string][]*conn{}, h2Conns: map[string][]*h2Conn{}, createdAt: time.Now()}
 }
 
-// attempt is one attempt on its way.
+// attempt is one attempt in flight. It implements [node.OutgoingAttempt].
 type attempt struct {
 	node.Attempt
 	pool *Pool
 	done func(node.Result)
 
 	mu           sync.Mutex
-	ended        bool // it has ended, or was cancelled
+	ended        bool // its result was reported, or it was canceled
 	conn         *conn
 	cancelDial   context.CancelFunc
 	startedAt    time.Time
-	resetStream  func() // over HTTP/2: ends its stream
-	writeStarted bool   // its request is being written: from here on nobody knows how much has left
-	requestSent  bool   // the whole request has left
-	keepWhenSent bool   // it ended well before that
+	resetStream  func() // HTTP/2 only
+	writeStarted bool   // writing has begun: it is unknown how much of the request was sent
+	requestSent  bool   // the complete request was written
+	keepWhenSent bool   // its response was complete first: keep the connection once the request is sent
 }
 
-// Start makes an attempt; see node.Upstream.
+// Start starts an attempt; see [node.Upstream].
 func (p *Pool) Start(a node.Attempt, done func(node.Result)) node.OutgoingAttempt {
-	ctx, stop := context.WithTimeout(context.Background(), p.options.ConnectTimeout)
-	t := &attempt{Attempt: a, pool: p, done: done, cancelDial: stop, startedAt: time.Now()}
+	ctx, cancel := context.WithTimeout(context.Background(), p.options.ConnectTimeout)
+	t := &attempt{Attempt: a, pool: p, done: done, cancelDial: cancel, startedAt: time.Now()}
 	if p.options.HTTP2 {
 		go t.runHTTP2(ctx)
 	} else {
@@ -88,8 +88,8 @@
 	return t
 }
 
-// Cancel ends the attempt's work: HTTP/1.1 has no other way than to close the
-// connection, HTTP/2 resets the stream.
+// Cancel ends the attempt. Over HTTP/1.1 it closes the connection, since there is no other way;
+// over HTTP/2 it resets the stream.
 func (t *attempt) Cancel() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,8 +98,8 @@
 	}
 }
 
-// Withdraw is Cancel where the request is not being written yet. A write under way may
-// have given the network the last byte: that it did not run could not be told.
+// Withdraw cancels the attempt unless writing its request has begun. A write in progress may have
+// sent the last byte already, so the request may be executed.
 func (t *attempt) Withdraw() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +110,7 @@
 	return true
 }
 
-// startWrite notes that the request is written from now on; false where the attempt is over.
+// startWrite records that writing the request begins. It returns false if the attempt has ended.
 func (t *attempt) startWrite() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,7 +118,7 @@
 	return t.writeStarted
 }
 
-// cancelLocked is Cancel under t.mu.
+// cancelLocked ends the attempt without a result. t.mu must be held.
 func (t *attempt) cancelLocked() {
 	t.ended = true
 	t.cancelDial()
@@ -126,13 +126,13 @@
 		t.conn.netConn.Close()
 	}
 	if t.resetStream != nil {
-		go t.resetStream() // it writes; the loop must not wait
+		go t.resetStream() // it writes to the connection, and the caller must not block
 	}
 }
 
-// finish reports how the attempt ended, once. Its connection is kept only where
-// the response was read whole and the request written whole.
-func (t *attempt) finish(res node.Result, reusable bool) {
+// finish reports the result of the attempt unless it has ended already. The connection is kept if
+// it is reusable, but not before the request was written completely.
+func (t *attempt) finish(result node.Result, reusable bool) {
 	t.mu.Lock()
 	if t.ended {
 		t.mu.Unlock()
@@ -146,14 +146,14 @@
 	case reusable && t.requestSent:
 		t.pool.putIdle(c)
 	case reusable:
-		// A server may answer before it has read the body. It must read on soon.
+		// The server responded before it had read the body. It must read the rest in time.
 		t.keepWhenSent = true
 		c.netConn.SetWriteDeadline(time.Now().Add(t.pool.options.ConnectTimeout))
 	default:
 		c.netConn.Close()
 	}
 	t.mu.Unlock()
-	t.done(res)
+	t.done(result)
 }
 
 func (t *attempt) runHTTP1(ctx context.Context) {
@@ -172,7 +172,7 @@
 		t.mu.Lock()
 		if t.ended {
 			t.mu.Unlock()
-			t.pool.putIdle(c) // nothing was sent on it
+			t.pool.putIdle(c) // nothing was written to it
 			return
 		}
 		t.conn = c
@@ -186,7 +186,7 @@
 		n, assigned := 0, c.assign(t)
 		if err = net.ErrClosed; assigned && c.startWrite() {
 			if !t.startWrite() {
-				return // and the connection is closed
+				return // canceled, which has closed the connection
 			}
 			n, err = c.netConn.Write(buf)
 		}
@@ -203,10 +203,10 @@
 			t.finish(node.Result{Code: code, Detail: detail}, false)
 			return
 		}
-		// A kept connection that the server closed in the meantime, and that took
-		// no byte, says nothing of the server: the same attempt goes on another.
+		// The server closed the reused connection in the meantime and no byte was sent. That
+		// does not mean that the server has failed: try again on another connection.
 		if assigned && !c.unassign(t) {
-			return // its reader reports the end
+			return // readLoop has seen the end of the connection and reports the result
 		}
 		t.pool.recordUse(c, true)
 		c.netConn.Close()
@@ -216,8 +216,8 @@
 	}
 }
 
-// appendRequest appends the attempt's bytes. The time that it states is what is left as it is
-// written: a dial may have taken some of it.
+// appendRequest appends the encoded request to b. The timeout that it states is the time left now,
+// without the time that dialing has taken.
 func (t *attempt) appendRequest(b []byte) []byte {
 	call := &t.Request.HTTP
 	header := call.Header
@@ -228,34 +228,37 @@
 	return http1.AppendRequest(b, call.Method, call.Target, call.Host, header, call.Body)
 }
 
-// resultTooLate is how an attempt ends that is not sent because too much time has passed,
-// or the process stood still, since it was decided: its client may have left, and
-// its server drain.
+// resultTooLate is the result of an attempt that is not sent because its timeout has passed, or
+// because the process was paused since the attempt was decided: meanwhile the client may have
+// disconnected or the server may have begun to drain.
 var resultTooLate = node.Result{Code: policy.TooLate, Detail: "too late to send"}
 
-// resultNoConnection is how an attempt ends for want of a connection of this node's own; it says
-// nothing of the server.
+// resultNoConnection is the result of an attempt that is not sent because this node has reached
+// MaxConnections. It is not a failure of the server.
 var resultNoConnection = node.Result{Code: policy.NoConnection, Detail: "no connection to spare"}
 
 var errNoConnection = errors.New("upstream: all connections are in use")
 
+// expired reports whether it is too late to send the attempt; see resultTooLate.
 func (t *attempt) expired() bool {
 	return t.Timeout > 0 && time.Since(t.startedAt) >= t.Timeout || t.pool.options.PausedSince != nil && t.pool.options.PausedSince(t.DecidedAt)
 }
 
-// latency is how long a response was on its way that a connection has just given.
-func (t *attempt) latency(nc net.Conn) time.Duration {
-	at := pauseclock.ArrivalTime(nc)
-	if at.IsZero() || t.DecidedAt.IsZero() {
-		return 0 // the node's to measure
+// latency returns the time from the decision on the attempt until the data last read from a
+// connection arrived. 0: not known; the node measures it.
+func (t *attempt) latency(netConn net.Conn) time.Duration {
+	arrivedAt := pauseclock.ArrivalTime(netConn)
+	if arrivedAt.IsZero() || t.DecidedAt.IsZero() {
+		return 0
 	}
-	return max(1, at.Sub(t.DecidedAt))
+	return max(1, arrivedAt.Sub(t.DecidedAt))
 }
 
-// connectionKey names the server that the attempt's connections belong to.
+// connectionKey identifies the server in the pool: connections are reused by attempts with the
+// same key.
 func (t *attempt) connectionKey() string { return cmp.Or(t.ConnectionKey, t.Address) }
 
-// connect takes a kept connection or makes one.
+// connect returns an idle connection, or a fresh one if there is none.
 func (t *attempt) connect(ctx context.Context) (c *conn, fresh bool, err error) {
 	if c := t.pool.takeIdle(t.connectionKey()); c != nil {
 		return c, false, nil
@@ -263,21 +266,21 @@
 	if !t.pool.reserveConnection() {
 		return nil, true, errNoConnection
 	}
-	nc, err := t.pool.options.Network.Dial(ctx, t.Address)
+	netConn, err := t.pool.options.Network.Dial(ctx, t.Address)
 	if err != nil {
 		t.pool.releaseConnection()
 		return nil, true, err
 	}
-	if c = t.pool.addConnection(t.connectionKey(), nc); c == nil {
-		nc.Close()
+	if c = t.pool.addConnection(t.connectionKey(), netConn); c == nil {
+		netConn.Close()
 		t.pool.releaseConnection()
 		return nil, true, net.ErrClosed
 	}
 	return c, true, nil
 }
 
-// markRequestSent notes that the whole request has left. Where the response was quicker
-// the connection is kept only now.
+// markRequestSent records that the complete request was written. If the response was complete
+// before, the connection is returned to the pool now.
 func (t *attempt) markRequestSent() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -287,9 +290,9 @@
 	}
 }
 
-// takeIdle takes an idle connection to a server, or nil: the one used last that has been
-// quiet since. What has lain idle for too long, or holds what nobody asked for, is closed
-// instead.
+// takeIdle removes an idle connection to a server from the pool and returns it, or nil. It takes
+// the most recently used one that has been idle for minIdleBeforeReuse. Connections that have been
+// idle for too long, or on which the server has sent unsolicited data, are closed instead.
 func (p *Pool) takeIdle(key string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -315,20 +318,21 @@
 	}
 }
 
-// recordUse notes whether a connection broke at the use that has just ended.
+// recordUse records whether a connection broke before the response to its latest request began.
 func (p *Pool) recordUse(c *conn, broke bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idleLimit.record(time.Since(p.createdAt), c.idleTime, broke)
 }
 
+// idleTooLong reports whether a connection exceeds the configured or the estimated idle timeout.
 func (p *Pool) idleTooLong(c *conn, now time.Time) bool {
 	idle := now.Sub(c.lastUsedAt)
 	return p.options.IdleTimeout > 0 && idle >= p.options.IdleTimeout || p.idleLimit.limit > 0 && idle >= p.idleLimit.limit
 }
 
-// reserveConnection counts one more connection; where there are too many the longest idle one
-// goes. It is false where none is idle.
+// reserveConnection counts a connection that is about to be dialed. At MaxConnections it first
+// closes the connection that has been idle longest, and returns false if none is idle.
 func (p *Pool) reserveConnection() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -349,15 +353,15 @@
 	return true
 }
 
-// releaseConnection takes back what room counted.
+// releaseConnection undoes reserveConnection after dialing has failed.
 func (p *Pool) releaseConnection() {
 	p.mu.Lock()
 	p.openConnections--
 	p.mu.Unlock()
 }
 
-// putIdle puts a connection back, or closes it. Once in a while it looks for others
-// that have been idle for too long.
+// putIdle returns a connection to the pool, or closes it if the pool has enough. Once per second
+// it also closes the connections that have been idle for too long.
 func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -380,7 +384,7 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// CloseIdle closes the idle connections to a server that is gone.
+// CloseIdle closes the idle connections to a server, which has been removed from the endpoint list.
 func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -390,6 +394,7 @@
 	delete(p.idle, key)
 }
 
+// remove removes a connection that has ended.
 func (p *Pool) remove(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -406,7 +411,8 @@
 	}
 }
 
-// Close closes the idle connections and waits until all have ended.
+// Close closes the idle HTTP/1.1 connections and all HTTP/2 connections, and waits until every
+// connection has ended.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -424,39 +430,39 @@
 	p.readers.Wait()
 }
 
-// conn is one connection, with a goroutine that reads from it, idle or not: a
-// server that closes it is noticed before a request is lost on it.
+// conn is one HTTP/1.1 connection. A goroutine reads from it even while it is idle, so that the
+// pool notices that the server has closed it before a request is written to it.
 type conn struct {
 	pool         *Pool
-	key          string // of its server
+	key          string // of its server; see attempt.connectionKey
 	netConn      net.Conn
 	reader       *http1.Reader
-	lastUsedAt   time.Time     // when it was last used; under the pool's lock
-	idleTime     time.Duration // it was idle before the use under way
-	stallTimeout time.Duration // a read that brings nothing for so long fails; 0: none does. The reader's alone
+	lastUsedAt   time.Time     // protected by the pool's lock
+	idleTime     time.Duration // how long it was idle before its current use
+	stallTimeout time.Duration // maximum duration of one read; 0: no limit. Used only by readLoop
 
 	mu           sync.Mutex
-	attempt      *attempt // whose response is awaited
-	writeStarted bool     // its request is being written: what comes now may answer it
-	broken       bool     // it has ended
+	attempt      *attempt // that awaits a response
+	writeStarted bool     // its request is being written, so data received from now on may be the response
+	broken       bool     // the connection has ended
 }
 
-// addConnection takes in a addConnection that has come up. It returns nil where the pool was closed meanwhile:
-// Close waits for the readers of those alone that it knows.
-func (p *Pool) addConnection(key string, nc net.Conn) *conn {
+// addConnection adds a connection that was just dialed and starts its reader. It returns nil if the pool
+// was closed meanwhile, since Close does not wait for readers that start later.
+func (p *Pool) addConnection(key string, netConn net.Conn) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil
 	}
-	c := &conn{pool: p, key: key, netConn: nc}
+	c := &conn{pool: p, key: key, netConn: netConn}
 	c.reader = http1.NewReader(c, p.options.Limits)
 	p.readers.Add(1)
 	go c.readLoop()
 	return c
 }
 
-// Read reads for the connection's http1.Reader.
+// Read reads from the connection under the stall timeout. It is called by the http1.Reader.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.stallTimeout > 0 {
 		c.netConn.SetReadDeadline(time.Now().Add(c.stallTimeout))
@@ -464,19 +470,19 @@
 	return c.netConn.Read(b)
 }
 
-// assign gives the connection an attempt to carry; false where it has ended.
+// assign assigns an attempt to the connection. It returns false if the connection has ended.
 func (c *conn) assign(t *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.broken {
-		return false // the server ended it, or spoke unasked
+		return false // the server closed it, or sent unsolicited data
 	}
 	c.attempt, c.writeStarted = t, false
 	return true
 }
 
-// startWrite notes that the request is written from now on; false where something came
-// before, which can't be the answer to it.
+// startWrite records that writing the request begins. It returns false if data has arrived before,
+// which can't be the response to it.
 func (c *conn) startWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -484,7 +490,8 @@
 	return !c.broken
 }
 
-// unassign takes an attempt back; false where its end was seen already.
+// unassign removes an attempt from the connection. It returns false if readLoop has already taken
+// the attempt and reports its result.
 func (c *conn) unassign(t *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -495,14 +502,15 @@
 	return true
 }
 
+// readLoop reads responses until the connection ends.
 func (c *conn) readLoop() {
 	defer c.pool.readers.Done()
 	for {
 		err := c.reader.Await()
 		c.mu.Lock()
 		if !c.writeStarted {
-			// Nobody asked yet: an attempt that was just given the connection goes on
-			// another, which it learns from sends.
+			// No request was written yet, so the data is unsolicited. An attempt that was just
+			// assigned is told so by startWrite and uses another connection.
 			c.broken = true
 			c.mu.Unlock()
 			break
@@ -514,7 +522,7 @@
 		if t == nil {
 			break
 		}
-		if !errors.Is(err, net.ErrClosed) { // it was not closed here
+		if !errors.Is(err, net.ErrClosed) { // not closed by this process
 			c.pool.recordUse(c, err != nil)
 		}
 		if err != nil {
@@ -523,8 +531,8 @@
 			break
 		}
 		c.stallTimeout = responseStallTimeout(t.Timeout)
-		again := c.readResponse(t)
-		if c.stallTimeout = 0; !again {
+		reusable := c.readResponse(t)
+		if c.stallTimeout = 0; !reusable {
 			break
 		}
 		c.netConn.SetReadDeadline(time.Time{})
@@ -533,8 +541,8 @@
 	c.netConn.Close()
 }
 
-// readResponse reads the readResponse to an attempt. It tells whether the connection
-// may be used further.
+// readResponse reads the response to an attempt and reports whether the connection can be used
+// again.
 func (c *conn) readResponse(t *attempt) bool {
 	head, err := c.reader.Response(t.Request.HTTP.Method)
 	if err != nil {
@@ -542,20 +550,20 @@
 		t.finish(node.Result{Code: code, Detail: detail}, false)
 		return false
 	}
-	long := c.pool.bodyBytesToReserve(head)
-	if !c.pool.reserveBodyBytes(long) {
+	reserved := c.pool.bodyBytesToReserve(head)
+	if !c.pool.reserveBodyBytes(reserved) {
 		t.finish(resultBufferFull, false)
 		return false
 	}
 	body, err := c.reader.Body(head.Framing, head.Length)
-	c.pool.bufferedBytes.Add(-long)
+	c.pool.bufferedBytes.Add(-reserved)
 	if err != nil {
 		code, detail := attemptOutcome(duringResponse, err)
 		t.finish(node.Result{Code: code, Detail: detail}, false)
 		return false
 	}
-	res := &node.Response{Status: head.Status, Header: head.Header.EndToEnd(), Body: body}
-	result := node.Result{Code: c.pool.options.RejectionSignal.resultCode(head), Response: res, Latency: t.latency(c.netConn)}
+	response := &node.Response{Status: head.Status, Header: head.Header.EndToEnd(), Body: body}
+	result := node.Result{Code: c.pool.options.RejectionSignal.resultCode(head), Response: response, Latency: t.latency(c.netConn)}
 	if result.Code != policy.OK {
 		result.Detail = fmt.Sprintf("status %d", head.Status)
 	}
@@ -563,12 +571,13 @@
 	return head.KeepAlive()
 }
 
-// resultBufferFull is how an attempt ends whose response has no place here.
+// resultBufferFull is the result of an attempt whose response would exceed MaxBufferedBodyBytes.
 var resultBufferFull = node.Result{Code: policy.Reset, Detail: "response too long for what is held already"}
 
-const minCountedBodyBytes = 64 << 10 // bytes; shorter bodies are not counted
+const minCountedBodyBytes = 64 << 10 // bodies up to this size do not count towards MaxBufferedBodyBytes
 
-// bodyBytesToReserve is what a body may come to hold, where it is bodyBytesToReserve.
+// bodyBytesToReserve returns the maximum size of the body of a response, or 0 if it is too small
+// to count.
 func (p *Pool) bodyBytesToReserve(head *http1.Response) int64 {
 	switch {
 	case head.Framing == http1.Length && head.Length <= minCountedBodyBytes || head.Framing == http1.NoBody:
@@ -579,10 +588,11 @@
 	return p.options.Limits.Body
 }
 
-// reserveBodyBytes counts a long body; false where there is no place for it.
-func (p *Pool) reserveBodyBytes(long int64) bool {
-	if p.bufferedBytes.Add(long) > p.options.MaxBufferedBodyBytes && p.options.MaxBufferedBodyBytes > 0 && long > 0 {
-		p.bufferedBytes.Add(-long)
+// reserveBodyBytes reserves memory for a body. It returns false if MaxBufferedBodyBytes would be
+// exceeded.
+func (p *Pool) reserveBodyBytes(size int64) bool {
+	if p.bufferedBytes.Add(size) > p.options.MaxBufferedBodyBytes && p.options.MaxBufferedBodyBytes > 0 && size > 0 {
+		p.bufferedBytes.Add(-size)
 		return false
 	}
 	return true
