--- a/upstream/extauthz/client.go
+++ b/upstream/extauthz/client.go
@@ -1,6 +1,6 @@
 // Package extauthz is a client of an external authorization service over gRPC: Envoy's ext_authz
-// v3, method envoy.service.auth.v3.Authorization/Check. It sends checks and maps their results;
-// package authz decides when, where and how long.
+// v3, method envoy.service.auth.v3.Authorization/Check. It sends authorization checks and converts
+// their results. Package authz decides when a check is sent, to which address and with which timeout.
 package extauthz
 
 import (
@@ -19,7 +19,8 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// reconnection says how soon a connection is tried again: within a second of the service's return.
+// reconnection limits the backoff, so that the client reconnects within a second after the service
+// becomes reachable again.
 var reconnection = grpc.ConnectParams{
 	MinConnectTimeout: time.Second,
 	Backoff:           backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second},
@@ -40,10 +41,10 @@
 	service authv3.AuthorizationClient
 }
 
-// AddressError says that there can be no connections to an address.
+// AddressError reports an address that gRPC does not accept.
 type AddressError struct {
 	Address string
-	Err     error // of gRPC
+	Err     error // from gRPC
 }
 
 func (e *AddressError) Error() string { return fmt.Sprintf("address %s: %v", e.Address, e.Err) }
@@ -51,9 +52,9 @@
 // Unwrap returns the error of gRPC.
 func (e *AddressError) Unwrap() error { return e.Err }
 
-// Dial returns a client of the service at some addresses, which are counted from 0 in Check. It
-// does not block: connections are made when they are first used, and again when they break. An
-// address that gRPC does not take gives an [*AddressError]. The caller must close the client.
+// Dial returns a client of the service at a list of addresses. It does not block: connections are
+// made when they are first used, and again when they break. If gRPC does not accept an address, the
+// error is an [*AddressError]. The caller must close the client.
 func Dial(n network.Network, addresses []string, rules RequestRules) (*Client, error) {
 	c := &Client{rules: rules}
 	for _, address := range addresses {
@@ -80,16 +81,17 @@
 // after and reports that.
 func (c *Client) Close() error {
 	var errs []error
-	for _, one := range c.connections {
-		errs = append(errs, one.conn.Close())
+	for _, conn := range c.connections {
+		errs = append(errs, conn.conn.Close())
 	}
 	return errors.Join(errs...)
 }
 
-// Check sends one check to an address, with the timeout on the wire as grpc-timeout, and returns
-// at once. A goroutine of the check's own calls done once with the result; it ends when the service
-// responds, the timeout is over, or cancel is called. After cancel, which does not block and may
-// be called any time, done is not called, unless it was being called already.
+// Check sends one check to an address, given by its index in the list of [Dial], and returns
+// immediately. The timeout is sent to the service as grpc-timeout. A new goroutine calls done once
+// with the result; it ends when the service responds, the timeout is over, or cancel is called.
+// cancel does not block and may be called at any time. After it done is not called, unless the call
+// has already begun.
 func (c *Client) Check(address int, r *node.Request, timeout time.Duration, done func(node.AuthorizationResult)) (cancel func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	request := c.rules.checkRequest(r)
--- a/upstream/extauthz/client_test.go
+++ b/upstream/extauthz/client_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// newTestClient returns a client of a service that takes a time for each check. Both are closed
-// at the end of the test, which must run in a synctest bubble.
+// newTestClient returns a client of a service that responds to each check after a delay. Both are
+// closed at the end of the test, which must run in a synctest bubble.
 func newTestClient(t *testing.T, delay time.Duration) *Client {
 	t.Helper()
 	memory := network.NewMemory(time.Millisecond, 1)
@@ -50,14 +50,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := c.Close(); err != nil && !errors.Is(err, grpc.ErrClientConnClosing) { //nolint:staticcheck // the only error that gRPC has for closing twice
+		if err := c.Close(); err != nil && !errors.Is(err, grpc.ErrClientConnClosing) { //nolint:staticcheck // deprecated, but the only error that gRPC has for closing twice
 			t.Error(err)
 		}
 		server.Stop()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // until timers of closed connections are over
+		time.Sleep(time.Minute) // until the timers of closed connections have expired
 	})
 	return c
 }
--- a/upstream/extauthz/request.go
+++ b/upstream/extauthz/request.go
@@ -15,16 +15,19 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// partialBodyHeader tells the service whether the body is cut. Envoy sets the same header.
+// partialBodyHeader states whether the body was truncated. Envoy sets the same header.
 const partialBodyHeader = "x-envoy-auth-partial-body"
 
-// RequestRules say what the service is sent of a request. They are not changed after [Dial].
+// RequestRules select the parts of a request that are sent to the service. They must not be changed
+// after [Dial].
 type RequestRules struct {
-	// MaxBodyBytes of the body are sent at most; what is cut is marked as partial. Zero: no body.
+	// MaxBodyBytes is the maximum number of bytes of the body that are sent. A truncated body is
+	// marked as partial. Zero: no body is sent.
 	MaxBodyBytes int
-	// AllowedHeaders are the only ones that are sent, in canonical form. Empty: all are sent.
+	// AllowedHeaders are the names of the headers that are sent, in canonical form. Empty: all.
 	AllowedHeaders []string
-	// DisallowedHeaders are not sent, in canonical form, even where they are allowed.
+	// DisallowedHeaders are the names of headers that are never sent, in canonical form, not even
+	// if they are allowed.
 	DisallowedHeaders []string
 }
 
@@ -65,7 +68,7 @@
 	return message
 }
 
-// headers returns those that are sent, by lower-case name; repeated ones are joined by commas.
+// headers returns the headers that are sent, by lower-case name. Repeated ones are joined by commas.
 func (rules *RequestRules) headers(all http1.Header) map[string]string {
 	headers := make(map[string]string, len(all))
 	for _, field := range all {
@@ -89,11 +92,11 @@
 	return !slices.Contains(rules.DisallowedHeaders, header)
 }
 
-// validText replaces what is not UTF-8, by the same character as Envoy does: a message with it
-// could not be sent, and a client's header would look like a failure of the service.
+// validText replaces invalid UTF-8 by the same character as Envoy. Otherwise the message could not
+// be sent, and an invalid header of a client would look like a failure of the service.
 func validText(s string) string { return strings.ToValidUTF8(s, "!") }
 
-// socketAddress returns the message of an address host:port, or nil where it is none.
+// socketAddress converts an address host:port. It returns nil if the address is not of this form.
 func socketAddress(hostPort string) *corev3.Address {
 	host, portText, err := net.SplitHostPort(hostPort)
 	if err != nil {
--- a/upstream/extauthz/request_test.go
+++ b/upstream/extauthz/request_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestRequestBodyIsCutAtItsLimit(t *testing.T) {
+func TestRequestBodyIsTruncatedAtTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		limit                       int
 		body                        string
--- a/upstream/extauthz/result.go
+++ b/upstream/extauthz/result.go
@@ -14,21 +14,21 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// CacheTTLMetadata is the name in dynamic_metadata under which the service states, in
-// milliseconds, how long its result may be used in place of a later one that does not come.
+// CacheTTLMetadata is the field of dynamic_metadata in which the service states, in milliseconds,
+// how long its result may be used if a later check fails.
 const CacheTTLMetadata = "cache_ttl_ms"
 
-// maxCacheTTL bounds what the service may state.
+// maxCacheTTL is the maximum cache TTL; a longer one stated by the service is reduced to it.
 const maxCacheTTL = 24 * time.Hour
 
-// A denial has a status in this range; one outside it is replaced.
+// A denial has a status in this range; another status is replaced by the default.
 const (
 	minDenialStatus     = 300
 	maxDenialStatus     = 599
 	defaultDenialStatus = http.StatusForbidden
 )
 
-// authorizationResult maps the result of a call.
+// authorizationResult converts the response or the error of a check.
 func authorizationResult(response *authv3.CheckResponse, err error) node.AuthorizationResult {
 	switch {
 	case err != nil:
@@ -74,27 +74,27 @@
 
 func denial(response *authv3.CheckResponse) node.AuthorizationResult {
 	denied := response.GetDeniedResponse()
-	answer := &node.Response{Status: int(denied.GetStatus().GetCode()), Body: []byte(denied.GetBody())}
-	if answer.Status < minDenialStatus || answer.Status > maxDenialStatus {
-		answer.Status = defaultDenialStatus
+	clientResponse := &node.Response{Status: int(denied.GetStatus().GetCode()), Body: []byte(denied.GetBody())}
+	if clientResponse.Status < minDenialStatus || clientResponse.Status > maxDenialStatus {
+		clientResponse.Status = defaultDenialStatus
 	}
 	for _, option := range denied.GetHeaders() {
-		putHeader(option, &answer.Header, &answer.Header)
+		putHeader(option, &clientResponse.Header, &clientResponse.Header)
 	}
-	return node.AuthorizationResult{Outcome: authz.Denied, Denial: answer, CacheTTL: cacheTTL(response)}
+	return node.AuthorizationResult{Outcome: authz.Denied, Denial: clientResponse, CacheTTL: cacheTTL(response)}
 }
 
-// cacheTTL returns the time that the service states, or 0.
+// cacheTTL returns the cache TTL that the service states, or 0.
 func cacheTTL(response *authv3.CheckResponse) time.Duration {
 	milliseconds := response.GetDynamicMetadata().GetFields()[CacheTTLMetadata].GetNumberValue()
 	bounded := min(max(milliseconds, 0), float64(maxCacheTTL.Milliseconds()))
 	return time.Duration(bounded) * time.Millisecond
 }
 
-// putHeader adds the service's header to those that replace or to those that are appended. One
-// that may not be set (see [http1.Field.Settable]) is dropped. By the specification of ok_response
-// a header replaces unless its append is true; the newer append_action does not count, since its
-// zero value can't be told from one left out.
+// putHeader adds a header of the service to the headers that replace existing ones or to those that
+// are appended. A header that may not be set (see [http1.Field.Settable]) is dropped. By the
+// specification of ok_response a header replaces an existing one unless append is true. The newer
+// append_action is ignored, since its zero value can't be distinguished from an absent one.
 func putHeader(option *corev3.HeaderValueOption, replace, appended *http1.Header) {
 	field := http1.Field{Name: option.GetHeader().GetKey(), Value: option.GetHeader().GetValue()}
 	if field.Value == "" {
@@ -102,7 +102,7 @@
 	}
 	switch {
 	case !field.Settable():
-	case option.GetAppend().GetValue(): //nolint:staticcheck // deprecated, but the only field whose absence shows
+	case option.GetAppend().GetValue(): //nolint:staticcheck // deprecated, but the only field whose absence can be detected
 		appended.Add(field.Name, field.Value)
 	default:
 		replace.Set(field.Name, field.Value)
--- a/upstream/extauthz/result_test.go
+++ b/upstream/extauthz/result_test.go
@@ -40,7 +40,7 @@
 	return s
 }
 
-func TestPermissionIsMapped(t *testing.T) {
+func TestPermissionIsConverted(t *testing.T) {
 	got := authorizationResult(&authv3.CheckResponse{
 		DynamicMetadata: statedTTL(t, 1500),
 		HttpResponse: &authv3.CheckResponse_OkResponse{OkResponse: &authv3.OkHttpResponse{
@@ -48,7 +48,7 @@
 				header("X-Role", "clerk"),
 				appended("X-Group", "a"),
 				{Header: &corev3.HeaderValue{Key: "X-Raw", RawValue: []byte("raw")}},
-				header("Content-Length", "7"), // frames the message: dropped
+				header("Content-Length", "7"), // dropped, since it determines the message framing
 			},
 			HeadersToRemove:         []string{"X-Secret", "Host"},
 			QueryParametersToSet:    []*corev3.QueryParameter{{Key: "role", Value: "clerk"}},
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestDenialIsMapped(t *testing.T) {
+func TestDenialIsConverted(t *testing.T) {
 	for _, c := range []struct{ status, want int }{{401, 401}, {302, 302}, {599, 599}, {0, 403}, {200, 403}, {600, 403}} {
 		got := authorizationResult(&authv3.CheckResponse{
 			Status: &rpcstatus.Status{Code: int32(codes.PermissionDenied)},
@@ -88,13 +88,13 @@
 	}
 }
 
-func TestFailureIsMapped(t *testing.T) {
+func TestFailureIsConverted(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want authz.Outcome
 	}{
 		{status.Error(codes.DeadlineExceeded, "late"), authz.TimedOut},
-		{status.Error(codes.Unavailable, "away"), authz.Unreachable},
+		{status.Error(codes.Unavailable, "unavailable"), authz.Unreachable},
 		{errors.New("other"), authz.Unreachable},
 		{status.FromContextError(context.DeadlineExceeded).Err(), authz.TimedOut},
 	} {
@@ -115,6 +115,6 @@
 		}
 	}
 	if got := cacheTTL(&authv3.CheckResponse{}); got != 0 {
-		t.Errorf("nothing stated: %v", got)
+		t.Errorf("no TTL stated: %v", got)
 	}
 }
