--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -26,12 +26,12 @@
 	Network          network.Network
 	Limits           http1.Limits  // of responses
 	ConnectTimeout   time.Duration // to connect to a server
-	MaxIdlePerServer int           // idle connections kept to each server
-	IdleTimeout      time.Duration // connections idle for longer are closed instead of reused; 0: no limit
+	MaxIdlePerServer int           // idle HTTP/1.1 connections kept to each server
+	IdleTimeout      time.Duration // HTTP/1.1 connections idle for longer are closed instead of reused; 0: no limit
 	// MaxConnections limits the number of HTTP/1.1 connections, to all servers together. 0: no limit.
 	MaxConnections       int
-	MaxBufferedBodyBytes int64  // of all response bodies above minCountedBodyBytes that are being read; 0: no limit
-	TimeoutHeader        string // request header that states the remaining time of an attempt in ms; "": none
+	MaxBufferedBodyBytes int64  // of all HTTP/1.1 response bodies above minCountedBodyBytes being read; 0: no limit
+	TimeoutHeader        string // HTTP/1.1 request header that states the remaining time of an attempt in ms; "": none
 	RejectionSignal      RejectionSignal
 	HTTP2                bool // use HTTP/2 with prior knowledge
 	// PausedSince reports whether the process was paused after a time. nil: it never is. An
@@ -470,7 +470,8 @@
 	return c.netConn.Read(b)
 }
 
-// assign assigns an attempt to the connection. It returns false if the connection has ended.
+// assign sets the attempt that uses the connection next. It returns false if the connection has
+// ended.
 func (c *conn) assign(t *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -509,8 +510,9 @@
 		err := c.reader.Await()
 		c.mu.Lock()
 		if !c.writeStarted {
-			// No request was written yet, so the data is unsolicited. An attempt that was just
-			// assigned is told so by startWrite and uses another connection.
+			// The data is unsolicited, since no request was written, or the connection was
+			// closed. For an attempt that was just assigned, startWrite returns false, and
+			// the attempt uses another connection.
 			c.broken = true
 			c.mu.Unlock()
 			break
