--- a/edgenode/config.go
+++ b/edgenode/config.go
@@ -28,8 +28,8 @@
 	PeersAll   string   `json:"peers_all"`   // host:port that reaches all peers; "": each is sent to by itself
 	Counter    string   `json:"counter"`     // not used
 
-	Known    json.RawMessage `json:"known"`    // the last known endpoint list; may be missing
-	Settings json.RawMessage `json:"settings"` // the simulator's settings, nested
+	LastKnownEndpoints json.RawMessage `json:"known"`    // the last known endpoint list; may be missing
+	Settings           json.RawMessage `json:"settings"` // the simulator's settings, nested
 
 	Policy            policy.Settings      `json:"-"` // from Settings
 	ServerIdleTimeout time.Duration        `json:"-"` // from Settings; servers close connections idle for so long
@@ -131,10 +131,10 @@
 
 // readKnown fills what follows from Known.
 func (c *Config) readKnown() error {
-	if len(c.Known) == 0 || string(c.Known) == "null" {
+	if len(c.LastKnownEndpoints) == 0 || string(c.LastKnownEndpoints) == "null" {
 		return nil
 	}
-	list, err := discovery.Parse(c.Known)
+	list, err := discovery.Parse(c.LastKnownEndpoints)
 	if err != nil {
 		return err
 	}
--- a/edgenode/config_test.go
+++ b/edgenode/config_test.go
@@ -82,9 +82,9 @@
 		Name: "n0", Listen: "10.0.0.1:80", Discovery: "10.0.3.1:80", Seed: "8c1f30d27a5be964",
 		Limits:     Limits{Cores: 0.5, MemoryMB: 64, Sockets: 256},
 		PeerListen: "10.0.0.1:70", Peers: []string{"10.0.0.1:71", "10.0.0.2:71"}, PeersAll: "10.0.0.9:72", Counter: "10.0.4.1:6379",
-		Known: json.RawMessage(known), Settings: json.RawMessage(settingsJSON),
+		LastKnownEndpoints: json.RawMessage(known), Settings: json.RawMessage(settingsJSON),
 		Policy: got.Policy, ServerIdleTimeout: 10 * time.Second, DialTimeout: 250 * time.Millisecond,
-		CachedEndpoints: []discovery.Endpoint{{Name: "s-1", Address: "10.0.1.1:80", Zone: "a", Type: "t", Group: 3, Status: "ready", Weight: 1.5, SinceMS: 1700000000000}},
+		CachedEndpoints: []discovery.Endpoint{{Name: "s-1", Address: "10.0.1.1:80", Zone: "a", Type: "t", Cell: 3, Status: "ready", Weight: 1.5, StartTimeUnixMS: 1700000000000}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v\nwant %+v", got, want)
--- a/edgenode/discovery/endpoint_table.go
+++ b/edgenode/discovery/endpoint_table.go
@@ -32,9 +32,9 @@
 type Update struct {
 	Kind    policy.EndpointUpdateKind
 	Servers []node.Endpoint
-	// ClosedConnections are the keys of connections to servers, or to starts of servers,
+	// ConnectionsToClose are the keys of connections to servers, or to starts of servers,
 	// that are no longer listed.
-	ClosedConnections []string
+	ConnectionsToClose []string
 }
 
 // Apply takes in a list and returns what a node is to be told. A cached list is one of an
@@ -70,11 +70,11 @@
 	server := t.server(endpoint)
 	last := t.connectionKeys[endpoint.Name]
 	if last != "" && last != server.ConnectionKey {
-		update.ClosedConnections = append(update.ClosedConnections, last)
+		update.ConnectionsToClose = append(update.ConnectionsToClose, last)
 	}
 	t.connectionKeys[endpoint.Name] = server.ConnectionKey
 	if server.State == policy.Removed {
-		update.ClosedConnections = append(update.ClosedConnections, server.ConnectionKey)
+		update.ConnectionsToClose = append(update.ConnectionsToClose, server.ConnectionKey)
 		t.forget(endpoint.Name)
 	}
 	update.Servers = append(update.Servers, server)
@@ -88,14 +88,14 @@
 		Server: policy.Server{
 			ID:     t.id(endpoint.Name),
 			Zone:   endpoint.Zone,
-			Cell:   endpoint.Group,
+			Cell:   endpoint.Cell,
 			State:  states[endpoint.Status],
 			Weight: endpoint.Weight,
 		},
-		ConnectionKey: endpoint.Name + "/" + strconv.FormatInt(endpoint.SinceMS, 36) + "/" + endpoint.Address,
+		ConnectionKey: endpoint.Name + "/" + strconv.FormatInt(endpoint.StartTimeUnixMS, 36) + "/" + endpoint.Address,
 	}
-	if endpoint.SinceMS > 0 {
-		server.StartTime = time.UnixMilli(endpoint.SinceMS)
+	if endpoint.StartTimeUnixMS > 0 {
+		server.StartTime = time.UnixMilli(endpoint.StartTimeUnixMS)
 	}
 	return server
 }
@@ -119,7 +119,7 @@
 func (t *EndpointTable) removeUnlisted(listed map[string]bool, update *Update) {
 	for name, key := range t.connectionKeys {
 		if !listed[name] {
-			update.ClosedConnections = append(update.ClosedConnections, key)
+			update.ConnectionsToClose = append(update.ConnectionsToClose, key)
 			t.forget(name)
 		}
 	}
--- a/edgenode/discovery/golden_test.go
+++ b/edgenode/discovery/golden_test.go
@@ -12,8 +12,8 @@
 func TestListHasGoldenJSON(t *testing.T) {
 	const golden = `{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","address":"10.0.0.1:80","zone":"a","type":"t","group":2,` +
 		`"status":"draining","weight":1.5,"since_ms":1764662400000}]}`
-	want := List{Index: 7, Snapshot: true, Endpoints: []Endpoint{{Name: "s-1", Address: "10.0.0.1:80", Zone: "a", Type: "t", Group: 2,
-		Status: "draining", Weight: 1.5, SinceMS: 1764662400000}}}
+	want := List{Index: 7, Snapshot: true, Endpoints: []Endpoint{{Name: "s-1", Address: "10.0.0.1:80", Zone: "a", Type: "t", Cell: 2,
+		Status: "draining", Weight: 1.5, StartTimeUnixMS: 1764662400000}}}
 	if got, err := Parse([]byte(golden)); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
--- a/edgenode/discovery/list.go
+++ b/edgenode/discovery/list.go
@@ -10,14 +10,14 @@
 
 // Endpoint is one entry of discovery's list. The JSON keys are the platform's.
 type Endpoint struct {
-	Name    string  `json:"name"`    // the same at every edge node
-	Address string  `json:"address"` // host:port
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"` // not used
-	Group   int     `json:"group"`
-	Status  string  `json:"status"`   // ready, draining or gone
-	Weight  float64 `json:"weight"`   // capacity relative to other endpoints
-	SinceMS int64   `json:"since_ms"` // last start, in ms of Unix time; 0: long ago
+	Name            string  `json:"name"`    // the same at every edge node
+	Address         string  `json:"address"` // host:port
+	Zone            string  `json:"zone"`
+	Type            string  `json:"type"` // not used
+	Cell            int     `json:"group"`
+	Status          string  `json:"status"`   // ready, draining or gone
+	Weight          float64 `json:"weight"`   // capacity relative to other endpoints
+	StartTimeUnixMS int64   `json:"since_ms"` // last start, in ms of Unix time; 0: long ago
 }
 
 // List is one response of discovery. The JSON keys are the platform's.
--- a/edgenode/discovery/list_test.go
+++ b/edgenode/discovery/list_test.go
@@ -9,7 +9,7 @@
 )
 
 func endpoint(name, address, status string, since int64) Endpoint {
-	return Endpoint{Name: name, Address: address, Zone: "a", Group: 1, Status: status, Weight: 1, SinceMS: since}
+	return Endpoint{Name: name, Address: address, Zone: "a", Cell: 1, Status: status, Weight: 1, StartTimeUnixMS: since}
 }
 
 // What has gone is forgotten, and connections belong to a name, a start and an
@@ -17,22 +17,22 @@
 func TestApplyForgetsEndpointsAndClosesTheirConnections(t *testing.T) {
 	n := NewEndpointTable()
 	snapshot := n.Apply(List{Snapshot: true, Endpoints: []Endpoint{endpoint("s-1", "a:1", "ready", 0), endpoint("s-2", "b:1", "ready", 5)}}, false)
-	first, left := snapshot.Servers, snapshot.ClosedConnections
+	first, left := snapshot.Servers, snapshot.ConnectionsToClose
 	if len(first) != 2 || len(left) != 0 || first[0].ID == first[1].ID || !first[0].StartTime.IsZero() || first[1].StartTime.UnixMilli() != 5 {
 		t.Fatalf("%+v, left %v", first, left)
 	}
 	delta := n.Apply(List{Endpoints: []Endpoint{endpoint("s-1", "a:1", "draining", 0), endpoint("s-9", "z:1", "gone", 0)}}, false)
-	kind, list, left := delta.Kind, delta.Servers, delta.ClosedConnections
+	kind, list, left := delta.Kind, delta.Servers, delta.ConnectionsToClose
 	if kind != policy.DeltaUpdate || len(list) != 1 || list[0].State != policy.Draining || list[0].ID != first[0].ID || len(left) != 0 {
 		t.Errorf("%v %+v, left %v", kind, list, left)
 	}
 	// A new server at the address of one that has gone; a restart of another.
 	delta = n.Apply(List{Endpoints: []Endpoint{endpoint("s-1", "a:1", "gone", 0), endpoint("s-3", "a:1", "ready", 9), endpoint("s-2", "b:1", "ready", 7)}}, false)
-	list, left = delta.Servers, delta.ClosedConnections
+	list, left = delta.Servers, delta.ConnectionsToClose
 	if fmt.Sprint(left) != "[s-1/0/a:1 s-2/5/b:1]" || list[1].ConnectionKey == first[0].ConnectionKey || list[2].ConnectionKey == first[1].ConnectionKey || list[2].ID != first[1].ID {
 		t.Errorf("%+v, left %v", list, left)
 	}
-	left = n.Apply(List{Snapshot: true}, false).ClosedConnections
+	left = n.Apply(List{Snapshot: true}, false).ConnectionsToClose
 	if len(left) != 2 || len(n.ids)+len(n.connectionKeys)+len(n.used) != 0 {
 		t.Errorf("left %v, still known %v", left, n.ids)
 	}
--- a/edgenode/endpoints.go
+++ b/edgenode/endpoints.go
@@ -31,7 +31,7 @@
 	if update.Kind != policy.DeltaUpdate || len(update.Servers) > 0 {
 		e.node.UpdateEndpoints(update.Kind, update.Servers)
 	}
-	for _, key := range update.ClosedConnections {
+	for _, key := range update.ConnectionsToClose {
 		e.pool.Leave(key)
 	}
 	if update.Kind == policy.SnapshotUpdate {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -140,7 +140,7 @@
 	item := InstanceEvent{Line: d.line, Instance: f.text()}
 	decode, known := eventDecoders[verb]
 	if !known {
-		return d.fail(&UnknownWordError{"event", clip(verb)})
+		return d.fail(&UnknownTokenError{"event", clip(verb)})
 	}
 	item.Event = decode(d, f)
 	if err := f.end(); err != nil {
@@ -204,7 +204,7 @@
 		return update
 	}
 	if !known {
-		f.fail(&UnknownWordError{Kind: "kind"})
+		f.fail(&UnknownTokenError{Kind: "kind"})
 		return nil
 	}
 	number, err := strconv.Atoi(table)
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -39,18 +39,18 @@
 // Error names the value and what it is not.
 func (e *FieldError) Error() string { return strconv.Quote(e.Value) + " is no " + e.Want }
 
-// UnknownWordError reports a word that the protocol does not have.
-type UnknownWordError struct {
-	Kind string // "event"
-	Word string // shortened if it is long; may be empty
+// UnknownTokenError reports a word that the protocol does not have.
+type UnknownTokenError struct {
+	Kind  string // "event"
+	Token string // shortened if it is long; may be empty
 }
 
 // Error names the kind and the word.
-func (e *UnknownWordError) Error() string {
-	if e.Word == "" {
+func (e *UnknownTokenError) Error() string {
+	if e.Token == "" {
 		return "unknown " + e.Kind
 	}
-	return "unknown " + e.Kind + " " + strconv.Quote(e.Word)
+	return "unknown " + e.Kind + " " + strconv.Quote(e.Token)
 }
 
 // SettingError reports a setting that is malformed.
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -103,7 +103,7 @@
 	word := f.text()
 	code, known := resultCodes[word]
 	if !known {
-		f.fail(&UnknownWordError{"ending", clip(word)})
+		f.fail(&UnknownTokenError{"ending", clip(word)})
 	}
 	return code
 }
--- a/internal/wire/table.go
+++ b/internal/wire/table.go
@@ -65,7 +65,7 @@
 		return s, d.fail(&VerbError{entryVerb, err})
 	}
 	if !known {
-		return s, d.fail(&VerbError{entryVerb, &UnknownWordError{Kind: "state"}})
+		return s, d.fail(&VerbError{entryVerb, &UnknownTokenError{Kind: "state"}})
 	}
 	return s, nil
 }
