--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,6 @@
-// Command adapter runs gateways on the line protocol of the bench: events on standard input, actions on standard
-// output, one policy.Gateway for each instance. It ends at the end of input, or with an error that names the
-// line of a malformed one.
+// Command adapter connects the policy to a simulator over a line protocol: it reads events from standard input and
+// writes actions to standard output, with one policy.Gateway for each simulated instance. It exits at the end of
+// input, or with an error that names the number of the first malformed line.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// run answers every batch of in on out until in ends.
+// run reads batches of events from in and writes the reply to each to out, until in ends.
 func run(in io.Reader, out io.Writer) error {
 	decoder := wire.NewDecoder(in)
 	writer := bufio.NewWriter(out)
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		reply, err := a.answer(batch)
+		reply, err := a.handleBatch(batch)
 		if err != nil {
 			return err
 		}
@@ -48,23 +48,23 @@
 	}
 }
 
-// adapter holds the instances, and buffers that it reuses from batch to batch.
+// adapter holds the gateway of each instance, and buffers that are reused between batches.
 type adapter struct {
 	gateways map[string]*policy.Gateway
 	reply    []byte
 	actions  []policy.Action
 }
 
-// unknownInstanceError reports an event for an instance that was not configured.
+// unknownInstanceError is the error for an event of an instance that has not been configured.
 type unknownInstanceError string
 
 func (e unknownInstanceError) Error() string { return fmt.Sprintf("unknown instance %q", string(e)) }
 
-// answer returns the reply to a batch. It is valid until the next call.
-func (a *adapter) answer(batch wire.Batch) ([]byte, error) {
+// handleBatch handles the events of a batch and returns the reply, which is valid until the next call.
+func (a *adapter) handleBatch(batch wire.Batch) ([]byte, error) {
 	a.reply = a.reply[:0]
-	for _, item := range batch.Items {
-		if err := a.apply(batch.Now, item); err != nil {
+	for _, item := range batch.Events {
+		if err := a.handleEvent(batch.Now, item); err != nil {
 			return nil, &wire.LineError{Line: item.Line, Err: err}
 		}
 	}
@@ -72,8 +72,8 @@
 	return a.reply, nil
 }
 
-// apply carries out one event of a batch.
-func (a *adapter) apply(now time.Duration, item wire.InstanceEvent) error {
+// handleEvent configures or ends an instance, or passes the event to the policy of its instance.
+func (a *adapter) handleEvent(now time.Duration, item wire.InstanceEvent) error {
 	switch ev := item.Event.(type) {
 	case wire.Configure:
 		g, err := policy.New(ev.Settings, ev.Seed)
@@ -89,16 +89,17 @@
 			return unknownInstanceError(item.Instance)
 		}
 		if ev, ok := ev.(policy.Event); ok {
-			a.decide(now, item.Instance, g, ev)
+			a.handlePolicyEvent(now, item.Instance, g, ev)
 		}
 	}
 	return nil
 }
 
-// decide gives an event to an instance and adds its actions to the reply.
-func (a *adapter) decide(now time.Duration, instance string, g *policy.Gateway, ev policy.Event) {
+// handlePolicyEvent passes an event to the policy of an instance and appends the resulting actions to the reply. If
+// the policy panics, a crash line follows.
+func (a *adapter) handlePolicyEvent(now time.Duration, instance string, g *policy.Gateway, ev policy.Event) {
 	var err error
-	a.actions, err = handle(g, now, ev, a.actions[:0])
+	a.actions, err = handleRecovering(g, now, ev, a.actions[:0])
 	for _, action := range a.actions {
 		a.reply = wire.Append(a.reply, instance, action)
 	}
@@ -107,7 +108,7 @@
 	}
 }
 
-// panicError reports a panic while an event was decided.
+// panicError is the error for a panic of the policy.
 type panicError struct {
 	event policy.Event
 	value any
@@ -115,8 +116,8 @@
 
 func (e *panicError) Error() string { return fmt.Sprintf("%T: %v", e.event, e.value) }
 
-// handle turns a panic in the decisions into a *panicError.
-func handle(g *policy.Gateway, now time.Duration, ev policy.Event, out []policy.Action) (
+// handleRecovering calls the policy and turns a panic into a *panicError.
+func handleRecovering(g *policy.Gateway, now time.Duration, ev policy.Event, out []policy.Action) (
 	actions []policy.Action, err error) {
 	defer func() {
 		if value := recover(); value != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -27,13 +27,14 @@
 			t.Errorf("%s: error %v, want %q", name, err, c.err)
 		}
 		if !strings.HasSuffix(out.String(), c.out) {
-			t.Errorf("%s: wrote %q, want %q at the end", name, out.String(), c.out)
+			t.Errorf("%s: wrote %q, want suffix %q", name, out.String(), c.out)
 		}
 	}
 }
 
+// A panic of the policy must reach the simulator as a crash, not end the adapter.
 func TestPanicIsReported(t *testing.T) {
-	if _, err := handle(nil, 1, nil, nil); err == nil {
-		t.Error("a panic was hidden")
+	if _, err := handleRecovering(nil, 1, nil, nil); err == nil {
+		t.Error("the panic was not returned as an error")
 	}
 }
--- a/cmd/edge/main.go
+++ b/cmd/edge/main.go
@@ -1,5 +1,5 @@
-// Command edge runs a node as an edge node of the users' platform, as `yardcleat
-// edge` does, without what that links beside: on machines of 32 MB that counts.
+// Command edge runs an edge node, as `yardcleat edge` does, but links only the packages that an edge node needs: the
+// smaller binary matters on machines with 32 MB of memory.
 package main
 
 import (
--- a/edgenode/attempts_test.go
+++ b/edgenode/attempts_test.go
@@ -29,12 +29,12 @@
 	})
 }
 
-// attemptEnd is a way for an attempt to end.
-type attemptEnd struct {
-	name, out string
-	end       bool // the connection is reset after out
-	ran       bool // the request may have run
-	served    bool // out has the response for the client
+// attemptOutcome is a way for an attempt to end.
+type attemptOutcome struct {
+	name, response string
+	closes         bool // the connection is reset after out
+	mayHaveRun     bool // the request may have run
+	served         bool // out has the response for the client
 }
 
 // How an attempt ends, against what its class's effect lets be sent again: one row each,
@@ -42,7 +42,7 @@
 // others an unsafe request is never sent again, and its client is told nothing harmless.
 func TestEndsByEffect(t *testing.T) {
 	const turned = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-	for _, end := range []attemptEnd{
+	for _, end := range []attemptOutcome{
 		{"turned away", turned, false, false, false},
 		{"turned away on a closing connection", strings.Replace(turned, "Content", "Connection: close\r\nContent", 1), true, false, false},
 		{"a reset without a byte", "", true, true, false},
@@ -64,12 +64,12 @@
 }
 
 // check has the first attempt of a request end so, and checks what its client gets.
-func (c attemptEnd) check(t *testing.T, semantics string) {
+func (c attemptOutcome) check(t *testing.T, semantics string) {
 	t.Helper()
 	var attempts atomic.Int64
 	respond := func(n int, id string) (string, bool) {
 		if attempts.Add(1) == 1 {
-			return c.out, c.end
+			return c.response, c.closes
 		}
 		return answerByID(n, id)
 	}
@@ -90,9 +90,9 @@
 	})
 }
 
-func (c attemptEnd) checkResponse(t *testing.T, semantics string, status int, body string, attempts int) {
+func (c attemptOutcome) checkResponse(t *testing.T, semantics string, status int, body string, attempts int) {
 	t.Helper()
-	mayNotRepeat := c.ran && semantics == "once" && !c.served
+	mayNotRepeat := c.mayHaveRun && semantics == "once" && !c.served
 	if mayNotRepeat {
 		if attempts != 1 || status == 200 || status == 429 || status == 503 {
 			t.Errorf("status %d after %d attempts", status, attempts)
--- a/edgenode/config.go
+++ b/edgenode/config.go
@@ -13,31 +13,30 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Config is the configuration that the platform gives an edge node at its start. The JSON keys are the
-// platform's. It is not changed after Parse returns it, so any number of goroutines may
-// read it.
+// Config is the configuration with which the platform starts an edge node. The platform defines the JSON
+// keys. A Config is not changed after Parse returns it, so any number of goroutines may read it.
 type Config struct {
 	Name      string `json:"name"`
-	Listen    string `json:"listen"`    // host:port for clients
+	Listen    string `json:"listen"`    // host:port at which clients connect
 	Discovery string `json:"discovery"` // host:port of the discovery agent
-	Seed      string `json:"seed"`      // of random choices; 64 bits in hex
+	Seed      string `json:"seed"`      // of the random number generator; 64 bits in hexadecimal
 	Limits    Limits `json:"limits"`
 
-	PeerListen string   `json:"peer_listen"` // host:port for datagrams of peers
-	Peers      []string `json:"peers"`       // host:port by number, this node's own among them
-	PeersAll   string   `json:"peers_all"`   // host:port that reaches all peers; "": each is sent to by itself
+	PeerListen string   `json:"peer_listen"` // host:port for datagrams from peers
+	Peers      []string `json:"peers"`       // host:port by node index, including this node's own
+	PeersAll   string   `json:"peers_all"`   // host:port that reaches all peers; "": messages are sent to each peer separately
 	Counter    string   `json:"counter"`     // not used
 
-	LastKnownEndpoints json.RawMessage `json:"known"`    // the last known endpoint list; may be missing
-	Settings           json.RawMessage `json:"settings"` // the simulator's settings, nested
+	LastKnownEndpoints json.RawMessage `json:"known"`    // optional; the endpoint list of an earlier run
+	Settings           json.RawMessage `json:"settings"` // the settings of package wire, as nested JSON
 
 	Policy            policy.Settings      `json:"-"` // from Settings
-	ServerIdleTimeout time.Duration        `json:"-"` // from Settings; servers close connections idle for so long
-	DialTimeout       time.Duration        `json:"-"` // from Settings; to connect to a server
-	CachedEndpoints   []discovery.Endpoint `json:"-"` // from Known
+	ServerIdleTimeout time.Duration        `json:"-"` // from Settings; how long servers keep an idle connection open
+	DialTimeout       time.Duration        `json:"-"` // from Settings; for connecting to a server
+	CachedEndpoints   []discovery.Endpoint `json:"-"` // from LastKnownEndpoints
 }
 
-// Limits is what the node's process may use.
+// Limits is the resources that the node's process may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`     // above 0
 	MemoryMB float64 `json:"memory_mb"` // MiB; at least 16
@@ -49,8 +48,8 @@
 	minSockets  = 64
 )
 
-// KeyError is the error of Parse for a key that is missing or has a wrong value. It may be
-// wrapped with the key around it.
+// KeyError is the error of Parse for a key that is missing or has an invalid value. It may be
+// wrapped in an error that names the enclosing key.
 type KeyError struct {
 	Key     string // path of the key, such as limits.sockets
 	Problem string
@@ -62,8 +61,8 @@
 	return &KeyError{Key: key, Problem: fmt.Sprintf(problem, args...)}
 }
 
-// Read reads a configuration file. The error is that of os.ReadFile, or of Parse with the
-// path in front.
+// Read reads and parses a configuration file. The error is that of os.ReadFile, or that of
+// Parse with the path as a prefix.
 func Read(path string) (*Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -76,13 +75,14 @@
 	return c, nil
 }
 
-// Parse reads and checks a configuration. The error is one line that names the key.
+// Parse parses and validates a configuration. The error is one line; for JSON that is well
+// formed it names the key.
 func Parse(b []byte) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(b, c); err != nil {
 		var wrongType *json.UnmarshalTypeError
 		if errors.As(err, &wrongType) {
-			return nil, keyErrorf(wrongType.Field, "a %s is no %s", wrongType.Value, wrongType.Type)
+			return nil, keyErrorf(wrongType.Field, "got %s, want %s", wrongType.Value, wrongType.Type)
 		}
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	if err := c.readSettings(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := c.readKnown(); err != nil {
+	if err := c.readLastKnownEndpoints(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	if err := c.check(); err != nil {
@@ -101,13 +101,13 @@
 	return c, nil
 }
 
-// readSettings fills what follows from Settings.
+// readSettings sets the fields that are derived from Settings.
 func (c *Config) readSettings() error {
 	settings, err := flattenSettings(c.Settings)
 	if err != nil {
 		return err
 	}
-	if c.Policy, err = wire.Settings(settings); err != nil {
+	if c.Policy, err = wire.ParseSettings(settings); err != nil {
 		return err
 	}
 	if c.ServerIdleTimeout, err = milliseconds(settings, "caps.conn_idle_ms"); err != nil {
@@ -117,20 +117,20 @@
 	return err
 }
 
-// maxMilliseconds is a time that no setting means (11 days).
+// maxMilliseconds is the exclusive upper bound for durations in settings: 11 days.
 const maxMilliseconds = 1e9
 
 func milliseconds(settings map[string]string, key string) (time.Duration, error) {
 	ms, err := strconv.ParseFloat(settings[key], 64)
 	inRange := ms > 0 && ms < maxMilliseconds // false for NaN
 	if err != nil || !inRange {
-		return 0, keyErrorf(key, "%q is no time in ms above 0", settings[key])
+		return 0, keyErrorf(key, "%q is not a valid number of milliseconds above 0", settings[key])
 	}
 	return time.Duration(ms * float64(time.Millisecond)), nil
 }
 
-// readKnown fills what follows from Known.
-func (c *Config) readKnown() error {
+// readLastKnownEndpoints sets the fields that are derived from LastKnownEndpoints.
+func (c *Config) readLastKnownEndpoints() error {
 	if len(c.LastKnownEndpoints) == 0 || string(c.LastKnownEndpoints) == "null" {
 		return nil
 	}
@@ -144,7 +144,7 @@
 
 func (c *Config) check() error {
 	if _, err := c.seed(); err != nil {
-		return keyErrorf("seed", "%q is no hex number of 64 bits", c.Seed)
+		return keyErrorf("seed", "%q is not a 64-bit hexadecimal number", c.Seed)
 	}
 	switch {
 	case c.Listen == "":
--- a/edgenode/config_test.go
+++ b/edgenode/config_test.go
@@ -12,7 +12,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// settingsJSON is a small platform's settings, nested.
+// settingsJSON is the settings of a platform with two edge nodes.
 const settingsJSON = `{"me":0,"balancers":2,"zone":"a","zones":["a","b"],"tick_ms":2,
  "caps":{"cancel":true,"peers":true,"retry_after":true,"max_retry_after_ms":500,"max_attempts":6,"conn_idle_ms":10000,"dial_timeout_ms":250},
  "family_info":{"largest":4,"mail_per_s":60},"discovery":"push","report":{"via":"probe","names":["active","waiting"]},
@@ -26,7 +26,7 @@
  "limits":{"cores":0.5,"memory_mb":64,"sockets":256},"peer_listen":"10.0.0.1:70","peers":["10.0.0.1:71","10.0.0.2:71"],"peers_all":"",
  "known":{"index":1,"snapshot":true,"endpoints":[]},"settings":` + settingsJSON + `}`
 
-// Nested settings are read by the table that reads the simulator's.
+// Nested settings have the same meaning as the flat settings that package wire parses.
 func TestSettings(t *testing.T) {
 	c, err := Parse([]byte(configJSON))
 	if err != nil {
@@ -45,14 +45,14 @@
 		t.Errorf("plans %+v", s.Plans)
 	}
 	if c.ServerIdleTimeout != 10*time.Second || c.DialTimeout != 250*time.Millisecond {
-		t.Errorf("idle %v, connecting %v", c.ServerIdleTimeout, c.DialTimeout)
+		t.Errorf("idle timeout %v, dial timeout %v", c.ServerIdleTimeout, c.DialTimeout)
 	}
 	if _, err := policy.New(s, 1); err != nil {
 		t.Error(err)
 	}
 }
 
-// wantPolicy is what settingsJSON says.
+// wantPolicy is the result of parsing settingsJSON.
 var wantPolicy = policy.Settings{
 	Gateways: 2, Zone: "a",
 	Classes: []policy.Class{
@@ -94,48 +94,48 @@
 	}
 }
 
-func TestMistakeIsAKeyError(t *testing.T) {
+func TestInvalidValueIsAKeyError(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(configJSON, `"dial_timeout_ms":250`, `"dial_timeout_ms":0`, 1)))
 	var e *KeyError
-	if !errors.As(err, &e) || e.Key != "caps.dial_timeout_ms" || e.Problem != `"0" is no time in ms above 0` {
+	if !errors.As(err, &e) || e.Key != "caps.dial_timeout_ms" || e.Problem != `"0" is not a valid number of milliseconds above 0` {
 		t.Errorf("%v", err)
 	}
 }
 
-// The text of each mistake, word for word.
-func TestMistakeTexts(t *testing.T) {
+// The exact error text for each invalid configuration.
+func TestErrorTexts(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"listen":"10.0.0.1:80",`, ``, `listen: missing`},
 		{`"discovery":"10.0.3.1:80",`, ``, `discovery: missing`},
-		{`"8c1f30d27a5be964"`, `"xyz"`, `seed: "xyz" is no hex number of 64 bits`},
-		{`"8c1f30d27a5be964"`, `"18c1f30d27a5be964"`, `seed: "18c1f30d27a5be964" is no hex number of 64 bits`},
+		{`"8c1f30d27a5be964"`, `"xyz"`, `seed: "xyz" is not a 64-bit hexadecimal number`},
+		{`"8c1f30d27a5be964"`, `"18c1f30d27a5be964"`, `seed: "18c1f30d27a5be964" is not a 64-bit hexadecimal number`},
 		{`"sockets":256`, `"sockets":63`, `limits.sockets: 63 is below 64`},
-		{`"sockets":256`, `"sockets":"many"`, `limits.sockets: a string is no int`},
-		{`"sockets":256`, `"sockets":70.5`, `limits.sockets: a number 70.5 is no int`},
+		{`"sockets":256`, `"sockets":"many"`, `limits.sockets: got string, want int`},
+		{`"sockets":256`, `"sockets":70.5`, `limits.sockets: got number 70.5, want int`},
 		{`"memory_mb":64`, `"memory_mb":15.9`, `limits.memory_mb: 15.9 is below 16`},
-		{`"memory_mb":64`, `"memory_mb":"x"`, `limits.memory_mb: a string is no float64`},
+		{`"memory_mb":64`, `"memory_mb":"x"`, `limits.memory_mb: got string, want float64`},
 		{`"cores":0.5`, `"cores":0`, `limits.cores: 0 is not above 0`},
-		{`"cores":0.5`, `"cores":[]`, `limits.cores: a array is no float64`},
-		{`"name":"n0"`, `"name":1`, `name: a number is no string`},
+		{`"cores":0.5`, `"cores":[]`, `limits.cores: got array, want float64`},
+		{`"name":"n0"`, `"name":1`, `name: got number, want string`},
 		{`,"10.0.0.2:71"`, ``, `peers: 1 addresses for 2 edge nodes`},
-		{`["10.0.0.1:71","10.0.0.2:71"]`, `7`, `peers: a number is no []string`},
+		{`["10.0.0.1:71","10.0.0.2:71"]`, `7`, `peers: got number, want []string`},
 		{`"peer_listen":"10.0.0.1:70",`, ``, `peer_listen: missing`},
-		{`"peers_all":""`, `"peers_all":{}`, `peers_all: a object is no string`},
-		{`"peers_all":""`, `"counter":{}`, `counter: a object is no string`},
-		{`"conn_idle_ms":10000`, `"conn_idle_ms":0`, `settings: caps.conn_idle_ms: "0" is no time in ms above 0`},
-		{`"conn_idle_ms":10000`, `"conn_idle_ms":1e9`, `settings: caps.conn_idle_ms: "1e+09" is no time in ms above 0`},
-		{`"conn_idle_ms":10000,`, ``, `settings: caps.conn_idle_ms: "" is no time in ms above 0`},
-		{`"dial_timeout_ms":250`, `"dial_timeout_ms":"soon"`, `settings: caps.dial_timeout_ms: "soon" is no time in ms above 0`},
-		{`"dial_timeout_ms":250`, `"dial_timeout_ms":null`, `settings: caps.dial_timeout_ms: "" is no time in ms above 0`},
-		{`"semantics":"by_key"`, `"semantics":"magic"`, `settings: classes.1.semantics or classes.1.group: unknown`},
-		{`"rate":50`, `"rate":"fast"`, `settings: plans.0.rate: "fast" is no number`},
-		{`"zones":["a","b"]`, `"zones":[["a"],"b"]`, `settings: zones: a list of lists`},
-		{`"index":1,`, ``, `known: no index or no endpoints`},
-		{`"endpoints":[]`, `"endpoints":[{"name":"s","status":"odd","address":"x"}]`, `known: endpoints[0].status: "odd" is unknown`},
+		{`"peers_all":""`, `"peers_all":{}`, `peers_all: got object, want string`},
+		{`"peers_all":""`, `"counter":{}`, `counter: got object, want string`},
+		{`"conn_idle_ms":10000`, `"conn_idle_ms":0`, `settings: caps.conn_idle_ms: "0" is not a valid number of milliseconds above 0`},
+		{`"conn_idle_ms":10000`, `"conn_idle_ms":1e9`, `settings: caps.conn_idle_ms: "1e+09" is not a valid number of milliseconds above 0`},
+		{`"conn_idle_ms":10000,`, ``, `settings: caps.conn_idle_ms: "" is not a valid number of milliseconds above 0`},
+		{`"dial_timeout_ms":250`, `"dial_timeout_ms":"soon"`, `settings: caps.dial_timeout_ms: "soon" is not a valid number of milliseconds above 0`},
+		{`"dial_timeout_ms":250`, `"dial_timeout_ms":null`, `settings: caps.dial_timeout_ms: "" is not a valid number of milliseconds above 0`},
+		{`"semantics":"by_key"`, `"semantics":"magic"`, `settings: classes.1.semantics or classes.1.group: unknown value`},
+		{`"rate":50`, `"rate":"fast"`, `settings: plans.0.rate: "fast" is not a number`},
+		{`"zones":["a","b"]`, `"zones":[["a"],"b"]`, `settings: zones: a list within a list is not supported`},
+		{`"index":1,`, ``, `known: missing index or endpoints`},
+		{`"endpoints":[]`, `"endpoints":[{"name":"s","status":"odd","address":"x"}]`, `known: endpoints[0].status: unknown status "odd"`},
 		{`"endpoints":[]`, `"endpoints":[{"name":"s","status":"ready"}]`, `known: endpoints[0].address: empty`},
 		{`"endpoints":[]`, `"endpoints":[{"status":"ready"}]`, `known: endpoints[0].name: empty`},
-		{`"endpoints":[]`, `"endpoints":[{"name":"s","status":"gone"},{"name":"s","status":"gone"}]`, `known: endpoints[1].name: "s" twice`},
-		{`"settings":` + settingsJSON, `"settings":3`, `settings: caps.conn_idle_ms: "" is no time in ms above 0`},
+		{`"endpoints":[]`, `"endpoints":[{"name":"s","status":"gone"},{"name":"s","status":"gone"}]`, `known: endpoints[1].name: "s" is listed twice`},
+		{`"settings":` + settingsJSON, `"settings":3`, `settings: caps.conn_idle_ms: "" is not a valid number of milliseconds above 0`},
 		{`,"settings":` + settingsJSON, ``, `settings: missing`},
 		{`{"name"`, `{name`, `invalid character 'n' looking for beginning of object key string`},
 	} {
@@ -144,19 +144,19 @@
 			t.Fatalf("%s is not in the configuration", c.old)
 		}
 		if _, err := Parse([]byte(src)); err == nil || err.Error() != c.want {
-			t.Errorf("%s: %v, want %s", c.new, err, c.want)
+			t.Errorf("%s: error %v, want %s", c.new, err, c.want)
 		}
 	}
 	noList := strings.Replace(configJSON, `{"index":1,"snapshot":true,"endpoints":[]}`, `3`, 1)
-	const want = "known: json: cannot unmarshal number into Go value of type " // and the name of our type
+	const want = "known: json: cannot unmarshal number into Go value of type " // followed by the name of the Go type
 	if _, err := Parse([]byte(noList)); err == nil || !strings.HasPrefix(err.Error(), want) {
-		t.Errorf("%v, want %s", err, want)
+		t.Errorf("error %v, want prefix %s", err, want)
 	}
 }
 
-// What can't be meant is an error that names the key.
-func TestMistakeNamesTheKey(t *testing.T) {
-	for _, c := range []struct{ old, new, says string }{
+// The error for an invalid configuration names the key, whether Parse or policy.New finds it.
+func TestErrorNamesTheKey(t *testing.T) {
+	for _, c := range []struct{ old, new, key string }{
 		{`"listen":"10.0.0.1:80",`, ``, "listen"},
 		{`"discovery":"10.0.3.1:80",`, ``, "discovery"},
 		{`"8c1f30d27a5be964"`, `"xyz"`, "seed"},
@@ -182,8 +182,8 @@
 		if err == nil {
 			_, err = policy.New(cfg.Policy, 1)
 		}
-		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v; it does not name %s", c.new, err, c.says)
+		if err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v does not name %s", c.new, err, c.key)
 		}
 	}
 }
--- a/edgenode/discovery/doc.go
+++ b/edgenode/discovery/doc.go
@@ -1,5 +1,6 @@
-// Package discovery keeps the endpoint list of an edge node by the platform's discovery:
-// snapshots and changes as JSON over HTTP, from long polls that follow each other.
+// Package discovery keeps the endpoint list of an edge node up to date. It polls the platform's
+// discovery service with consecutive HTTP long polls, which return snapshot and delta updates as
+// JSON.
 //
-// Lists, the table of endpoints, times and backoff have no I/O; Watch has.
+// Only Watch has I/O; lists, the endpoint table, timeouts and backoff have none.
 package discovery
--- a/edgenode/discovery/endpoint_table.go
+++ b/edgenode/discovery/endpoint_table.go
@@ -9,14 +9,14 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// EndpointTable gives endpoints the IDs by which the policy and messages between nodes know
-// them. An ID follows from the name, so that all nodes give the same one; of two names with
-// the same hash the later one gets the next ID. Names that leave the list are forgotten. One
-// goroutine at a time may use a table.
+// EndpointTable assigns endpoints the IDs that the policy and peer messages use. An ID is the
+// hash of the endpoint's name, so that all nodes assign the same one; if the hashes of two names
+// collide, the later name gets the next free ID. Endpoints that are removed from the list are
+// deleted from the table. It is not safe for concurrent use.
 type EndpointTable struct {
 	ids            map[string]policy.ServerID // by name
 	used           map[policy.ServerID]bool
-	connectionKeys map[string]string // by name, while it is listed
+	connectionKeys map[string]string // by name, while the endpoint is listed
 }
 
 // NewEndpointTable returns an empty table.
@@ -28,23 +28,23 @@
 	}
 }
 
-// Update is what a list means to a node.
+// Update is the result of applying a list.
 type Update struct {
 	Kind    policy.EndpointUpdateKind
 	Servers []node.Endpoint
-	// ConnectionsToClose are the keys of connections to servers, or to starts of servers,
-	// that are no longer listed.
+	// ConnectionsToClose has the connection keys of servers that have been removed, have
+	// restarted or have a new address.
 	ConnectionsToClose []string
 }
 
-// Apply takes in a list and returns what a node is to be told. A cached list is one of an
+// Apply applies a list to the table and returns the resulting update. A cached list is one of an
 // earlier run.
 func (t *EndpointTable) Apply(l List, cached bool) Update {
 	update := Update{Kind: updateKind(l, cached)}
 	listed := map[string]bool{}
 	for _, endpoint := range l.Endpoints {
 		_, known := t.ids[endpoint.Name]
-		if !known && endpoint.Status == statusGone {
+		if !known && endpoint.Status == statusRemoved {
 			continue
 		}
 		listed[endpoint.Name] = true
@@ -75,13 +75,13 @@
 	t.connectionKeys[endpoint.Name] = server.ConnectionKey
 	if server.State == policy.Removed {
 		update.ConnectionsToClose = append(update.ConnectionsToClose, server.ConnectionKey)
-		t.forget(endpoint.Name)
+		t.remove(endpoint.Name)
 	}
 	update.Servers = append(update.Servers, server)
 }
 
-// server is an endpoint as a node knows it. Connections belong to a name, a start and an
-// address together: a new server may take an old one's address.
+// server returns the node's representation of an endpoint. The connection key consists of the
+// name, the start time and the address, because a new server may reuse the address of an old one.
 func (t *EndpointTable) server(endpoint Endpoint) node.Endpoint {
 	server := node.Endpoint{
 		Address: endpoint.Address,
@@ -89,7 +89,7 @@
 			ID:     t.id(endpoint.Name),
 			Zone:   endpoint.Zone,
 			Cell:   endpoint.Cell,
-			State:  states[endpoint.Status],
+			State:  serverStates[endpoint.Status],
 			Weight: endpoint.Weight,
 		},
 		ConnectionKey: endpoint.Name + "/" + strconv.FormatInt(endpoint.StartTimeUnixMS, 36) + "/" + endpoint.Address,
@@ -100,7 +100,7 @@
 	return server
 }
 
-// id is the ID of a name, a new one where the name is not known.
+// id returns the ID of a name, and assigns one if the name has none.
 func (t *EndpointTable) id(name string) policy.ServerID {
 	if id, ok := t.ids[name]; ok {
 		return id
@@ -120,12 +120,12 @@
 	for name, key := range t.connectionKeys {
 		if !listed[name] {
 			update.ConnectionsToClose = append(update.ConnectionsToClose, key)
-			t.forget(name)
+			t.remove(name)
 		}
 	}
 }
 
-func (t *EndpointTable) forget(name string) {
+func (t *EndpointTable) remove(name string) {
 	delete(t.used, t.ids[name])
 	delete(t.ids, name)
 	delete(t.connectionKeys, name)
--- a/edgenode/discovery/list.go
+++ b/edgenode/discovery/list.go
@@ -8,39 +8,40 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Endpoint is one entry of discovery's list. The JSON keys are the platform's.
+// Endpoint is one entry of an endpoint list. The platform defines the JSON keys.
 type Endpoint struct {
-	Name            string  `json:"name"`    // the same at every edge node
+	Name            string  `json:"name"`    // identifies the endpoint at all edge nodes
 	Address         string  `json:"address"` // host:port
 	Zone            string  `json:"zone"`
 	Type            string  `json:"type"` // not used
 	Cell            int     `json:"group"`
 	Status          string  `json:"status"`   // ready, draining or gone
 	Weight          float64 `json:"weight"`   // capacity relative to other endpoints
-	StartTimeUnixMS int64   `json:"since_ms"` // last start, in ms of Unix time; 0: long ago
+	StartTimeUnixMS int64   `json:"since_ms"` // last start of the server; 0: long ago
 }
 
-// List is one response of discovery. The JSON keys are the platform's.
+// List is one response of discovery: a snapshot or a delta of the endpoint list. The platform
+// defines the JSON keys.
 type List struct {
 	Index     int64      `json:"index"`     // version of the list
-	Snapshot  bool       `json:"snapshot"`  // the list is complete; else it has what changed
-	Endpoints []Endpoint `json:"endpoints"` // in no order
+	Snapshot  bool       `json:"snapshot"`  // the list is complete; otherwise it has the endpoints that changed
+	Endpoints []Endpoint `json:"endpoints"` // in no particular order
 }
 
-// statusGone is the status of an endpoint that is no longer in the list.
-const statusGone = "gone"
+// statusRemoved is the platform's status for an endpoint that has been removed from the list.
+const statusRemoved = "gone"
 
-// states maps the platform's statuses.
-var states = map[string]policy.ServerState{
-	"ready":    policy.Running,
-	"draining": policy.Draining,
-	statusGone: policy.Removed,
+// serverStates maps the platform's statuses to states of package policy.
+var serverStates = map[string]policy.ServerState{
+	"ready":       policy.Running,
+	"draining":    policy.Draining,
+	statusRemoved: policy.Removed,
 }
 
-// ErrIncompleteList is the error of Parse for a list without a key that it must have.
-var ErrIncompleteList = errors.New("no index or no endpoints")
+// ErrIncompleteList is the error of Parse for a list that lacks a required key.
+var ErrIncompleteList = errors.New("missing index or endpoints")
 
-// EndpointError is the error of Parse for an endpoint that can't be used.
+// EndpointError is the error of Parse for an invalid endpoint.
 type EndpointError struct {
 	Position int    // of the endpoint in the list, from 0
 	Key      string // name, status or address
@@ -51,8 +52,8 @@
 	return fmt.Sprintf("endpoints[%d].%s: %s", e.Position, e.Key, e.Problem)
 }
 
-// Parse reads one response. A list with anything wrong is an error as a whole, one of
-// encoding/json, ErrIncompleteList or an *EndpointError.
+// Parse parses one response of discovery. One invalid endpoint makes the whole list invalid. The
+// error is one of encoding/json, ErrIncompleteList or an *EndpointError.
 func Parse(b []byte) (List, error) {
 	var decoded struct {
 		Index     *int64      `json:"index"`
@@ -76,7 +77,7 @@
 	seen := map[string]bool{}
 	for i, endpoint := range l.Endpoints {
 		if seen[endpoint.Name] && l.Snapshot {
-			return &EndpointError{Position: i, Key: "name", Problem: fmt.Sprintf("%q twice", endpoint.Name)}
+			return &EndpointError{Position: i, Key: "name", Problem: fmt.Sprintf("%q is listed twice", endpoint.Name)}
 		}
 		if err := endpoint.check(i); err != nil {
 			return err
@@ -86,15 +87,15 @@
 	return nil
 }
 
-// check returns nil or an *EndpointError.
+// check returns an *EndpointError if the endpoint at a position of the list is invalid.
 func (e *Endpoint) check(position int) error {
-	_, known := states[e.Status]
+	_, known := serverStates[e.Status]
 	switch {
 	case e.Name == "":
 		return &EndpointError{Position: position, Key: "name", Problem: "empty"}
 	case !known:
-		return &EndpointError{Position: position, Key: "status", Problem: fmt.Sprintf("%q is unknown", e.Status)}
-	case e.Address == "" && e.Status != statusGone:
+		return &EndpointError{Position: position, Key: "status", Problem: fmt.Sprintf("unknown status %q", e.Status)}
+	case e.Address == "" && e.Status != statusRemoved:
 		return &EndpointError{Position: position, Key: "address", Problem: "empty"}
 	}
 	return nil
--- a/edgenode/discovery/timeouts.go
+++ b/edgenode/discovery/timeouts.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// The times of a watch. The platform counts a change as known 6 s after discovery had it
-// and could be reached, whatever failed meanwhile. The worst order of failures: a call is
-// in flight as discovery comes back, and gets no response (1.7 s); the backoff is at its
-// longest (0.2 s); a dial is lost (0.5 s), and a backoff follows (0.2 s); the next call gets
-// no response either (1.7 s), and a backoff follows (0.2 s); the third is answered at once.
-// That is 4.5 s.
+// Timeouts of a watch. The platform requires that a node knows a change 6 s after discovery has
+// it and is reachable, regardless of failures in between. The worst sequence of failures takes
+// 4.5 s: a poll that is in flight when discovery becomes reachable gets no response (1.7 s), and
+// the backoff is at its maximum (0.2 s); a dial times out (0.5 s), and a backoff follows (0.2 s);
+// the next poll gets no response either (1.7 s), and a backoff follows (0.2 s); the third poll is
+// answered at once.
 const (
-	longPollTime  = time.Second            // for which discovery may hold a call until the list changes
-	responseGrace = 700 * time.Millisecond // after which a call has failed; allows for pauses of the process
+	longPollTime  = time.Second            // how long discovery may hold a poll until the list changes
+	responseGrace = 700 * time.Millisecond // how much later than that a response may arrive; allows for pauses of the process
 	dialTimeout   = 500 * time.Millisecond
 )
 
-// The bounds of the backoff between calls that fail.
+// Bounds of the backoff between polls that fail.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 200 * time.Millisecond
 )
 
-// backoff is the wait before the next call after one that failed. It doubles with each, up
-// to maxBackoff.
+// backoff is the wait before the next poll after a failure. It doubles with each failure, up to
+// maxBackoff.
 type backoff struct{ wait time.Duration }
 
 func newBackoff() backoff { return backoff{wait: minBackoff} }
 
-// next returns how long to wait now.
+// next returns the time to wait before the next poll, and doubles the following one.
 func (b *backoff) next() time.Duration {
 	wait := b.wait
 	b.wait = min(2*b.wait, maxBackoff)
 	return wait
 }
 
-// reset starts again after a call that did not fail.
+// reset returns the backoff to its minimum after a successful poll.
 func (b *backoff) reset() { b.wait = minBackoff }
--- a/edgenode/discovery/watch.go
+++ b/edgenode/discovery/watch.go
@@ -13,42 +13,42 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-// Options configures a watch. All fields are needed.
+// Options configures a watch. All fields are required.
 type Options struct {
 	Network network.Network
 	Address string       // host:port of discovery
-	Logger  *slog.Logger // gets one warning for each run of failed calls
-	Deliver func(List)   // called from the goroutine of Watch, which waits for it
+	Logger  *slog.Logger // gets one warning for each series of failed polls
+	Deliver func(List)   // called synchronously from the goroutine of Watch
 }
 
-// The platform's HTTP interface of discovery.
+// Paths and parameters of the platform's discovery interface.
 const (
 	listPath       = "/discovery/hosts"
-	afterParameter = "?after="   // the index of the list that is held
-	waitParameter  = "&wait_ms=" // how long to wait for a change of it
+	afterParameter = "?after="   // index of the last list received
+	waitParameter  = "&wait_ms=" // how long discovery may wait for a change of that list
 )
 
-// responseLimits bounds one response of discovery.
+// responseLimits has the maximum sizes of one response of discovery.
 var responseLimits = http1.Limits{Line: 4 << 10, Fields: 64, Header: 16 << 10, Body: 1 << 20}
 
-// The errors of a call that discovery answered.
+// Errors of a poll that discovery answered.
 var (
-	errNoSnapshot       = errors.New("changes without a whole list")
-	errConnectionClosed = errors.New("connection closed")
+	errNoSnapshot       = errors.New("delta update before the first snapshot")
+	errConnectionClosed = errors.New("connection closed after the response")
 )
 
-// statusError is the error of a call that was answered with a status other than 200.
+// statusError is the error of a poll that was answered with a status other than 200.
 type statusError int
 
-func (s statusError) Error() string { return fmt.Sprintf("status %d", int(s)) }
+func (s statusError) Error() string { return fmt.Sprintf("unexpected status %d", int(s)) }
 
-// noIndex is the index before the first list. With it, or any other below 0, a watch asks
-// for a snapshot.
+// noIndex is the index before the first list is received. If the index is negative, a watch
+// requests a snapshot.
 const noIndex = -1
 
-// Watch polls discovery until ctx ends: first for a snapshot, then for what changes. A
-// response that can't be read changes nothing and is asked for again, after a backoff.
-// Watch returns when its connection is closed; nothing is delivered after that.
+// Watch polls discovery until ctx ends, first for a snapshot, then for changes. An invalid
+// response changes nothing; the poll is repeated after a backoff. Watch closes its connection
+// before it returns, and delivers nothing after that.
 func Watch(ctx context.Context, o Options) {
 	w := watcher{Options: o, index: noIndex, backoff: newBackoff()}
 	for ctx.Err() == nil {
@@ -70,14 +70,14 @@
 // watcher is the state of a watch. Only the goroutine of Watch uses it.
 type watcher struct {
 	Options
-	index   int64 // of the list that is held
+	index   int64 // of the last list received
 	backoff backoff
-	failing bool // the last call failed, and that was logged
+	failing bool // the last poll failed, and the failure was logged
 }
 
 func (w *watcher) hasList() bool { return w.index >= 0 }
 
-// poll makes calls over one connection until one fails or ctx ends. Its error is never nil.
+// poll sends polls over one connection until one fails or ctx ends. Its error is never nil.
 func (w *watcher) poll(ctx context.Context) error {
 	connection, err := w.dial(ctx)
 	if err != nil {
@@ -111,13 +111,14 @@
 	return w.Network.Dial(ctx, w.Address)
 }
 
-// call makes one call, and tells whether the connection can be used for another.
+// call sends one poll and reads its response. keepAlive reports whether the connection can be
+// reused.
 func (w *watcher) call(ctx context.Context, connection net.Conn, reader *http1.Reader) (list List, keepAlive bool, err error) {
 	target, wait := w.target()
 	if err := connection.SetDeadline(time.Now().Add(wait + responseGrace)); err != nil {
 		return List{}, false, err
 	}
-	if ctx.Err() != nil { // the deadline above may have undone interrupt
+	if ctx.Err() != nil { // the deadline set above may have overridden that of interrupt
 		return List{}, false, ctx.Err()
 	}
 	request := http1.AppendRequest(nil, "GET", target, w.Address, nil, nil)
@@ -139,7 +140,7 @@
 	return list, head.KeepAlive(), err
 }
 
-// target is the target of the next call, and for how long discovery may hold it.
+// target returns the request target of the next poll, and how long discovery may hold the poll.
 func (w *watcher) target() (target string, wait time.Duration) {
 	if !w.hasList() {
 		return listPath, 0
@@ -149,14 +150,14 @@
 	return listPath + afterParameter + index + waitParameter + milliseconds, longPollTime
 }
 
-// interrupt ends a call in flight. It fails only where the connection is closed, and then
-// there is no call.
+// interrupt aborts a poll in flight. Setting the deadline fails only if the connection is closed,
+// and then no poll is in flight.
 func interrupt(connection net.Conn) {
 	_ = connection.SetDeadline(time.Unix(1, 0))
 }
 
-// closeQuietly closes a connection that nothing more is read from or written to: the error
-// that ended its use is the one that counts.
+// closeQuietly closes a connection and ignores the error: the connection is no longer used, and
+// the error that ended its use has been reported.
 func closeQuietly(connection net.Conn) {
 	_ = connection.Close()
 }
--- a/edgenode/discovery/watch_test.go
+++ b/edgenode/discovery/watch_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	snapshotOfTwo = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"},{"name":"s-2","address":"b:1","status":"ready"}]}`
-	secondDrains  = `{"index":%d,"snapshot":false,"endpoints":[{"name":"s-2","address":"b:1","status":"draining"}]}`
-	snapshotOfOne = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"}]}`
+	snapshotWithSecond    = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"},{"name":"s-2","address":"b:1","status":"ready"}]}`
+	deltaSecondDraining   = `{"index":%d,"snapshot":false,"endpoints":[{"name":"s-2","address":"b:1","status":"draining"}]}`
+	snapshotWithoutSecond = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"}]}`
 )
 
 // fakeDiscovery is a listener on loopback whose calls a test answers by hand.
@@ -99,8 +99,8 @@
 	return got
 }
 
-// lacksSecond tells whether what was delivered takes a server out of use.
-func lacksSecond(l List) bool {
+// secondUnavailable tells whether what was delivered takes a server out of use.
+func secondUnavailable(l List) bool {
 	for _, h := range l.Endpoints {
 		if h.Name == "s-2" {
 			return h.Status != "ready"
@@ -109,28 +109,28 @@
 	return l.Snapshot
 }
 
-// failure is a way for a call to fail; it tells whether the connection goes on.
-type failure func(nc *net.TCPConn) bool
+// failCall is a way for a call to fail; it tells whether the connection goes on.
+type failCall func(nc *net.TCPConn) bool
 
-// silence holds a call until the test program ends.
-func silence(*net.TCPConn) bool { select {} }
+// neverRespond holds a call until the test program ends.
+func neverRespond(*net.TCPConn) bool { select {} }
 
-func reset(nc *net.TCPConn) bool {
+func resetConnection(nc *net.TCPConn) bool {
 	if err := nc.SetLinger(0); err != nil {
 		panic(err) // the watch would see an end, not a reset
 	}
 	return false
 }
 
-func end(*net.TCPConn) bool { return false }
+func closeConnection(*net.TCPConn) bool { return false }
 
-func halfAResponse(nc *net.TCPConn) bool {
-	send(nc, response(secondDrains)[:30])
+func truncatedResponse(nc *net.TCPConn) bool {
+	send(nc, response(deltaSecondDraining)[:30])
 	return false
 }
 
-func stuckResponse(nc *net.TCPConn) bool {
-	halfAResponse(nc)
+func stalledResponse(nc *net.TCPConn) bool {
+	truncatedResponse(nc)
 	select {}
 }
 
@@ -148,28 +148,28 @@
 // is played once the snapshot is held, and the change is there from its first call on.
 func TestChangesArriveWhileCallsFail(t *testing.T) {
 	for name, c := range map[string]struct {
-		failures []failure
+		failures []failCall
 		change   string
 	}{
-		"silent twice":             {[]failure{silence, silence}, secondDrains},
-		"silent, then the rest":    {[]failure{silence}, snapshotOfOne},
-		"reset twice":              {[]failure{reset, reset}, secondDrains},
-		"ended instead of telling": {[]failure{end, end, end}, snapshotOfOne},
-		"half an answer":           {[]failure{halfAResponse, halfAResponse}, secondDrains},
-		"stuck, reset, silent":     {[]failure{stuckResponse, reset, silence}, secondDrains},
-		"refused calls":            {[]failure{badStatus, badStatus, badStatus, badList}, snapshotOfOne},
+		"silent twice":             {[]failCall{neverRespond, neverRespond}, deltaSecondDraining},
+		"silent, then the rest":    {[]failCall{neverRespond}, snapshotWithoutSecond},
+		"reset twice":              {[]failCall{resetConnection, resetConnection}, deltaSecondDraining},
+		"ended instead of telling": {[]failCall{closeConnection, closeConnection, closeConnection}, snapshotWithoutSecond},
+		"half an answer":           {[]failCall{truncatedResponse, truncatedResponse}, deltaSecondDraining},
+		"stuck, reset, silent":     {[]failCall{stalledResponse, resetConnection, neverRespond}, deltaSecondDraining},
+		"refused calls":            {[]failCall{badStatus, badStatus, badStatus, badList}, snapshotWithoutSecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := newFakeDiscovery(t)
 			firstFailure := d.failThenAnswer(c.failures, c.change)
 			got := startWatch(t, network.OS{}, d.listener.Addr().String())
-			if l := <-got; !l.Snapshot || lacksSecond(l) {
+			if l := <-got; !l.Snapshot || secondUnavailable(l) {
 				t.Fatalf("first %+v", l)
 			}
 			select {
 			case l := <-got:
-				if !lacksSecond(l) {
+				if !secondUnavailable(l) {
 					t.Errorf("then %+v", l)
 				}
 				if took := time.Since(<-firstFailure); took > 5*time.Second {
@@ -184,15 +184,15 @@
 
 // failThenAnswer answers calls without an index by a snapshot, and of the others the first
 // ones by failures, the rest by a change. The channel has the time of the first failure.
-func (d *fakeDiscovery) failThenAnswer(failures []failure, change string) (firstFailure chan time.Time) {
-	pending := make(chan failure, len(failures))
+func (d *fakeDiscovery) failThenAnswer(failures []failCall, change string) (firstFailure chan time.Time) {
+	pending := make(chan failCall, len(failures))
 	for _, f := range failures {
 		pending <- f
 	}
 	firstFailure = make(chan time.Time, 1)
 	go d.answerCalls(func(nc *net.TCPConn, after int64) bool {
 		if after < 0 {
-			send(nc, response(fmt.Sprintf(snapshotOfTwo, 41)))
+			send(nc, response(fmt.Sprintf(snapshotWithSecond, 41)))
 			return true
 		}
 		select {
@@ -210,37 +210,37 @@
 	return firstFailure
 }
 
-// readConn tells of each read.
-type readConn struct {
+// observedConn tells of each read.
+type observedConn struct {
 	net.Conn
 	read chan int
 }
 
-func (c *readConn) Read(b []byte) (int, error) {
+func (c *observedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.read <- n
 	return n, err
 }
 
-type readNet struct {
+type observedNetwork struct {
 	network.OS
 	read chan int
 }
 
-func (n readNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (n observedNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	nc, err := n.OS.Dial(ctx, addr)
-	return &readConn{nc, n.read}, err
+	return &observedConn{nc, n.read}, err
 }
 
 // An answer comes in two pieces, cut at each of its bytes, with a length or in chunks,
 // indented or not: the second leaves once the first was read.
 func TestResponsesInPieces(t *testing.T) {
-	indented := strings.NewReplacer("[", "[\n  ", "},", "},\r\n\t", ":", " : ").Replace(strings.Replace(snapshotOfOne, "a:1", "a1", 1))
+	indented := strings.NewReplacer("[", "[\n  ", "},", "},\r\n\t", ":", " : ").Replace(strings.Replace(snapshotWithoutSecond, "a:1", "a1", 1))
 	chunked := func(b string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x;x=y\r\n%s\r\n0\r\n\r\n",
 			len(b)/2, b[:len(b)/2], len(b)-len(b)/2, b[len(b)/2:])
 	}
-	for _, text := range []string{response(fmt.Sprintf(snapshotOfOne, 7)), chunked(fmt.Sprintf(snapshotOfOne, 7)), chunked(fmt.Sprintf(indented, 7))} {
+	for _, text := range []string{response(fmt.Sprintf(snapshotWithoutSecond, 7)), chunked(fmt.Sprintf(snapshotWithoutSecond, 7)), chunked(fmt.Sprintf(indented, 7))} {
 		a := newFakeDiscovery(t)
 		at, read := 0, make(chan int)
 		go a.answerCalls(func(nc *net.TCPConn, _ int64) bool {
@@ -261,7 +261,7 @@
 		got, done := make(chan List, 1), make(chan struct{})
 		go func() {
 			defer close(done)
-			Watch(ctx, Options{Network: readNet{read: read}, Address: a.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
+			Watch(ctx, Options{Network: observedNetwork{read: read}, Address: a.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
 		}()
 		for i := 1; i < len(text); i++ {
 			select {
@@ -290,12 +290,12 @@
 	answered := make(chan struct{})
 	go a.answerCalls(func(nc *net.TCPConn, after int64) bool {
 		if after < 0 {
-			send(nc, response(fmt.Sprintf(snapshotOfTwo, 41)))
+			send(nc, response(fmt.Sprintf(snapshotWithSecond, 41)))
 			return true
 		}
 		close(out)
 		<-moved
-		send(nc, response(fmt.Sprintf(snapshotOfOne, 43)))
+		send(nc, response(fmt.Sprintf(snapshotWithoutSecond, 43)))
 		close(answered)
 		return false
 	})
@@ -311,7 +311,7 @@
 	<-done
 	close(moved)
 	<-answered
-	if len(got) != 1 || lacksSecond(got[0]) {
+	if len(got) != 1 || secondUnavailable(got[0]) {
 		t.Errorf("heard %+v", got)
 	}
 }
--- a/edgenode/doc.go
+++ b/edgenode/doc.go
@@ -1,8 +1,8 @@
-// Package edgenode runs a gateway as an edge node of the users' platform: it reads the
-// platform's configuration, speaks the platform's protocol (package protocol), watches the
-// platform's discovery (package discovery), and ends within the time that the platform
-// leaves between SIGTERM and SIGKILL. Everything else is shared with other gateways.
+// Package edgenode runs a gateway as an edge node of the platform that hosts it: it reads the
+// platform's configuration, implements the platform's protocol (package protocol), watches the
+// platform's discovery service (package discovery), and shuts down within the time that the
+// platform allows between SIGTERM and SIGKILL. Everything else is shared with other gateways.
 //
-// What a node may use and what happens when during a shutdown is decided without I/O, in
-// resource_limits.go and shutdown.go.
+// The division of resources (resource_limits.go) and the schedule of the shutdown (shutdown.go)
+// are computed without I/O.
 package edgenode
--- a/edgenode/drain.go
+++ b/edgenode/drain.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// Drain ends the node within the time between SIGTERM and SIGKILL, by planShutdown:
+// Drain shuts the node down within the time between SIGTERM and SIGKILL, at the times that
+// planShutdown returns:
 //
-//   - New connections are accepted for one request each, as long as clients may not know
-//     of the shutdown; others are closed as they become idle.
-//   - Then no new ones are accepted, and Drain waits until all connections are closed.
-//   - Shortly before the end every request still open gets its final response.
-//   - What is left then is cut.
+//   - While clients may not know of the shutdown, new connections are accepted and serve one
+//     request each. Other connections are closed as they become idle.
+//   - Then no new connections are accepted, and Drain waits until all connections are closed.
+//   - Shortly before the end every request that is still open gets its final response.
+//   - Connections that are still open after that are closed.
 //
-// A ctx that ends sooner cuts all at once. Drain returns when all goroutines of the node
-// have ended. The error means that requests were left unanswered at the end.
+// If ctx ends sooner, all connections are closed at once. Drain returns when all goroutines of
+// the node have ended. The error means that requests were left without a response.
 func (e *Edge) Drain(ctx context.Context) error {
 	begun := time.Now()
 	plan := planShutdown(e.classes)
@@ -41,13 +42,13 @@
 	return err
 }
 
-// sendFinalResponses answers every request that is open or only partly read.
+// sendFinalResponses ends every request that is open or only partly read with a final response.
 func (e *Edge) sendFinalResponses() {
 	e.node.AbortRequests()
 	e.front.Late()
 }
 
-// waitUntil waits for a time, or the end of ctx.
+// waitUntil waits until the given time, or until ctx ends.
 func waitUntil(ctx context.Context, at time.Time) {
 	select {
 	case <-time.After(time.Until(at)):
--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -22,23 +22,23 @@
 	"yardcleat.example/yardcleat/upstream"
 )
 
-// Edge is a running edge node. Submit and Reload may be called from any goroutine; Drain is
+// Edge is a running edge node. Submit and Reload may be called from any goroutine; Drain may be
 // called once.
 //
-// Its goroutines, in the order of their start, each with its owner and its end:
+// Its goroutines in the order in which they start, with the owner of each and how it is stopped:
 //
-//   - the heartbeat of the pause clock: pauseclock.Clock, ended by its Close;
-//   - connections to servers: pool, ended by its Close;
-//   - the receiver of peers' datagrams: peer.Bare, ended by its Close;
+//   - the heartbeat of the pause clock: pauseclock.Clock, stopped by its Close;
+//   - connections to servers: pool, stopped by its Close;
+//   - the receiver of datagrams from peers: peer.Bare, stopped by its Close;
 //   - the loop of the node: background.Go, which cancels its context and waits;
 //   - the discovery watch: stopWatch, called by watchDiscovery;
-//   - the listener: serving, ended by closing the listener;
-//   - clients' connections: front, ended by its Drain.
+//   - the accept loop: serving, stopped by closing the listener;
+//   - connections of clients: front, stopped by its Drain.
 //
-// The listener and clients' connections end first. The others are ended by closers, in
-// reverse order.
+// The accept loop and the connections of clients are stopped first, then the others by closers,
+// in reverse order.
 type Edge struct {
-	network  network.Network // watched by the pause clock
+	network  network.Network // as watched by the pause clock
 	logger   *slog.Logger
 	node     *node.Node
 	pool     *upstream.Pool
@@ -47,8 +47,8 @@
 	serving  sync.WaitGroup // the goroutine that accepts connections
 	closers  background.Closers
 
-	hasEndpoints atomic.Bool // there is an endpoint list
-	draining     atomic.Bool // the shutdown has begun
+	hasEndpoints atomic.Bool // an endpoint list has been applied
+	draining     atomic.Bool // the shutdown has started
 
 	classes []policy.Class
 	open    openRequests
@@ -58,16 +58,16 @@
 
 	watchMutex       sync.Mutex
 	stopWatch        func() // guarded by watchMutex
-	discoveryAddress string // guarded by watchMutex; "": nothing is watched
+	discoveryAddress string // guarded by watchMutex; "" if no watch runs
 }
 
-// Start starts an edge node; only Drain ends it. Its goroutines have the values of ctx, not
-// its end. Where Start fails, everything that it opened is closed.
+// Start starts an edge node, which runs until Drain. Its goroutines inherit the values of ctx,
+// but not its cancellation. If Start fails, it closes everything that it opened.
 func Start(ctx context.Context, cfg *Config, n network.Network, logger *slog.Logger) (*Edge, error) {
 	return startWithPauseSettings(ctx, cfg, n, logger, pause.DefaultSettings())
 }
 
-// startWithPauseSettings is Start with settings of what counts as a pause of the process.
+// startWithPauseSettings is Start with settings for the detection of pauses of the process.
 func startWithPauseSettings(ctx context.Context, cfg *Config, n network.Network, logger *slog.Logger,
 	pauseSettings pause.Settings,
 ) (*Edge, error) {
@@ -98,7 +98,7 @@
 	return e, nil
 }
 
-// start opens everything in order: a part that receives from others runs before them.
+// start starts the components of the node, each before those that send to it.
 func (e *Edge) start(ctx context.Context, cfg *Config, options node.Options, paused func(since time.Time) bool) error {
 	limits := divideResources(cfg.Limits)
 	e.startPool(cfg, limits, paused)
@@ -128,7 +128,7 @@
 	e.closers.Add(e.pool.Close)
 }
 
-// startNode starts the node's loop, and before it the transport to peers.
+// startNode starts the transport to peers and then the node's loop.
 func (e *Edge) startNode(ctx context.Context, cfg *Config, options node.Options) (err error) {
 	if options.Seed, err = cfg.seed(); err != nil {
 		return err
@@ -151,7 +151,7 @@
 }
 
 // listenForPeers opens the datagram socket. Messages that arrive before the node runs are
-// lost, as any datagram may be.
+// dropped: senders must tolerate the loss of any datagram.
 func (e *Edge) listenForPeers(cfg *Config, nodeStarted <-chan struct{}) (*peer.Bare, error) {
 	transport, err := peer.ListenBare(peer.BareOptions{
 		Network:   e.network,
@@ -174,7 +174,8 @@
 	return transport, nil
 }
 
-// startFront opens the listener and accepts connections until it is closed.
+// startFront opens the listener and starts the accept loop, which runs until the listener is
+// closed.
 func (e *Edge) startFront(cfg *Config, limits resourceLimits) (err error) {
 	if e.listener, err = e.network.Listen(cfg.Listen); err != nil {
 		return err
@@ -202,11 +203,11 @@
 	return nil
 }
 
-// ready reports whether the node can decide on requests and is not shutting down.
+// ready reports whether the node has an endpoint list and is not shutting down.
 func (e *Edge) ready() bool { return e.hasEndpoints.Load() && !e.draining.Load() }
 
-// Submit hands a request to the node. One with the ID of a request that is still open
-// fails at once. reply is called once; the caller calls disconnected when the client has
+// Submit passes a request to the node. A request with the ID of one that is still open fails
+// at once. reply is called exactly once. The caller must call disconnected when the client has
 // disconnected.
 func (e *Edge) Submit(r *node.Request, reply func(node.FinalResponse)) (disconnected func()) {
 	if !e.open.add(r.Trace) {
--- a/edgenode/endpoints.go
+++ b/edgenode/endpoints.go
@@ -9,8 +9,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// useCachedEndpoints starts with the endpoint list of an earlier run. It makes the node
-// ready only after cachedListDelay: until then discovery may return a newer one.
+// useCachedEndpoints applies the endpoint list of an earlier run. The node becomes ready with
+// it only after cachedListDelay, because discovery may return a newer list by then.
 func (e *Edge) useCachedEndpoints(cached []discovery.Endpoint) {
 	if len(cached) == 0 {
 		return
@@ -20,10 +20,10 @@
 	e.closers.Add(func() { timer.Stop() })
 }
 
-// applyWatchedList applies a list of the watch.
+// applyWatchedList applies an endpoint list from the discovery watch.
 func (e *Edge) applyWatchedList(l discovery.List) { e.applyEndpoints(l, false) }
 
-// applyEndpoints applies an endpoint list, or changes of one.
+// applyEndpoints applies a snapshot or a delta of the endpoint list.
 func (e *Edge) applyEndpoints(l discovery.List, cached bool) {
 	e.endpointsMutex.Lock()
 	defer e.endpointsMutex.Unlock()
@@ -39,14 +39,14 @@
 	}
 }
 
-// startWatch watches discovery until the node is closed.
+// startWatch starts the discovery watch, which runs until the node is closed.
 func (e *Edge) startWatch(ctx context.Context, address string) {
 	e.watchDiscovery(ctx, address)
 	e.closers.Add(func() { e.watchDiscovery(ctx, "") })
 }
 
-// watchDiscovery replaces the watch of discovery by one at an address; "" ends the watch. It
-// returns when the previous watch has ended.
+// watchDiscovery stops the discovery watch, waits until it has ended, and starts one at the
+// given address; "" starts none.
 func (e *Edge) watchDiscovery(ctx context.Context, address string) {
 	e.watchMutex.Lock()
 	defer e.watchMutex.Unlock()
@@ -71,8 +71,8 @@
 	e.stopWatch = background.Go(ctx, func(ctx context.Context) { discovery.Watch(ctx, options) })
 }
 
-// Reload applies what a new configuration may change while the node runs: the address of
-// discovery. After the node has ended it does nothing. It waits for the old watch to end.
+// Reload applies the only setting that may change while the node runs: the address of
+// discovery. It waits for the previous watch to end. After the node has ended it does nothing.
 func (e *Edge) Reload(ctx context.Context, cfg *Config) {
 	e.watchMutex.Lock()
 	defer e.watchMutex.Unlock()
--- a/edgenode/fake_server_test.go
+++ b/edgenode/fake_server_test.go
@@ -23,7 +23,7 @@
 // say that the connection ends.
 type fakeServer struct {
 	mu                sync.Mutex
-	seen              []string // id, key, method, target, body of each request
+	requests          []string // id, key, method, target, body of each request
 	connections       int
 	respond           func(n int, id string) (out string, end bool)
 	observe           func(s audit.Seen, out string) // what came of a request; may be nil
@@ -42,7 +42,7 @@
 func (s *fakeServer) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.seen)
+	return len(s.requests)
 }
 
 // connectionCount is the number of connections accepted.
@@ -67,7 +67,7 @@
 }
 
 func (s *fakeServer) serveConnection(nc net.Conn) {
-	defer closeFake(nc)
+	defer closeIgnoringError(nc)
 	r := http1.NewReader(nc, testLimits)
 	for s.serveRequest(nc, r) {
 	}
@@ -119,8 +119,8 @@
 func (s *fakeServer) record(request string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen = append(s.seen, request)
-	return len(s.seen)
+	s.requests = append(s.requests, request)
+	return len(s.requests)
 }
 
 // prepareEnd makes the close that follows a reset where the server ends so.
@@ -132,8 +132,8 @@
 	}
 }
 
-// closeFake closes the connection of a fake, whose peer may have closed it before.
-func closeFake(c io.Closer) { _ = c.Close() }
+// closeIgnoringError closes the connection of a fake, whose peer may have closed it before.
+func closeIgnoringError(c io.Closer) { _ = c.Close() }
 
 // mustClose closes what is open until then.
 func mustClose(t *testing.T, c io.Closer) {
--- a/edgenode/invariants_test.go
+++ b/edgenode/invariants_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	rackWindow    = 2 * time.Second         // within which a rack drops repeats of a key
+	dedupWindow   = 2 * time.Second         // within which a rack drops repeats of a key
 	clientTimeout = 1500 * time.Millisecond // as requestText states it
 )
 
@@ -23,12 +23,12 @@
 	bed   *testbed
 	start time.Time
 
-	mu           sync.Mutex // guards the rest
-	rng          *rand.Rand
-	record       *audit.Record
-	statuses     map[int]int
-	ran          map[string]time.Time // by key: the rack drops repeats
-	lastAnnounce *bool                // whether s-1 was said to be down
+	mu            sync.Mutex // guards the rest
+	rng           *rand.Rand
+	record        *audit.Record
+	statuses      map[int]int
+	ran           map[string]time.Time // by key: the rack drops repeats
+	lastAnnounced *bool                // whether s-1 was said to be down
 }
 
 func newFaultRun(s *testbed) *faultRun {
@@ -37,7 +37,7 @@
 		start: time.Now(),
 		rng:   rand.New(rand.NewPCG(3, 3)),
 		record: &audit.Record{Grace: 250 * time.Millisecond, Slop: 10 * time.Millisecond,
-			Classes: map[string]audit.Class{"lookup": {Effect: "safe"}, "loan-change": {Effect: "keyed", Window: rackWindow}}},
+			Classes: map[string]audit.Class{"lookup": {Effect: "safe"}, "loan-change": {Effect: "keyed", Window: dedupWindow}}},
 		statuses: map[int]int{},
 		ran:      map[string]time.Time{},
 	}
@@ -50,7 +50,7 @@
 	seen.Server, seen.Rack = server, "1"
 	if seen.Class == "loan-change" {
 		at, before := f.ran[seen.Key]
-		seen.Dropped = before && seen.At.Sub(at) < rackWindow
+		seen.Dropped = before && seen.At.Sub(at) < dedupWindow
 	}
 	seen.Away = strings.Contains(out, "X-Unprocessed")
 	seen.Ran = !seen.Away && !seen.Dropped
@@ -95,8 +95,8 @@
 	down := elapsed > 4*time.Second && elapsed < 7*time.Second
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lastAnnounce == nil || *f.lastAnnounce != down {
-		f.lastAnnounce = &down
+	if f.lastAnnounced == nil || *f.lastAnnounced != down {
+		f.lastAnnounced = &down
 		f.record.Told = append(f.record.Told, audit.Told{Server: "s-1", At: at, Down: down})
 	}
 	if down {
--- a/edgenode/open_requests.go
+++ b/edgenode/open_requests.go
@@ -6,14 +6,14 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// openRequests is the set of IDs of requests that the node has not finished. Its
-// methods may be called from any goroutine.
+// openRequests is the set of the IDs of requests in progress. Its methods may be called from
+// any goroutine.
 type openRequests struct {
 	mu  sync.Mutex
 	ids map[string]bool
 }
 
-// add adds an ID and returns whether it was not in the set.
+// add adds an ID to the set. It returns false if the ID is in the set already.
 func (o *openRequests) add(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/edgenode/protocol/headers.go
+++ b/edgenode/protocol/headers.go
@@ -2,19 +2,20 @@
 
 import "yardcleat.example/yardcleat/node"
 
-// The platform's names on the wire. Only this file has them.
+// Names of header fields, parameters, the cookie and the readiness path, as the platform defines
+// them. Only this file has them.
 const (
 	HeaderRequestID      = "X-Correlation-Id"
 	headerClass          = "X-Service-Class"
 	headerPlan           = "X-Plan"
 	headerQuota          = "X-Quota"         // units=N,spread=N,first=N
-	headerRetry          = "X-Repeat"        // 1 for a request that the client sends again
-	HeaderClientTimeout  = "X-Time-Left-Ms"  // ms until the client, or this node, gives up
-	headerIdempotencyKey = "Idempotency-Key" // of classes that are idempotent with a key
+	headerRetry          = "X-Repeat"        // 1 for a client retry
+	HeaderClientTimeout  = "X-Time-Left-Ms"  // ms until the client's timeout, or in a request to a server until the attempt's
+	headerIdempotencyKey = "Idempotency-Key" // required for classes that are idempotent with a key
 	headerCookie         = "Cookie"
 	customerCookie       = "key" // the cookie that names the customer
 
-	HeaderRejection = "X-Unprocessed" // of a server's response: the request did not run
+	HeaderRejection = "X-Unprocessed" // in a server's response: the request was not processed
 	ReadinessPath   = "/up"
 
 	quotaUnits  = "units"
@@ -22,7 +23,7 @@
 	quotaFirst  = "first"
 )
 
-// field is one of the header fields that say what a request is.
+// field is a header field that the protocol defines for requests.
 type field int
 
 const (
@@ -37,8 +38,8 @@
 	fieldCount
 )
 
-// singleHeaders has the name of each field. Each may come once: two readers could read more
-// than one differently.
+// singleHeaders has the header name of each field. A header may occur only once: different
+// parsers could resolve duplicates differently.
 var singleHeaders = [fieldCount]string{
 	fieldRequestID:      HeaderRequestID,
 	fieldClass:          headerClass,
@@ -59,14 +60,14 @@
 	return 0, false
 }
 
-// forwarded tells whether a field is sent on to servers; the others are for this node only.
+// forwarded reports whether a field is forwarded to servers. The others are for this node only.
 func (f field) forwarded() bool { return f == fieldRequestID || f == fieldIdempotencyKey }
 
-// fieldValues has the value of each field; "" where it is missing.
+// fieldValues has the value of each field, "" for a missing one.
 type fieldValues [fieldCount]string
 
-// extractFields returns the values of a call's fields and takes those out of its header that
-// are not forwarded. The error is a RequestError.
+// extractFields returns the values of the protocol's fields in an HTTP request, and removes the
+// fields that are not forwarded from its header. The error is a RequestError.
 func extractFields(c *node.HTTPRequest) (values fieldValues, err error) {
 	forwarded := c.Header[:0]
 	for _, header := range c.Header {
--- a/edgenode/protocol/mapper.go
+++ b/edgenode/protocol/mapper.go
@@ -1,6 +1,6 @@
-// Package protocol maps the platform's requests to requests of a node, and final responses
-// of a node to the platform's. It has no I/O. What is not the protocol is rejected here, and
-// the node never hears of it.
+// Package protocol maps HTTP requests of the platform's protocol to requests of a node, and final
+// responses of a node to HTTP responses. It has no I/O. Requests that violate the protocol are
+// answered here and do not reach the node.
 package protocol
 
 import (
@@ -8,8 +8,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Mapper maps requests and responses by the classes and plans of the settings. It is not
-// changed after New, so any number of goroutines may use it.
+// Mapper maps requests and responses according to the classes and plans of the settings. It is
+// not changed after New, so any number of goroutines may use it.
 type Mapper struct {
 	settings policy.Settings
 	classes  map[string]policy.Class
@@ -17,7 +17,8 @@
 	ready    func() bool
 }
 
-// New returns a Mapper. ready tells whether the node can decide; any goroutine calls it.
+// New returns a Mapper. ready reports whether the node can handle requests; it may be called from
+// any goroutine.
 func New(settings policy.Settings, ready func() bool) *Mapper {
 	m := &Mapper{
 		settings: settings,
@@ -34,9 +35,9 @@
 	return m
 }
 
-// Admit returns the request of a call whose header holds end-to-end fields. Where the final
-// response is not nil the call has it at once: it asked for readiness, or is not the
-// protocol.
+// Admit maps an HTTP request whose header holds only end-to-end fields to a request of the node. If
+// the final response is not nil, the HTTP request is answered with it and does not reach the node: it
+// is a readiness check, or violates the protocol.
 func (m *Mapper) Admit(c node.HTTPRequest, _ string) (*node.Request, *node.FinalResponse) {
 	r := &node.Request{}
 	if c.Target == ReadinessPath && c.Method == "GET" {
--- a/edgenode/protocol/mapper_test.go
+++ b/edgenode/protocol/mapper_test.go
@@ -11,15 +11,15 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-var set = policy.Settings{Gateways: 3, MaxRequestUnits: 4, MaxRetryAfter: 500 * time.Millisecond,
+var testSettings = policy.Settings{Gateways: 3, MaxRequestUnits: 4, MaxRetryAfter: 500 * time.Millisecond,
 	Classes: []policy.Class{{Name: "lookup", Idempotency: policy.Idempotent, Deadline: 3 * time.Second},
 		{Name: "loan-change", Idempotency: policy.IdempotentWithKey, Deadline: 2 * time.Second}},
 	Plans: []policy.Plan{{Name: "basic"}}}
 
-func always() bool { return true }
+func alwaysReady() bool { return true }
 
-// good is a request as clients send it, keyed or safe.
-func good(keyed bool) node.HTTPRequest {
+// validRequest is a request as clients send it, keyed or safe.
+func validRequest(keyed bool) node.HTTPRequest {
 	c := node.HTTPRequest{Method: "GET", Target: "/api?x=1", Header: http1.Header{{Name: "X-Correlation-Id", Value: "9b1f03aa5c7e2d41"},
 		{Name: "X-Service-Class", Value: "lookup"}, {Name: "X-Plan", Value: "basic"}, {Name: "Cookie", Value: "key=00000000b4d65521"},
 		{Name: "X-Time-Left-Ms", Value: "480"}, {Name: "X-Quota", Value: "units=2,spread=3,first=1"}, {Name: "Accept", Value: "*/*"}}}
@@ -33,7 +33,7 @@
 
 func TestAdmitReadsTheProtocol(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
-		r, a := New(set, always).Admit(good(keyed), "")
+		r, a := New(testSettings, alwaysReady).Admit(validRequest(keyed), "")
 		if a != nil {
 			t.Fatalf("answered at once: %+v", a)
 		}
@@ -51,10 +51,10 @@
 			}
 		}
 	}
-	c := good(false)
+	c := validRequest(false)
 	c.Header.Set("X-Repeat", "1")
 	c.Header.Set("X-Time-Left-Ms", "99999999")
-	if r, a := New(set, always).Admit(c, ""); a != nil || !r.ClientRetry || r.ClientTimeout != 3*time.Second {
+	if r, a := New(testSettings, alwaysReady).Admit(c, ""); a != nil || !r.ClientRetry || r.ClientTimeout != 3*time.Second {
 		t.Errorf("%+v, %+v", r, a)
 	}
 }
@@ -81,12 +81,12 @@
 			"units=1,spread=1,first=0,more=1", "units,spread,first", "units=x,spread=1,first=0"}},
 	} {
 		for _, v := range c.values {
-			call := good(c.keyed)
+			call := validRequest(c.keyed)
 			call.Header.Del(c.field)
 			if v != "" {
 				call.Header.Add(c.field, v)
 			}
-			in := New(set, always)
+			in := New(testSettings, alwaysReady)
 			r, a := in.Admit(call, "")
 			if a == nil {
 				t.Errorf("%s %q was taken: %+v", c.name, v, r)
@@ -102,18 +102,18 @@
 		"another method":  func(c *node.HTTPRequest) { c.Method = "PUT" },
 		"a field twice":   func(c *node.HTTPRequest) { c.Header.Add("X-Plan", "basic") },
 	} {
-		call := good(false)
+		call := validRequest(false)
 		change(&call)
-		if _, a := New(set, always).Admit(call, ""); a == nil {
+		if _, a := New(testSettings, alwaysReady).Admit(call, ""); a == nil {
 			t.Errorf("%s was taken", name)
 		}
 	}
 }
 
 func TestBadRequestSaysWhatIsWrong(t *testing.T) {
-	m := New(set, always)
+	m := New(testSettings, alwaysReady)
 	badPlan := func() node.HTTPRequest {
-		call := good(false)
+		call := validRequest(false)
 		call.Header.Set("X-Plan", "gold")
 		return call
 	}
@@ -131,7 +131,7 @@
 
 func TestReadiness(t *testing.T) {
 	ready := false
-	in := New(set, func() bool { return ready })
+	in := New(testSettings, func() bool { return ready })
 	for _, want := range []int{503, 200} {
 		r, a := in.Admit(node.HTTPRequest{Method: "GET", Target: "/up"}, "")
 		if a == nil || in.Render(r, *a).Status != want {
@@ -142,7 +142,7 @@
 }
 
 func TestRenderStatusAndRetryAfter(t *testing.T) {
-	in := New(set, always)
+	in := New(testSettings, alwaysReady)
 	for _, c := range []struct {
 		a      node.FinalResponse
 		status int
@@ -170,7 +170,7 @@
 		for i, v := range []string{id, class, plan, quota, repeat, patience, key, cookies} {
 			c.Header.Add(singleHeaders[i], v)
 		}
-		r, a := New(set, always).Admit(c, "")
+		r, a := New(testSettings, alwaysReady).Admit(c, "")
 		if a != nil {
 			return
 		}
--- a/edgenode/protocol/quota.go
+++ b/edgenode/protocol/quota.go
@@ -6,17 +6,18 @@
 	"strings"
 )
 
-// errQuota is the error for a quota field that can't be read, whatever is wrong with it.
+// errQuota is the error for any invalid quota field.
 const errQuota = RequestError("the field " + headerQuota + " has not units, spread and first within range")
 
-// quota is what a request says of its customer's quota.
+// quota is the content of the quota field of a request.
 type quota struct {
-	units  float64 // that the request uses
-	spread int     // gateways at which the customer's requests arrive
-	first  int     // the first of them
+	units  float64 // used by the request
+	spread int     // number of gateways at which the customer's requests arrive
+	first  int     // index of the first of them
 }
 
-// parseQuota reads units, spread and first: each once, in any order. The error is errQuota.
+// parseQuota parses units, spread and first, which must each occur once, in any order. The error
+// is errQuota.
 func (m *Mapper) parseQuota(text string) (quota, error) {
 	var q quota
 	var hasUnits, hasSpread, hasFirst bool
@@ -51,15 +52,15 @@
 	return q, nil
 }
 
-// validUnits tells whether a request may use so many units. Settings without a largest
-// number bound it by nothing.
+// validUnits reports whether a request may use the given number of units. If the settings have no
+// maximum, any positive finite number is valid.
 func (m *Mapper) validUnits(units float64) bool {
-	most := m.settings.MaxRequestUnits
+	maximum := m.settings.MaxRequestUnits
 	if math.IsNaN(units) || math.IsInf(units, 0) || units <= 0 {
 		return false
 	}
-	return most <= 0 || units <= most
+	return maximum <= 0 || units <= maximum
 }
 
-// isInteger is false for NaN; an infinity fails the bounds of its key.
+// isInteger is false for NaN. It is true for infinities, which the range checks reject.
 func isInteger(number float64) bool { return number == math.Trunc(number) }
--- a/edgenode/protocol/request.go
+++ b/edgenode/protocol/request.go
@@ -10,19 +10,19 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// RequestError says what of a request is not the protocol. It is the detail of a response
-// with status 400.
+// RequestError is the error for a request that violates the protocol. It is the detail of a
+// response with status 400.
 type RequestError string
 
 func (e RequestError) Error() string { return string(e) }
 
 const (
-	maxIDBytes     = 64      // of a request ID, or of an idempotency key
-	customerLimit  = 1 << 33 // above the highest number of a customer
-	customerDigits = 16      // in hex, of a customer's number
+	maxIDBytes     = 64      // of a request ID or an idempotency key
+	customerLimit  = 1 << 33 // exclusive upper bound of customer numbers
+	customerDigits = 16      // hexadecimal digits of a customer number
 )
 
-// readRequest fills a request from a call. The error is a RequestError.
+// readRequest fills a request from an HTTP request. The error is a RequestError.
 func (m *Mapper) readRequest(r *node.Request, c *node.HTTPRequest) error {
 	values, err := extractFields(c)
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err := checkMethod(class, c, values[fieldIdempotencyKey]); err != nil {
 		return err
 	}
-	if r.Customer = customer(values[fieldCookie]); r.Customer == "" {
+	if r.Customer = customerFromCookies(values[fieldCookie]); r.Customer == "" {
 		return RequestError("the cookie " + customerCookie + " names no customer")
 	}
 	if r.ClientTimeout, err = clientTimeout(class, values[fieldClientTimeout]); err != nil {
@@ -71,7 +71,7 @@
 	return class, nil
 }
 
-// checkMethod checks what the idempotency of a class asks of a request.
+// checkMethod checks the method, body and idempotency key that a class requires.
 func checkMethod(class policy.Class, c *node.HTTPRequest, idempotencyKey string) error {
 	if class.Idempotency == policy.Idempotent {
 		if c.Method != "GET" || len(c.Body) > 0 {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// checkToken checks the value of a field that names something.
+// checkToken checks the length and the characters of an identifier in a header field.
 func checkToken(header, value string) error {
 	if value == "" || len(value) > maxIDBytes {
 		return RequestError(fmt.Sprintf("the field %s has not 1 to %d bytes", header, maxIDBytes))
@@ -101,17 +101,17 @@
 	return nil
 }
 
-// customer is the name of the one customer that the cookies name, in lower case; "" where
-// there is none, or more than one.
-func customer(cookies string) (name string) {
+// customerFromCookies returns the customer that the cookies name, in lower case. It returns "" if
+// they name none or more than one, or if a name is invalid.
+func customerFromCookies(cookies string) (name string) {
 	for cookie := range strings.SplitSeq(cookies, ";") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(cookie), customerCookie+"=")
 		if !ok {
 			continue
 		}
 		n, err := strconv.ParseUint(value, 16, 64)
-		wrong := err != nil || len(value) != customerDigits || n >= customerLimit
-		if wrong || name != "" {
+		invalid := err != nil || len(value) != customerDigits || n >= customerLimit
+		if invalid || name != "" {
 			return ""
 		}
 		name = strings.ToLower(value)
@@ -119,7 +119,7 @@
 	return name
 }
 
-// clientTimeout is the time until the client gives up, and the class's deadline at most.
+// clientTimeout returns the client's timeout, or the class's deadline if that is shorter.
 func clientTimeout(class policy.Class, text string) (time.Duration, error) {
 	ms, err := strconv.ParseUint(text, 10, 31)
 	if err != nil || ms == 0 {
--- a/edgenode/protocol/response.go
+++ b/edgenode/protocol/response.go
@@ -8,7 +8,7 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// failureStatuses has the failures that a status says more of than 502 does.
+// failureStatuses has the statuses of failures for which one is more specific than 502.
 var failureStatuses = map[node.Reason]int{
 	node.ReasonBadRequest:    400,
 	node.ReasonTooLarge:      413,
@@ -16,14 +16,14 @@
 	node.ReasonNoTime:        504,
 }
 
-// Render returns the response that a client gets for a final response.
+// Render maps a final response to the HTTP response for the client.
 func (m *Mapper) Render(_ *node.Request, final node.FinalResponse) *node.Response {
 	if final.Kind == node.Served && final.Response != nil {
 		return final.Response
 	}
 	response := &node.Response{Status: status(final), Header: make(http1.Header, 0, 2)}
 	response.Header = append(response.Header, http1.Field{Name: "Content-Type", Value: "text/plain"})
-	if isRejection(final) {
+	if isRetryableRejection(final) {
 		if wait := min(final.RetryAfter, m.settings.MaxRetryAfter); wait > 0 {
 			response.Header = append(response.Header, http1.Field{Name: "Retry-After", Value: decimalSeconds(wait)})
 		}
@@ -37,14 +37,15 @@
 	return response
 }
 
-// isRejection tells whether a client may send the request again as it is.
-func isRejection(final node.FinalResponse) bool {
-	repairable := final.Reason != node.ReasonBadRequest && final.Reason != node.ReasonTooLarge
-	return final.Kind == node.Rejected && repairable
+// isRetryableRejection reports whether the request was rejected and the client may retry it
+// unchanged.
+func isRetryableRejection(final node.FinalResponse) bool {
+	retryable := final.Reason != node.ReasonBadRequest && final.Reason != node.ReasonTooLarge
+	return final.Kind == node.Rejected && retryable
 }
 
 func status(final node.FinalResponse) int {
-	if isRejection(final) {
+	if isRetryableRejection(final) {
 		switch final.Reason {
 		case node.ReasonQuota, node.ReasonInFlightLimit, node.ReasonCeiling:
 			return 429
@@ -57,7 +58,8 @@
 	return 502
 }
 
-// decimalSeconds is a time as the platform's clients read Retry-After.
+// decimalSeconds formats a Retry-After value for the platform's clients, which accept fractions
+// of a second.
 func decimalSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
--- a/edgenode/requests_test.go
+++ b/edgenode/requests_test.go
@@ -30,12 +30,12 @@
 
 // serverResponse is what a server sends for the first request, and what comes of that.
 type serverResponse struct {
-	name, out string
-	class     string
-	end       bool // of the connection
-	status    int  // of the client's response
-	attempts  int
-	served    bool // the client gets the response made for it
+	name, text string
+	class      string
+	closes     bool // of the connection
+	status     int  // of the client's response
+	attempts   int
+	served     bool // the client gets the response made for it
 }
 
 // What a server says with X-Unprocessed never ran: the other one gets it. What an
@@ -75,7 +75,7 @@
 	for _, server := range s.servers {
 		server.respond = func(n int, id string) (string, bool) {
 			if requests.Add(1) == 1 {
-				return c.out, c.end
+				return c.text, c.closes
 			}
 			return answerByID(n, id)
 		}
--- a/edgenode/resource_limits.go
+++ b/edgenode/resource_limits.go
@@ -6,7 +6,7 @@
 	"yardcleat.example/yardcleat/internal/http1"
 )
 
-// Bounds of one message.
+// Maximum sizes of one message.
 const (
 	maxLineBytes    = 4 << 10
 	maxHeaderFields = 64
@@ -14,16 +14,16 @@
 	maxRequestBody  = 64 << 10 // bytes; the platform's limit
 )
 
-// Timeouts of clients' connections, and the margin of responses.
+// Timeouts of connections from clients, and the response margin.
 const (
-	responseMargin      = 15 * time.Millisecond   // how long before the client gives up its response is sent
-	firstRequestTimeout = 2500 * time.Millisecond // from connecting to the first whole request
-	requestTimeout      = 2 * time.Second         // from a request's first byte to its header, and on to its body
-	idleTimeout         = 20 * time.Second        // of a client's connection
+	responseMargin      = 15 * time.Millisecond   // how long before the client's timeout the final response is sent
+	firstRequestTimeout = 2500 * time.Millisecond // from the connection to the complete first request
+	requestTimeout      = 2 * time.Second         // from a request's first byte to the end of its header, and from there to the end of its body
+	idleTimeout         = 20 * time.Second        // of a connection without a request
 	writeTimeout        = 3 * time.Second         // for a client to receive a response
 
-	// minIdleBeforeEviction is how long a client's connection is idle before it may be
-	// closed in favor of another: the platform allows it from then on.
+	// minIdleBeforeEviction is how long a client's connection must be idle before it may be
+	// evicted in favor of another. The platform does not allow earlier evictions.
 	minIdleBeforeEviction = 2 * time.Second
 
 	// cachedListDelay is how long the node waits for discovery before the cached endpoint
@@ -31,57 +31,59 @@
 	cachedListDelay = time.Second
 )
 
-// serverIdleFraction is the part of the servers' idle timeout for which a connection to one
-// is used again: beyond it the server may be closing the connection already.
+// serverIdleFraction is the fraction of the servers' idle timeout during which an idle
+// connection is reused. After that the server may already be closing it.
 const serverIdleFraction = 0.7
 
-// resourceLimits divides what the process may use.
+// resourceLimits is the division of the resources that the process may use.
 type resourceLimits struct {
 	maxClientConnections     int
 	maxIdleClientConnections int
-	maxLingeringConnections  int // evicted, and still read from until the client has closed
+	maxLingeringConnections  int // evicted, and read from until the client closes them
 	maxServerConnections     int
 
 	maxResponseBody      int64 // bytes of one response of a server
-	maxBufferedResponses int64 // bytes of all long responses that are being read
+	maxBufferedResponses int64 // bytes of all long responses that are being read, together
 }
 
 // The division of file descriptors and memory.
 const (
-	// ownSockets is for the listener, discovery's old and new connection, peers and the
-	// runtime.
-	ownSockets = 24
-	// A quarter of the descriptors is for connections to servers.
+	// reservedSockets is the number of descriptors for the listener, the connections to the
+	// previous and the current discovery address, peers and the runtime.
+	reservedSockets = 24
+	// serverSocketsDivisor: a quarter of the descriptors is for connections to servers.
 	serverSocketsDivisor = 4
-	// Clients use a third of the descriptors for requests, at most. Idle connections must
-	// leave them enough to reach this node, so a sixth of all may be idle.
+	// idleSocketsDivisor: at most a sixth of the descriptors may be idle connections of
+	// clients. Requests use up to a third of the descriptors, and idle connections must not
+	// keep new ones from reaching the node.
 	idleSocketsDivisor = 6
-	// A 64th may linger, and never fewer than two.
+	// lingeringSocketsDivisor: a 64th of the descriptors may linger, and at least two.
 	lingeringSocketsDivisor = 64
 	minLingeringSockets     = 2
-	// Long responses have an eighth of the memory together. Requests are short, and so
-	// should responses be, but servers send longer ones.
+	// responseMemoryDivisor: an eighth of the memory is for long responses. Requests and most
+	// responses are short, but servers may send longer ones.
 	responseMemoryDivisor = 8
-	// One response has a quarter of that, and never more than 4 MiB.
+	// singleResponseDivisor: one response may use a quarter of that, and at most 4 MiB.
 	singleResponseDivisor  = 4
 	maxSingleResponseBytes = 4 << 20
 )
 
 const bytesPerMB = 1 << 20
 
-// divideResources divides descriptors and memory. Clients get the descriptors that are left.
+// divideResources divides descriptors and memory. Connections of clients get the descriptors
+// that remain.
 func divideResources(l Limits) resourceLimits {
 	var r resourceLimits
 	r.maxServerConnections = l.Sockets / serverSocketsDivisor
 	r.maxIdleClientConnections = l.Sockets / idleSocketsDivisor
 	r.maxLingeringConnections = max(minLingeringSockets, l.Sockets/lingeringSocketsDivisor)
-	r.maxClientConnections = l.Sockets - r.maxServerConnections - ownSockets - r.maxLingeringConnections
+	r.maxClientConnections = l.Sockets - r.maxServerConnections - reservedSockets - r.maxLingeringConnections
 	r.maxBufferedResponses = int64(l.MemoryMB * bytesPerMB / responseMemoryDivisor)
 	r.maxResponseBody = min(r.maxBufferedResponses/singleResponseDivisor, maxSingleResponseBytes)
 	return r
 }
 
-// messageLimits are the bounds of a message with a body of maxBody bytes at most.
+// messageLimits returns the limits for a message with a body of at most maxBody bytes.
 func messageLimits(maxBody int64) http1.Limits {
 	return http1.Limits{Line: maxLineBytes, Fields: maxHeaderFields, Header: maxHeaderBytes, Body: maxBody}
 }
--- a/edgenode/run.go
+++ b/edgenode/run.go
@@ -19,17 +19,16 @@
 // configVariable is the environment variable that names the configuration file.
 const configVariable = "NODE_CONFIG"
 
-// heapFraction is the part of the memory limit that is set as the heap's limit. The rest is for
-// stacks, the program and the kernel's buffers.
+// heapFraction is the fraction of the process's memory that is set as the Go runtime's memory
+// limit. The rest is for stacks, the program and the kernel's buffers.
 const heapFraction = 0.6
 
-// maxPendingSignals is how many signals wait while one is handled; more are dropped.
+// maxPendingSignals is the number of signals that are queued while one is handled. More are dropped.
 const maxPendingSignals = 8
 
-// Run runs an edge node configured by the file that NODE_CONFIG names, until SIGTERM, SIGINT or the
-// end of ctx begins its shutdown, and returns when that is complete. SIGHUP reloads the
-// file. Warnings go to stderr. The error means that the node could not start, or is that of
-// Drain.
+// Run runs an edge node with the configuration file that NODE_CONFIG names. SIGTERM, SIGINT or the
+// end of ctx starts the shutdown, and Run returns when that is complete. SIGHUP reloads the file.
+// Warnings and errors are logged to stderr. The error is that of the start, or that of Drain.
 func Run(ctx context.Context, stderr io.Writer) error {
 	logger := slog.New(slog.NewTextHandler(stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	signals := make(chan os.Signal, maxPendingSignals)
@@ -37,7 +36,7 @@
 	defer signal.Stop(signals)
 	path := os.Getenv(configVariable)
 	if path == "" {
-		return errors.New(configVariable + ": not set; it names the configuration")
+		return errors.New(configVariable + ": not set; it must name the configuration file")
 	}
 	cfg, err := Read(path)
 	if err != nil {
@@ -52,21 +51,21 @@
 	return p.handleSignals(ctx, signals)
 }
 
-// limitRuntime keeps the Go runtime within what the process may use.
+// limitRuntime sets the limits of the Go runtime to the resources that the process may use.
 func limitRuntime(l Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	debug.SetMemoryLimit(int64(heapFraction * l.MemoryMB * bytesPerMB))
 }
 
-// process is an edge node that signals control. Only the goroutine of handleSignals uses it.
+// process is an edge node controlled by signals. Only the goroutine of handleSignals uses it.
 type process struct {
 	edge       *Edge
 	configPath string
 	logger     *slog.Logger
-	drained    chan error // nil until the shutdown begins; then gets its result
+	drained    chan error // receives the result of the shutdown; nil until it starts
 }
 
-// handleSignals returns when the shutdown is complete, with its result.
+// handleSignals handles signals until the shutdown is complete, and returns the result of that.
 func (p *process) handleSignals(ctx context.Context, signals <-chan os.Signal) error {
 	ended := ctx.Done()
 	for {
@@ -86,7 +85,7 @@
 	}
 }
 
-// beginDrain begins the shutdown. A second signal does not shorten it.
+// beginDrain starts the shutdown. If it has started already, beginDrain does nothing.
 func (p *process) beginDrain(ctx context.Context) {
 	if p.drained != nil {
 		return
@@ -95,8 +94,8 @@
 	go func() { p.drained <- p.edge.Drain(context.WithoutCancel(ctx)) }()
 }
 
-// reload reads the configuration again; one that can't be read changes nothing. It works
-// during the shutdown too, when last attempts still use the endpoint list.
+// reload reads the configuration again, and keeps the current one if that fails. It also works
+// during the shutdown, because the last attempts still use the endpoint list.
 func (p *process) reload(ctx context.Context) {
 	cfg, err := Read(p.configPath)
 	if err != nil {
--- a/edgenode/run_test.go
+++ b/edgenode/run_test.go
@@ -55,12 +55,12 @@
 // discovery on loopback.
 type edgeProcess struct {
 	*testbed
-	configPath  string
-	discoveries [2]string       // their addresses
-	polls       [2]atomic.Int64 // that each has got
-	cmd         *exec.Cmd
-	log         *strings.Builder // read it only once exited is
-	exited      chan error
+	configPath         string
+	discoveryAddresses [2]string       // their addresses
+	pollCounts         [2]atomic.Int64 // that each has got
+	cmd                *exec.Cmd
+	log                *strings.Builder // read it only once exited is
+	exited             chan error
 }
 
 // startProcess starts the node with the first discovery, and waits until it is ready.
@@ -73,17 +73,17 @@
 		exited:     make(chan error, 1),
 	}
 	list := p.startServers(respond)
-	for i := range p.discoveries {
+	for i := range p.discoveryAddresses {
 		l := listenOnLoopback(t)
 		p.listeners = append(p.listeners, l)
-		p.discoveries[i] = l.Addr().String()
+		p.discoveryAddresses[i] = l.Addr().String()
 		go answerPolls(l, func(string) string {
-			p.polls[i].Add(1)
+			p.pollCounts[i].Add(1)
 			return list
 		})
 	}
 	t.Cleanup(p.closeListeners)
-	p.writeConfig(p.discoveries[0])
+	p.writeConfig(p.discoveryAddresses[0])
 	p.cmd = edgeCommand(p.configPath)
 	p.cmd.Stderr = p.log
 	if err := p.cmd.Start(); err != nil {
@@ -123,7 +123,7 @@
 	if err != nil {
 		return -1
 	}
-	defer closeFake(nc)
+	defer closeIgnoringError(nc)
 	if err := nc.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return -1
 	}
@@ -134,15 +134,15 @@
 	return status
 }
 
-// load is clients that send one request after the other until they are stopped.
-type load struct {
-	served, wrong atomic.Int64
-	stop          chan struct{}
-	clients       sync.WaitGroup
+// clientLoad is clients that send one request after the other until they are stopped.
+type clientLoad struct {
+	served, unexpected atomic.Int64
+	stop               chan struct{}
+	clients            sync.WaitGroup
 }
 
-func (p *edgeProcess) startLoad() *load {
-	l := &load{stop: make(chan struct{})}
+func (p *edgeProcess) startLoad() *clientLoad {
+	l := &clientLoad{stop: make(chan struct{})}
 	for client := range 3 {
 		l.clients.Go(func() {
 			for i := 0; !l.stopped(); i++ {
@@ -157,10 +157,10 @@
 // loadRequest is a request whose client waits for long: what is asked here is whether a
 // response comes, not how soon.
 func loadRequest(id int) string {
-	return strings.Replace((&testbed{lastID: id}).requestText("lookup", ""), "1500", "3000", 1)
+	return strings.Replace((&testbed{lastRequestNumber: id}).requestText("lookup", ""), "1500", "3000", 1)
 }
 
-func (l *load) stopped() bool {
+func (l *clientLoad) stopped() bool {
 	select {
 	case <-l.stop:
 		return true
@@ -170,11 +170,11 @@
 }
 
 // count counts a response. A busy machine may be late, and say so.
-func (l *load) count(status int) {
+func (l *clientLoad) count(status int) {
 	if status == 200 {
 		l.served.Add(1)
 	} else if status <= 0 || status < 500 && status != 429 {
-		l.wrong.Add(1)
+		l.unexpected.Add(1)
 	}
 }
 
@@ -199,7 +199,7 @@
 	case <-time.After(30 * time.Second):
 		t.Fatal("did not end")
 	}
-	if p.polls[0].Load() == polls {
+	if p.pollCounts[0].Load() == polls {
 		t.Error("SIGHUP behind SIGTERM was not heard")
 	}
 	if !strings.Contains(p.log.String(), "configuration reload failed; keeping the current one") {
@@ -211,17 +211,17 @@
 func (p *edgeProcess) checkReloads(t *testing.T) {
 	t.Helper()
 	l := p.startLoad()
-	p.writeConfig(p.discoveries[1])
+	p.writeConfig(p.discoveryAddresses[1])
 	p.signal(syscall.SIGHUP)
-	p.waitFor("the move of discovery", func() bool { return p.polls[1].Load() > 1 })
+	p.waitFor("the move of discovery", func() bool { return p.pollCounts[1].Load() > 1 })
 	p.writeConfigText("{")
 	p.signal(syscall.SIGHUP)
-	before := p.polls[1].Load()
-	p.waitFor("going on with the old configuration", func() bool { return p.polls[1].Load() > before+1 })
+	before := p.pollCounts[1].Load()
+	p.waitFor("going on with the old configuration", func() bool { return p.pollCounts[1].Load() > before+1 })
 	p.waitFor("enough requests", func() bool { return l.served.Load() > 30 })
 	close(l.stop)
 	l.clients.Wait()
-	if wrong := l.wrong.Load(); wrong > 0 {
+	if wrong := l.unexpected.Load(); wrong > 0 {
 		t.Errorf("%d requests got no answer or a wrong one", wrong)
 	}
 }
@@ -234,12 +234,12 @@
 	text := strings.Replace(p.requestText("loan-change", "the-last-one"), "1500", "2000", 1)
 	go func() { open <- p.exchangeOnLoopback(text) }()
 	p.waitFor("the last request's attempt", func() bool { return strings.Contains(strings.Join(p.requestsSeen(), " "), "the-last-one") })
-	p.writeConfig(p.discoveries[0])
-	polls = p.polls[0].Load()
+	p.writeConfig(p.discoveryAddresses[0])
+	polls = p.pollCounts[0].Load()
 	p.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
 	// What is open holds the node meanwhile.
 	for range 150 {
-		if p.polls[0].Load() > polls {
+		if p.pollCounts[0].Load() > polls {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/edgenode/settings.go
+++ b/edgenode/settings.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// flattenSettings turns the platform's nested settings into the paths that package wire
-// reads, so that the simulator's settings and the platform's can't differ in meaning.
+// flattenSettings converts the platform's nested settings to the flat ones that package wire
+// parses, so that settings mean the same on the platform and in the simulator.
 func flattenSettings(nested json.RawMessage) (map[string]string, error) {
 	var settings any
 	if err := json.Unmarshal(nested, &settings); err != nil {
@@ -17,9 +17,9 @@
 	return flat, flatten(flat, "", settings)
 }
 
-// flatten adds a value to flat under a path. An object's keys are appended to the path with
-// a dot. A list has its length under NAME.count, its objects under NAME.0 and on, and its
-// plain values under NAME, joined by commas.
+// flatten adds the value at a path to flat. The keys of an object are appended to the path
+// with a dot. For a list, path.count has its length, path.0, path.1 and so on have its
+// objects, and path has its plain values, joined by commas.
 func flatten(flat map[string]string, path string, value any) error {
 	switch value := value.(type) {
 	case map[string]any:
@@ -47,7 +47,7 @@
 		}
 		text, ok := plainText(element)
 		if !ok {
-			return keyErrorf(path, "a list of lists")
+			return keyErrorf(path, "a list within a list is not supported")
 		}
 		plain = append(plain, text)
 	}
@@ -65,7 +65,7 @@
 	return path + "." + key
 }
 
-// plainText is the text of a JSON value that is neither an object nor a list.
+// plainText returns the text of a JSON value, or false if the value is an object or a list.
 func plainText(value any) (text string, ok bool) {
 	switch value := value.(type) {
 	case nil:
--- a/edgenode/shutdown.go
+++ b/edgenode/shutdown.go
@@ -6,32 +6,33 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// shutdownPlan is when the steps of a shutdown happen, each counted from SIGTERM.
+// shutdownPlan has the times of the steps of a shutdown, each relative to SIGTERM.
 type shutdownPlan struct {
-	stopAccepting  time.Duration // until then new connections are accepted
-	finalResponses time.Duration // every request still open gets its final response
-	cutConnections time.Duration // what is still open is cut
+	stopAccepting  time.Duration // new connections are no longer accepted
+	finalResponses time.Duration // every request that is still open gets its final response
+	cutConnections time.Duration // connections that are still open are closed
 }
 
-// The platform sends SIGKILL no sooner than killGrace after the longest deadline, of which
-// it counts maxCountedDeadline at most.
+// The platform sends SIGKILL no sooner than killGrace after the longest deadline of a class,
+// or after maxCountedDeadline if that is shorter.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killGrace          = 700 * time.Millisecond
 )
 
 const (
-	// acceptTime is how long new connections are accepted: clients may open them for 0.4 s,
-	// and the rest allows for the network.
+	// acceptTime is how long new connections are accepted: clients may open them for 0.4 s
+	// after SIGTERM, and the rest allows for network latency.
 	acceptTime = 550 * time.Millisecond
 	// finalResponseTime is how long before SIGKILL final responses are sent, so that they
-	// arrive and clients close their connections.
+	// arrive and clients can close their connections.
 	finalResponseTime = 250 * time.Millisecond
-	// cleanupTime is how long before SIGKILL all is cut, so that the process ends by itself.
+	// cleanupTime is how long before SIGKILL all connections are closed, so that the process
+	// exits by itself.
 	cleanupTime = 80 * time.Millisecond
 )
 
-// planShutdown returns the times of a shutdown for the classes of requests that may be open.
+// planShutdown returns the times of a shutdown for nodes that serve the given classes.
 func planShutdown(classes []policy.Class) shutdownPlan {
 	longestDeadline := time.Duration(0)
 	for _, class := range classes {
--- a/edgenode/testbed_test.go
+++ b/edgenode/testbed_test.go
@@ -20,14 +20,14 @@
 // testbed is an edge node with two fake servers and fake discovery, in virtual time or on
 // loopback.
 type testbed struct {
-	t         *testing.T
-	network   *network.Memory
-	edge      *Edge
-	servers   [2]*fakeServer
-	listeners []net.Listener
-	cfg       *Config
-	lastID    int  // given
-	drained   bool // the test drained the node
+	t                 *testing.T
+	network           *network.Memory
+	edge              *Edge
+	servers           [2]*fakeServer
+	listeners         []net.Listener
+	cfg               *Config
+	lastRequestNumber int  // given
+	drained           bool // the test drained the node
 
 	address      string // of the node, on loopback
 	endpointList atomic.Pointer[string]
@@ -55,7 +55,7 @@
 			return
 		}
 		go func() {
-			defer closeFake(nc)
+			defer closeIgnoringError(nc)
 			r := http1.NewReader(nc, testLimits)
 			for answerPoll(nc, r, list) {
 			}
@@ -138,8 +138,8 @@
 
 // requestText is a good request of a class as bytes; id "" draws a new one.
 func (s *testbed) requestText(class, id string) string {
-	if s.lastID++; id == "" {
-		id = fmt.Sprintf("%016x", s.lastID)
+	if s.lastRequestNumber++; id == "" {
+		id = fmt.Sprintf("%016x", s.lastRequestNumber)
 	}
 	method, extra, body := "GET", "", ""
 	if class == "loan-change" {
@@ -180,7 +180,7 @@
 func (s *testbed) requestsSeen() (all []string) {
 	for _, server := range s.servers {
 		server.mu.Lock()
-		all = append(all, server.seen...)
+		all = append(all, server.requests...)
 		server.mu.Unlock()
 	}
 	return all
@@ -209,10 +209,10 @@
 	return d.dial(ctx, addr)
 }
 
-// noPauses has no pause of the process detected. On a busy machine the test's process is held up
+// withoutPauseDetection has no pause of the process detected. On a busy machine the test's process is held up
 // for longer than MinPause now and then; an attempt that was decided before a pause and not written
 // is then rejected as no-time, as it has to be, which is not what tests on loopback are about.
-func noPauses() pause.Settings {
+func withoutPauseDetection() pause.Settings {
 	settings := pause.DefaultSettings()
 	settings.MinPause = time.Hour
 	return settings
@@ -237,7 +237,7 @@
 	if s.cfg, err = Parse([]byte(src)); err != nil {
 		t.Fatal(err)
 	}
-	s.edge, err = startWithPauseSettings(context.Background(), s.cfg, d, slog.New(slog.DiscardHandler), noPauses())
+	s.edge, err = startWithPauseSettings(context.Background(), s.cfg, d, slog.New(slog.DiscardHandler), withoutPauseDetection())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -314,7 +314,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { closeFake(nc) })
+	s.t.Cleanup(func() { closeIgnoringError(nc) })
 	mustSetDeadline(s.t, nc, time.Now().Add(20*time.Second))
 	return nc
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,9 +1,10 @@
-// Package wire reads and writes the line protocol of the bench: it turns lines into events of package policy,
-// and actions into lines. It makes no decisions. The words of the protocol stand in this package only.
+// Package wire encodes and decodes the line protocol of a simulator: it turns lines into events of package policy,
+// and actions of the policy into lines. It makes no decisions. No other package uses the verbs and keys of the
+// protocol.
 //
-// A batch holds what happens at one instant, from a FRAME line with the time in milliseconds to EOF_BATCH.
-// Each line between them is an event for one instance, or a TABLE: a server list that MEMBERSHIP lines of
-// this and later batches refer to by number.
+// A batch holds the events of one instant. It starts with a FRAME line, which has the time in milliseconds, and ends
+// with an EOF_BATCH line. Each line in between is an event for one instance, or starts a TABLE: an endpoint list that
+// MEMBERSHIP lines of this batch and later ones refer to by its number.
 package wire
 
 import (
@@ -18,52 +19,52 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// readBufferBytes is the size of the decoder's read buffer. Lines may be longer.
+// readBufferBytes is the size of the decoder's read buffer. It does not limit the length of a line.
 const readBufferBytes = 1 << 16
 
-// Lines that are no events.
+// Verbs of lines that are not events.
 const (
-	beginBatch = "FRAME"
-	endBatch   = "EOF_BATCH"
-	tableVerb  = "TABLE"
+	beginBatch       = "FRAME"
+	endBatch         = "EOF_BATCH"
+	endpointListVerb = "TABLE"
 )
 
-// Configure starts an instance, with nothing remembered.
+// Configure starts an instance, or replaces it by one without state.
 type Configure struct {
 	Seed     uint64
 	Settings policy.Settings
 }
 
-// Kill ends an instance.
+// Kill removes an instance and its state.
 type Kill struct{}
 
 // InstanceEvent is one event of a batch for one instance. Event is a policy.Event, a Configure or a Kill; it
-// is nil for an event that no decision needs.
+// is nil for an event that the policy does not use.
 type InstanceEvent struct {
 	Instance string
-	Line     int // of the input, from 1
+	Line     int // line number in the input, from 1
 	Event    any
 }
 
-// Batch is what happens at one instant, in order.
+// Batch is the events of one instant, in order.
 type Batch struct {
-	Now   time.Duration
-	Items []InstanceEvent
+	Now    time.Duration
+	Events []InstanceEvent
 }
 
-// Decoder reads batches. It is not safe for concurrent use.
+// Decoder reads batches of events. It is not safe for concurrent use.
 type Decoder struct {
-	reader *bufio.Reader
-	line   int
-	tables map[int][]policy.Server
+	reader        *bufio.Reader
+	line          int
+	endpointLists map[int][]policy.Server
 }
 
-// NewDecoder returns a Decoder that reads from r. It may read more than the batches that Next returns.
+// NewDecoder returns a Decoder that reads from r. It buffers, and may read past the batches that Next has returned.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{reader: bufio.NewReaderSize(r, readBufferBytes), tables: map[int][]policy.Server{}}
+	return &Decoder{reader: bufio.NewReaderSize(r, readBufferBytes), endpointLists: map[int][]policy.Server{}}
 }
 
-// Line is the number of the line read last, from 1.
+// Line returns the number of the last line read, from 1.
 func (d *Decoder) Line() int { return d.line }
 
 // Next reads one batch. It returns io.EOF at the end of input between batches; every other error is a
@@ -87,8 +88,8 @@
 		}
 		f := splitLine(line)
 		verb := f.text()
-		if verb == tableVerb {
-			err = d.readTable(f)
+		if verb == endpointListVerb {
+			err = d.readEndpointList(f)
 		} else {
 			err = d.readEvent(&b, verb, f)
 		}
@@ -98,7 +99,7 @@
 	}
 }
 
-// readBegin reads the time of the next batch, past empty lines.
+// readBegin skips empty lines and reads the line that starts the next batch. It returns the time of the batch.
 func (d *Decoder) readBegin() (time.Duration, error) {
 	line := ""
 	for line == "" {
@@ -122,7 +123,7 @@
 	return now, nil
 }
 
-// readLine reads a line without its end. The last line needs none.
+// readLine reads a line and strips its line ending, which may be missing on the last line.
 func (d *Decoder) readLine() (string, error) {
 	line, err := d.reader.ReadString('\n')
 	isLast := errors.Is(err, io.EOF) && line != ""
@@ -135,7 +136,7 @@
 
 func (d *Decoder) fail(err error) error { return &LineError{d.line, err} }
 
-// readEvent adds the event of a line to a batch.
+// readEvent decodes the event of a line and adds it to a batch.
 func (d *Decoder) readEvent(b *Batch, verb string, f *fields) error {
 	item := InstanceEvent{Line: d.line, Instance: f.text()}
 	decode, known := eventDecoders[verb]
@@ -146,11 +147,11 @@
 	if err := f.end(); err != nil {
 		return d.fail(&VerbError{verb, err})
 	}
-	b.Items = append(b.Items, item)
+	b.Events = append(b.Events, item)
 	return nil
 }
 
-// eventDecoders read the fields of an event after its verb and instance.
+// eventDecoders decode the fields that follow an event's verb and instance.
 var eventDecoders = map[string]func(*Decoder, *fields) any{
 	"CONFIGURE":    decodeConfigure,
 	"CRASH_NOW":    func(*Decoder, *fields) any { return Kill{} },
@@ -162,10 +163,10 @@
 	"ELAPSED":      decodeTimerFired,
 	"WHISPER":      decodePeerMessage,
 	"PROBE_RESULT": decodeProbeResult,
-	"LEDGER_REPLY": decodeLedgerReply,
+	"LEDGER_REPLY": decodeCounterResponse,
 }
 
-// endpointUpdateKinds are the words of MEMBERSHIP lines.
+// endpointUpdateKinds maps the kinds of MEMBERSHIP lines.
 var endpointUpdateKinds = map[string]policy.EndpointUpdateKind{
 	"changes":    policy.DeltaUpdate,
 	"all":        policy.SnapshotUpdate,
@@ -173,7 +174,7 @@
 	"refused":    policy.WatchFailed,
 }
 
-// resultCodes are the words of VERDICT lines.
+// resultCodes maps the result codes of VERDICT and PROBE_RESULT lines.
 var resultCodes = map[string]policy.ResultCode{
 	"OK":                 policy.OK,
 	"INTERNAL":           policy.Error,
@@ -190,14 +191,14 @@
 	if f.err != nil {
 		return nil
 	}
-	c.Settings, f.err = settings(f.words)
-	f.words = nil
+	c.Settings, f.err = parseSettingPairs(f.remaining)
+	f.remaining = nil
 	return c
 }
 
 func decodeEndpointUpdate(d *Decoder, f *fields) any {
 	kind, known := endpointUpdateKinds[f.text()]
-	f.skip() // the list's version
+	f.skip() // version of the list
 	table := f.text()
 	update := policy.EndpointUpdate{Kind: kind}
 	if f.err != nil || known && kind == policy.WatchFailed {
@@ -208,9 +209,9 @@
 		return nil
 	}
 	number, err := strconv.Atoi(table)
-	list, found := d.tables[number]
+	list, found := d.endpointLists[number]
 	if err != nil || !found {
-		f.fail(fmt.Errorf("no list %q", clip(table)))
+		f.fail(fmt.Errorf("no endpoint list %q", clip(table)))
 		return nil
 	}
 	update.Servers = list
@@ -245,7 +246,7 @@
 	var r policy.AttemptResult
 	r.ID = f.requestID()
 	r.Attempt = f.integer()
-	f.skip() // the meter's figure: peers' totals are what counts here
+	f.skip() // usage according to the external counter; the policy uses the totals that peers exchange
 	r.Latency = f.milliseconds()
 	r.Server = f.serverID()
 	r.Answered = f.boolean()
@@ -268,7 +269,7 @@
 	return m
 }
 
-// decodeProbeResult checks a line that no decision needs.
+// decodeProbeResult checks the fields of an event that the policy does not use.
 func decodeProbeResult(_ *Decoder, f *fields) any {
 	f.serverID()
 	f.resultCode()
@@ -277,8 +278,8 @@
 	return nil
 }
 
-// decodeLedgerReply checks a line that no decision needs.
-func decodeLedgerReply(_ *Decoder, f *fields) any {
+// decodeCounterResponse checks the fields of an event that the policy does not use.
+func decodeCounterResponse(_ *Decoder, f *fields) any {
 	f.skip()
 	f.resultCode()
 	f.number()
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -10,8 +10,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Append appends one action of an instance to b as a line. It panics for an action that package policy does
-// not have.
+// Append appends the line for an action of an instance to b. It panics if the type of the action is unknown.
 func Append(b []byte, instance string, a policy.Action) []byte {
 	switch a := a.(type) {
 	case policy.StartAttempt:
@@ -45,12 +44,12 @@
 		b = appendVerb(b, "SAY_LOG", instance)
 		b = appendText(b, oneLine(a.Text))
 	default:
-		panic(fmt.Sprintf("wire: no line for %T", a))
+		panic(fmt.Sprintf("wire: unknown action type %T", a))
 	}
 	return append(b, '\n')
 }
 
-// AppendCrash appends the line that tells that an instance's decisions broke, and why.
+// AppendCrash appends the line that reports a panic in the policy of an instance, with the reason.
 func AppendCrash(b []byte, instance, reason string) []byte {
 	b = appendVerb(b, "CRASH", instance)
 	b = appendText(b, oneLine(reason))
@@ -97,5 +96,5 @@
 	return base64.StdEncoding.AppendEncode(b, data)
 }
 
-// oneLine joins the lines and words of a text with single spaces.
+// oneLine replaces each run of white space, line breaks included, by a single space.
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -6,46 +6,46 @@
 	"strconv"
 )
 
-// LineError says at which line of the input something is wrong.
+// LineError is an error at a line of the input.
 type LineError struct {
 	Line int // from 1
 	Err  error
 }
 
-// Error begins with the line.
+// Error returns the message, which starts with the line number.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// VerbError says which kind of line is malformed.
+// VerbError is an error in a line with a known verb.
 type VerbError struct {
 	Verb string
 	Err  error
 }
 
-// Error begins with the verb.
+// Error returns the message, which starts with the verb.
 func (e *VerbError) Error() string { return e.Verb + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *VerbError) Unwrap() error { return e.Err }
 
-// FieldError reports a field that is not what it must be.
+// FieldError is the error for a field whose value has the wrong format.
 type FieldError struct {
 	Value string // shortened if it is long
-	Want  string // "number"
+	Want  string // expected type, such as "number"
 }
 
-// Error names the value and what it is not.
-func (e *FieldError) Error() string { return strconv.Quote(e.Value) + " is no " + e.Want }
+// Error returns the message, which has the value and the expected type.
+func (e *FieldError) Error() string { return strconv.Quote(e.Value) + " is not a " + e.Want }
 
-// UnknownTokenError reports a word that the protocol does not have.
+// UnknownTokenError is the error for a verb, or for a value of an enumeration, that the protocol does not define.
 type UnknownTokenError struct {
-	Kind  string // "event"
+	Kind  string // what the token should name, such as "event"
 	Token string // shortened if it is long; may be empty
 }
 
-// Error names the kind and the word.
+// Error returns the message, which has the kind and the token.
 func (e *UnknownTokenError) Error() string {
 	if e.Token == "" {
 		return "unknown " + e.Kind
@@ -53,34 +53,34 @@
 	return "unknown " + e.Kind + " " + strconv.Quote(e.Token)
 }
 
-// SettingError reports a setting that is malformed.
+// SettingError is the error for a malformed setting.
 type SettingError struct {
-	Key string // "classes.0.name"
+	Key string // such as "classes.0.name"
 	Err error
 }
 
-// Error begins with the key.
+// Error returns the message, which starts with the key.
 func (e *SettingError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *SettingError) Unwrap() error { return e.Err }
 
-// What can be wrong with the fields of a line, or with the input as a whole.
+// Errors in the fields of a line, or in the input as a whole.
 var (
 	ErrTooFewFields   = errors.New("too few fields")
 	ErrTooManyFields  = errors.New("too many fields")
-	ErrBadBase64      = errors.New("bad base64")
+	ErrBadBase64      = errors.New("invalid base64")
 	ErrEndInsideBatch = errors.New("input ends inside a batch")
-	ErrEndInsideList  = errors.New("input ends inside a list")
+	ErrEndInsideList  = errors.New("input ends inside an endpoint list")
 )
 
-// maxQuoted is the number of bytes of a malformed word that errors quote.
-const maxQuoted = 40
+// maxQuotedBytes is the number of bytes of a malformed value that an error quotes.
+const maxQuotedBytes = 40
 
-// clip shortens a word for an error.
+// clip shortens a value for an error message.
 func clip(s string) string {
-	if len(s) > maxQuoted {
-		return s[:maxQuoted] + "..."
+	if len(s) > maxQuotedBytes {
+		return s[:maxQuotedBytes] + "..."
 	}
 	return s
 }
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -10,89 +10,89 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// absent stands for a field without a value.
+// absent is the text of a field without a value.
 const absent = "-"
 
-// fields takes the fields of a line one by one and keeps the first error. After an error the values that it
-// returns mean nothing.
+// fields reads the fields of a line in order and keeps the first error. After an error the returned values are
+// undefined.
 type fields struct {
-	words []string
-	err   error
+	remaining []string
+	err       error
 }
 
-// splitLine returns the fields of a line.
-func splitLine(line string) *fields { return &fields{words: strings.Split(line, " ")} }
+// splitLine returns the space-separated fields of a line.
+func splitLine(line string) *fields { return &fields{remaining: strings.Split(line, " ")} }
 
-// fail keeps an error if it is the first.
+// fail records an error, unless one is recorded already.
 func (f *fields) fail(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-// end returns the first error, and one for fields that are left over.
+// end returns the first error. Fields that have not been read are an error.
 func (f *fields) end() error {
-	if len(f.words) > 0 {
+	if len(f.remaining) > 0 {
 		f.fail(ErrTooManyFields)
 	}
 	return f.err
 }
 
 func (f *fields) text() string {
-	if len(f.words) == 0 {
+	if len(f.remaining) == 0 {
 		f.fail(ErrTooFewFields)
 		return ""
 	}
-	word := f.words[0]
-	f.words = f.words[1:]
-	return word
+	token := f.remaining[0]
+	f.remaining = f.remaining[1:]
+	return token
 }
 
-// skip passes over a field that no decision needs.
+// skip skips a field that the policy does not use.
 func (f *fields) skip() { f.text() }
 
-// number reads a finite number; an absent one is 0.
+// number reads a finite number. An absent field is 0.
 func (f *fields) number() float64 {
-	word := f.text()
-	if word == absent || f.err != nil {
+	token := f.text()
+	if token == absent || f.err != nil {
 		return 0
 	}
-	v, err := strconv.ParseFloat(word, 64)
+	v, err := strconv.ParseFloat(token, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(&FieldError{clip(word), "number"})
+		f.fail(&FieldError{clip(token), "number"})
 		return 0
 	}
 	return v
 }
 
-// milliseconds reads a time.
+// milliseconds reads a duration in milliseconds.
 func (f *fields) milliseconds() time.Duration { return duration(f.number()) }
 
-// duration is a number of milliseconds, to the nanosecond.
+// duration converts milliseconds to a duration, rounded to the nanosecond.
 func duration(milliseconds float64) time.Duration {
 	return time.Duration(math.Round(milliseconds * float64(time.Millisecond)))
 }
 
 func (f *fields) integer() int { return int(f.number()) }
 
-// unsigned reads a whole number of so many bits.
+// unsigned reads an unsigned decimal integer of at most the given number of bits.
 func (f *fields) unsigned(bits int) uint64 {
-	word := f.text()
-	v, err := strconv.ParseUint(word, 10, bits)
+	token := f.text()
+	v, err := strconv.ParseUint(token, 10, bits)
 	if err != nil {
-		f.fail(&FieldError{clip(word), "whole number"})
+		f.fail(&FieldError{clip(token), "whole number"})
 	}
 	return v
 }
 
 func (f *fields) serverID() policy.ServerID { return policy.ServerID(f.unsigned(32)) }
 
-// requestID reads 16 hexadecimal digits.
+// requestID reads a request ID: 16 hexadecimal digits.
 func (f *fields) requestID() policy.RequestID {
-	word := f.text()
-	v, err := strconv.ParseUint(word, 16, 64)
-	if err != nil || len(word) != 16 {
-		f.fail(&FieldError{clip(word), "request id"})
+	token := f.text()
+	v, err := strconv.ParseUint(token, 16, 64)
+	if err != nil || len(token) != 16 {
+		f.fail(&FieldError{clip(token), "request id"})
 	}
 	return policy.RequestID(v)
 }
@@ -100,36 +100,36 @@
 func (f *fields) boolean() bool { return f.text() == "1" }
 
 func (f *fields) resultCode() policy.ResultCode {
-	word := f.text()
-	code, known := resultCodes[word]
+	token := f.text()
+	code, known := resultCodes[token]
 	if !known {
-		f.fail(&UnknownTokenError{"ending", clip(word)})
+		f.fail(&UnknownTokenError{"result code", clip(token)})
 	}
 	return code
 }
 
-// numbers reads numbers with commas between them, or nil for an absent list.
+// numbers reads a comma-separated list of numbers. An absent or empty field is a nil list.
 func (f *fields) numbers() (list []float64) {
-	word := f.text()
-	if word == absent || word == "" {
+	token := f.text()
+	if token == absent || token == "" {
 		return nil
 	}
-	row := fields{words: strings.Split(word, ",")}
-	for len(row.words) > 0 {
-		list = append(list, row.number())
+	elements := fields{remaining: strings.Split(token, ",")}
+	for len(elements.remaining) > 0 {
+		list = append(list, elements.number())
 	}
-	if row.err != nil {
-		f.fail(row.err)
+	if elements.err != nil {
+		f.fail(elements.err)
 	}
 	return list
 }
 
 func (f *fields) bytes() []byte {
-	word := f.text()
-	if word == absent {
+	token := f.text()
+	if token == absent {
 		return nil
 	}
-	b, err := base64.StdEncoding.DecodeString(word)
+	b, err := base64.StdEncoding.DecodeString(token)
 	if err != nil {
 		f.fail(ErrBadBase64)
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,17 +10,17 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// maxListSetting bounds the number of classes and of plans.
-const maxListSetting = 1000
+// maxListLength is the maximum number of classes, and of plans.
+const maxListLength = 1000
 
-// idempotencies are the words of "semantics" settings.
+// idempotencies maps the values of "semantics" settings.
 var idempotencies = map[string]policy.Idempotency{
 	"repeatable": policy.Idempotent,
 	"by_key":     policy.IdempotentWithKey,
 	"once":       policy.NonIdempotent,
 }
 
-// dedupScopes are the words of "group" settings.
+// dedupScopes maps the values of "group" settings.
 var dedupScopes = map[string]policy.DedupScope{
 	"":     policy.DedupAllServers,
 	"all":  policy.DedupAllServers,
@@ -28,8 +28,8 @@
 	"cell": policy.DedupCell,
 }
 
-// settings reads the key=value pairs of a CONFIGURE line.
-func settings(pairs []string) (policy.Settings, error) {
+// parseSettingPairs parses the key=value pairs of a CONFIGURE line.
+func parseSettingPairs(pairs []string) (policy.Settings, error) {
 	values := make(map[string]string, len(pairs))
 	for _, pair := range pairs {
 		if pair == "" {
@@ -41,12 +41,12 @@
 		}
 		values[key] = value
 	}
-	return Settings(values)
+	return ParseSettings(values)
 }
 
-// Settings reads settings by their paths: "caps.cancel", "classes.0.name". Keys that it does not know are
-// ignored, and those that are missing have the zero value. The error is a *SettingError.
-func Settings(values map[string]string) (policy.Settings, error) {
+// ParseSettings parses settings given by path, such as "caps.cancel" or "classes.0.name". Unknown keys are ignored;
+// a missing key gives the zero value. The error is a *SettingError.
+func ParseSettings(values map[string]string) (policy.Settings, error) {
 	r := settingReader{values: values}
 	s := policy.Settings{
 		SelfIndex:             r.integer("me"),
@@ -82,7 +82,7 @@
 	return s, r.err
 }
 
-// settingReader reads settings by key and keeps the first error.
+// settingReader looks up settings by key and keeps the first error.
 type settingReader struct {
 	values map[string]string
 	err    error
@@ -97,11 +97,11 @@
 func (r *settingReader) text(key string) string { return r.values[key] }
 
 func (r *settingReader) number(key string) float64 {
-	word, found := r.values[key]
+	token, found := r.values[key]
 	if !found {
 		return 0
 	}
-	f := fields{words: []string{word}}
+	f := fields{remaining: []string{token}}
 	v := f.number()
 	if f.err != nil {
 		r.fail(key, f.err)
@@ -114,26 +114,26 @@
 func (r *settingReader) integer(key string) int { return int(r.number(key)) }
 
 func (r *settingReader) boolean(key string) bool {
-	word := r.values[key]
-	return word == "true" || word == "1"
+	token := r.values[key]
+	return token == "true" || token == "1"
 }
 
-// count reads the length of a list.
+// count reads and checks the length of a list.
 func (r *settingReader) count(key string) int {
 	n := r.integer(key)
-	if n < 0 || n > maxListSetting {
+	if n < 0 || n > maxListLength {
 		r.fail(key, errors.New(strconv.Itoa(n)))
 		return 0
 	}
 	return n
 }
 
-// class reads the class whose keys begin with a prefix.
+// class reads the class whose keys start with the prefix.
 func (r *settingReader) class(prefix string) policy.Class {
 	idempotency, knownIdempotency := idempotencies[r.text(prefix+"semantics")]
 	scope, knownScope := dedupScopes[r.text(prefix+"group")]
 	if !knownIdempotency || !knownScope {
-		r.fail(prefix+"semantics or "+prefix+"group", errUnknown)
+		r.fail(prefix+"semantics or "+prefix+"group", errUnknownValue)
 	}
 	return policy.Class{
 		Name:             r.text(prefix + "name"),
@@ -146,7 +146,7 @@
 	}
 }
 
-// plan reads the plan whose keys begin with a prefix.
+// plan reads the plan whose keys start with the prefix.
 func (r *settingReader) plan(prefix string) policy.Plan {
 	return policy.Plan{
 		Name:           r.text(prefix + "name"),
@@ -160,5 +160,5 @@
 	}
 }
 
-// errUnknown reports a word that a setting does not have.
-var errUnknown = errors.New("unknown")
+// errUnknownValue is the error for a value that the setting does not allow.
+var errUnknownValue = errors.New("unknown value")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -53,14 +53,14 @@
 		t.Fatal(b.Now, err)
 	}
 	var got []any
-	for _, it := range b.Items {
+	for _, it := range b.Events {
 		got = append(got, it.Event)
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	if _, err := d.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("at the end of input: %v, want io.EOF", err)
 	}
 }
 
@@ -68,17 +68,17 @@
 	for name, c := range map[string]struct{ in, want string }{
 		"no frame":       {"ELAPSED node/1 x\n", "line 1: a batch starts with FRAME"},
 		"cut off":        {"FRAME 1\nELAPSED node/1 x\n", "line 2: input ends inside a batch"},
-		"cut off list":   {"FRAME 1\nTABLE 0 2\nM - 1 a 0 Running k 1\n", "line 3: input ends inside a list"},
+		"cut off list":   {"FRAME 1\nTABLE 0 2\nM - 1 a 0 Running k 1\n", "line 3: input ends inside an endpoint list"},
 		"unknown event":  {"FRAME 1\nHELLO node/1\nEOF_BATCH\n", `line 2: unknown event "HELLO"`},
 		"too few":        {"FRAME 1\nELAPSED node/1\nEOF_BATCH\n", "line 2: ELAPSED: too few fields"},
 		"too many":       {"FRAME 1\nELAPSED node/1 x y\nEOF_BATCH\n", "line 2: ELAPSED: too many fields"},
-		"bad id":         {"FRAME 1\nLAPSED node/1 12\nEOF_BATCH\n", "line 2: LAPSED: \"12\" is no request id"},
+		"bad id":         {"FRAME 1\nLAPSED node/1 12\nEOF_BATCH\n", "line 2: LAPSED: \"12\" is not a request id"},
 		"bad clock":      {"FRAME x\nEOF_BATCH\n", "line 1: FRAME"},
-		"bad base64":     {"FRAME 1\nWHISPER node/1 2 !!\nEOF_BATCH\n", "line 2: WHISPER: bad base64"},
-		"no such list":   {"FRAME 1\nMEMBERSHIP node/1 all 1 5\nEOF_BATCH\n", "line 2: MEMBERSHIP: no list"},
+		"invalid base64": {"FRAME 1\nWHISPER node/1 2 !!\nEOF_BATCH\n", "line 2: WHISPER: invalid base64"},
+		"unknown list":   {"FRAME 1\nMEMBERSHIP node/1 all 1 5\nEOF_BATCH\n", "line 2: MEMBERSHIP: no endpoint list"},
 		"bad state":      {"FRAME 1\nTABLE 0 1\nM - 1 a 0 Asleep k 1\nEOF_BATCH\n", "line 3: M: unknown state"},
 		"bad setting":    {"FRAME 1\nCONFIGURE node/1 5 me=x\nEOF_BATCH\n", "line 2: CONFIGURE: me:"},
-		"unknown ending": {"FRAME 1\nPROBE_RESULT node/1 7 SO 1 -\nEOF_BATCH\n", "unknown ending"},
+		"unknown result": {"FRAME 1\nPROBE_RESULT node/1 7 SO 1 -\nEOF_BATCH\n", "unknown result code"},
 	} {
 		d := NewDecoder(strings.NewReader(c.in))
 		var err error
@@ -96,7 +96,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, err := settings(strings.Split("me=1 balancers=3 zone=b tick_ms=2.0 caps.retry_after=true "+
+	s, err := parseSettingPairs(strings.Split("me=1 balancers=3 zone=b tick_ms=2.0 caps.retry_after=true "+
 		"caps.max_retry_after_ms=500 report.names=active,waiting weight_kind=nominal discovery=ask "+
 		"classes.count=1 classes.0.name=c classes.0.aim_ms=80.5 classes.0.semantics=by_key "+
 		"classes.0.group=cell plans.count=1 plans.0.name=p plans.0.rate=0.7 plans.0.parallel=2 new.key=1", " "))
@@ -122,7 +122,7 @@
 		{"plans.count=1 plans.0.rate=much", "plans.0.rate"},
 	} {
 		var setting *SettingError
-		if _, err := settings(strings.Split(c.pairs, " ")); !errors.As(err, &setting) || setting.Key != c.key {
+		if _, err := parseSettingPairs(strings.Split(c.pairs, " ")); !errors.As(err, &setting) || setting.Key != c.key {
 			t.Errorf("%s: %v", c.pairs, err)
 		}
 	}
