--- a/edgenode/attempts_test.go
+++ b/edgenode/attempts_test.go
@@ -40,7 +40,7 @@
 // How an attempt ends, against what its class's effect lets be sent again: one row each,
 // the effect as the settings have it. Two of the rows prove that nothing ran; of the
 // others an unsafe request is never sent again, and its client is told nothing harmless.
-func TestEndsByEffect(t *testing.T) {
+func TestAttemptOutcomeByIdempotency(t *testing.T) {
 	const turned = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, end := range []attemptOutcome{
 		{"turned away", turned, false, false, false},
@@ -111,7 +111,7 @@
 }
 
 // An answer without a length ends with its connection: a clean close is its end.
-func TestAnswerWithoutALength(t *testing.T) {
+func TestResponseWithoutLength(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		for _, b := range s.servers {
 			b.respond = func(_ int, id string) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\nfor " + id, true }
--- a/edgenode/dial_test.go
+++ b/edgenode/dial_test.go
@@ -13,7 +13,7 @@
 
 // A client leaves while its attempt is in a dial that comes up later: no byte of the
 // request reaches a server.
-func TestClientLeavesDuringADial(t *testing.T) {
+func TestClientDisconnectsDuringDial(t *testing.T) {
 	dialing, release := make(chan struct{}, 10), make(chan struct{})
 	var agent atomic.Value // discovery's address, once servers' dials are to be held
 	d := dialHook{dial: func(ctx context.Context, addr string) (net.Conn, error) {
@@ -48,7 +48,7 @@
 
 // A server begins to drain while an attempt is in its dial there: the attempt goes
 // elsewhere at once, and nothing is written to the first server when the dial comes up.
-func TestDrainCrossesADial(t *testing.T) {
+func TestServerDrainsDuringDial(t *testing.T) {
 	type dial struct {
 		addr    string
 		release chan struct{}
--- a/edgenode/discovery/list_test.go
+++ b/edgenode/discovery/list_test.go
@@ -12,43 +12,44 @@
 	return Endpoint{Name: name, Address: address, Zone: "a", Cell: 1, Status: status, Weight: 1, StartTimeUnixMS: since}
 }
 
-// What has gone is forgotten, and connections belong to a name, a start and an
-// address together.
-func TestApplyForgetsEndpointsAndClosesTheirConnections(t *testing.T) {
-	n := NewEndpointTable()
-	snapshot := n.Apply(List{Snapshot: true, Endpoints: []Endpoint{endpoint("s-1", "a:1", "ready", 0), endpoint("s-2", "b:1", "ready", 5)}}, false)
-	first, left := snapshot.Servers, snapshot.ConnectionsToClose
-	if len(first) != 2 || len(left) != 0 || first[0].ID == first[1].ID || !first[0].StartTime.IsZero() || first[1].StartTime.UnixMilli() != 5 {
-		t.Fatalf("%+v, left %v", first, left)
+// Endpoints that are removed must leave the table, and a server that restarts or takes over an
+// address must not be sent requests on the connections of its predecessor.
+func TestApplyRemovesEndpointsAndClosesTheirConnections(t *testing.T) {
+	table := NewEndpointTable()
+	snapshot := table.Apply(List{Snapshot: true, Endpoints: []Endpoint{endpoint("s-1", "a:1", "ready", 0), endpoint("s-2", "b:1", "ready", 5)}}, false)
+	first, toClose := snapshot.Servers, snapshot.ConnectionsToClose
+	if len(first) != 2 || len(toClose) != 0 || first[0].ID == first[1].ID || !first[0].StartTime.IsZero() || first[1].StartTime.UnixMilli() != 5 {
+		t.Fatalf("%+v, connections to close %v", first, toClose)
 	}
-	delta := n.Apply(List{Endpoints: []Endpoint{endpoint("s-1", "a:1", "draining", 0), endpoint("s-9", "z:1", "gone", 0)}}, false)
-	kind, list, left := delta.Kind, delta.Servers, delta.ConnectionsToClose
-	if kind != policy.DeltaUpdate || len(list) != 1 || list[0].State != policy.Draining || list[0].ID != first[0].ID || len(left) != 0 {
-		t.Errorf("%v %+v, left %v", kind, list, left)
+	delta := table.Apply(List{Endpoints: []Endpoint{endpoint("s-1", "a:1", "draining", 0), endpoint("s-9", "z:1", "gone", 0)}}, false)
+	kind, list, toClose := delta.Kind, delta.Servers, delta.ConnectionsToClose
+	if kind != policy.DeltaUpdate || len(list) != 1 || list[0].State != policy.Draining || list[0].ID != first[0].ID || len(toClose) != 0 {
+		t.Errorf("%v %+v, connections to close %v", kind, list, toClose)
 	}
-	// A new server at the address of one that has gone; a restart of another.
-	delta = n.Apply(List{Endpoints: []Endpoint{endpoint("s-1", "a:1", "gone", 0), endpoint("s-3", "a:1", "ready", 9), endpoint("s-2", "b:1", "ready", 7)}}, false)
-	list, left = delta.Servers, delta.ConnectionsToClose
-	if fmt.Sprint(left) != "[s-1/0/a:1 s-2/5/b:1]" || list[1].ConnectionKey == first[0].ConnectionKey || list[2].ConnectionKey == first[1].ConnectionKey || list[2].ID != first[1].ID {
-		t.Errorf("%+v, left %v", list, left)
+	// s-3 takes over the address of s-1, which is removed; s-2 restarts.
+	delta = table.Apply(List{Endpoints: []Endpoint{endpoint("s-1", "a:1", "gone", 0), endpoint("s-3", "a:1", "ready", 9), endpoint("s-2", "b:1", "ready", 7)}}, false)
+	list, toClose = delta.Servers, delta.ConnectionsToClose
+	if fmt.Sprint(toClose) != "[s-1/0/a:1 s-2/5/b:1]" || list[1].ConnectionKey == first[0].ConnectionKey || list[2].ConnectionKey == first[1].ConnectionKey || list[2].ID != first[1].ID {
+		t.Errorf("%+v, connections to close %v", list, toClose)
 	}
-	left = n.Apply(List{Snapshot: true}, false).ConnectionsToClose
-	if len(left) != 2 || len(n.ids)+len(n.connectionKeys)+len(n.used) != 0 {
-		t.Errorf("left %v, still known %v", left, n.ids)
+	toClose = table.Apply(List{Snapshot: true}, false).ConnectionsToClose
+	if len(toClose) != 2 || len(table.ids)+len(table.connectionKeys)+len(table.used) != 0 {
+		t.Errorf("connections to close %v, IDs still in the table %v", toClose, table.ids)
 	}
 }
 
+// The table must not grow without bound while endpoints are replaced by new ones.
 func TestEndpointTableDoesNotGrow(t *testing.T) {
-	n, seen := NewEndpointTable(), map[policy.ServerID]bool{}
+	table, seen := NewEndpointTable(), map[policy.ServerID]bool{}
 	for i := range 10000 {
 		name := fmt.Sprint("s-", i)
-		list := n.Apply(List{Endpoints: []Endpoint{endpoint(name, "a:1", "ready", int64(i+1))}}, false).Servers
+		list := table.Apply(List{Endpoints: []Endpoint{endpoint(name, "a:1", "ready", int64(i+1))}}, false).Servers
 		if seen[list[0].ID] = true; i > 9 {
-			n.Apply(List{Endpoints: []Endpoint{endpoint(fmt.Sprint("s-", i-10), "a:1", "gone", int64(i-9))}}, false)
+			table.Apply(List{Endpoints: []Endpoint{endpoint(fmt.Sprint("s-", i-10), "a:1", "gone", int64(i-9))}}, false)
 		}
 	}
-	if len(n.ids) > 11 || len(n.connectionKeys) > 11 || len(n.used) > 11 || len(seen) < 9990 {
-		t.Errorf("%d names, %d keys, %d numbers held; %d given", len(n.ids), len(n.connectionKeys), len(n.used), len(seen))
+	if len(table.ids) > 11 || len(table.connectionKeys) > 11 || len(table.used) > 11 || len(seen) < 9990 {
+		t.Errorf("the table holds %d names, %d connection keys, %d IDs; %d IDs were assigned", len(table.ids), len(table.connectionKeys), len(table.used), len(seen))
 	}
 }
 
@@ -60,7 +61,7 @@
 		`{"index":1,"snapshot":true,"endpoints":[{"name":"a","address":"a","status":"ready"},{"name":"a","address":"b","status":"ready"}]}`,
 		`{"index":1,"endpoints":[]} x`} {
 		if l, err := Parse([]byte(in)); err == nil {
-			t.Errorf("%s was read as %+v", in, l)
+			t.Errorf("%s was parsed as %+v, want an error", in, l)
 		}
 	}
 }
@@ -83,8 +84,8 @@
 		if err != nil {
 			return
 		}
-		n := NewEndpointTable()
-		list := n.Apply(l, false).Servers
+		table := NewEndpointTable()
+		list := table.Apply(l, false).Servers
 		if len(list) > len(l.Endpoints) {
 			t.Fatal("more servers than endpoints")
 		}
--- a/edgenode/discovery/watch_test.go
+++ b/edgenode/discovery/watch_test.go
@@ -20,7 +20,7 @@
 	snapshotWithoutSecond = `{"index":%d,"snapshot":true,"endpoints":[{"name":"s-1","address":"a:1","status":"ready"}]}`
 )
 
-// fakeDiscovery is a listener on loopback whose calls a test answers by hand.
+// fakeDiscovery is a fake discovery service on loopback. The test supplies the answers to its polls.
 type fakeDiscovery struct {
 	t        *testing.T
 	listener net.Listener
@@ -40,9 +40,9 @@
 	return &fakeDiscovery{t, l}
 }
 
-// answerCalls gives the calls of each connection in turn to f until that is false: then the
-// connection ends. after is the index that the call has, -1 without one.
-func (d *fakeDiscovery) answerCalls(f func(nc *net.TCPConn, after int64) bool) {
+// answerPolls passes the polls of each connection to f, in order, and closes the connection when
+// f returns false. after is the index in the poll, or -1 if it has none.
+func (d *fakeDiscovery) answerPolls(f func(nc *net.TCPConn, after int64) bool) {
 	for {
 		nc, err := d.listener.Accept()
 		if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// indexOf is the index in the target of a call, or -1.
+// indexOf returns the index in the target of a poll, or -1 if it has none.
 func indexOf(target string) int64 {
 	_, query, _ := strings.Cut(target, "after=")
 	text, _, _ := strings.Cut(query, "&")
@@ -72,14 +72,14 @@
 	return index
 }
 
-// send writes to a watch, which may have given the connection up by then.
+// send writes to a watch and ignores errors: the watch may have closed the connection.
 func send(nc net.Conn, text string) { _, _ = nc.Write([]byte(text)) }
 
 func response(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// startWatch runs a watch and gives what it delivers.
+// startWatch starts a watch and returns the lists that it delivers.
 func startWatch(t *testing.T, n network.Network, address string) chan List {
 	t.Helper()
 	got := make(chan List, 100)
@@ -90,7 +90,7 @@
 		deliver := func(l List) {
 			select {
 			case got <- l:
-			case <-ctx.Done(): // the test has ended and reads no more
+			case <-ctx.Done(): // the test has ended and no longer receives
 			}
 		}
 		Watch(ctx, Options{Network: n, Address: address, Logger: slog.New(slog.DiscardHandler), Deliver: deliver})
@@ -99,7 +99,7 @@
 	return got
 }
 
-// secondUnavailable tells whether what was delivered takes a server out of use.
+// secondUnavailable reports whether a list marks s-2 as not ready, or is a snapshot without it.
 func secondUnavailable(l List) bool {
 	for _, h := range l.Endpoints {
 		if h.Name == "s-2" {
@@ -109,15 +109,15 @@
 	return l.Snapshot
 }
 
-// failCall is a way for a call to fail; it tells whether the connection goes on.
-type failCall func(nc *net.TCPConn) bool
+// pollFailure makes a poll fail in some way. It reports whether the connection stays open.
+type pollFailure func(nc *net.TCPConn) bool
 
-// neverRespond holds a call until the test program ends.
+// neverRespond leaves a poll without a response until the test program ends.
 func neverRespond(*net.TCPConn) bool { select {} }
 
 func resetConnection(nc *net.TCPConn) bool {
 	if err := nc.SetLinger(0); err != nil {
-		panic(err) // the watch would see an end, not a reset
+		panic(err) // the watch would see the end of the connection, not a reset
 	}
 	return false
 }
@@ -144,20 +144,21 @@
 	return true
 }
 
-// A change that comes while calls fail is delivered in time, over orders of failures: each
-// is played once the snapshot is held, and the change is there from its first call on.
-func TestChangesArriveWhileCallsFail(t *testing.T) {
+// A change must be delivered within the time that the platform allows, even if polls fail in
+// succession. The failures of each case begin after the first snapshot; discovery has the change
+// from the first of them on.
+func TestChangesAreDeliveredWhilePollsFail(t *testing.T) {
 	for name, c := range map[string]struct {
-		failures []failCall
+		failures []pollFailure
 		change   string
 	}{
-		"silent twice":             {[]failCall{neverRespond, neverRespond}, deltaSecondDraining},
-		"silent, then the rest":    {[]failCall{neverRespond}, snapshotWithoutSecond},
-		"reset twice":              {[]failCall{resetConnection, resetConnection}, deltaSecondDraining},
-		"ended instead of telling": {[]failCall{closeConnection, closeConnection, closeConnection}, snapshotWithoutSecond},
-		"half an answer":           {[]failCall{truncatedResponse, truncatedResponse}, deltaSecondDraining},
-		"stuck, reset, silent":     {[]failCall{stalledResponse, resetConnection, neverRespond}, deltaSecondDraining},
-		"refused calls":            {[]failCall{badStatus, badStatus, badStatus, badList}, snapshotWithoutSecond},
+		"no response twice":      {[]pollFailure{neverRespond, neverRespond}, deltaSecondDraining},
+		"no response once":       {[]pollFailure{neverRespond}, snapshotWithoutSecond},
+		"reset twice":            {[]pollFailure{resetConnection, resetConnection}, deltaSecondDraining},
+		"connection closed":      {[]pollFailure{closeConnection, closeConnection, closeConnection}, snapshotWithoutSecond},
+		"truncated response":     {[]pollFailure{truncatedResponse, truncatedResponse}, deltaSecondDraining},
+		"stalled, reset, silent": {[]pollFailure{stalledResponse, resetConnection, neverRespond}, deltaSecondDraining},
+		"error responses":        {[]pollFailure{badStatus, badStatus, badStatus, badList}, snapshotWithoutSecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -165,32 +166,33 @@
 			firstFailure := d.failThenAnswer(c.failures, c.change)
 			got := startWatch(t, network.OS{}, d.listener.Addr().String())
 			if l := <-got; !l.Snapshot || secondUnavailable(l) {
-				t.Fatalf("first %+v", l)
+				t.Fatalf("first list %+v, want a snapshot with s-2 ready", l)
 			}
 			select {
 			case l := <-got:
 				if !secondUnavailable(l) {
-					t.Errorf("then %+v", l)
+					t.Errorf("second list %+v, want s-2 unavailable", l)
 				}
 				if took := time.Since(<-firstFailure); took > 5*time.Second {
-					t.Errorf("told after %v; 6 s are allowed", took)
+					t.Errorf("the change was delivered after %v; the platform allows 6 s", took)
 				}
 			case <-time.After(10 * time.Second):
-				t.Error("not told at all")
+				t.Error("the change was not delivered")
 			}
 		})
 	}
 }
 
-// failThenAnswer answers calls without an index by a snapshot, and of the others the first
-// ones by failures, the rest by a change. The channel has the time of the first failure.
-func (d *fakeDiscovery) failThenAnswer(failures []failCall, change string) (firstFailure chan time.Time) {
-	pending := make(chan failCall, len(failures))
+// failThenAnswer answers polls without an index with a snapshot. Of the other polls, the first
+// ones get the failures, and the rest get the change. The channel receives the time of the first
+// poll with an index.
+func (d *fakeDiscovery) failThenAnswer(failures []pollFailure, change string) (firstFailure chan time.Time) {
+	pending := make(chan pollFailure, len(failures))
 	for _, f := range failures {
 		pending <- f
 	}
 	firstFailure = make(chan time.Time, 1)
-	go d.answerCalls(func(nc *net.TCPConn, after int64) bool {
+	go d.answerPolls(func(nc *net.TCPConn, after int64) bool {
 		if after < 0 {
 			send(nc, response(fmt.Sprintf(snapshotWithSecond, 41)))
 			return true
@@ -210,7 +212,7 @@
 	return firstFailure
 }
 
-// observedConn tells of each read.
+// observedConn sends the number of bytes of each read to a channel.
 type observedConn struct {
 	net.Conn
 	read chan int
@@ -232,8 +234,9 @@
 	return &observedConn{nc, n.read}, err
 }
 
-// An answer comes in two pieces, cut at each of its bytes, with a length or in chunks,
-// indented or not: the second leaves once the first was read.
+// A response may arrive in any number of reads. Each response is sent in two pieces, split at each
+// of its bytes in turn; the second piece is sent after the first has been read. The responses have
+// a Content-Length or are chunked, and their JSON is compact or indented.
 func TestResponsesInPieces(t *testing.T) {
 	indented := strings.NewReplacer("[", "[\n  ", "},", "},\r\n\t", ":", " : ").Replace(strings.Replace(snapshotWithoutSecond, "a:1", "a1", 1))
 	chunked := func(b string) string {
@@ -241,18 +244,18 @@
 			len(b)/2, b[:len(b)/2], len(b)-len(b)/2, b[len(b)/2:])
 	}
 	for _, text := range []string{response(fmt.Sprintf(snapshotWithoutSecond, 7)), chunked(fmt.Sprintf(snapshotWithoutSecond, 7)), chunked(fmt.Sprintf(indented, 7))} {
-		a := newFakeDiscovery(t)
-		at, read := 0, make(chan int)
-		go a.answerCalls(func(nc *net.TCPConn, _ int64) bool {
-			if at++; at >= len(text) {
+		d := newFakeDiscovery(t)
+		cut, read := 0, make(chan int)
+		go d.answerPolls(func(nc *net.TCPConn, _ int64) bool {
+			if cut++; cut >= len(text) {
 				select {}
 			}
-			send(nc, text[:at])
-			for n := 0; n < at; {
+			send(nc, text[:cut])
+			for n := 0; n < cut; {
 				n += <-read
 			}
-			send(nc, text[at:])
-			for n := at; n < len(text); {
+			send(nc, text[cut:])
+			for n := cut; n < len(text); {
 				n += <-read
 			}
 			return true
@@ -261,16 +264,16 @@
 		got, done := make(chan List, 1), make(chan struct{})
 		go func() {
 			defer close(done)
-			Watch(ctx, Options{Network: observedNetwork{read: read}, Address: a.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
+			Watch(ctx, Options{Network: observedNetwork{read: read}, Address: d.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
 		}()
 		for i := 1; i < len(text); i++ {
 			select {
 			case l := <-got:
 				if !l.Snapshot || l.Index != 7 || len(l.Endpoints) != 1 {
-					t.Fatalf("cut at %d of %q: %+v", i, text, l)
+					t.Fatalf("cut at byte %d of %q: %+v", i, text, l)
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatalf("cut at %d of %q: nothing", i, text)
+				t.Fatalf("cut at byte %d of %q: no list was delivered", i, text)
 			}
 		}
 		cancel()
@@ -283,18 +286,19 @@
 	}
 }
 
-// The watch moves while a call is out: what the old agent answers after that is not heard.
+// When discovery moves to another address, the old watch may have a poll in flight. A response to
+// that poll after the watch has ended must not be delivered.
 func TestNothingIsDeliveredAfterTheWatchEnded(t *testing.T) {
-	a := newFakeDiscovery(t)
-	out, moved := make(chan struct{}), make(chan struct{})
+	d := newFakeDiscovery(t)
+	pollReceived, watchEnded := make(chan struct{}), make(chan struct{})
 	answered := make(chan struct{})
-	go a.answerCalls(func(nc *net.TCPConn, after int64) bool {
+	go d.answerPolls(func(nc *net.TCPConn, after int64) bool {
 		if after < 0 {
 			send(nc, response(fmt.Sprintf(snapshotWithSecond, 41)))
 			return true
 		}
-		close(out)
-		<-moved
+		close(pollReceived)
+		<-watchEnded
 		send(nc, response(fmt.Sprintf(snapshotWithoutSecond, 43)))
 		close(answered)
 		return false
@@ -304,14 +308,14 @@
 	var got []List
 	go func() {
 		defer close(done)
-		Watch(ctx, Options{Network: network.OS{}, Address: a.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got = append(got, l) }})
+		Watch(ctx, Options{Network: network.OS{}, Address: d.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got = append(got, l) }})
 	}()
-	<-out
+	<-pollReceived
 	cancel()
 	<-done
-	close(moved)
+	close(watchEnded)
 	<-answered
 	if len(got) != 1 || secondUnavailable(got[0]) {
-		t.Errorf("heard %+v", got)
+		t.Errorf("delivered %+v, want only the snapshot with s-2 ready", got)
 	}
 }
--- a/edgenode/drain_test.go
+++ b/edgenode/drain_test.go
@@ -52,7 +52,7 @@
 // Shutdown meets requests at each point of their life, while servers hang: one that rests,
 // one that waits for a server's answer beyond SIGKILL, one in a dial. Each gets a whole
 // answer, and its connection a clean end, in the time that the settings leave.
-func TestShutdownCrossesRequests(t *testing.T) {
+func TestShutdownDuringRequests(t *testing.T) {
 	t.Parallel()
 	hang := make(chan struct{})
 	defer close(hang)
--- a/edgenode/endpoints_test.go
+++ b/edgenode/endpoints_test.go
@@ -56,7 +56,7 @@
 
 // A module made anew after a panic knows the list as it stands, not as it was last
 // told whole: what has gone since gets nothing.
-func TestEndpointChangesOutliveAPanic(t *testing.T) {
+func TestEndpointUpdatesSurvivePolicyPanic(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		s.serveDiscovery("10.0.3.2:80", func(target string) string {
 			if !strings.Contains(target, "after=") {
@@ -80,7 +80,7 @@
 
 // A watch that falls silent with news at hand is given up soon enough: a drain is
 // known within 4 s, also where two calls in a row are silent.
-func TestDrainIsKnownDespiteSilentPolls(t *testing.T) {
+func TestDrainingServerIsKnownDespiteFailedPolls(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		var calls atomic.Int64
 		s.serveDiscovery("10.0.3.2:80", func(string) string {
@@ -105,7 +105,7 @@
 
 // Discovery that says what can't be read, or nothing, changes nothing; a new address
 // is asked at once.
-func TestDiscoveryFailureKeepsTheList(t *testing.T) {
+func TestDiscoveryFailureKeepsEndpointList(t *testing.T) {
 	for name, says := range map[string]string{"noise": "{]", "changes without a list": `{"index":1,"endpoints":[]}`, "silence": ""} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(s *testbed) {
--- a/edgenode/fake_server_test.go
+++ b/edgenode/fake_server_test.go
@@ -106,7 +106,7 @@
 		s.observe(seen, out)
 	}
 	if err != nil || end {
-		s.prepareEnd(nc)
+		s.prepareReset(nc)
 		return false
 	}
 	if !left {
@@ -123,8 +123,8 @@
 	return len(s.requests)
 }
 
-// prepareEnd makes the close that follows a reset where the server ends so.
-func (s *fakeServer) prepareEnd(nc net.Conn) {
+// prepareReset makes the close that follows a reset where the server ends so.
+func (s *fakeServer) prepareReset(nc net.Conn) {
 	if tc, ok := nc.(*net.TCPConn); ok && s.resetsConnections {
 		if err := tc.SetLinger(0); err != nil {
 			panic(err) // the test would not see the reset it is about
--- a/edgenode/protocol/mapper_test.go
+++ b/edgenode/protocol/mapper_test.go
@@ -31,7 +31,7 @@
 	return c
 }
 
-func TestAdmitReadsTheProtocol(t *testing.T) {
+func TestAdmitMapsValidRequests(t *testing.T) {
 	for _, keyed := range []bool{false, true} {
 		r, a := New(testSettings, alwaysReady).Admit(validRequest(keyed), "")
 		if a != nil {
@@ -60,7 +60,7 @@
 }
 
 // What is not the protocol is a failure with 4xx, whoever it claims to be from.
-func TestAdmitRejectsWhatIsNotTheProtocol(t *testing.T) {
+func TestAdmitRejectsProtocolViolations(t *testing.T) {
 	for _, c := range []struct {
 		name, field string
 		keyed       bool
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestBadRequestSaysWhatIsWrong(t *testing.T) {
+func TestBadRequestDetail(t *testing.T) {
 	m := New(testSettings, alwaysReady)
 	badPlan := func() node.HTTPRequest {
 		call := validRequest(false)
--- a/edgenode/requests_test.go
+++ b/edgenode/requests_test.go
@@ -30,12 +30,12 @@
 
 // serverResponse is what a server sends for the first request, and what comes of that.
 type serverResponse struct {
-	name, text string
-	class      string
-	closes     bool // of the connection
-	status     int  // of the client's response
-	attempts   int
-	served     bool // the client gets the response made for it
+	name, response string
+	class          string
+	closes         bool // of the connection
+	status         int  // of the client's response
+	attempts       int
+	served         bool // the client gets the response made for it
 }
 
 // What a server says with X-Unprocessed never ran: the other one gets it. What an
@@ -75,7 +75,7 @@
 	for _, server := range s.servers {
 		server.respond = func(n int, id string) (string, bool) {
 			if requests.Add(1) == 1 {
-				return c.text, c.closes
+				return c.response, c.closes
 			}
 			return answerByID(n, id)
 		}
@@ -105,7 +105,7 @@
 
 // Clients that can't be understood get an error or a close soon, and nothing of
 // them reaches a server.
-func TestBadClients(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		good := s.requestText("loan-change", "bad")
 		for name, in := range map[string]string{
@@ -162,7 +162,7 @@
 }
 
 // Connections by the hundreds that say nothing leave room for those that ask.
-func TestSilentConnectionsLeaveRoom(t *testing.T) {
+func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		var silent []net.Conn
 		for range 400 {
--- a/edgenode/run_test.go
+++ b/edgenode/run_test.go
@@ -37,7 +37,7 @@
 }
 
 // A configuration that can't be meant ends the program with one line and status 1.
-func TestBadConfigurationEndsTheProgram(t *testing.T) {
+func TestInvalidConfigurationEndsProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(strings.Replace(configJSON, `"conn_idle_ms":10000,`, "", 1)), 0o600); err != nil {
 		t.Fatal(err)
