--- a/edgenode/attempts_test.go
+++ b/edgenode/attempts_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// The last attempt's time and the client's are over in the same step of the wheel: the
-// module has the last word, and what is safe is refused so that a repeat is harmless.
+// If the last attempt's timeout and the client's timeout expire in the same step of the timer
+// wheel, the policy must decide on the final response: an idempotent request is rejected, so that
+// the client may retry it, and any other request fails.
 func TestAttemptAndDeadlineEndTogether(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		for _, b := range s.servers {
@@ -23,53 +24,55 @@
 		}{{"lookup", 503}, {"loan-change", 504}} {
 			status, _, took := s.exchange(s.requestText(c.class, ""))
 			if status != c.status || took < time.Second || took > 1500*time.Millisecond {
-				t.Errorf("%s: %d after %v", c.class, status, took)
+				t.Errorf("%s: status %d after %v", c.class, status, took)
 			}
 		}
 	})
 }
 
-// attemptOutcome is a way for an attempt to end.
+// attemptOutcome is what a server does with the first attempt of a request.
 type attemptOutcome struct {
 	name, response string
-	closes         bool // the connection is reset after out
-	mayHaveRun     bool // the request may have run
-	served         bool // out has the response for the client
+	resets         bool // the server resets the connection after the response
+	mayHaveRun     bool // the request may have been processed
+	served         bool // the response is complete and is the final response
 }
 
-// How an attempt ends, against what its class's effect lets be sent again: one row each,
-// the effect as the settings have it. Two of the rows prove that nothing ran; of the
-// others an unsafe request is never sent again, and its client is told nothing harmless.
+// Each outcome of an attempt is combined with each kind of idempotency. Rejections with
+// X-Unprocessed prove that the request was not processed, so it may always be retried. After any
+// other failure a non-idempotent request must not be sent again, and its client must not get a
+// status that invites a retry.
 func TestAttemptOutcomeByIdempotency(t *testing.T) {
-	const turned = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-	for _, end := range []attemptOutcome{
-		{"turned away", turned, false, false, false},
-		{"turned away on a closing connection", strings.Replace(turned, "Content", "Connection: close\r\nContent", 1), true, false, false},
-		{"a reset without a byte", "", true, true, false},
-		{"a reset under an answer", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort", true, true, false},
-		{"a reset under a head", "HTTP/1.1 200 O", true, true, false},
-		{"no length and a reset", "HTTP/1.1 200 OK\r\n\r\nhalf of it", true, true, false},
-		{"chunks and a reset", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true, true, false},
-		{"an error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, true, false},
-		{"1xx and a reset", "HTTP/1.1 102 On\r\n\r\n", true, true, false},
-		{"1xx and an answer", "HTTP/1.1 102 On\r\n\r\n" + okResponse("for one"), false, true, true},
+	const rejection = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+	for _, outcome := range []attemptOutcome{
+		{"rejected", rejection, false, false, false},
+		{"rejected, connection closed", strings.Replace(rejection, "Content", "Connection: close\r\nContent", 1), true, false, false},
+		{"reset before the response", "", true, true, false},
+		{"reset within the body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort", true, true, false},
+		{"reset within the status line", "HTTP/1.1 200 O", true, true, false},
+		{"reset without a length", "HTTP/1.1 200 OK\r\n\r\nhalf of it", true, true, false},
+		{"reset after a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true, true, false},
+		{"error status", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, true, false},
+		{"1xx and reset", "HTTP/1.1 102 On\r\n\r\n", true, true, false},
+		{"1xx and response", "HTTP/1.1 102 On\r\n\r\n" + okResponse("for one"), false, true, true},
 	} {
 		for _, semantics := range []string{"repeatable", "by_key", "once"} {
-			t.Run(end.name+", "+semantics, func(t *testing.T) {
+			t.Run(outcome.name+", "+semantics, func(t *testing.T) {
 				t.Parallel()
-				end.check(t, semantics)
+				outcome.check(t, semantics)
 			})
 		}
 	}
 }
 
-// check has the first attempt of a request end so, and checks what its client gets.
+// check sends a request whose first attempt has the outcome, and checks the client's response and
+// the number of attempts.
 func (c attemptOutcome) check(t *testing.T, semantics string) {
 	t.Helper()
 	var attempts atomic.Int64
 	respond := func(n int, id string) (string, bool) {
 		if attempts.Add(1) == 1 {
-			return c.response, c.closes
+			return c.response, c.resets
 		}
 		return answerByID(n, id)
 	}
@@ -86,14 +89,14 @@
 		}
 		mustWrite(t, nc, text)
 		status, body := readResponse(nc)
-		c.checkResponse(t, semantics, status, body, len(s.requestsSeen()))
+		c.checkResponse(t, semantics, status, body, len(s.receivedRequests()))
 	})
 }
 
 func (c attemptOutcome) checkResponse(t *testing.T, semantics string, status int, body string, attempts int) {
 	t.Helper()
-	mayNotRepeat := c.mayHaveRun && semantics == "once" && !c.served
-	if mayNotRepeat {
+	mustNotRetry := c.mayHaveRun && semantics == "once" && !c.served
+	if mustNotRetry {
 		if attempts != 1 || status == 200 || status == 429 || status == 503 {
 			t.Errorf("status %d after %d attempts", status, attempts)
 		}
@@ -104,20 +107,20 @@
 		wantAttempts = 1
 	}
 	if status != 200 || body != "for one" {
-		t.Errorf("%d %q after %d attempts", status, body, attempts)
+		t.Errorf("status %d, body %q after %d attempts", status, body, attempts)
 	} else if attempts != wantAttempts {
-		t.Errorf("%d attempts", attempts)
+		t.Errorf("wrong number of attempts: %d", attempts)
 	}
 }
 
-// An answer without a length ends with its connection: a clean close is its end.
+// A response without a length ends when the server closes the connection, and is then complete.
 func TestResponseWithoutLength(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		for _, b := range s.servers {
 			b.respond = func(_ int, id string) (string, bool) { return "HTTP/1.1 200 OK\r\n\r\nfor " + id, true }
 		}
-		if status, body, _ := s.exchange(s.requestText("loan-change", "one")); status != 200 || body != "for one" || len(s.requestsSeen()) != 1 {
-			t.Errorf("%d %q after %d attempts", status, body, len(s.requestsSeen()))
+		if status, body, _ := s.exchange(s.requestText("loan-change", "one")); status != 200 || body != "for one" || len(s.receivedRequests()) != 1 {
+			t.Errorf("status %d, body %q after %d attempts", status, body, len(s.receivedRequests()))
 		}
 	})
 }
--- a/edgenode/discovery/timeouts.go
+++ b/edgenode/discovery/timeouts.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Timeouts of a watch. The platform requires that a node knows a change 6 s after discovery has
-// it and is reachable, regardless of failures in between. The worst sequence of failures takes
+// Timeouts of a watch. The platform requires that a node has applied a change 6 s after discovery
+// has it and is reachable, regardless of failures in between. The worst sequence of failures takes
 // 4.5 s: a poll that is in flight when discovery becomes reachable gets no response (1.7 s), and
 // the backoff is at its maximum (0.2 s); a dial times out (0.5 s), and a backoff follows (0.2 s);
 // the next poll gets no response either (1.7 s), and a backoff follows (0.2 s); the third poll is
--- a/edgenode/discovery/watch.go
+++ b/edgenode/discovery/watch.go
@@ -52,7 +52,7 @@
 func Watch(ctx context.Context, o Options) {
 	w := watcher{Options: o, index: noIndex, backoff: newBackoff()}
 	for ctx.Err() == nil {
-		err := w.poll(ctx)
+		err := w.pollConnection(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -77,8 +77,8 @@
 
 func (w *watcher) hasList() bool { return w.index >= 0 }
 
-// poll sends polls over one connection until one fails or ctx ends. Its error is never nil.
-func (w *watcher) poll(ctx context.Context) error {
+// pollConnection polls over one connection until a poll fails or ctx ends. Its error is never nil.
+func (w *watcher) pollConnection(ctx context.Context) error {
 	connection, err := w.dial(ctx)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 	defer stop()
 	reader := http1.NewReader(connection, responseLimits)
 	for {
-		list, keepAlive, err := w.call(ctx, connection, reader)
+		list, keepAlive, err := w.poll(ctx, connection, reader)
 		if err != nil {
 			return err
 		}
@@ -111,9 +111,9 @@
 	return w.Network.Dial(ctx, w.Address)
 }
 
-// call sends one poll and reads its response. keepAlive reports whether the connection can be
+// poll sends one poll and reads its response. keepAlive reports whether the connection can be
 // reused.
-func (w *watcher) call(ctx context.Context, connection net.Conn, reader *http1.Reader) (list List, keepAlive bool, err error) {
+func (w *watcher) poll(ctx context.Context, connection net.Conn, reader *http1.Reader) (list List, keepAlive bool, err error) {
 	target, wait := w.target()
 	if err := connection.SetDeadline(time.Now().Add(wait + responseGrace)); err != nil {
 		return List{}, false, err
--- a/edgenode/drain_test.go
+++ b/edgenode/drain_test.go
@@ -11,8 +11,8 @@
 	"yardcleat.example/yardcleat/internal/http1"
 )
 
-// On its way out a node still takes what comes in for the time that clients need to
-// hear, one request for each connection, and answers all.
+// After SIGTERM clients may still connect until they learn of the shutdown. The node must serve one
+// request on each of these connections, and must complete all requests that are open.
 func TestDrainServesNewConnections(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		kept := s.dial()
@@ -29,17 +29,17 @@
 			done <- s.edge.Drain(ctx)
 		}()
 		if status, body := readResponse(open); status != 200 || body != "for open" {
-			t.Errorf("an open request: %d %q", status, body)
+			t.Errorf("open request: status %d, body %q", status, body)
 		}
 		if _, err := kept.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("an idle connection: %v", err)
+			t.Errorf("idle connection: %v, want EOF", err)
 		}
 		time.Sleep(300 * time.Millisecond)
 		if status, _, _ := s.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); status != 503 {
-			t.Errorf("/up: %d", status)
+			t.Errorf("/up: status %d", status)
 		}
 		if status, _, _ := s.exchange(s.requestText("lookup", "late")); status != 200 {
-			t.Errorf("a request on a new connection: %d", status)
+			t.Errorf("request on a new connection: status %d", status)
 		}
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -49,9 +49,9 @@
 	})
 }
 
-// Shutdown meets requests at each point of their life, while servers hang: one that rests,
-// one that waits for a server's answer beyond SIGKILL, one in a dial. Each gets a whole
-// answer, and its connection a clean end, in the time that the settings leave.
+// A shutdown must give every open request a complete response and close every connection cleanly
+// before SIGKILL, also if a server does not respond by then. There is an idle connection, one whose
+// request waits for such a server, and one that is opened after the shutdown has started.
 func TestShutdownDuringRequests(t *testing.T) {
 	t.Parallel()
 	hang := make(chan struct{})
@@ -63,47 +63,47 @@
 			}
 			return okResponse("for " + id), false
 		}, func(s *testbed) {
-			rests, hangs := s.dialLoopback(), s.dialLoopback()
-			mustWrite(t, rests, s.requestText("lookup", "rests"))
-			if status, _ := readResponse(rests); status != 200 {
+			idle, waiting := s.dialLoopback(), s.dialLoopback()
+			mustWrite(t, idle, s.requestText("lookup", "rests"))
+			if status, _ := readResponse(idle); status != 200 {
 				t.Fatalf("status %d", status)
 			}
-			mustWrite(t, hangs, strings.Replace(s.requestText("loan-change", "hangs"), "1500", "8000", 1))
-			s.waitFor("its attempt", func() bool { return strings.Contains(strings.Join(s.requestsSeen(), "|"), "hangs") })
+			mustWrite(t, waiting, strings.Replace(s.requestText("loan-change", "hangs"), "1500", "8000", 1))
+			s.waitFor("the attempt of the waiting request", func() bool { return strings.Contains(strings.Join(s.receivedRequests(), "|"), "hangs") })
 			begun, drained := time.Now(), make(chan error, 1)
 			s.drained = true
 			go func() { drained <- s.edge.Drain(context.Background()) }()
-			if n, err := rests.Read(make([]byte, 1)); n != 0 || err.Error() != "EOF" {
-				t.Errorf("the resting connection ended with %v", err)
+			if n, err := idle.Read(make([]byte, 1)); n != 0 || err.Error() != "EOF" {
+				t.Errorf("the idle connection ended with %v, want EOF", err)
 			}
-			mustWrite(t, rests, s.requestText("lookup", "crossing"))
-			fresh := s.dialLoopback()
-			mustWrite(t, fresh, s.requestText("lookup", "fresh"))
-			if status, _ := readResponse(fresh); status != 200 {
-				t.Errorf("a new connection: status %d", status)
+			mustWrite(t, idle, s.requestText("lookup", "after-shutdown"))
+			newConnection := s.dialLoopback()
+			mustWrite(t, newConnection, s.requestText("lookup", "fresh"))
+			if status, _ := readResponse(newConnection); status != 200 {
+				t.Errorf("request on a new connection: status %d", status)
 			}
-			r := http1.NewReader(hangs, testLimits)
+			r := http1.NewReader(waiting, testLimits)
 			head, err := r.Response("POST")
 			if err != nil || head.Status != 502 || head.KeepAlive() {
-				t.Fatalf("what hangs: %+v, %v", head, err)
+				t.Fatalf("waiting request: response %+v, %v", head, err)
 			}
 			if _, err := r.Body(head.Framing, head.Length); err != nil {
 				t.Error(err)
 			}
 			if err := r.Await(); err == nil || err.Error() != "EOF" {
-				t.Errorf("its connection ended with %v", err)
+				t.Errorf("the connection of the waiting request ended with %v, want EOF", err)
 			}
-			mustClose(t, hangs)
-			mustClose(t, rests)
-			mustClose(t, fresh)
+			mustClose(t, waiting)
+			mustClose(t, idle)
+			mustClose(t, newConnection)
 			if err := <-drained; err != nil {
 				t.Error(err)
 			}
 			if took := time.Since(begun); took > 3700*time.Millisecond {
-				t.Errorf("it took %v; SIGKILL comes after 3.7 s", took)
+				t.Errorf("the shutdown took %v; SIGKILL comes after 3.7 s", took)
 			}
-			if got := strings.Join(s.requestsSeen(), "|"); strings.Contains(got, "crossing") {
-				t.Errorf("what came after the shutdown was sent on: %s", got)
+			if got := strings.Join(s.receivedRequests(), "|"); strings.Contains(got, "after-shutdown") {
+				t.Errorf("a request sent after the end of its connection reached a server: %s", got)
 			}
 		})
 }
--- a/edgenode/endpoints_test.go
+++ b/edgenode/endpoints_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A server that takes the address of one that has gone gets connections of its own,
-// and a draining one nothing new.
+// A new server may take over the address of a removed one. It must not get requests on connections
+// to its predecessor. A draining server must get no new requests.
 func TestReusedAddressGetsNewConnections(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		for range 4 {
@@ -49,13 +49,13 @@
 			}
 		}
 		if s.servers[1].connectionCount() == connections {
-			t.Error("the new server at an old address was sent to on its predecessor's connections")
+			t.Error("requests to the new server were sent on connections to its predecessor")
 		}
 	})
 }
 
-// A module made anew after a panic knows the list as it stands, not as it was last
-// told whole: what has gone since gets nothing.
+// After a panic the policy is restarted. It must get the current endpoint list, with all delta
+// updates, not the last snapshot: otherwise a server that has been removed since would get requests.
 func TestEndpointUpdatesSurvivePolicyPanic(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		s.serveDiscovery("10.0.3.2:80", func(target string) string {
@@ -73,18 +73,18 @@
 			}
 		}
 		if n := s.servers[0].requestCount(); n > 0 {
-			t.Errorf("the server that has gone got %d requests", n)
+			t.Errorf("the removed server got %d requests", n)
 		}
 	})
 }
 
-// A watch that falls silent with news at hand is given up soon enough: a drain is
-// known within 4 s, also where two calls in a row are silent.
+// Discovery may fail to answer polls while it has a change. The watch must abandon such polls early
+// enough: a draining server must be known within 4 s, even if two polls in a row get no response.
 func TestDrainingServerIsKnownDespiteFailedPolls(t *testing.T) {
 	simulate(t, func(s *testbed) {
-		var calls atomic.Int64
+		var polls atomic.Int64
 		s.serveDiscovery("10.0.3.2:80", func(string) string {
-			switch calls.Add(1) {
+			switch polls.Add(1) {
 			case 1:
 				return twoEndpoints
 			case 2, 3:
@@ -97,32 +97,32 @@
 		for range 10 {
 			s.exchange(s.requestText("lookup", ""))
 		}
-		if n := s.servers[0].requestCount(); n > 0 || calls.Load() < 4 {
-			t.Errorf("the draining server got %d requests; discovery was asked %d times", n, calls.Load())
+		if n := s.servers[0].requestCount(); n > 0 || polls.Load() < 4 {
+			t.Errorf("the draining server got %d requests; discovery was polled %d times", n, polls.Load())
 		}
 	})
 }
 
-// Discovery that says what can't be read, or nothing, changes nothing; a new address
-// is asked at once.
+// If discovery sends invalid responses or none, the node must keep its endpoint list and limit its
+// rate of polls. A new discovery address must be polled at once.
 func TestDiscoveryFailureKeepsEndpointList(t *testing.T) {
-	for name, says := range map[string]string{"noise": "{]", "changes without a list": `{"index":1,"endpoints":[]}`, "silence": ""} {
+	for name, response := range map[string]string{"invalid JSON": "{]", "delta before a snapshot": `{"index":1,"endpoints":[]}`, "no response": ""} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, func(s *testbed) {
-				var calls atomic.Int64
-				s.serveDiscovery("10.0.3.9:80", func(string) string { calls.Add(1); return says })
+				var polls atomic.Int64
+				s.serveDiscovery("10.0.3.9:80", func(string) string { polls.Add(1); return response })
 				s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.9:80"})
 				time.Sleep(10 * time.Second)
 				if status, _, _ := s.exchange(s.requestText("lookup", "")); status != 200 {
-					t.Errorf("with the old list: %d", status)
+					t.Errorf("with the previous list: status %d", status)
 				}
-				if n := calls.Load(); n < 2 || n > 60 {
-					t.Errorf("asked %d times in 10 s", n)
+				if n := polls.Load(); n < 2 || n > 60 {
+					t.Errorf("%d polls in 10 s, want 2 to 60", n)
 				}
 				s.edge.Reload(context.Background(), &Config{Discovery: "10.0.3.1:80"})
 				time.Sleep(time.Second)
 				if status, _, _ := s.exchange(s.requestText("lookup", "")); status != 200 {
-					t.Errorf("back at the old address: %d", status)
+					t.Errorf("after the return to the previous address: status %d", status)
 				}
 			})
 		})
--- a/edgenode/fake_server_test.go
+++ b/edgenode/fake_server_test.go
@@ -13,21 +13,21 @@
 	"yardcleat.example/yardcleat/internal/http1"
 )
 
-// testLimits bounds the messages that tests read.
+// testLimits has the maximum sizes of the messages that tests read.
 var testLimits = http1.Limits{Line: 4096, Fields: 50, Header: 8192, Body: 1 << 20}
 
-// serverTime is how long a fake server takes for a request.
+// serverTime is the time that a fake server takes to process a request.
 const serverTime = 20 * time.Millisecond
 
-// fakeServer is a scripted app server: it answers every request by a function, which may
-// say that the connection ends.
+// fakeServer is a fake server of the platform. Its respond function returns the response to a
+// request, and whether the server then closes the connection.
 type fakeServer struct {
 	mu                sync.Mutex
 	requests          []string // id, key, method, target, body of each request
 	connections       int
 	respond           func(n int, id string) (out string, end bool)
-	observe           func(s audit.Seen, out string) // what came of a request; may be nil
-	resetsConnections bool                           // connections end by a reset
+	observe           func(s audit.Seen, out string) // gets each request and the response to it; may be nil
+	resetsConnections bool                           // the server closes connections with a reset
 }
 
 func newFakeServer(respond func(n int, id string) (string, bool)) *fakeServer {
@@ -38,14 +38,14 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// requestCount is the number of requests seen.
+// requestCount returns the number of requests received.
 func (s *fakeServer) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests)
 }
 
-// connectionCount is the number of connections accepted.
+// connectionCount returns the number of connections accepted.
 func (s *fakeServer) connectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// serveRequest answers one request and tells whether the connection goes on.
+// serveRequest answers one request and reports whether the connection stays open.
 func (s *fakeServer) serveRequest(nc net.Conn, r *http1.Reader) bool {
 	req, err := r.Request()
 	if err != nil {
@@ -86,19 +86,19 @@
 	id, key := req.Header.Get("X-Correlation-Id"), req.Header.Get("Idempotency-Key")
 	n := s.record(strings.Join([]string{id, key, req.Method, req.Target, string(body)}, " "))
 	seen := audit.Seen{Trace: id, Class: "lookup", Key: key, At: time.Now()}
-	// The node speaks next where it closes, or where it was answered.
+	// Await returns when the node closes the connection or, after the response, sends the next request.
 	next := make(chan time.Time, 1)
 	go func() {
-		_ = r.Await() // an end of the connection counts like its next byte
+		_ = r.Await() // the end of the connection counts like the next byte
 		next <- time.Now()
 	}()
 	time.Sleep(serverTime)
 	out, end := s.respond(n, id)
 	seen.End = time.Now()
-	left := false
+	nodeClosed := false
 	select {
 	case seen.End = <-next:
-		left = true
+		nodeClosed = true
 	default:
 	}
 	_, err = nc.Write([]byte(out))
@@ -109,13 +109,13 @@
 		s.prepareReset(nc)
 		return false
 	}
-	if !left {
+	if !nodeClosed {
 		<-next
 	}
 	return true
 }
 
-// record adds a request to those seen, and returns their number.
+// record adds a request to those received, and returns their number.
 func (s *fakeServer) record(request string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,19 +123,19 @@
 	return len(s.requests)
 }
 
-// prepareReset makes the close that follows a reset where the server ends so.
+// prepareReset makes the next close of the connection send a reset, if the server is to do that.
 func (s *fakeServer) prepareReset(nc net.Conn) {
 	if tc, ok := nc.(*net.TCPConn); ok && s.resetsConnections {
 		if err := tc.SetLinger(0); err != nil {
-			panic(err) // the test would not see the reset it is about
+			panic(err) // the connection would end without the reset that the test needs
 		}
 	}
 }
 
-// closeIgnoringError closes the connection of a fake, whose peer may have closed it before.
+// closeIgnoringError closes a connection that the other side may have closed already.
 func closeIgnoringError(c io.Closer) { _ = c.Close() }
 
-// mustClose closes what is open until then.
+// mustClose closes c, which must still be open.
 func mustClose(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
@@ -143,7 +143,7 @@
 	}
 }
 
-// mustWrite writes to a connection that the node holds open.
+// mustWrite writes to a connection, which the node must keep open.
 func mustWrite(t *testing.T, nc net.Conn, text string) {
 	t.Helper()
 	if _, err := nc.Write([]byte(text)); err != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// mustSetDeadline bounds everything that is done on a connection from now on.
+// mustSetDeadline sets the deadline of all further I/O on a connection.
 func mustSetDeadline(t *testing.T, nc net.Conn, at time.Time) {
 	t.Helper()
 	if err := nc.SetDeadline(at); err != nil {
--- a/edgenode/invariants_test.go
+++ b/edgenode/invariants_test.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	dedupWindow   = 2 * time.Second         // within which a rack drops repeats of a key
-	clientTimeout = 1500 * time.Millisecond // as requestText states it
+	dedupWindow   = 2 * time.Second         // within which servers drop requests with a key that they have processed
+	clientTimeout = 1500 * time.Millisecond // as in requestText
 )
 
-// faultRun plays servers that fail in many ways, one of them drained and back, and records
-// what servers and clients see.
+// faultRun is a run with servers that fail in many ways, one of which drains for a while. It
+// records what servers and clients observe.
 type faultRun struct {
 	bed   *testbed
 	start time.Time
@@ -27,8 +27,8 @@
 	rng           *rand.Rand
 	record        *audit.Record
 	statuses      map[int]int
-	ran           map[string]time.Time // by key: the rack drops repeats
-	lastAnnounced *bool                // whether s-1 was said to be down
+	processedAt   map[string]time.Time // by idempotency key: when the request was processed
+	lastAnnounced *bool                // whether s-1 was last announced as draining; nil before the first announcement
 }
 
 func newFaultRun(s *testbed) *faultRun {
@@ -38,25 +38,25 @@
 		rng:   rand.New(rand.NewPCG(3, 3)),
 		record: &audit.Record{Grace: 250 * time.Millisecond, Slop: 10 * time.Millisecond,
 			Classes: map[string]audit.Class{"lookup": {Effect: "safe"}, "loan-change": {Effect: "keyed", Window: dedupWindow}}},
-		statuses: map[int]int{},
-		ran:      map[string]time.Time{},
+		statuses:    map[int]int{},
+		processedAt: map[string]time.Time{},
 	}
 }
 
-// observe records what came of a request at a server.
+// observe records a request at a server and the response to it.
 func (f *faultRun) observe(server string, seen audit.Seen, out string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	seen.Server, seen.Rack = server, "1"
 	if seen.Class == "loan-change" {
-		at, before := f.ran[seen.Key]
+		at, before := f.processedAt[seen.Key]
 		seen.Dropped = before && seen.At.Sub(at) < dedupWindow
 	}
 	seen.Away = strings.Contains(out, "X-Unprocessed")
 	seen.Ran = !seen.Away && !seen.Dropped
 	seen.Answered = strings.HasPrefix(out, "HTTP/1.1 200")
 	if seen.Ran && seen.Key != "" {
-		f.ran[seen.Key] = seen.At
+		f.processedAt[seen.Key] = seen.At
 	}
 	f.record.Seen = append(f.record.Seen, seen)
 }
@@ -85,7 +85,7 @@
 	return okResponse("for " + id), false
 }
 
-// endpoints is discovery's list: s-1 drains for three seconds.
+// endpoints returns the endpoint list of discovery, in which s-1 drains for three seconds.
 func (f *faultRun) endpoints(target string) string {
 	at := time.Now()
 	if strings.Contains(target, "after=") {
@@ -105,7 +105,7 @@
 	return twoEndpoints
 }
 
-// request sends the request of a client and records what the client gets.
+// request sends a request as a client and records the response.
 func (f *faultRun) request(t *testing.T, class, id, text string) {
 	t.Helper()
 	tried := audit.Tried{Trace: id, Front: "http", Customer: "c", Plan: "basic", Class: class, Units: 1, Sent: time.Now()}
@@ -133,7 +133,8 @@
 	f.record.Tried = append(f.record.Tried, tried)
 }
 
-// check checks that the run was the one that was meant, and that every rule held.
+// check checks that the run had the intended requests and announcements, and that no rule was
+// violated.
 func (f *faultRun) check(t *testing.T) {
 	t.Helper()
 	f.mu.Lock()
@@ -145,17 +146,18 @@
 		}
 	}
 	if served < 200 || len(f.record.Seen) < 250 || len(f.record.Told) != 3 {
-		t.Errorf("%d served, %d attempts, %d words of discovery: not the day that was meant; %v", served, len(f.record.Seen), len(f.record.Told), f.statuses)
+		t.Errorf("%d served, %d attempts, %d announcements by discovery: not the intended run; statuses %v", served, len(f.record.Seen), len(f.record.Told), f.statuses)
 	}
 	for _, rule := range audit.Check(f.record) {
 		t.Logf("rule %d, %s: %d cases", rule.Rule, rule.Name, rule.Checked)
 		for _, broken := range rule.Broken {
-			t.Errorf("rule %d broken: %s", rule.Rule, broken)
+			t.Errorf("rule %d violated: %s", rule.Rule, broken)
 		}
 	}
 }
 
-// The five rules hold while servers fail in many ways, as servers and clients saw it.
+// The five rules of package audit must hold for what servers and clients observe while servers fail
+// in many ways.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		run := newFaultRun(s)
--- a/edgenode/protocol/mapper_test.go
+++ b/edgenode/protocol/mapper_test.go
@@ -18,12 +18,13 @@
 
 func alwaysReady() bool { return true }
 
-// validRequest is a request as clients send it, keyed or safe.
-func validRequest(keyed bool) node.HTTPRequest {
+// validRequest returns a valid request of an idempotent class, or of one that is idempotent with a
+// key.
+func validRequest(withKey bool) node.HTTPRequest {
 	c := node.HTTPRequest{Method: "GET", Target: "/api?x=1", Header: http1.Header{{Name: "X-Correlation-Id", Value: "9b1f03aa5c7e2d41"},
 		{Name: "X-Service-Class", Value: "lookup"}, {Name: "X-Plan", Value: "basic"}, {Name: "Cookie", Value: "key=00000000b4d65521"},
 		{Name: "X-Time-Left-Ms", Value: "480"}, {Name: "X-Quota", Value: "units=2,spread=3,first=1"}, {Name: "Accept", Value: "*/*"}}}
-	if keyed {
+	if withKey {
 		c.Method, c.Body = "POST", []byte("body")
 		c.Header.Set("X-Service-Class", "loan-change")
 		c.Header.Set("Idempotency-Key", "k1")
@@ -32,39 +33,39 @@
 }
 
 func TestAdmitMapsValidRequests(t *testing.T) {
-	for _, keyed := range []bool{false, true} {
-		r, a := New(testSettings, alwaysReady).Admit(validRequest(keyed), "")
-		if a != nil {
-			t.Fatalf("answered at once: %+v", a)
+	for _, withKey := range []bool{false, true} {
+		r, final := New(testSettings, alwaysReady).Admit(validRequest(withKey), "")
+		if final != nil {
+			t.Fatalf("rejected: %+v", final)
 		}
 		if r.Trace != "9b1f03aa5c7e2d41" || r.Customer != "00000000b4d65521" || r.Plan != "basic" || r.Units != 2 || r.GatewaySpread != 3 ||
 			r.FirstGateway != 1 || r.ClientTimeout != 480*time.Millisecond || r.ClientRetry {
 			t.Errorf("%+v", r)
 		}
 		h := r.HTTP.Header
-		if h.Get("X-Correlation-Id") == "" || h.Get("Accept") == "" || keyed != h.Has("Idempotency-Key") {
-			t.Errorf("a field is not passed on: %v", h)
+		if h.Get("X-Correlation-Id") == "" || h.Get("Accept") == "" || withKey != h.Has("Idempotency-Key") {
+			t.Errorf("a field is not forwarded: %v", h)
 		}
 		for _, name := range []string{"X-Time-Left-Ms", "Cookie", "X-Quota", "X-Plan"} {
 			if h.Has(name) {
-				t.Errorf("%s is passed on", name)
+				t.Errorf("%s is forwarded", name)
 			}
 		}
 	}
 	c := validRequest(false)
 	c.Header.Set("X-Repeat", "1")
 	c.Header.Set("X-Time-Left-Ms", "99999999")
-	if r, a := New(testSettings, alwaysReady).Admit(c, ""); a != nil || !r.ClientRetry || r.ClientTimeout != 3*time.Second {
-		t.Errorf("%+v, %+v", r, a)
+	if r, final := New(testSettings, alwaysReady).Admit(c, ""); final != nil || !r.ClientRetry || r.ClientTimeout != 3*time.Second {
+		t.Errorf("%+v, %+v", r, final)
 	}
 }
 
-// What is not the protocol is a failure with 4xx, whoever it claims to be from.
+// Every violation of the protocol must get a status 4xx other than 429, which would invite a retry.
 func TestAdmitRejectsProtocolViolations(t *testing.T) {
 	for _, c := range []struct {
 		name, field string
-		keyed       bool
-		values      []string // "" takes the field out
+		withKey     bool
+		values      []string // "" removes the field
 	}{
 		{"id", "X-Correlation-Id", false, []string{"", strings.Repeat("a", 65), "a b", "a\x80"}},
 		{"class", "X-Service-Class", false, []string{"", "nothing", "loan-change"}},
@@ -73,39 +74,39 @@
 		{"customer", "Cookie", false, []string{"", "key=", "key=b4d65521", "key=00000002b4d65521", "key=-0000000b4d65521", "other=00000000b4d65521",
 			"key=00000000b4d65521; key=00000000b4d65522"}},
 		{"deadline", "X-Time-Left-Ms", false, []string{"", "0", "-5", "1.5", "soon", "99999999999999999999", "NaN", "0x10"}},
-		{"key", "Idempotency-Key", true, []string{"", "a b", strings.Repeat("k", 65)}},
-		{"repeat", "X-Repeat", false, []string{"0", "yes"}},
+		{"idempotency key", "Idempotency-Key", true, []string{"", "a b", strings.Repeat("k", 65)}},
+		{"client retry", "X-Repeat", false, []string{"0", "yes"}},
 		{"quota", "X-Quota", false, []string{"", "units=0,spread=3,first=1", "units=5,spread=3,first=1", "units=-1,spread=3,first=1",
 			"units=NaN,spread=3,first=1", "units=Inf,spread=3,first=1", "units=1,spread=0,first=1", "units=1,spread=4,first=1",
 			"units=1,spread=1.5,first=1", "units=1,spread=1,first=3", "units=1,spread=1,first=-1", "units=1,spread=1", "units=1,units=1,spread=1,first=0",
 			"units=1,spread=1,first=0,more=1", "units,spread,first", "units=x,spread=1,first=0"}},
 	} {
 		for _, v := range c.values {
-			call := validRequest(c.keyed)
-			call.Header.Del(c.field)
+			request := validRequest(c.withKey)
+			request.Header.Del(c.field)
 			if v != "" {
-				call.Header.Add(c.field, v)
+				request.Header.Add(c.field, v)
 			}
-			in := New(testSettings, alwaysReady)
-			r, a := in.Admit(call, "")
-			if a == nil {
-				t.Errorf("%s %q was taken: %+v", c.name, v, r)
+			mapper := New(testSettings, alwaysReady)
+			r, final := mapper.Admit(request, "")
+			if final == nil {
+				t.Errorf("%s %q was accepted: %+v", c.name, v, r)
 				continue
 			}
-			if res := in.Render(r, *a); res.Status < 400 || res.Status > 499 || res.Status == 429 {
+			if res := mapper.Render(r, *final); res.Status < 400 || res.Status > 499 || res.Status == 429 {
 				t.Errorf("%s %q: status %d", c.name, v, res.Status)
 			}
 		}
 	}
 	for name, change := range map[string]func(*node.HTTPRequest){
-		"a body with GET": func(c *node.HTTPRequest) { c.Body = []byte("x") },
-		"another method":  func(c *node.HTTPRequest) { c.Method = "PUT" },
-		"a field twice":   func(c *node.HTTPRequest) { c.Header.Add("X-Plan", "basic") },
+		"GET with a body": func(c *node.HTTPRequest) { c.Body = []byte("x") },
+		"unknown method":  func(c *node.HTTPRequest) { c.Method = "PUT" },
+		"duplicate field": func(c *node.HTTPRequest) { c.Header.Add("X-Plan", "basic") },
 	} {
-		call := validRequest(false)
-		change(&call)
-		if _, a := New(testSettings, alwaysReady).Admit(call, ""); a == nil {
-			t.Errorf("%s was taken", name)
+		request := validRequest(false)
+		change(&request)
+		if _, final := New(testSettings, alwaysReady).Admit(request, ""); final == nil {
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
@@ -113,12 +114,12 @@
 func TestBadRequestDetail(t *testing.T) {
 	m := New(testSettings, alwaysReady)
 	badPlan := func() node.HTTPRequest {
-		call := validRequest(false)
-		call.Header.Set("X-Plan", "gold")
-		return call
+		request := validRequest(false)
+		request.Header.Set("X-Plan", "gold")
+		return request
 	}
-	call := badPlan()
-	err := m.readRequest(&node.Request{}, &call)
+	request := badPlan()
+	err := m.readRequest(&node.Request{}, &request)
 	var e RequestError
 	if !errors.As(err, &e) || e != "the field X-Plan names no plan" {
 		t.Errorf("%v", err)
@@ -131,20 +132,20 @@
 
 func TestReadiness(t *testing.T) {
 	ready := false
-	in := New(testSettings, func() bool { return ready })
+	mapper := New(testSettings, func() bool { return ready })
 	for _, want := range []int{503, 200} {
-		r, a := in.Admit(node.HTTPRequest{Method: "GET", Target: "/up"}, "")
-		if a == nil || in.Render(r, *a).Status != want {
-			t.Errorf("%+v, not %d", a, want)
+		r, final := mapper.Admit(node.HTTPRequest{Method: "GET", Target: "/up"}, "")
+		if final == nil || mapper.Render(r, *final).Status != want {
+			t.Errorf("%+v, want status %d", final, want)
 		}
 		ready = true
 	}
 }
 
 func TestRenderStatusAndRetryAfter(t *testing.T) {
-	in := New(testSettings, alwaysReady)
+	mapper := New(testSettings, alwaysReady)
 	for _, c := range []struct {
-		a      node.FinalResponse
+		final  node.FinalResponse
 		status int
 		after  string
 	}{
@@ -155,9 +156,9 @@
 		{node.FinalResponse{Kind: node.Failed, Reason: node.ReasonServerTimeout}, 504, ""},
 		{node.FinalResponse{Kind: node.Failed, Reason: node.ReasonInternal}, 502, ""},
 	} {
-		res := in.Render(&node.Request{}, c.a)
+		res := mapper.Render(&node.Request{}, c.final)
 		if res.Status != c.status || res.Header.Get("Retry-After") != c.after {
-			t.Errorf("%+v: %d, %v", c.a, res.Status, res.Header)
+			t.Errorf("%+v: status %d, header %v", c.final, res.Status, res.Header)
 		}
 	}
 }
@@ -165,13 +166,13 @@
 func FuzzAdmit(f *testing.F) {
 	f.Add("GET", "id", "lookup", "basic", "key=00000000b4d65521", "480", "units=2,spread=3,first=1", "", "")
 	f.Add("POST", "id", "loan-change", "basic", "a=b; key=00000000b4d65521", "1", "first=0,spread=1,units=0.5", "k", "1")
-	f.Fuzz(func(t *testing.T, method, id, class, plan, cookies, patience, quota, key, repeat string) {
+	f.Fuzz(func(t *testing.T, method, id, class, plan, cookies, timeout, quota, key, retry string) {
 		c := node.HTTPRequest{Method: method, Target: "/"}
-		for i, v := range []string{id, class, plan, quota, repeat, patience, key, cookies} {
+		for i, v := range []string{id, class, plan, quota, retry, timeout, key, cookies} {
 			c.Header.Add(singleHeaders[i], v)
 		}
-		r, a := New(testSettings, alwaysReady).Admit(c, "")
-		if a != nil {
+		r, final := New(testSettings, alwaysReady).Admit(c, "")
+		if final != nil {
 			return
 		}
 		if r.Units <= 0 || r.Units > 4 || r.GatewaySpread < 1 || r.GatewaySpread > 3 || r.FirstGateway < 0 || r.FirstGateway > 2 ||
--- a/edgenode/requests_test.go
+++ b/edgenode/requests_test.go
@@ -13,54 +13,55 @@
 func TestServesEachClass(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		if status, _, _ := s.exchange("GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); status != 200 {
-			t.Errorf("/up: %d", status)
+			t.Errorf("/up: status %d", status)
 		}
 		for _, class := range []string{"lookup", "loan-change"} {
 			status, body, took := s.exchange(s.requestText(class, "id-"+class))
 			if status != 200 || body != "for id-"+class || took > 100*time.Millisecond {
-				t.Errorf("%s: %d %q in %v", class, status, body, took)
+				t.Errorf("%s: status %d, body %q after %v", class, status, body, took)
 			}
 		}
-		if got := strings.Join(s.requestsSeen(), "|"); !strings.Contains(got, "id-lookup  GET /api?q=1 ") ||
+		if got := strings.Join(s.receivedRequests(), "|"); !strings.Contains(got, "id-lookup  GET /api?q=1 ") ||
 			!strings.Contains(got, "id-loan-change key-id-loan-change POST /api?q=1 body") {
-			t.Errorf("servers saw %q", got)
+			t.Errorf("servers got %q", got)
 		}
 	})
 }
 
-// serverResponse is what a server sends for the first request, and what comes of that.
+// serverResponse is the response of a server to the first request, and the expected result.
 type serverResponse struct {
 	name, response string
 	class          string
-	closes         bool // of the connection
-	status         int  // of the client's response
+	closes         bool // the server closes the connection after the response
+	status         int  // of the final response
 	attempts       int
-	served         bool // the client gets the response made for it
+	served         bool // the final response is that of answerByID
 }
 
-// What a server says with X-Unprocessed never ran: the other one gets it. What an
-// answer spoils is a failed attempt, whose connection is not used again.
+// A request that a server rejects with X-Unprocessed has not been processed, and must be sent to
+// the other server. After an invalid response the attempt has failed, and its connection must not
+// be reused: data left on it would be taken for the response to another request.
 func TestServerResponses(t *testing.T) {
-	const turned = "HTTP/1.1 %d Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+	const rejection = "HTTP/1.1 %d Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []serverResponse{
-		{"turned away", fmt.Sprintf(turned, 503), "loan-change", false, 200, 2, true},
-		{"turned away late", fmt.Sprintf(turned, 504), "loan-change", false, 200, 2, true},
-		{"an error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "lookup", false, 200, 2, true},
-		{"another status", "HTTP/1.1 204 None\r\n\r\n", "lookup", false, 200, 2, true},
-		{"noise", "\x00\x01 noise\r\n\r\n", "lookup", false, 200, 2, true},
-		{"a head without end", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 1<<18), "lookup", false, 200, 2, true},
-		{"fields without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 5000), "lookup", false, 200, 2, true},
-		{"a length too long", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort", "lookup", true, 200, 2, true},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<18), "lookup", false, 200, 2, true},
-		{"lengths that differ", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc", "lookup", false, 200, 2, true},
-		{"an answer that stops short", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort", "loan-change", false, 200, 2, true},
-		{"a head that stops short", "HTTP/1.1 200 OK\r\nContent-Le", "lookup", false, 200, 2, true},
-		{"a long answer", okResponse(strings.Repeat("x", 400<<10)), "loan-change", false, 200, 1, true},
-		{"an end", "", "lookup", true, 200, 2, true},
-		{"1xx in front", "HTTP/1.1 102 On\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + okResponse("good"), "lookup", false, 200, 1, false},
-		{"noise behind", okResponse("good") + "noise", "lookup", false, 200, 1, false},
-		{"a second copy", okResponse("good") + okResponse("good"), "lookup", false, 200, 1, false},
-		{"a report that can't be read", "HTTP/1.1 200 OK\r\nX-Backend-Load: {{\r\nContent-Length: 4\r\n\r\ngood", "lookup", false, 200, 1, false},
+		{"rejected", fmt.Sprintf(rejection, 503), "loan-change", false, 200, 2, true},
+		{"rejected with 504", fmt.Sprintf(rejection, 504), "loan-change", false, 200, 2, true},
+		{"error status", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "lookup", false, 200, 2, true},
+		{"unexpected status", "HTTP/1.1 204 None\r\n\r\n", "lookup", false, 200, 2, true},
+		{"not HTTP", "\x00\x01 noise\r\n\r\n", "lookup", false, 200, 2, true},
+		{"header line too long", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 1<<18), "lookup", false, 200, 2, true},
+		{"too many fields", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 5000), "lookup", false, 200, 2, true},
+		{"connection closed within the body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort", "lookup", true, 200, 2, true},
+		{"length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<18), "lookup", false, 200, 2, true},
+		{"different lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc", "lookup", false, 200, 2, true},
+		{"stalled within the body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort", "loan-change", false, 200, 2, true},
+		{"stalled within the header", "HTTP/1.1 200 OK\r\nContent-Le", "lookup", false, 200, 2, true},
+		{"long response", okResponse(strings.Repeat("x", 400<<10)), "loan-change", false, 200, 1, true},
+		{"connection closed", "", "lookup", true, 200, 2, true},
+		{"1xx before the response", "HTTP/1.1 102 On\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + okResponse("good"), "lookup", false, 200, 1, false},
+		{"data after the response", okResponse("good") + "noise", "lookup", false, 200, 1, false},
+		{"duplicate response", okResponse("good") + okResponse("good"), "lookup", false, 200, 1, false},
+		{"invalid load report", "HTTP/1.1 200 OK\r\nX-Backend-Load: {{\r\nContent-Length: 4\r\n\r\ngood", "lookup", false, 200, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			simulate(t, func(s *testbed) { c.check(t, s) })
@@ -68,7 +69,7 @@
 	}
 }
 
-// check has the first request of a class answered so, whichever server gets it.
+// check sends a request for which the first attempt, at either server, gets the response.
 func (c serverResponse) check(t *testing.T, s *testbed) {
 	t.Helper()
 	var requests atomic.Int64
@@ -82,63 +83,63 @@
 	}
 	status, body, took := s.exchange(s.requestText(c.class, "one"))
 	if took > 500*time.Millisecond {
-		t.Errorf("it took %v", took)
+		t.Errorf("the response took %v", took)
 	}
 	want := "good"
 	if c.served {
 		want = "for one"
 	}
-	if c.name == "a long answer" {
+	if c.name == "long response" {
 		want = strings.Repeat("x", 400<<10)
 	}
-	if status != c.status || body != want || len(s.requestsSeen()) != c.attempts {
-		t.Errorf("%d %.100q after %d attempts", status, body, len(s.requestsSeen()))
+	if status != c.status || body != want || len(s.receivedRequests()) != c.attempts {
+		t.Errorf("status %d, body %.100q after %d attempts", status, body, len(s.receivedRequests()))
 	}
-	// Whatever comes next gets its own answer.
+	// Each of the next requests must get its own response.
 	for i := range 8 {
 		id := fmt.Sprint("next-", i)
 		if status, body, _ := s.exchange(s.requestText("lookup", id)); status != 200 || body != "for "+id {
-			t.Errorf("%s: %d %q", id, status, body)
+			t.Errorf("%s: status %d, body %q", id, status, body)
 		}
 	}
 }
 
-// Clients that can't be understood get an error or a close soon, and nothing of
-// them reaches a server.
+// Malformed requests must get an error or a closed connection within 3 s, and must not reach a
+// server.
 func TestMalformedRequests(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		good := s.requestText("loan-change", "bad")
 		for name, in := range map[string]string{
-			"noise":              "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
-			"a line without end": "GET /" + strings.Repeat("a", 1<<17),
-			"a head without end": "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 20000),
-			"both framings":      strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked", 1),
-			"a negative length":  strings.Replace(good, "Content-Length: 4", "Content-Length: -4", 1),
-			"a huge length":      strings.Replace(good, "Content-Length: 4", "Content-Length: 99999999999999999999", 1),
-			"60 MB":              strings.Replace(good, "Content-Length: 4", "Content-Length: 60000000", 1) + strings.Repeat("x", 1<<18),
-			"half a head":        good[:60],
-			"half a body":        good[:len(good)-2],
-			"nothing":            "",
-			"no id":              strings.Replace(good, "X-Correlation-Id: bad\r\n", "", 1),
-			"no class":           strings.Replace(good, "loan-change", "other", 1),
-			"a set too wide":     strings.Replace(good, "spread=2", "spread=9", 1),
+			"not HTTP":            "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
+			"line too long":       "GET /" + strings.Repeat("a", 1<<17),
+			"too many fields":     "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 20000),
+			"both framings":       strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked", 1),
+			"negative length":     strings.Replace(good, "Content-Length: 4", "Content-Length: -4", 1),
+			"length overflow":     strings.Replace(good, "Content-Length: 4", "Content-Length: 99999999999999999999", 1),
+			"body of 60 MB":       strings.Replace(good, "Content-Length: 4", "Content-Length: 60000000", 1) + strings.Repeat("x", 1<<18),
+			"incomplete header":   good[:60],
+			"incomplete body":     good[:len(good)-2],
+			"no data":             "",
+			"no request ID":       strings.Replace(good, "X-Correlation-Id: bad\r\n", "", 1),
+			"unknown class":       strings.Replace(good, "loan-change", "other", 1),
+			"spread out of range": strings.Replace(good, "spread=2", "spread=9", 1),
 		} {
 			status, _, took := s.exchange(in)
 			if status == 200 || took > 3*time.Second {
 				t.Errorf("%s: status %d after %v", name, status, took)
 			}
 		}
-		if got := s.requestsSeen(); len(got) > 0 {
-			t.Errorf("servers saw %q", got)
+		if got := s.receivedRequests(); len(got) > 0 {
+			t.Errorf("servers got %q", got)
 		}
 		if status, body, _ := s.exchange(s.requestText("lookup", "after")); status != 200 || body != "for after" {
-			t.Errorf("a good request after them: %d %q", status, body)
+			t.Errorf("a valid request after them: status %d, body %q", status, body)
 		}
 	})
 }
 
-// The id of another request that is open is an error; once that is answered the id
-// is free again.
+// A request with the ID of one that is still open must fail. The ID may be reused after that
+// request has ended.
 func TestRequestIDIsOpenOnce(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		done := make(chan int)
@@ -149,19 +150,20 @@
 		}()
 		time.Sleep(10 * time.Millisecond)
 		if status, _, _ := s.exchange(same); status != 400 {
-			t.Errorf("the second: %d", status)
+			t.Errorf("second request: status %d", status)
 		}
 		if status := <-done; status != 200 {
-			t.Errorf("the first: %d", status)
+			t.Errorf("first request: status %d", status)
 		}
 		time.Sleep(10 * time.Millisecond)
-		if status, _, _ := s.exchange(s.requestText("lookup", "same")); status != 200 || len(s.requestsSeen()) != 2 {
-			t.Errorf("a later one: %d, servers saw %d", status, len(s.requestsSeen()))
+		if status, _, _ := s.exchange(s.requestText("lookup", "same")); status != 200 || len(s.receivedRequests()) != 2 {
+			t.Errorf("later request: status %d, servers got %d requests", status, len(s.receivedRequests()))
 		}
 	})
 }
 
-// Connections by the hundreds that say nothing leave room for those that ask.
+// Hundreds of connections without a request must not keep other clients from being served, and must
+// be closed in the end.
 func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
 	simulate(t, func(s *testbed) {
 		var silent []net.Conn
@@ -171,7 +173,7 @@
 		time.Sleep(300 * time.Millisecond)
 		for i := range 20 {
 			if status, _, _ := s.exchange(s.requestText("lookup", "")); status != 200 {
-				t.Fatalf("request %d among silent connections: %d", i, status)
+				t.Fatalf("request %d among silent connections: status %d", i, status)
 			}
 		}
 		start := time.Now()
@@ -179,9 +181,9 @@
 			mustSetDeadline(t, nc, start.Add(3*time.Second))
 			var timeout net.Error
 			if _, err := nc.Read(make([]byte, 1)); err == nil {
-				t.Error("a silent connection was told something")
+				t.Error("a silent connection received data")
 			} else if errors.As(err, &timeout) && timeout.Timeout() {
-				t.Fatal("a silent connection was left open")
+				t.Fatal("a silent connection was not closed within 3 s")
 			}
 			mustClose(t, nc)
 		}
--- a/edgenode/run_test.go
+++ b/edgenode/run_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// childVariable marks a process that is to be the edge node.
+// childVariable is the environment variable that makes the test binary run an edge node.
 const childVariable = "YARDCLEAT_TEST_EDGE"
 
 func TestMain(m *testing.M) {
@@ -36,7 +36,8 @@
 	return cmd
 }
 
-// A configuration that can't be meant ends the program with one line and status 1.
+// An invalid configuration, a missing file or a missing NODE_CONFIG must end the process with status 1
+// and one line of output.
 func TestInvalidConfigurationEndsProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(strings.Replace(configJSON, `"conn_idle_ms":10000,`, "", 1)), 0o600); err != nil {
@@ -51,19 +52,19 @@
 	}
 }
 
-// edgeProcess is an edge node in a process of its own, with two servers and two agents of
-// discovery on loopback.
+// edgeProcess is an edge node in a separate process, with two fake servers and two fake discovery
+// services on loopback.
 type edgeProcess struct {
 	*testbed
 	configPath         string
-	discoveryAddresses [2]string       // their addresses
-	pollCounts         [2]atomic.Int64 // that each has got
+	discoveryAddresses [2]string       // of the two discovery services
+	pollCounts         [2]atomic.Int64 // number of polls that each has received
 	cmd                *exec.Cmd
-	log                *strings.Builder // read it only once exited is
+	log                *strings.Builder // may be read only after exited has been received from
 	exited             chan error
 }
 
-// startProcess starts the node with the first discovery, and waits until it is ready.
+// startProcess starts the node with the first discovery service and waits until the node is ready.
 func startProcess(t *testing.T, respond func(n int, id string) (string, bool)) *edgeProcess {
 	t.Helper()
 	p := &edgeProcess{
@@ -90,8 +91,8 @@
 		t.Fatal(err)
 	}
 	go func() { p.exited <- p.cmd.Wait() }()
-	t.Cleanup(func() { _ = p.cmd.Process.Kill() }) // fails where the process has exited, as it should
-	p.waitFor("ready", func() bool { return p.exchangeOnLoopback("GET /up HTTP/1.1\r\nHost: h\r\n\r\n") == 200 })
+	t.Cleanup(func() { _ = p.cmd.Process.Kill() }) // fails if the process has exited, as it should have
+	p.waitFor("readiness", func() bool { return p.exchangeOnLoopback("GET /up HTTP/1.1\r\nHost: h\r\n\r\n") == 200 })
 	return p
 }
 
@@ -116,8 +117,8 @@
 	}
 }
 
-// exchangeOnLoopback sends a request on a connection of its own and returns the status of
-// its response; 0 or below: there was none.
+// exchangeOnLoopback sends a request on a new connection and returns the status of the response, or
+// 0 or less if there is none.
 func (p *edgeProcess) exchangeOnLoopback(request string) (status int) {
 	nc, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -134,7 +135,7 @@
 	return status
 }
 
-// clientLoad is clients that send one request after the other until they are stopped.
+// clientLoad is a set of clients, each of which sends one request after the other until stop is closed.
 type clientLoad struct {
 	served, unexpected atomic.Int64
 	stop               chan struct{}
@@ -154,8 +155,8 @@
 	return l
 }
 
-// loadRequest is a request whose client waits for long: what is asked here is whether a
-// response comes, not how soon.
+// loadRequest returns a request with a long client timeout: the test checks that a response arrives,
+// not how soon.
 func loadRequest(id int) string {
 	return strings.Replace((&testbed{lastRequestNumber: id}).requestText("lookup", ""), "1500", "3000", 1)
 }
@@ -169,7 +170,8 @@
 	}
 }
 
-// count counts a response. A busy machine may be late, and say so.
+// count counts a response. Statuses 429 and 5xx are not unexpected, because a busy machine may be
+// late.
 func (l *clientLoad) count(status int) {
 	if status == 200 {
 		l.served.Add(1)
@@ -178,11 +180,11 @@
 	}
 }
 
-// A real process under load: new configurations by SIGHUP, one that can't be read
-// among them, cost no request; after SIGTERM all that it took is answered and it ends
-// well.
+// Reloads by SIGHUP under load, one of them with an invalid file, must not cost a request. After
+// SIGTERM every open request must get a response, SIGHUP must still be handled, and the process must
+// exit with status 0.
 func TestSignals(t *testing.T) {
-	hold := make(chan struct{}) // the last request's response
+	hold := make(chan struct{}) // holds the response to the last request
 	p := startProcess(t, func(n int, id string) (string, bool) {
 		if id == "the-last-one" {
 			<-hold
@@ -194,50 +196,52 @@
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			t.Errorf("ended with %v; the log: %s", err, p.log)
+			t.Errorf("the process exited with %v; log: %s", err, p.log)
 		}
 	case <-time.After(30 * time.Second):
-		t.Fatal("did not end")
+		t.Fatal("the process did not exit")
 	}
 	if p.pollCounts[0].Load() == polls {
-		t.Error("SIGHUP behind SIGTERM was not heard")
+		t.Error("SIGHUP after SIGTERM was ignored")
 	}
 	if !strings.Contains(p.log.String(), "configuration reload failed; keeping the current one") {
-		t.Errorf("nothing said of the configuration that can't be read: %s", p.log)
+		t.Errorf("the failed reload was not logged; log: %s", p.log)
 	}
 }
 
-// checkReloads sends SIGHUP under load, for another discovery and for a broken file.
+// checkReloads sends SIGHUP under load, first for another discovery address, then for an invalid
+// file.
 func (p *edgeProcess) checkReloads(t *testing.T) {
 	t.Helper()
 	l := p.startLoad()
 	p.writeConfig(p.discoveryAddresses[1])
 	p.signal(syscall.SIGHUP)
-	p.waitFor("the move of discovery", func() bool { return p.pollCounts[1].Load() > 1 })
+	p.waitFor("polls at the new discovery address", func() bool { return p.pollCounts[1].Load() > 1 })
 	p.writeConfigText("{")
 	p.signal(syscall.SIGHUP)
 	before := p.pollCounts[1].Load()
-	p.waitFor("going on with the old configuration", func() bool { return p.pollCounts[1].Load() > before+1 })
-	p.waitFor("enough requests", func() bool { return l.served.Load() > 30 })
+	p.waitFor("further polls with the previous configuration", func() bool { return p.pollCounts[1].Load() > before+1 })
+	p.waitFor("30 served requests", func() bool { return l.served.Load() > 30 })
 	close(l.stop)
 	l.clients.Wait()
-	if wrong := l.unexpected.Load(); wrong > 0 {
-		t.Errorf("%d requests got no answer or a wrong one", wrong)
+	if unexpected := l.unexpected.Load(); unexpected > 0 {
+		t.Errorf("%d requests got no response or an unexpected status", unexpected)
 	}
 }
 
-// checkDrain sends SIGTERM twice, and SIGHUP between, while a request is open: the node
-// drains once, and hears of the first discovery. It returns how often that had been polled.
+// checkDrain sends SIGTERM, SIGHUP and SIGTERM again while a request is open. The node must drain
+// once, and the reload must return it to the first discovery address. checkDrain returns the number
+// of polls at that address before the signals.
 func (p *edgeProcess) checkDrain(t *testing.T, hold chan struct{}) (polls int64) {
 	t.Helper()
 	open := make(chan int, 1)
 	text := strings.Replace(p.requestText("loan-change", "the-last-one"), "1500", "2000", 1)
 	go func() { open <- p.exchangeOnLoopback(text) }()
-	p.waitFor("the last request's attempt", func() bool { return strings.Contains(strings.Join(p.requestsSeen(), " "), "the-last-one") })
+	p.waitFor("the last request's attempt", func() bool { return strings.Contains(strings.Join(p.receivedRequests(), " "), "the-last-one") })
 	p.writeConfig(p.discoveryAddresses[0])
 	polls = p.pollCounts[0].Load()
 	p.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
-	// What is open holds the node meanwhile.
+	// The open request delays the end of the shutdown.
 	for range 150 {
 		if p.pollCounts[0].Load() > polls {
 			break
@@ -246,7 +250,7 @@
 	}
 	close(hold)
 	if status := <-open; status < 200 {
-		t.Errorf("what was open at SIGTERM: status %d", status)
+		t.Errorf("request open at SIGTERM: status %d", status)
 	}
 	return polls
 }
--- a/edgenode/testbed_test.go
+++ b/edgenode/testbed_test.go
@@ -17,7 +17,7 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// testbed is an edge node with two fake servers and fake discovery, in virtual time or on
+// testbed is an edge node with two fake servers and a fake discovery service, in virtual time or on
 // loopback.
 type testbed struct {
 	t                 *testing.T
@@ -26,8 +26,8 @@
 	servers           [2]*fakeServer
 	listeners         []net.Listener
 	cfg               *Config
-	lastRequestNumber int  // given
-	drained           bool // the test drained the node
+	lastRequestNumber int  // of the last request text
+	drained           bool // the test has drained the node
 
 	address      string // of the node, on loopback
 	endpointList atomic.Pointer[string]
@@ -42,12 +42,12 @@
 	return l
 }
 
-// serveDiscovery answers every call with what list gives; "" is silence.
+// serveDiscovery answers each poll with the result of list; "" is no response.
 func (s *testbed) serveDiscovery(addr string, list func(target string) string) {
 	go answerPolls(s.listen("discovery", addr), list)
 }
 
-// answerPolls answers discovery's calls until the listener is closed.
+// answerPolls answers polls of discovery until the listener is closed.
 func answerPolls(l net.Listener, list func(target string) string) {
 	for {
 		nc, err := l.Accept()
@@ -63,7 +63,7 @@
 	}
 }
 
-// answerPoll answers one call and tells whether the connection goes on.
+// answerPoll answers one poll and reports whether the connection stays open.
 func answerPoll(nc net.Conn, r *http1.Reader, list func(target string) string) bool {
 	req, err := r.Request()
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	out := list(req.Target)
 	if out == "" {
-		_, _ = io.Copy(io.Discard, nc) // until the node gives up
+		_, _ = io.Copy(io.Discard, nc) // until the node closes the connection
 		return false
 	}
 	if strings.Contains(req.Target, "after=") {
@@ -81,18 +81,18 @@
 	return err == nil
 }
 
-// pollDelay is how long fake discovery holds a call that waits for changes.
+// pollDelay is how long fake discovery holds a poll that waits for changes.
 const pollDelay = 300 * time.Millisecond
 
 const twoEndpoints = `{"index":7,"snapshot":true,"endpoints":[
  {"name":"s-1","address":"10.0.1.1:80","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0},
  {"name":"s-2","address":"10.0.1.2:80","zone":"a","group":1,"status":"ready","weight":1,"since_ms":0}]}`
 
-// answerByID is a response that tells which request it is for.
+// answerByID returns a response whose body identifies the request.
 func answerByID(_ int, id string) (out string, end bool) { return okResponse("for " + id), false }
 
-// simulate runs f with a testbed in virtual time. Afterwards the node must drain, with no
-// request left open.
+// simulate runs f with a testbed in virtual time. Afterwards the node must drain and leave no
+// request open.
 func simulate(t *testing.T, f func(s *testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -120,7 +120,7 @@
 			}
 		}
 		if s.edge.open.count() > 0 {
-			t.Errorf("ids are still open: %v", s.edge.open.ids)
+			t.Errorf("requests are still open: %v", s.edge.open.ids)
 		}
 		s.closeListeners()
 		time.Sleep(time.Minute)
@@ -136,7 +136,7 @@
 	return nc
 }
 
-// requestText is a good request of a class as bytes; id "" draws a new one.
+// requestText returns the text of a valid request of a class. If id is "" it has a new ID.
 func (s *testbed) requestText(class, id string) string {
 	if s.lastRequestNumber++; id == "" {
 		id = fmt.Sprintf("%016x", s.lastRequestNumber)
@@ -149,20 +149,20 @@
 		"\r\nX-Plan: basic\r\nCookie: key=00000000b4d65521\r\nX-Time-Left-Ms: 1500\r\nX-Quota: units=1,spread=2,first=0\r\n" + extra + "\r\n" + body
 }
 
-// exchange sends bytes on a connection of its own and reads one answer; status 0 is a
-// close without one.
+// exchange sends bytes on a new connection and reads one response. Status 0 means that the
+// connection ended without one.
 func (s *testbed) exchange(bytes string) (status int, body string, took time.Duration) {
 	s.t.Helper()
 	nc := s.dial()
 	defer mustClose(s.t, nc)
-	// Of a request that it rejects the node may leave bytes unread: the write then fails.
+	// The write may fail, because the node need not read all of a request that it rejects.
 	go func() { _, _ = nc.Write([]byte(bytes)) }()
 	start := time.Now()
 	status, body = readResponse(nc)
 	return status, body, time.Since(start)
 }
 
-// readResponse reads one response; status 0 is the end of the connection without one.
+// readResponse reads one response. Status 0 means that the connection ended without one.
 func readResponse(nc net.Conn) (status int, body string) {
 	r := http1.NewReader(nc, testLimits)
 	head, err := r.Response("GET")
@@ -176,8 +176,8 @@
 	return head.Status, string(b)
 }
 
-// requestsSeen has the requests of both servers.
-func (s *testbed) requestsSeen() (all []string) {
+// receivedRequests returns the requests that either server has received.
+func (s *testbed) receivedRequests() (all []string) {
 	for _, server := range s.servers {
 		server.mu.Lock()
 		all = append(all, server.requests...)
@@ -186,15 +186,15 @@
 	return all
 }
 
-// dialHook is the machine's network with a hook for dials.
+// dialHook is the network of the operating system with a hook for dials.
 type dialHook struct {
 	network.OS
 	dial     func(ctx context.Context, addr string) (net.Conn, error)
-	listener net.Listener // the node's, open already
+	listener net.Listener // of the node; opened in advance
 }
 
-// Listen returns the listener that is open already: between the choice of a port and the
-// node's start no other test may take it.
+// Listen returns the listener that was opened in advance, so that no other test can take the port
+// between its choice and the start of the node.
 func (d dialHook) Listen(addr string) (net.Listener, error) {
 	if addr != d.listener.Addr().String() {
 		return nil, fmt.Errorf("the node listens at %s, not at %s", addr, d.listener.Addr())
@@ -209,16 +209,17 @@
 	return d.dial(ctx, addr)
 }
 
-// withoutPauseDetection has no pause of the process detected. On a busy machine the test's process is held up
-// for longer than MinPause now and then; an attempt that was decided before a pause and not written
-// is then rejected as no-time, as it has to be, which is not what tests on loopback are about.
+// withoutPauseDetection returns settings with which no pause of the process is detected. On a busy
+// machine the test process is sometimes paused for longer than MinPause. An attempt that was started
+// before such a pause and not yet written is then correctly rejected with no-time, which would fail
+// tests on loopback that check something else.
 func withoutPauseDetection() pause.Settings {
 	settings := pause.DefaultSettings()
 	settings.MinPause = time.Hour
 	return settings
 }
 
-// runOnLoopback runs f with a testbed on real connections. Its servers end connections by a
+// runOnLoopback runs f with a testbed on real connections. Its servers close connections with a
 // reset.
 func runOnLoopback(t *testing.T, settings *strings.Replacer, d dialHook, respond func(n int, id string) (string, bool), f func(s *testbed)) {
 	t.Helper()
@@ -241,7 +242,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.waitFor("ready", func() bool { return s.edge.ready() })
+	s.waitFor("readiness", func() bool { return s.edge.ready() })
 	f(s)
 	if !s.drained {
 		if err := s.edge.Drain(context.Background()); err != nil {
@@ -266,7 +267,7 @@
 	return list + "]}"
 }
 
-// loopbackConfig is a configuration without peers.
+// loopbackConfig returns a configuration with the given addresses and without peers.
 func loopbackConfig(address, discovery string) string {
 	return strings.NewReplacer("10.0.0.1:80", address, "10.0.3.1:80", discovery, `"peers":true`, `"peers":false`).Replace(configJSON)
 }
@@ -280,7 +281,7 @@
 	return l
 }
 
-// freeAddress is an address on loopback at which nothing listens.
+// freeAddress returns a loopback address at which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l := listenOnLoopback(t)
@@ -295,7 +296,7 @@
 	}
 }
 
-// waitFor waits for what is to come in any case.
+// waitFor polls until f returns true, and fails the test after 20 s.
 func (s *testbed) waitFor(what string, f func() bool) {
 	s.t.Helper()
 	for range 2000 {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,6 +1,6 @@
 // Package wire encodes and decodes the line protocol of a simulator: it turns lines into events of package policy,
-// and actions of the policy into lines. It makes no decisions. No other package uses the verbs and keys of the
-// protocol.
+// and actions of the policy into lines. It makes no decisions. The verbs of the protocol are used in this package
+// only.
 //
 // A batch holds the events of one instant. It starts with a FRAME line, which has the time in milliseconds, and ends
 // with an EOF_BATCH line. Each line in between is an event for one instance, or starts a TABLE: an endpoint list that
