--- a/edgenode/shutdown.go
+++ b/edgenode/shutdown.go
@@ -13,8 +13,8 @@
 	cutConnections time.Duration // connections that are still open are closed
 }
 
-// The platform sends SIGKILL no sooner than killGrace after the longest deadline of a class,
-// or after maxCountedDeadline if that is shorter.
+// The platform sends SIGKILL no sooner than killGrace after the longest deadline of a class. A
+// deadline above maxCountedDeadline counts as maxCountedDeadline.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killGrace          = 700 * time.Millisecond
