--- a/gateway/customer_snapshots_test.go
+++ b/gateway/customer_snapshots_test.go
@@ -18,7 +18,7 @@
 	run := func(keepFile bool, downtime time.Duration) (served int) {
 		dir := t.TempDir()
 		withFakeCounter(t, dir, func(bed *testBed, c *counter.Server) {
-			if err := c.Do("refuse", ""); err != nil { // the snapshot is the only source of the usage
+			if err := c.InjectFault("refuse", ""); err != nil { // the snapshot is the only source of the usage
 				t.Error(err)
 			}
 			time.Sleep(21 * time.Second)
