--- a/cmd/yardcleat/standin.go
+++ b/cmd/yardcleat/standin.go
@@ -95,13 +95,13 @@
 		Long: "Faults: hang, half-close, reset, twice, slow (a factor), fail (lookup, loan-change or note), ok.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := lines()
-			s := catalogue.New(catalogue.Options{Name: name, Rack: &catalogue.Rack{Name: "rack", Window: window}, Cores: cores,
-				Queue: queue, ColdShare: 0.21, WarmWithin: warm, FallMultiple: 3, FallTime: time.Second,
-				Classes: []catalogue.Class{{Name: "lookup", Method: "GET", Prefix: "/records/", Work: lookup},
-					{Name: "loan-change", Method: "POST", Prefix: "/loans/", Work: loan, Keyed: true},
-					{Name: "note", Method: "POST", Prefix: "/notes/", Work: loan}},
-				Record: func(s audit.Seen) { out(s) }, Fell: func(f audit.Fell) { out(f) }})
-			return standin{s.Serve, s.Kill, s.Do}.run(cmd, address, faults)
+			s := catalogue.New(catalogue.Options{Name: name, DedupScope: &catalogue.DedupScope{Name: "rack", Window: window}, Cores: cores,
+				QueueLength: queue, InitialCapacity: 0.21, WarmupTime: warm, ColdOverloadFactor: 3, ColdOverloadTime: time.Second,
+				Classes: []catalogue.Class{{Name: "lookup", Method: "GET", PathPrefix: "/records/", Work: lookup},
+					{Name: "loan-change", Method: "POST", PathPrefix: "/loans/", Work: loan, IdempotentWithKey: true},
+					{Name: "note", Method: "POST", PathPrefix: "/notes/", Work: loan}},
+				Record: func(s audit.Seen) { out(s) }, OnColdOverload: func(f audit.Fell) { out(f) }})
+			return standin{s.Serve, s.Kill, s.InjectFault}.run(cmd, address, faults)
 		}}
 	common(c, &address, &faults)
 	c.Flags().StringVar(&name, "name", "catalogue", "its name in records and answers")
@@ -121,7 +121,7 @@
 		Long: "Faults: silent, slow (a duration), deny (a customer), ok.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s := authoriser.New(deny...)
-			return standin{s.Serve, s.Kill, s.Do}.run(cmd, address, faults)
+			return standin{s.Serve, s.Kill, s.InjectFault}.run(cmd, address, faults)
 		}}
 	common(c, &address, &faults)
 	c.Flags().StringArrayVar(&deny, "deny", nil, "a customer that is denied; may be given again")
@@ -135,7 +135,7 @@
 		Long: "Faults: silent, refuse, lose, slow (a duration), empty, save, restore, split, heal (first, second or both), ok.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s := counter.New()
-			return standin{s.Serve, s.Kill, s.Do}.run(cmd, address, faults)
+			return standin{s.Serve, s.Kill, s.InjectFault}.run(cmd, address, faults)
 		}}
 	common(c, &address, &faults)
 	return c
@@ -146,7 +146,7 @@
 	var noLogs bool
 	c := &cobra.Command{Use: "proxy", Short: "A proxy that asks a gateway by ext_authz, forwards and logs",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := proxy.New(proxy.Options{Network: network.OS{}, Gateway: gateway, Patience: 5 * time.Second, NoLogs: noLogs})
+			s, err := proxy.New(proxy.Options{Network: network.OS{}, Gateway: gateway, DefaultTimeout: 5 * time.Second, DisableAccessLog: noLogs})
 			if err != nil {
 				return err
 			}
@@ -175,12 +175,12 @@
 				}
 				list = append(list, discovery.Endpoint{Name: fmt.Sprint("server-", i), Address: a, Cell: i})
 			}
-			s.Set(list)
+			s.SetEndpoints(list)
 			do := func(fault, arg string) error {
 				for i := range list {
 					if list[i].Address == arg && (fault == "drain" || fault == "run") {
 						list[i].Draining = fault == "drain"
-						s.Set(list)
+						s.SetEndpoints(list)
 						return nil
 					}
 				}
--- a/day/callers.go
+++ b/day/callers.go
@@ -185,7 +185,7 @@
 	switch {
 	case t.Status == 502 || t.Status == 504 || t.Status == 500:
 		t.Answer = "failed"
-	case t.Reason != "" || r.Response.Header.Has(catalogue.NotRun):
+	case t.Reason != "" || r.Response.Header.Has(catalogue.RejectionHeader):
 		t.Answer = "refused"
 	case t.Status >= 400:
 		t.Answer = "failed" // the proxy's own word: it promises nothing
--- a/day/faults.go
+++ b/day/faults.go
@@ -41,7 +41,7 @@
 	case "clock":
 		return d.setClock(ctx, f)
 	case "authoriser":
-		return during(ctx, f, func() error { return d.auth.Do(action, f.Arg) }, func() error { return d.auth.Do("ok", "") })
+		return during(ctx, f, func() error { return d.auth.InjectFault(action, f.Arg) }, func() error { return d.auth.InjectFault("ok", "") })
 	case "counter":
 		return d.playCounterFault(ctx, f, action)
 	default:
@@ -99,9 +99,9 @@
 
 func (d *stage) playDiscoveryFault(ctx context.Context, f Fault, action string) error {
 	if action == "silent" {
-		return during(ctx, f, func() error { return d.discovery.Do(action) }, func() error { return d.discovery.Do("ok") })
+		return during(ctx, f, func() error { return d.discovery.InjectFault(action) }, func() error { return d.discovery.InjectFault("ok") })
 	}
-	return d.discovery.Do(action)
+	return d.discovery.InjectFault(action)
 }
 
 // setClock sets a node's wall clock, where that is not the machine's.
@@ -119,9 +119,9 @@
 	c := d.counters[f.Target]
 	switch action {
 	case "silent", "refuse", "lose", "slow":
-		return during(ctx, f, func() error { return c.Do(action, f.Arg) }, func() error { return c.Do("ok", "") })
+		return during(ctx, f, func() error { return c.InjectFault(action, f.Arg) }, func() error { return c.InjectFault("ok", "") })
 	default:
-		return c.Do(action, f.Arg)
+		return c.InjectFault(action, f.Arg)
 	}
 }
 
@@ -145,12 +145,12 @@
 		d.mu.Lock()
 		list := d.list
 		d.mu.Unlock()
-		d.discovery.Set(list)
+		d.discovery.SetEndpoints(list)
 		return err
 	case "flap":
 		d.flap(ctx, b, dur(f.For))
 	default:
-		return during(ctx, f, func() error { return server.Do(action, f.Arg) }, func() error { return server.Do("ok", "") })
+		return during(ctx, f, func() error { return server.InjectFault(action, f.Arg) }, func() error { return server.InjectFault("ok", "") })
 	}
 	return nil
 }
@@ -168,13 +168,13 @@
 	}
 	d.list = kept
 	d.mu.Unlock()
-	d.discovery.Set(kept)
+	d.discovery.SetEndpoints(kept)
 	sleep(ctx, away)
 	d.mu.Lock()
 	d.list = append(slices.Clone(d.list), off...)
 	list := d.list
 	d.mu.Unlock()
-	d.discovery.Set(list)
+	d.discovery.SetEndpoints(list)
 }
 
 // delist changes discovery's list: a server drains, or is gone.
@@ -192,7 +192,7 @@
 	}
 	d.list = list
 	d.mu.Unlock()
-	d.discovery.Set(list)
+	d.discovery.SetEndpoints(list)
 }
 
 func (d *stage) down(node int, from time.Time, killed bool) {
--- a/day/report.go
+++ b/day/report.go
@@ -167,7 +167,7 @@
 	r.Stops = d.stops()
 	cold := 0.0
 	for _, n := range d.colds {
-		cold = max(cold, n.Near())
+		cold = max(cold, n.PeakColdLoad())
 	}
 	r.Near = audit.Near(&d.record, cold)
 	caps := map[string]int{}
--- a/day/stage.go
+++ b/day/stage.go
@@ -24,7 +24,7 @@
 	o         Options
 	begun     time.Time
 	closes    []func()
-	racks     []*catalogue.Rack
+	racks     []*catalogue.DedupScope
 	servers   []*box
 	auth      *authoriser.Server
 	counters  []*counter.Server
@@ -116,7 +116,7 @@
 		for _, c := range s.Classes {
 			window = max(window, dur(c.Window))
 		}
-		d.racks = append(d.racks, &catalogue.Rack{Name: fmt.Sprint("rack-", i), Window: window})
+		d.racks = append(d.racks, &catalogue.DedupScope{Name: fmt.Sprint("rack-", i), Window: window})
 	}
 	for i := range s.Servers.Count {
 		b := &box{name: fmt.Sprint("server-", i), address: address(), rack: i % s.Servers.Racks}
@@ -150,7 +150,7 @@
 	if err := d.serve("discovery", d.edsAddr, d.discovery.Serve, d.discovery.Kill); err != nil {
 		return err
 	}
-	d.discovery.Set(d.list)
+	d.discovery.SetEndpoints(d.list)
 	total := s.Nodes + s.Spares
 	d.asked.Store(int64(s.Nodes))
 	for range total {
@@ -212,7 +212,7 @@
 
 // startProxy starts the proxy before a node.
 func (d *stage) startProxy(i int) error {
-	p, err := proxy.New(proxy.Options{Network: d.o.Env.Network("proxy"), Gateway: d.extAuthz[i], Patience: 5 * time.Second})
+	p, err := proxy.New(proxy.Options{Network: d.o.Env.Network("proxy"), Gateway: d.extAuthz[i], DefaultTimeout: 5 * time.Second})
 	if err != nil {
 		return err
 	}
@@ -228,23 +228,23 @@
 // startServer starts the server of a box, cold or long warm.
 func (d *stage) startServer(b *box, cold bool) error {
 	v := d.s.Servers
-	o := catalogue.Options{Name: b.name, Rack: d.racks[b.rack], Cores: v.Cores, Queue: v.Queue,
+	o := catalogue.Options{Name: b.name, DedupScope: d.racks[b.rack], Cores: v.Cores, QueueLength: v.Queue,
 		Record: func(s audit.Seen) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.record.Seen = append(d.record.Seen, s)
 		},
-		Fell: func(f audit.Fell) {
+		OnColdOverload: func(f audit.Fell) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.record.Fell = append(d.record.Fell, f)
 		}}
 	if cold {
-		o.ColdShare, o.WarmWithin, o.FallMultiple, o.FallTime = v.ColdShare, dur(v.WarmWithin), v.FallMultiple, dur(v.FallTime)
+		o.InitialCapacity, o.WarmupTime, o.ColdOverloadFactor, o.ColdOverloadTime = v.ColdShare, dur(v.WarmWithin), v.FallMultiple, dur(v.FallTime)
 	}
 	for _, c := range d.s.Classes {
-		o.Classes = append(o.Classes, catalogue.Class{Name: c.Name, Method: c.Method, Prefix: c.Path, Work: dur(c.Work),
-			Keyed: c.Effect == "keyed"})
+		o.Classes = append(o.Classes, catalogue.Class{Name: c.Name, Method: c.Method, PathPrefix: c.Path, Work: dur(c.Work),
+			IdempotentWithKey: c.Effect == "keyed"})
 	}
 	server := catalogue.New(o)
 	if err := d.serve(b.name, b.address, server.Serve, server.Kill); err != nil {
--- a/gateway/authorization_test.go
+++ b/gateway/authorization_test.go
@@ -86,7 +86,7 @@
 			//nolint:staticcheck // Append is deprecated, but services still send it; this is the only test of it
 			return &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: name, Value: value}, Append: wrapperspb.Bool(add)}
 		}
-		a.Answer = func(req *authv3.CheckRequest) *authv3.CheckResponse {
+		a.CheckOverride = func(req *authv3.CheckRequest) *authv3.CheckResponse {
 			sent = req
 			return &authv3.CheckResponse{Status: &rpc.Status{}, HttpResponse: &authv3.CheckResponse_OkResponse{OkResponse: &authv3.OkHttpResponse{
 				Headers: []*corev3.HeaderValueOption{option("x-set", "new", false), option("x-more", "2", true), option("host", "evil", false),
@@ -300,7 +300,7 @@
 			for i := range 2 {
 				rng := rand.New(rand.NewPCG(uint64(i), 1))
 				a := authoriser.New()
-				a.Answer = func(*authv3.CheckRequest) *authv3.CheckResponse {
+				a.CheckOverride = func(*authv3.CheckRequest) *authv3.CheckResponse {
 					if (both || i == 0) && rng.Float64() < 0.5 {
 						return nil // which grpc can't marshal: an error to its client
 					}
@@ -364,7 +364,7 @@
 		d := discovery.New("c", 0, nil)
 		bed.serve(d.Serve, "10.0.3.1:80")
 		list := []discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Cell: 1}, {Name: "s2", Address: "10.0.1.2:80", Cell: 2}}
-		d.Set(list)
+		d.SetEndpoints(list)
 		time.Sleep(3 * time.Second)
 		bed.setAuthorizerFault(bed.authorizer, "slow", "100ms")
 		done := make(chan response, 4)
@@ -373,7 +373,7 @@
 		}
 		time.Sleep(50 * time.Millisecond) // their checks are sent, not answered yet
 		list[0].Draining = true
-		d.Set(list)
+		d.SetEndpoints(list)
 		time.Sleep(10 * time.Millisecond)
 		told := time.Now()
 		for range 4 {
--- a/gateway/customer_snapshots_test.go
+++ b/gateway/customer_snapshots_test.go
@@ -18,7 +18,7 @@
 	run := func(keep bool, away time.Duration) (again int) {
 		dir := t.TempDir()
 		withFakeCounter(t, dir, func(bed *testBed, c *counter.Server) {
-			if err := c.Do("refuse", ""); err != nil { // nothing else knows the usage
+			if err := c.InjectFault("refuse", ""); err != nil { // nothing else knows the usage
 				t.Error(err)
 			}
 			time.Sleep(21 * time.Second)
--- a/gateway/endpoint_cache_test.go
+++ b/gateway/endpoint_cache_test.go
@@ -40,7 +40,7 @@
 		}
 		d := discovery.New("c", 0, nil)
 		bed.serve(d.Serve, "10.0.3.1:80")
-		d.Set([]discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Draining: true}, {Name: "s2", Address: "10.0.1.2:80", Cell: 1}})
+		d.SetEndpoints([]discovery.Endpoint{{Name: "s1", Address: "10.0.1.1:80", Draining: true}, {Name: "s2", Address: "10.0.1.2:80", Cell: 1}})
 		time.Sleep(3 * time.Second) // the stream is opened again
 		told := time.Now()
 		for i := range 10 {
--- a/gateway/ext_authz_proxy_test.go
+++ b/gateway/ext_authz_proxy_test.go
@@ -101,7 +101,7 @@
 // those of the HTTP listener.
 func TestRequestsThroughAnExtAuthzProxy(t *testing.T) {
 	runInTestBed(t, cappedPlan, func(bed *testBed) {
-		p, err := proxy.New(proxy.Options{Network: bed.clientHost, Gateway: "10.0.0.1:81", Patience: time.Second})
+		p, err := proxy.New(proxy.Options{Network: bed.clientHost, Gateway: "10.0.0.1:81", DefaultTimeout: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -13,7 +13,7 @@
 		if g := bed.do("POST", "/loans/1", "k-school", "Idempotency-Key", "k1"); g.status != 200 {
 			t.Errorf("loan-change: %+v", g)
 		}
-		if n := bed.authorizer.Checks(); n != 1 {
+		if n := bed.authorizer.CheckCount(); n != 1 {
 			t.Errorf("%d Checks, want 1: lookup is not put to the authoriser", n)
 		}
 		if n := len(bed.arrivedAttempts()); n != 2 {
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -28,7 +28,7 @@
 type testBed struct {
 	t            *testing.T
 	network      *network.Memory
-	rack         *catalogue.Rack
+	rack         *catalogue.DedupScope
 	servers      []*catalogue.Server
 	authorizer   *authoriser.Server
 	gateway      *Gateway
@@ -120,13 +120,13 @@
 func runInTestBedWith(t *testing.T, src string, f func(bed *testBed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		bed := &testBed{t: t, network: network.NewMemory(time.Millisecond, 1), rack: &catalogue.Rack{Name: "r", Window: 2 * time.Second}}
+		bed := &testBed{t: t, network: network.NewMemory(time.Millisecond, 1), rack: &catalogue.DedupScope{Name: "r", Window: 2 * time.Second}}
 		for i := 1; i <= 2; i++ {
-			s := catalogue.New(catalogue.Options{Name: fmt.Sprint("s", i), Rack: bed.rack, Cores: 2, Queue: 8,
+			s := catalogue.New(catalogue.Options{Name: fmt.Sprint("s", i), DedupScope: bed.rack, Cores: 2, QueueLength: 8,
 				Classes: []catalogue.Class{
-					{Name: "lookup", Method: "GET", Prefix: "/records/", Work: 50 * time.Millisecond},
-					{Name: "loan-change", Method: "POST", Prefix: "/loans/", Work: 30 * time.Millisecond, Keyed: true},
-					{Name: "note", Method: "POST", Prefix: "/notes/", Work: 30 * time.Millisecond}},
+					{Name: "lookup", Method: "GET", PathPrefix: "/records/", Work: 50 * time.Millisecond},
+					{Name: "loan-change", Method: "POST", PathPrefix: "/loans/", Work: 30 * time.Millisecond, IdempotentWithKey: true},
+					{Name: "note", Method: "POST", PathPrefix: "/notes/", Work: 30 * time.Millisecond}},
 				Record: func(s audit.Seen) {
 					bed.mu.Lock()
 					defer bed.mu.Unlock()
@@ -185,7 +185,7 @@
 // setAuthorizerFault sets a fault of an authorization service.
 func (bed *testBed) setAuthorizerFault(a *authoriser.Server, fault, arg string) {
 	bed.t.Helper()
-	if err := a.Do(fault, arg); err != nil {
+	if err := a.InjectFault(fault, arg); err != nil {
 		bed.t.Fatal(err)
 	}
 }
@@ -287,7 +287,7 @@
 // setServerFault sets a fault of both servers.
 func (bed *testBed) setServerFault(fault string) {
 	for _, s := range bed.servers {
-		if err := s.Do(fault, ""); err != nil {
+		if err := s.InjectFault(fault, ""); err != nil {
 			bed.t.Fatal(err)
 		}
 	}
--- a/gateway/usage_test.go
+++ b/gateway/usage_test.go
@@ -128,7 +128,7 @@
 	if fault == (counterFault{}) {
 		return
 	}
-	if err := c.Do(fault.name, fault.argument); err != nil {
+	if err := c.InjectFault(fault.name, fault.argument); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/standin/authoriser/authoriser.go
+++ b/standin/authoriser/authoriser.go
@@ -22,8 +22,8 @@
 type Server struct {
 	authv3.UnimplementedAuthorizationServer
 	gs *grpc.Server
-	// Answer answers in place of the rules, where it is set before Serve.
-	Answer func(*authv3.CheckRequest) *authv3.CheckResponse
+	// CheckOverride answers in place of the rules, where it is set before Serve.
+	CheckOverride func(*authv3.CheckRequest) *authv3.CheckResponse
 
 	mu     sync.Mutex
 	denied map[string]bool
@@ -48,15 +48,15 @@
 // Kill ends the server and its connections at once.
 func (s *Server) Kill() { s.gs.Stop() }
 
-// Checks is the number of Checks received.
-func (s *Server) Checks() int {
+// CheckCount is the number of CheckCount received.
+func (s *Server) CheckCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.checks
 }
 
-// Do sets a fault: silent, slow (a duration), deny (a customer) or ok.
-func (s *Server) Do(fault, arg string) error {
+// InjectFault sets a fault: silent, slow (a duration), deny (a customer) or ok.
+func (s *Server) InjectFault(fault, arg string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch fault {
@@ -94,8 +94,8 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if s.Answer != nil {
-		return s.Answer(req), nil
+	if s.CheckOverride != nil {
+		return s.CheckOverride(req), nil
 	}
 	if denied {
 		return &authv3.CheckResponse{Status: &rpc.Status{Code: int32(codes.PermissionDenied)},
--- a/standin/catalogue/catalogue.go
+++ b/standin/catalogue/catalogue.go
@@ -18,15 +18,15 @@
 
 // Class is one kind of work.
 type Class struct {
-	Name   string
-	Method string
-	Prefix string // of the path
-	Work   time.Duration
-	Keyed  bool
+	Name              string
+	Method            string
+	PathPrefix        string // of the path
+	Work              time.Duration
+	IdempotentWithKey bool
 }
 
-// Rack is a group of servers that drop each other's repeats for a time.
-type Rack struct {
+// DedupScope is a group of servers that drop each other's repeats for a time.
+type DedupScope struct {
 	Name   string
 	Window time.Duration
 	mu     sync.Mutex
@@ -34,7 +34,7 @@
 }
 
 // first tells whether a key was not seen within the window, and notes it.
-func (r *Rack) first(key string, now time.Time) bool {
+func (r *DedupScope) first(key string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.seen == nil {
@@ -49,23 +49,23 @@
 
 // Options is what a Server is made of.
 type Options struct {
-	Name    string
-	Rack    *Rack
-	Cores   int
-	Queue   int // requests that may wait; more are turned away
-	Classes []Class
+	Name        string
+	DedupScope  *DedupScope
+	Cores       int
+	QueueLength int // requests that may wait; more are turned away
+	Classes     []Class
 
-	ColdShare    float64 // of its capacity at the start
-	WarmWithin   time.Duration
-	FallMultiple float64 // sent more than this multiple of what it can do
-	FallTime     time.Duration
+	InitialCapacity    float64 // of its capacity at the start
+	WarmupTime         time.Duration
+	ColdOverloadFactor float64 // sent more than this multiple of what it can do
+	ColdOverloadTime   time.Duration
 
-	Record func(audit.Seen)
-	Fell   func(audit.Fell)
+	Record         func(audit.Seen)
+	OnColdOverload func(audit.Fell)
 }
 
-// NotRun is the field of an answer, with status 503, that says nothing ran.
-const NotRun = "X-Not-Run"
+// RejectionHeader is the field of an answer, with status 503, that says nothing ran.
+const RejectionHeader = "X-Not-Run"
 
 // Server is one catalogue server.
 type Server struct {
@@ -107,21 +107,21 @@
 
 // Kill ends the server and its connections at once.
 func (s *Server) Kill() {
-	s.Do("ok", "")
+	s.InjectFault("ok", "")
 	s.hs.Close()
 }
 
-// Near is the most that the server was sent while cold, as a part of what pushes
+// PeakColdLoad is the most that the server was sent while cold, as a part of what pushes
 // it over.
-func (s *Server) Near() float64 {
+func (s *Server) PeakColdLoad() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.near
 }
 
-// Do sets a fault: hang, half-close, reset, twice, slow (a factor), fail (a class),
+// InjectFault sets a fault: hang, half-close, reset, twice, slow (a factor), fail (a class),
 // or ok.
-func (s *Server) Do(fault, arg string) error {
+func (s *Server) InjectFault(fault, arg string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch fault {
@@ -153,43 +153,43 @@
 
 // share is the part of its capacity that the server has by now.
 func (s *Server) share(now time.Time) float64 {
-	if s.o.WarmWithin <= 0 {
+	if s.o.WarmupTime <= 0 {
 		return 1
 	}
-	age := float64(now.Sub(s.started)) / float64(s.o.WarmWithin)
-	return min(1, s.o.ColdShare+(1-s.o.ColdShare)*age)
+	age := float64(now.Sub(s.started)) / float64(s.o.WarmupTime)
+	return min(1, s.o.InitialCapacity+(1-s.o.InitialCapacity)*age)
 }
 
 // offer notes work that reached the server while cold; too much in FallTime
 // pushes it over.
 func (s *Server) offer(now time.Time, work time.Duration) {
 	share := s.share(now)
-	if share >= 1 || s.o.FallTime <= 0 {
+	if share >= 1 || s.o.ColdOverloadTime <= 0 {
 		return
 	}
 	s.offered = append(s.offered, offer{now, work})
 	var sum time.Duration
 	kept := s.offered[:0]
 	for _, o := range s.offered {
-		if now.Sub(o.at) <= s.o.FallTime {
+		if now.Sub(o.at) <= s.o.ColdOverloadTime {
 			kept = append(kept, o)
 			sum += o.work
 		}
 	}
 	s.offered = kept
-	can := float64(s.o.Cores) * share * s.o.FallMultiple * float64(s.o.FallTime)
+	can := float64(s.o.Cores) * share * s.o.ColdOverloadFactor * float64(s.o.ColdOverloadTime)
 	s.near = max(s.near, float64(sum)/can)
 	if float64(sum) > can && !s.fallen {
 		s.fallen, s.hang = true, true
-		if s.o.Fell != nil {
-			s.o.Fell(audit.Fell{Server: s.o.Name, At: now})
+		if s.o.OnColdOverload != nil {
+			s.o.OnColdOverload(audit.Fell{Server: s.o.Name, At: now})
 		}
 	}
 }
 
 func (s *Server) class(r *http.Request) *Class {
 	for i := range s.o.Classes {
-		if c := &s.o.Classes[i]; c.Method == r.Method && strings.HasPrefix(r.URL.Path, c.Prefix) {
+		if c := &s.o.Classes[i]; c.Method == r.Method && strings.HasPrefix(r.URL.Path, c.PathPrefix) {
 			return c
 		}
 	}
@@ -206,7 +206,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	seen := audit.Seen{Trace: r.Header.Get("X-Request-Id"), Server: s.o.Name, Rack: s.o.Rack.Name, Class: c.Name,
+	seen := audit.Seen{Trace: r.Header.Get("X-Request-Id"), Server: s.o.Name, Rack: s.o.DedupScope.Name, Class: c.Name,
 		Key: r.Header.Get("Idempotency-Key"), At: time.Now()}
 	w.Header().Set("X-Request-Id", seen.Trace)
 	var cut atomic.Int64 // when its connection ended
@@ -224,7 +224,7 @@
 	s.mu.Lock()
 	s.offer(seen.At, c.Work)
 	hang, half, slow, fails, freed, reset, twice := s.hang, s.cut, s.slow, s.fails, s.freed, s.reset, s.twice
-	full := s.waiting >= s.o.Queue+s.o.Cores
+	full := s.waiting >= s.o.QueueLength+s.o.Cores
 	if !full {
 		s.waiting++
 	}
@@ -247,12 +247,12 @@
 		s.cutOff(w)
 		return
 	case fails == c.Name:
-		seen.Answered, seen.Ran = true, c.Keyed && s.o.Rack.first(seen.Key, seen.At)
+		seen.Answered, seen.Ran = true, c.IdempotentWithKey && s.o.DedupScope.first(seen.Key, seen.At)
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	case full:
 		seen.Away, seen.Answered = true, true
-		w.Header().Set(NotRun, "1")
+		w.Header().Set(RejectionHeader, "1")
 		http.Error(w, "turned away", http.StatusServiceUnavailable)
 		return
 	}
@@ -262,7 +262,7 @@
 		panic(http.ErrAbortHandler) // waiting work is dropped
 	}
 	defer func() { <-s.cores }()
-	if c.Keyed && !s.o.Rack.first(seen.Key, seen.At) { // the window counts from sending, not from work
+	if c.IdempotentWithKey && !s.o.DedupScope.first(seen.Key, seen.At) { // the window counts from sending, not from work
 		seen.Dropped = true
 	} else {
 		// After a cancel running work goes on.
--- a/standin/catalogue/catalogue_test.go
+++ b/standin/catalogue/catalogue_test.go
@@ -18,12 +18,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := network.NewMemory(time.Millisecond, 1)
 		host := m.Host("client")
-		rack := &Rack{Name: "r", Window: 500 * time.Millisecond}
+		rack := &DedupScope{Name: "r", Window: 500 * time.Millisecond}
 		seen := make(chan audit.Seen, 10)
 		var servers []*Server
 		for _, a := range []string{"10.0.0.1:80", "10.0.0.2:80"} {
-			s := New(Options{Name: a, Rack: rack, Cores: 1, Queue: 5, Record: func(s audit.Seen) { seen <- s },
-				Classes: []Class{{Name: "loan", Method: "POST", Prefix: "/", Work: 400 * time.Millisecond, Keyed: true}}})
+			s := New(Options{Name: a, DedupScope: rack, Cores: 1, QueueLength: 5, Record: func(s audit.Seen) { seen <- s },
+				Classes: []Class{{Name: "loan", Method: "POST", PathPrefix: "/", Work: 400 * time.Millisecond, IdempotentWithKey: true}}})
 			l, err := m.Host(a).Listen(a)
 			if err != nil {
 				t.Fatal(err)
--- a/standin/counter/counter.go
+++ b/standin/counter/counter.go
@@ -60,7 +60,7 @@
 
 // Kill ends the server and its connections at once.
 func (s *Server) Kill() {
-	s.Do("ok", "")
+	s.InjectFault("ok", "")
 	s.rs.Close()
 }
 
@@ -83,10 +83,10 @@
 	return out
 }
 
-// Do sets a fault: silent, refuse, lose, slow (a duration), ok; or does one:
+// InjectFault sets a fault: silent, refuse, lose, slow (a duration), ok; or does one:
 // empty, save, restore (what was saved), split (nodes of even and odd numbers
 // part ways), heal (first, second or both).
-func (s *Server) Do(fault, arg string) error {
+func (s *Server) InjectFault(fault, arg string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	both := func(d *data) { s.side[0], s.side[1] = d, d }
--- a/standin/discovery/discovery.go
+++ b/standin/discovery/discovery.go
@@ -67,8 +67,8 @@
 // Kill ends the server and its connections at once.
 func (s *Server) Kill() { s.gs.Stop() }
 
-// Set replaces the list.
-func (s *Server) Set(list []Endpoint) {
+// SetEndpoints replaces the list.
+func (s *Server) SetEndpoints(list []Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -84,9 +84,9 @@
 	return slices.Clone(s.nacks)
 }
 
-// Do sets a fault: silent (changes are held back until ok), bad (from then on a
+// InjectFault sets a fault: silent (changes are held back until ok), bad (from then on a
 // list that can't be meant goes before each), cut (all streams end), or ok.
-func (s *Server) Do(fault string) error {
+func (s *Server) InjectFault(fault string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch fault {
--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -35,10 +35,10 @@
 
 // Options is what a Server is made of.
 type Options struct {
-	Network  network.Network
-	Gateway  string        // address of its ext_authz listener
-	Patience time.Duration // where the client names none
-	NoLogs   bool          // it reports nothing
+	Network          network.Network
+	Gateway          string        // address of its ext_authz listener
+	DefaultTimeout   time.Duration // where the client names none
+	DisableAccessLog bool          // it reports nothing
 }
 
 // Server is one proxy.
@@ -116,7 +116,7 @@
 	if err != nil {
 		return
 	}
-	patience := s.o.Patience
+	patience := s.o.DefaultTimeout
 	if ms, err := strconv.Atoi(r.Header.Get("X-Envoy-Expected-Rq-Timeout-Ms")); err == nil {
 		patience = time.Duration(ms) * time.Millisecond
 	}
@@ -208,7 +208,7 @@
 }
 
 func (s *Server) log(r *http.Request, set map[string]string, code int, flags *datav3.ResponseFlags, took time.Duration) {
-	if s.o.NoLogs {
+	if s.o.DisableAccessLog {
 		return
 	}
 	e := &datav3.HTTPAccessLogEntry{
