--- a/edgenode/resource_limits.go
+++ b/edgenode/resource_limits.go
@@ -85,5 +85,5 @@
 
 // messageLimits returns the limits for a message with a body of at most maxBody bytes.
 func messageLimits(maxBody int64) http1.Limits {
-	return http1.Limits{Line: maxLineBytes, Fields: maxHeaderFields, Header: maxHeaderBytes, Body: maxBody}
+	return http1.Limits{MaxLineBytes: maxLineBytes, MaxHeaderFields: maxHeaderFields, MaxHeaderBytes: maxHeaderBytes, MaxBodyBytes: maxBody}
 }
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -99,7 +99,7 @@
 // messageLimits returns the limits for HTTP messages with bodies of at most bodyBytes.
 func (g *Gateway) messageLimits(bodyBytes int64) http1.Limits {
 	l := g.cfg.Limits
-	return http1.Limits{Line: l.MaxLineBytes, Fields: l.MaxHeaderFields, Header: l.MaxHeaderBytes, Body: bodyBytes}
+	return http1.Limits{MaxLineBytes: l.MaxLineBytes, MaxHeaderFields: l.MaxHeaderFields, MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: bodyBytes}
 }
 
 // rejectionSignal returns the configured response by which servers signal that they have not executed a
--- a/upstream/http2.go
+++ b/upstream/http2.go
@@ -112,7 +112,7 @@
 	c.cond, c.writeLock = sync.NewCond(&c.mu), h2.NewLock()
 	c.headerEncoder = hpack.NewEncoder(&c.headerBlock)
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	c.framer.MaxHeaderListSize = uint32(p.options.Limits.Header)
+	c.framer.MaxHeaderListSize = uint32(p.options.Limits.MaxHeaderBytes)
 	err = c.write(func() error {
 		if _, err := netConn.Write([]byte(http2.ClientPreface)); err != nil {
 			return err
@@ -461,9 +461,9 @@
 		return http2.StreamError{StreamID: f.StreamID, Code: http2.ErrCodeProtocol}
 	}
 	if s != nil {
-		if s.body = append(s.body, f.Data()...); int64(len(s.body)) > c.pool.options.Limits.Body {
+		if s.body = append(s.body, f.Data()...); int64(len(s.body)) > c.pool.options.Limits.MaxBodyBytes {
 			c.write(func() error { return c.framer.WriteRSTStream(s.id, http2.ErrCodeCancel) })
-			c.failStream(s, duringResponse, fmt.Errorf("body longer than %d bytes", c.pool.options.Limits.Body))
+			c.failStream(s, duringResponse, fmt.Errorf("body longer than %d bytes", c.pool.options.Limits.MaxBodyBytes))
 			s = nil
 		}
 	}
--- a/upstream/paused_test.go
+++ b/upstream/paused_test.go
@@ -37,7 +37,7 @@
 			}()
 			paused := false
 			p := New(Options{Network: m.Host("node"), ConnectTimeout: time.Second, MaxIdlePerServer: 4, HTTP2: http2,
-				Limits:      http1.Limits{Line: 1000, Fields: 10, Header: 1000, Body: 1000},
+				Limits:      http1.Limits{MaxLineBytes: 1000, MaxHeaderFields: 10, MaxHeaderBytes: 1000, MaxBodyBytes: 1000},
 				PausedSince: func(time.Time) bool { return paused }})
 			paused = true
 			ended := make(chan node.Result, 1)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -587,7 +587,7 @@
 	case head.Framing == http1.Length:
 		return head.Length
 	}
-	return p.options.Limits.Body
+	return p.options.Limits.MaxBodyBytes
 }
 
 // reserveBodyBytes reserves memory for a body. It returns false if MaxBufferedBodyBytes would be
