--- a/day/callers.go
+++ b/day/callers.go
@@ -56,7 +56,7 @@
 
 func newCallers(d *stage) *callers {
 	o := upstream.Options{Network: d.o.Env.Network("clients"), ConnectTime: time.Second, Idle: 256,
-		Limits: http1.Limits{Line: 8 << 10, Fields: 100, Header: 32 << 10, Body: 8 << 20}}
+		Limits: http1.Limits{MaxLineBytes: 8 << 10, MaxHeaderFields: 100, MaxHeaderBytes: 32 << 10, MaxBodyBytes: 8 << 20}}
 	c := &callers{d: d, counts: map[string]int{}, pool: upstream.New(o)}
 	o.HTTP2 = true
 	c.h2 = upstream.New(o)
--- a/edgenode/discovery/watch.go
+++ b/edgenode/discovery/watch.go
@@ -29,7 +29,7 @@
 )
 
 // responseLimits bounds one response of discovery.
-var responseLimits = http1.Limits{Line: 4 << 10, Fields: 64, Header: 16 << 10, Body: 1 << 20}
+var responseLimits = http1.Limits{MaxLineBytes: 4 << 10, MaxHeaderFields: 64, MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20}
 
 // The errors of a call that discovery answered.
 var (
--- a/edgenode/discovery/watch_test.go
+++ b/edgenode/discovery/watch_test.go
@@ -50,7 +50,7 @@
 		}
 		go func() {
 			defer closeQuietly(nc)
-			r := http1.NewReader(nc, http1.Limits{Line: 4096, Fields: 50, Header: 8192})
+			r := http1.NewReader(nc, http1.Limits{MaxLineBytes: 4096, MaxHeaderFields: 50, MaxHeaderBytes: 8192})
 			for {
 				req, err := r.Request()
 				if err != nil || !f(nc.(*net.TCPConn), indexOf(req.Target)) {
--- a/edgenode/drain.go
+++ b/edgenode/drain.go
@@ -24,10 +24,10 @@
 	defer cancel()
 
 	e.draining.Store(true)
-	e.front.Closing()
+	e.front.StartDraining()
 	waitUntil(ctx, begun.Add(plan.stopAccepting))
 	e.closeListener()
-	e.front.Ending()
+	e.front.StopAccepting()
 
 	finalResponses := time.AfterFunc(time.Until(begun.Add(plan.finalResponses)), e.sendFinalResponses)
 	defer finalResponses.Stop()
@@ -44,7 +44,7 @@
 // sendFinalResponses answers every request that is open or only partly read.
 func (e *Edge) sendFinalResponses() {
 	e.node.AbortRequests()
-	e.front.Late()
+	e.front.RejectPartialRequests()
 }
 
 // waitUntil waits for a time, or the end of ctx.
--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -180,19 +180,19 @@
 		return err
 	}
 	e.front = fronthttp.New(fronthttp.Options{
-		Node:        e,
-		Intake:      protocol.New(cfg.Policy, e.ready),
-		Log:         e.logger,
-		Limits:      messageLimits(maxRequestBody),
-		FirstTime:   firstRequestTimeout,
-		HeaderTime:  requestTimeout,
-		BodyTime:    requestTimeout,
-		IdleTime:    idleTimeout,
-		WriteTime:   writeTimeout,
-		Connections: limits.maxClientConnections,
-		Spare:       limits.maxIdleClientConnections,
-		Lingers:     limits.maxLingeringConnections,
-		Yield:       minIdleBeforeEviction,
+		Node:                    e,
+		Mapper:                  protocol.New(cfg.Policy, e.ready),
+		Log:                     e.logger,
+		Limits:                  messageLimits(maxRequestBody),
+		FirstRequestTimeout:     firstRequestTimeout,
+		HeaderTimeout:           requestTimeout,
+		BodyTimeout:             requestTimeout,
+		IdleTimeout:             idleTimeout,
+		WriteTimeout:            writeTimeout,
+		MaxConnections:          limits.maxClientConnections,
+		MaxIdleConnections:      limits.maxIdleClientConnections,
+		MaxLingeringConnections: limits.maxLingeringConnections,
+		MinIdleBeforeEviction:   minIdleBeforeEviction,
 	})
 	e.serving.Go(func() {
 		if err := e.front.Serve(e.listener); err != nil {
--- a/edgenode/fake_server_test.go
+++ b/edgenode/fake_server_test.go
@@ -14,7 +14,7 @@
 )
 
 // testLimits bounds the messages that tests read.
-var testLimits = http1.Limits{Line: 4096, Fields: 50, Header: 8192, Body: 1 << 20}
+var testLimits = http1.Limits{MaxLineBytes: 4096, MaxHeaderFields: 50, MaxHeaderBytes: 8192, MaxBodyBytes: 1 << 20}
 
 // serverTime is how long a fake server takes for a request.
 const serverTime = 20 * time.Millisecond
--- a/edgenode/resource_limits.go
+++ b/edgenode/resource_limits.go
@@ -83,5 +83,5 @@
 
 // messageLimits are the bounds of a message with a body of maxBody bytes at most.
 func messageLimits(maxBody int64) http1.Limits {
-	return http1.Limits{Line: maxLineBytes, Fields: maxHeaderFields, Header: maxHeaderBytes, Body: maxBody}
+	return http1.Limits{MaxLineBytes: maxLineBytes, MaxHeaderFields: maxHeaderFields, MaxHeaderBytes: maxHeaderBytes, MaxBodyBytes: maxBody}
 }
--- a/front/extauthz/ends.go
+++ b/front/extauthz/attempt_outcome.go
@@ -52,7 +52,7 @@
 	switch {
 	case code == 0:
 		res.Code, res.Detail = policy.Cancelled, "no status"
-	case s.o.TurnedAway.Is(code, func(name string) bool { _, ok := e.GetResponse().GetResponseHeaders()[name]; return ok }):
+	case s.o.RejectionSignal.Is(code, func(name string) bool { _, ok := e.GetResponse().GetResponseHeaders()[name]; return ok }):
 		res.Code = policy.Rejected
 	case code >= 500:
 		res.Code = policy.Error
--- a/front/extauthz/fuzz_test.go
+++ b/front/extauthz/fuzz_test.go
@@ -57,7 +57,7 @@
 	}
 	f.Fuzz(func(t *testing.T, method, path, host, name1, value1, name2, value2 string) {
 		n := &passes{}
-		s := New(Options{Node: n, Intake: intake.New(cfg), Log: slog.New(slog.DiscardHandler), Name: "f"})
+		s := New(Options{Node: n, Mapper: intake.New(cfg), Log: slog.New(slog.DiscardHandler), TracePrefix: "f"})
 		defer s.gs.Stop()
 		resp, err := s.Check(context.Background(), &authv3.CheckRequest{Attributes: &authv3.AttributeContext{
 			Request: &authv3.AttributeContext_Request{Http: &authv3.AttributeContext_HttpRequest{Method: method, Path: path, Host: host,
--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -52,11 +52,11 @@
 
 // Options is what a Server is made of.
 type Options struct {
-	Node       Handler
-	Intake     *intake.Intake
-	Log        *slog.Logger
-	Name       string // begins traces and attempt names; differs for every process
-	TurnedAway upstream.TurnedAway
+	Node            Handler
+	Mapper          *intake.Mapper
+	Log             *slog.Logger
+	TracePrefix     string // begins traces and attempt names; differs for every process
+	RejectionSignal upstream.TurnedAway
 }
 
 // Server serves Checks and access logs.
@@ -119,8 +119,8 @@
 	s.checks.Add(1)
 	defer s.checks.Add(-1)
 	call := callOf(req.GetAttributes().GetRequest().GetHttp())
-	trace := s.o.Name + "-" + strconv.FormatUint(s.traces.Add(1), 36)
-	t, early := s.o.Intake.Admit(call, trace)
+	trace := s.o.TracePrefix + "-" + strconv.FormatUint(s.traces.Add(1), 36)
+	t, early := s.o.Mapper.Admit(call, trace)
 	if early != nil {
 		s.o.Log.Info("answer", "answer", early.Kind.String(), "trace", t.Trace, "class", t.Class,
 			"customer", t.Customer, "reason", string(early.Reason), "detail", early.Detail)
@@ -182,7 +182,7 @@
 
 func (s *Server) allowed(t *node.Request, g *node.ForwardPermit) *authv3.CheckResponse {
 	by := &g.Authorization
-	ok := &authv3.OkHttpResponse{HeadersToRemove: append(slices.Clone(by.RemoveHeaders), s.o.Intake.KeyField()),
+	ok := &authv3.OkHttpResponse{HeadersToRemove: append(slices.Clone(by.RemoveHeaders), s.o.Mapper.KeyHeader()),
 		QueryParametersToRemove: by.RemoveQuery}
 	for _, f := range by.SetHeaders {
 		ok.Headers = append(ok.Headers, option(f.Name, f.Value))
@@ -206,7 +206,7 @@
 }
 
 func (s *Server) denied(t *node.Request, a node.FinalResponse) *authv3.CheckResponse {
-	res := s.o.Intake.Render(t, a)
+	res := s.o.Mapper.Render(t, a)
 	d := &authv3.DeniedHttpResponse{Status: &typev3.HttpStatus{Code: typev3.StatusCode(res.Status)}, Body: string(res.Body)}
 	for _, f := range res.Header {
 		d.Headers = append(d.Headers, option(f.Name, f.Value))
@@ -226,11 +226,11 @@
 
 // token names an attempt of this process; parse reads it back.
 func (s *Server) token(g *node.ForwardPermit) string {
-	return fmt.Sprintf("%s/%d/%d", s.o.Name, g.ID, g.Attempt)
+	return fmt.Sprintf("%s/%d/%d", s.o.TracePrefix, g.ID, g.Attempt)
 }
 
 func (s *Server) parse(token string) (p passed, ok bool) {
-	rest, ok := strings.CutPrefix(token, s.o.Name+"/")
+	rest, ok := strings.CutPrefix(token, s.o.TracePrefix+"/")
 	if !ok {
 		return p, false // of another node, or of this one before a restart
 	}
--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -116,11 +116,11 @@
 			t.Fatal(err)
 		}
 		in, n, log := intake.New(cfg), &scripted{}, slog.New(slog.DiscardHandler)
-		hs := fronthttp.New(fronthttp.Options{Node: n, Intake: in, Log: log, Name: "h", Connections: 10,
-			Limits:     http1.Limits{Line: 4096, Fields: 50, Header: 8192, Body: 1000},
-			HeaderTime: time.Second, BodyTime: time.Second, IdleTime: time.Minute, WriteTime: time.Second})
-		gs := extauthz.New(extauthz.Options{Node: n, Intake: in, Log: log, Name: "g",
-			TurnedAway: upstream.TurnedAway{Status: 503, Header: "X-Not-Run"}})
+		hs := fronthttp.New(fronthttp.Options{Node: n, Mapper: in, Log: log, TracePrefix: "h", MaxConnections: 10,
+			Limits:        http1.Limits{MaxLineBytes: 4096, MaxHeaderFields: 50, MaxHeaderBytes: 8192, MaxBodyBytes: 1000},
+			HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Minute, WriteTimeout: time.Second})
+		gs := extauthz.New(extauthz.Options{Node: n, Mapper: in, Log: log, TracePrefix: "g",
+			RejectionSignal: upstream.TurnedAway{Status: 503, Header: "X-Not-Run"}})
 		listen := func(addr string) net.Listener {
 			l, err := host.Listen(addr)
 			if err != nil {
--- a/front/http1/close_test.go
+++ b/front/http1/close_test.go
@@ -102,9 +102,9 @@
 	}
 	defer l.Close()
 	s := &scene{t: t, o: &one{taken: make(chan string, 100), reply: make(chan struct{}, 100), gone: make(chan string, 100)}}
-	lim := http1.Limits{Line: 1000, Fields: 10, Header: 4000, Body: 32 << 10}
-	o := Options{Node: s.o, Intake: plainIntake{}, Log: slog.New(slog.DiscardHandler), Limits: lim, HeaderTime: time.Minute,
-		BodyTime: time.Minute, IdleTime: time.Minute, WriteTime: time.Minute, Connections: 10}
+	lim := http1.Limits{MaxLineBytes: 1000, MaxHeaderFields: 10, MaxHeaderBytes: 4000, MaxBodyBytes: 32 << 10}
+	o := Options{Node: s.o, Mapper: plainIntake{}, Log: slog.New(slog.DiscardHandler), Limits: lim, HeaderTimeout: time.Minute,
+		BodyTimeout: time.Minute, IdleTimeout: time.Minute, WriteTimeout: time.Minute, MaxConnections: 10}
 	if change != nil {
 		change(&o)
 	}
@@ -187,9 +187,9 @@
 		change func(*Options)
 		shut   func(*Server)
 	}{
-		"shutdown": {shut: func(s *Server) { s.Closing() }},
-		"the end":  {shut: func(s *Server) { s.Ending() }},
-		"idle":     {change: func(o *Options) { o.IdleTime = time.Nanosecond }, shut: func(*Server) {}},
+		"shutdown": {shut: func(s *Server) { s.StartDraining() }},
+		"the end":  {shut: func(s *Server) { s.StopAccepting() }},
+		"idle":     {change: func(o *Options) { o.IdleTimeout = time.Nanosecond }, shut: func(*Server) {}},
 		"room": {shut: func(s *Server) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -204,11 +204,11 @@
 			onReal(t, func(o *Options) {
 				if c.change != nil {
 					c.change(o)
-					idle, o.IdleTime = o.IdleTime, time.Minute
+					idle, o.IdleTimeout = o.IdleTimeout, time.Minute
 				}
 			}, func(s *scene) {
 				s.first()
-				if s.srv.o.IdleTime != idle {
+				if s.srv.o.IdleTimeout != idle {
 					s.held.SetReadDeadline(time.Now().Add(idle))
 				}
 				c.shut(s.srv)
@@ -248,9 +248,9 @@
 		s.open()
 		s.send(request("/open", ""))
 		<-s.o.taken
-		s.srv.Closing()
-		s.srv.Ending()
-		s.srv.Late()
+		s.srv.StartDraining()
+		s.srv.StopAccepting()
+		s.srv.RejectPartialRequests()
 		s.o.reply <- struct{}{}
 		s.answered("/open")
 		s.ended()
@@ -265,7 +265,7 @@
 		<-s.held.entered
 		s.held.pass <- struct{}{}
 		<-s.held.entered
-		s.srv.Late()
+		s.srv.RejectPartialRequests()
 		s.send("st: h\r\n\r\n")
 		s.open()
 		head, err := s.r.Response("GET")
@@ -313,11 +313,11 @@
 func TestRoomCrossesABeginning(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		near, far := net.Pipe()
-		s := New(Options{Connections: 1})
+		s := New(Options{MaxConnections: 1})
 		c := &conn{s: s, nc: near, phase: reading}
 		s.conns[c] = true
 		if late {
-			s.Late()
+			s.RejectPartialRequests()
 		} else {
 			s.mu.Lock()
 			c.leave()
--- a/front/http1/server.go
+++ b/front/http1/server.go
@@ -25,30 +25,30 @@
 	Submit(t *node.Request, reply func(node.FinalResponse)) (gone func())
 }
 
-// Intake turns calls into Tries and Answers into responses; an *intake.Intake is
+// Mapper turns calls into Tries and Answers into responses; an *intake.Mapper is
 // one. Admit may give the answer at once.
-type Intake interface {
+type Mapper interface {
 	Admit(c node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse)
 	Render(t *node.Request, a node.FinalResponse) *node.Response
 }
 
 // Options is what a Server is made of.
 type Options struct {
-	Node   Handler
-	Intake Intake
-	Log    *slog.Logger
-	Name   string // begins the traces of requests that bring none
-	Limits http1.Limits
-
-	FirstTime   time.Duration // from connecting to the first request, whole; 0: as for the others
-	HeaderTime  time.Duration // from a request's first byte to its whole header
-	BodyTime    time.Duration // and on to its whole body
-	IdleTime    time.Duration // a connection without a request is closed after it
-	WriteTime   time.Duration // for a client to take an answer
-	Connections int
-	Spare       int           // connections that may lie idle between requests; more are closed, longest idle first; 0: any number
-	Lingers     int           // connections that have made room and still linger; the oldest is cut beyond; 0: any number
-	Yield       time.Duration // with all Connections taken, one without a request for so long makes room for a new one; 0: none does
+	Node        Handler
+	Mapper      Mapper
+	Log         *slog.Logger
+	TracePrefix string // begins the traces of requests that bring none
+	Limits      http1.Limits
+
+	FirstRequestTimeout     time.Duration // from connecting to the first request, whole; 0: as for the others
+	HeaderTimeout           time.Duration // from a request's first byte to its whole header
+	BodyTimeout             time.Duration // and on to its whole body
+	IdleTimeout             time.Duration // a connection without a request is closed after it
+	WriteTimeout            time.Duration // for a client to take an answer
+	MaxConnections          int
+	MaxIdleConnections      int           // connections that may lie idle between requests; more are closed, longest idle first; 0: any number
+	MaxLingeringConnections int           // connections that have made room and still linger; the oldest is cut beyond; 0: any number
+	MinIdleBeforeEviction   time.Duration // with all Connections taken, one without a request for so long makes room for a new one; 0: none does
 }
 
 // Server serves connections.
@@ -67,7 +67,7 @@
 
 // New returns a Server.
 func New(o Options) *Server {
-	return &Server{o: o, conns: map[*conn]bool{}, room: room{most: o.Connections, yield: o.Yield, spare: o.Spare, holding: holding}}
+	return &Server{o: o, conns: map[*conn]bool{}, room: room{most: o.MaxConnections, yield: o.MinIdleBeforeEviction, spare: o.MaxIdleConnections, holding: holding}}
 }
 
 // Serve takes connections until the listener is closed.
@@ -109,9 +109,9 @@
 	return s.closing
 }
 
-// Closing closes idle connections, and the others after the answer under way; new
+// StartDraining closes idle connections, and the others after the answer under way; new
 // ones are taken for one request each.
-func (s *Server) Closing() {
+func (s *Server) StartDraining() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.close()
@@ -124,16 +124,16 @@
 	}
 }
 
-// Ending is Closing, and takes no new connections.
-func (s *Server) Ending() {
+// StopAccepting is Closing, and takes no new connections.
+func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
 	s.close()
 }
 
-// Late has what is still being read of requests refused.
-func (s *Server) Late() {
+// RejectPartialRequests has what is still being read of requests refused.
+func (s *Server) RejectPartialRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.late = true
@@ -143,7 +143,7 @@
 // Drain is Ending, and returns when all connections are closed; when the context ends
 // they are cut.
 func (s *Server) Drain(ctx context.Context) {
-	s.Ending()
+	s.StopAccepting()
 	stop := context.AfterFunc(ctx, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -274,11 +274,11 @@
 		c.s.mu.Unlock()
 		c.s.done.Done()
 	}()
-	if c.s.o.FirstTime > 0 {
-		c.first = time.Now().Add(c.s.o.FirstTime)
+	if c.s.o.FirstRequestTimeout > 0 {
+		c.first = time.Now().Add(c.s.o.FirstRequestTimeout)
 	}
 	for {
-		c.within(c.s.o.IdleTime)
+		c.within(c.s.o.IdleTimeout)
 		if !c.rests() && c.r.Buffered() == 0 {
 			return
 		}
@@ -301,7 +301,7 @@
 
 // one serves one request; false where the connection is to be closed.
 func (c *conn) one() bool {
-	c.within(c.s.o.HeaderTime)
+	c.within(c.s.o.HeaderTimeout)
 	req, err := c.r.Request()
 	if err != nil {
 		return c.refuse(req, err)
@@ -318,7 +318,7 @@
 		}
 	}
 	if req.Framing != http1.NoBody {
-		c.within(c.s.o.BodyTime)
+		c.within(c.s.o.BodyTimeout)
 		if call.Body, err = c.r.Body(req.Framing, req.Length); err != nil {
 			return c.refuse(req, err)
 		}
@@ -329,7 +329,7 @@
 
 // answer puts a whole request to the node and writes the answer.
 func (c *conn) answer(req *http1.Request, call node.HTTPRequest) bool {
-	t, early := c.s.o.Intake.Admit(call, c.s.o.Name+"-"+strconv.FormatUint(c.s.traces.Add(1), 36))
+	t, early := c.s.o.Mapper.Admit(call, c.s.o.TracePrefix+"-"+strconv.FormatUint(c.s.traces.Add(1), 36))
 	var a node.FinalResponse
 	if early != nil {
 		a = *early
@@ -341,7 +341,7 @@
 			return false
 		}
 	}
-	res := c.s.o.Intake.Render(t, a)
+	res := c.s.o.Mapper.Render(t, a)
 	closing := !req.KeepAlive() || c.ahead || c.s.draining()
 	if len(res.Body) > longBody && req.Method != "HEAD" {
 		c.buf = http1.AppendResponseHead(c.buf[:0], req.Method, res.Status, res.Header, len(res.Body), closing)
@@ -367,12 +367,12 @@
 	case err = <-watched:
 		gone()
 		a = <-c.answers // the node has its last word in any case
-		if errors.Is(err, http1.ErrAhead) {
+		if errors.Is(err, http1.ErrPipelineTooLong) {
 			// Whether this client leaves could not be heard any more.
 			a = node.FinalResponse{Kind: node.Failed, Reason: node.ReasonTooLarge, Detail: "requests sent ahead"}
 		}
 	}
-	c.ahead = errors.Is(err, http1.ErrAhead)
+	c.ahead = errors.Is(err, http1.ErrPipelineTooLong)
 	c.gone = !c.ahead && !errors.Is(err, os.ErrDeadlineExceeded)
 	return a
 }
@@ -408,7 +408,7 @@
 	}
 	c.s.o.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(why), "detail", err.Error(),
 		"client", c.nc.RemoteAddr().String())
-	res := c.s.o.Intake.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: err.Error()})
+	res := c.s.o.Mapper.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: err.Error()})
 	method := ""
 	if req != nil {
 		method = req.Method
@@ -425,9 +425,9 @@
 	s.mu.Lock()
 	c.phase = lingering
 	s.room.open(&c.seat)
-	if c.out && s.o.Lingers > 0 {
+	if c.out && s.o.MaxLingeringConnections > 0 {
 		s.made = append(s.made, c)
-		if len(s.made) > s.o.Lingers {
+		if len(s.made) > s.o.MaxLingeringConnections {
 			s.made[0].nc.SetReadDeadline(time.Unix(1, 0))
 			s.made = slices.Delete(s.made, 0, 1)
 		}
@@ -451,7 +451,7 @@
 
 // write writes the parts of an answer, all within the time for one.
 func (c *conn) write(parts ...[]byte) bool {
-	c.nc.SetWriteDeadline(time.Now().Add(c.s.o.WriteTime))
+	c.nc.SetWriteDeadline(time.Now().Add(c.s.o.WriteTimeout))
 	for _, b := range parts {
 		if _, err := c.nc.Write(b); err != nil {
 			c.gone = true
--- a/front/http2/server.go
+++ b/front/http2/server.go
@@ -34,7 +34,7 @@
 // Options is what a Server is made of.
 type Options struct {
 	Node   Handler
-	Intake *intake.Intake
+	Intake *intake.Mapper
 	Log    *slog.Logger
 	Name   string // begins the traces of requests that bring none
 
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -106,7 +106,7 @@
 func respondUntilClosed(c net.Conn, response []byte) {
 	// The connection has ended already; a response that was lost shows at the client.
 	defer func() { _ = c.Close() }()
-	r := http1.NewReader(c, http1.Limits{Line: 4096, Fields: 100, Header: 8192})
+	r := http1.NewReader(c, http1.Limits{MaxLineBytes: 4096, MaxHeaderFields: 100, MaxHeaderBytes: 8192})
 	for {
 		if _, err := r.Request(); err != nil {
 			return
@@ -189,7 +189,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		r := http1.NewReader(c, http1.Limits{Line: 4096, Fields: 100, Header: 8192, Body: 1 << 20})
+		r := http1.NewReader(c, http1.Limits{MaxLineBytes: 4096, MaxHeaderFields: 100, MaxHeaderBytes: 8192, MaxBodyBytes: 1 << 20})
 		return func() error {
 			if _, err := io.WriteString(c, request); err != nil {
 				return err
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -49,7 +49,7 @@
 }
 
 // startListeners opens the configured listeners and serves them.
-func (g *Gateway) startListeners(in *intake.Intake) error {
+func (g *Gateway) startListeners(in *intake.Mapper) error {
 	for _, l := range g.cfg.Listeners {
 		if err := g.listen(l, in); err != nil {
 			return &ListenerError{Name: l.Name, Err: err}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func (g *Gateway) listen(l config.Listener, in *intake.Intake) error {
+func (g *Gateway) listen(l config.Listener, in *intake.Mapper) error {
 	open, err := g.options.Network.Listen(l.Address)
 	if err != nil {
 		return err
@@ -78,15 +78,15 @@
 	return nil
 }
 
-func (g *Gateway) newFrontend(l config.Listener, in *intake.Intake, log *slog.Logger) (frontend, error) {
+func (g *Gateway) newFrontend(l config.Listener, in *intake.Mapper, log *slog.Logger) (frontend, error) {
 	switch l.Kind {
 	case config.ExtAuthz:
 		return extauthz.New(extauthz.Options{
-			Node:       g.node,
-			Intake:     in,
-			Log:        log,
-			Name:       g.tracePrefix(l),
-			TurnedAway: g.rejectionSignal(),
+			Node:            g.node,
+			Mapper:          in,
+			Log:             log,
+			TracePrefix:     g.tracePrefix(l),
+			RejectionSignal: g.rejectionSignal(),
 		}), nil
 	case config.HTTP2:
 		return g.newHTTP2Server(l, in, log), nil
@@ -97,7 +97,7 @@
 	}
 }
 
-func (g *Gateway) newHTTP2Server(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp2.Server {
+func (g *Gateway) newHTTP2Server(l config.Listener, in *intake.Mapper, log *slog.Logger) *fronthttp2.Server {
 	limits := g.cfg.Limits
 	return fronthttp2.New(fronthttp2.Options{
 		Node:        g.node,
@@ -118,19 +118,19 @@
 	})
 }
 
-func (g *Gateway) newHTTP1Server(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp.Server {
+func (g *Gateway) newHTTP1Server(l config.Listener, in *intake.Mapper, log *slog.Logger) *fronthttp.Server {
 	limits := g.cfg.Limits
 	return fronthttp.New(fronthttp.Options{
-		Node:        g.node,
-		Intake:      in,
-		Log:         log,
-		Limits:      g.messageLimits(limits.MaxRequestBody),
-		Name:        g.tracePrefix(l),
-		HeaderTime:  limits.HeaderTimeout,
-		BodyTime:    limits.BodyTimeout,
-		IdleTime:    limits.IdleTimeout,
-		WriteTime:   limits.WriteTimeout,
-		Connections: limits.MaxConnections,
+		Node:           g.node,
+		Mapper:         in,
+		Log:            log,
+		Limits:         g.messageLimits(limits.MaxRequestBody),
+		TracePrefix:    g.tracePrefix(l),
+		HeaderTimeout:  limits.HeaderTimeout,
+		BodyTimeout:    limits.BodyTimeout,
+		IdleTimeout:    limits.IdleTimeout,
+		WriteTimeout:   limits.WriteTimeout,
+		MaxConnections: limits.MaxConnections,
 	})
 }
 
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -99,7 +99,7 @@
 // messageLimits are those of HTTP messages with bodies of a size.
 func (g *Gateway) messageLimits(bodyBytes int64) http1.Limits {
 	l := g.cfg.Limits
-	return http1.Limits{Line: l.MaxLineBytes, Fields: l.MaxHeaderFields, Header: l.MaxHeaderBytes, Body: bodyBytes}
+	return http1.Limits{MaxLineBytes: l.MaxLineBytes, MaxHeaderFields: l.MaxHeaderFields, MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: bodyBytes}
 }
 
 // rejectionSignal is how servers say that they have not executed a request.
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -17,8 +17,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Intake knows the routes, keys and plans of a configuration.
-type Intake struct {
+// Mapper knows the routes, keys and plans of a configuration.
+type Mapper struct {
 	cfg    *config.Config
 	routes *segment // by method first
 	keys   map[string]*config.Customer
@@ -34,8 +34,8 @@
 }
 
 // New returns the Intake of a checked configuration.
-func New(cfg *config.Config) *Intake {
-	in := &Intake{cfg: cfg, routes: &segment{}, keys: map[string]*config.Customer{}, plans: map[string]policy.Plan{}}
+func New(cfg *config.Config) *Mapper {
+	in := &Mapper{cfg: cfg, routes: &segment{}, keys: map[string]*config.Customer{}, plans: map[string]policy.Plan{}}
 	for i := range cfg.Classes {
 		for _, r := range cfg.Classes[i].Routes {
 			in.routes.child(r.Method).add(strings.Split(r.Path, "/")[1:], &cfg.Classes[i])
@@ -106,14 +106,14 @@
 
 // Field names that the node speaks for itself; they are not taken from clients
 // to servers.
-func (in *Intake) forwarded(h http1.Header) http1.Header {
+func (in *Mapper) forwarded(h http1.Header) http1.Header {
 	h.Del(in.cfg.Clients.KeyHeader)
 	h.Del(fieldAttempt)
 	return h
 }
 
-// KeyField is the field that names the customer.
-func (in *Intake) KeyField() string { return in.cfg.Clients.KeyHeader }
+// KeyHeader is the field that names the customer.
+func (in *Mapper) KeyHeader() string { return in.cfg.Clients.KeyHeader }
 
 func refusal(why node.Reason, detail string, args ...any) *node.FinalResponse {
 	return &node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: fmt.Sprintf(detail, args...)}
@@ -121,7 +121,7 @@
 
 // Admit makes a Try of a call whose header holds end-to-end fields, or the
 // answer that it gets at once. trace names it where the client does not.
-func (in *Intake) Admit(c node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse) {
+func (in *Mapper) Admit(c node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse) {
 	t := &node.Request{Trace: trace}
 	if id := c.Header.Get(fieldTrace); id != "" {
 		t.Trace = clip(id, 128)
@@ -263,7 +263,7 @@
 
 // Render makes of an answer the response that a client gets. t may be nil where
 // the call could not be read.
-func (in *Intake) Render(t *node.Request, a node.FinalResponse) *node.Response {
+func (in *Mapper) Render(t *node.Request, a node.FinalResponse) *node.Response {
 	if a.Response != nil {
 		if a.Kind == node.Served {
 			return a.Response
@@ -306,7 +306,7 @@
 	return res
 }
 
-func (in *Intake) planOf(t *node.Request) policy.Plan {
+func (in *Mapper) planOf(t *node.Request) policy.Plan {
 	if t == nil {
 		return policy.Plan{}
 	}
--- a/internal/archtest/no_io_test.go
+++ b/internal/archtest/no_io_test.go
@@ -15,7 +15,7 @@
 
 // filesWithoutIO are patterns of the files that make decisions, from the root of the module.
 var filesWithoutIO = []string{"policy/*.go", "authz/*.go", "audit/*.go", "intake/*.go", "internal/timers/*.go", "usage/*.go", "lab/*.go", "lab/hunt/*.go", "peer/guard.go",
-	"pause/*.go", "membership/*.go", "upstream/ends.go", "upstream/trust.go", "front/http1/room.go", "edgenode/protocol/*.go", "edgenode/discovery/list.go", "edgenode/discovery/endpoint_table.go", "edgenode/shutdown.go", "edgenode/resource_limits.go", "edgenode/discovery/timeouts.go", "front/extauthz/ends.go"}
+	"pause/*.go", "membership/*.go", "upstream/ends.go", "upstream/trust.go", "front/http1/connection_eviction.go", "edgenode/protocol/*.go", "edgenode/discovery/list.go", "edgenode/discovery/endpoint_table.go", "edgenode/shutdown.go", "edgenode/resource_limits.go", "edgenode/discovery/timeouts.go", "front/extauthz/attempt_outcome.go"}
 
 // bannedImports are packages that do I/O, share memory between goroutines or are not deterministic.
 var bannedImports = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "syscall": true, "io/fs": true,
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Token tells whether a field's lists hold a token, given in lower case.
-func (h Header) Token(name, token string) bool {
+// HasToken tells whether a field's lists hold a token, given in lower case.
+func (h Header) HasToken(name, token string) bool {
 	found := false
 	h.tokens(name, func(t string) { found = found || t == token })
 	return found
@@ -146,10 +146,10 @@
 }
 
 func keepAlive(minor int, h Header) bool {
-	if h.Token("Connection", "close") {
+	if h.HasToken("Connection", "close") {
 		return false
 	}
-	return minor >= 1 || h.Token("Connection", "keep-alive")
+	return minor >= 1 || h.HasToken("Connection", "keep-alive")
 }
 
 // Error is a message that breaks the protocol or a bound. The connection can't
--- a/internal/http1/read.go
+++ b/internal/http1/read.go
@@ -12,10 +12,10 @@
 
 // Limits bounds what one message may hold.
 type Limits struct {
-	Line   int   // bytes of the first line, and of any header line
-	Fields int   // header fields
-	Header int   // bytes of all header lines
-	Body   int64 // bytes of the body
+	MaxLineBytes    int   // bytes of the first line, and of any header line
+	MaxHeaderFields int   // header fields
+	MaxHeaderBytes  int   // bytes of all header lines
+	MaxBodyBytes    int64 // bytes of the body
 }
 
 // Reader reads messages from one connection.
@@ -27,14 +27,14 @@
 
 // NewReader returns a Reader. The buffer holds the longest line allowed.
 func NewReader(r io.Reader, lim Limits) *Reader {
-	return &Reader{br: bufio.NewReaderSize(r, max(4096, lim.Line+2)), src: r, lim: lim}
+	return &Reader{br: bufio.NewReaderSize(r, max(4096, lim.MaxLineBytes+2)), src: r, lim: lim}
 }
 
 // Buffered is the number of bytes read from the connection and not used yet.
 func (r *Reader) Buffered() int { return r.br.Buffered() }
 
-// ErrAhead says that more has come ahead of its turn than a Reader holds.
-var ErrAhead = errors.New("http1: more sent ahead than is held")
+// ErrPipelineTooLong says that more has come ahead of its turn than a Reader holds.
+var ErrPipelineTooLong = errors.New("http1: more sent ahead than is held")
 
 // Await blocks until there are more bytes than are buffered, or the connection
 // ends. The buffer grows by what comes, to what one message may hold in all: a
@@ -46,8 +46,8 @@
 			return err
 		}
 		size := r.br.Size()
-		if int64(size) >= int64(r.lim.Header)+r.lim.Body {
-			return ErrAhead
+		if int64(size) >= int64(r.lim.MaxHeaderBytes)+r.lim.MaxBodyBytes {
+			return ErrPipelineTooLong
 		}
 		held, _ := r.br.Peek(size)
 		r.br = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(held)), r.src), 2*size)
@@ -59,8 +59,8 @@
 // line reads one line without its CRLF. The slice is good until the next read.
 func (r *Reader) line(tooLong int) ([]byte, error) {
 	b, err := r.br.ReadSlice('\n')
-	if errors.Is(err, bufio.ErrBufferFull) || len(b) > r.lim.Line+2 {
-		return nil, bad(tooLong, "line longer than %d bytes", r.lim.Line)
+	if errors.Is(err, bufio.ErrBufferFull) || len(b) > r.lim.MaxLineBytes+2 {
+		return nil, bad(tooLong, "line longer than %d bytes", r.lim.MaxLineBytes)
 	}
 	if err != nil {
 		if err == io.EOF && len(b) > 0 {
@@ -118,8 +118,8 @@
 		return nil, err
 	}
 	req.Framing, req.Length, err = framing(req.Header, req.Minor)
-	if err == nil && req.Length > r.lim.Body {
-		err = bad(413, "body longer than %d bytes", r.lim.Body)
+	if err == nil && req.Length > r.lim.MaxBodyBytes {
+		err = bad(413, "body longer than %d bytes", r.lim.MaxBodyBytes)
 	}
 	return req, err
 }
@@ -208,8 +208,8 @@
 		if res.Framing == NoBody && !res.Header.Has("Content-Length") {
 			res.Framing = UntilClose
 		}
-		if res.Length > r.lim.Body {
-			return nil, bad(413, "body longer than %d bytes", r.lim.Body)
+		if res.Length > r.lim.MaxBodyBytes {
+			return nil, bad(413, "body longer than %d bytes", r.lim.MaxBodyBytes)
 		}
 		return res, nil
 	}
@@ -229,8 +229,8 @@
 		if len(b) == 0 {
 			return h, nil
 		}
-		if size += len(b) + 2; size > r.lim.Header || len(h) >= r.lim.Fields {
-			return nil, bad(431, "header larger than %d bytes or %d fields", r.lim.Header, r.lim.Fields)
+		if size += len(b) + 2; size > r.lim.MaxHeaderBytes || len(h) >= r.lim.MaxHeaderFields {
+			return nil, bad(431, "header larger than %d bytes or %d fields", r.lim.MaxHeaderBytes, r.lim.MaxHeaderFields)
 		}
 		if b[0] == ' ' || b[0] == '\t' {
 			return nil, bad(400, "folded header line")
@@ -305,9 +305,9 @@
 	case Chunked:
 		return r.chunked()
 	case UntilClose:
-		b, err := io.ReadAll(io.LimitReader(r.br, r.lim.Body+1))
-		if err == nil && int64(len(b)) > r.lim.Body {
-			err = bad(413, "body longer than %d bytes", r.lim.Body)
+		b, err := io.ReadAll(io.LimitReader(r.br, r.lim.MaxBodyBytes+1))
+		if err == nil && int64(len(b)) > r.lim.MaxBodyBytes {
+			err = bad(413, "body longer than %d bytes", r.lim.MaxBodyBytes)
 		}
 		return b, err
 	}
@@ -342,7 +342,7 @@
 			return body, cut(err)
 		}
 		// Chunks of a byte are a client's right; extensions are read for nothing.
-		if around += len(b) + 4; around > r.lim.Header+8*len(body) {
+		if around += len(b) + 4; around > r.lim.MaxHeaderBytes+8*len(body) {
 			return body, bad(400, "more around chunks than in them")
 		}
 		size, _, _ := strings.Cut(string(b), ";")
@@ -350,8 +350,8 @@
 		if !ok || size == "" {
 			return body, bad(400, "malformed chunk size")
 		}
-		if int64(len(body))+n > r.lim.Body {
-			return body, bad(413, "body longer than %d bytes", r.lim.Body)
+		if int64(len(body))+n > r.lim.MaxBodyBytes {
+			return body, bad(413, "body longer than %d bytes", r.lim.MaxBodyBytes)
 		}
 		if n == 0 {
 			_, err := r.header() // trailers are bounded and dropped
--- a/internal/http1/read_test.go
+++ b/internal/http1/read_test.go
@@ -10,7 +10,7 @@
 	"testing/iotest"
 )
 
-var testLimits = Limits{Line: 1024, Fields: 20, Header: 4096, Body: 1000}
+var testLimits = Limits{MaxLineBytes: 1024, MaxHeaderFields: 20, MaxHeaderBytes: 4096, MaxBodyBytes: 1000}
 
 // readRequest reads one request with its body.
 func readRequest(r *Reader) (*Request, []byte, error) {
@@ -225,11 +225,11 @@
 		if err != nil {
 			return
 		}
-		if int64(len(body)) > testLimits.Body || len(req.Header) > testLimits.Fields {
+		if int64(len(body)) > testLimits.MaxBodyBytes || len(req.Header) > testLimits.MaxHeaderFields {
 			t.Fatalf("beyond the limits: %d bytes, %d fields", len(body), len(req.Header))
 		}
 		out := AppendRequest(nil, req.Method, req.Target, req.Host, req.Header.EndToEnd(), body)
-		again, body2, err := readRequest(NewReader(bytes.NewReader(out), Limits{Line: 2048, Fields: 40, Header: 8192, Body: 2000}))
+		again, body2, err := readRequest(NewReader(bytes.NewReader(out), Limits{MaxLineBytes: 2048, MaxHeaderFields: 40, MaxHeaderBytes: 8192, MaxBodyBytes: 2000}))
 		if err != nil || again.Method != req.Method || again.Target != req.Target || again.Host != req.Host || !bytes.Equal(body, body2) {
 			t.Fatalf("%q was written as %q: %v", in, out, err)
 		}
--- a/standin/proxy/proxy.go
+++ b/standin/proxy/proxy.go
@@ -64,7 +64,7 @@
 	}
 	s := &Server{o: o, cc: cc, logs: make(chan *datav3.HTTPAccessLogEntry, 4096), done: make(chan struct{}),
 		pool: upstream.New(upstream.Options{Network: o.Network, ConnectTime: 250 * time.Millisecond, Idle: 64,
-			Limits: http1.Limits{Line: 8 << 10, Fields: 100, Header: 32 << 10, Body: 8 << 20}})}
+			Limits: http1.Limits{MaxLineBytes: 8 << 10, MaxHeaderFields: 100, MaxHeaderBytes: 32 << 10, MaxBodyBytes: 8 << 20}})}
 	s.hs = &http.Server{Handler: s}
 	s.wait.Go(s.report)
 	return s, nil
--- a/upstream/crossing_test.go
+++ b/upstream/crossing_test.go
@@ -14,7 +14,7 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-var testLimits = http1.Limits{Line: 1000, Fields: 10, Header: 1000, Body: 1000}
+var testLimits = http1.Limits{MaxLineBytes: 1000, MaxHeaderFields: 10, MaxHeaderBytes: 1000, MaxBodyBytes: 1000}
 
 func call(target string) *node.Request {
 	return &node.Request{Trace: target, HTTP: node.HTTPRequest{Method: "GET", Target: target, Host: "h"}}
--- a/upstream/http2.go
+++ b/upstream/http2.go
@@ -111,7 +111,7 @@
 	c.cond, c.wmu = sync.NewCond(&c.mu), h2.NewLock()
 	c.henc = hpack.NewEncoder(&c.hbuf)
 	c.fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	c.fr.MaxHeaderListSize = uint32(p.o.Limits.Header)
+	c.fr.MaxHeaderListSize = uint32(p.o.Limits.MaxHeaderBytes)
 	err = c.write(func() error {
 		if _, err := nc.Write([]byte(http2.ClientPreface)); err != nil {
 			return err
@@ -449,9 +449,9 @@
 		return http2.StreamError{StreamID: f.StreamID, Code: http2.ErrCodeProtocol}
 	}
 	if s != nil {
-		if s.body = append(s.body, f.Data()...); int64(len(s.body)) > c.p.o.Limits.Body {
+		if s.body = append(s.body, f.Data()...); int64(len(s.body)) > c.p.o.Limits.MaxBodyBytes {
 			c.write(func() error { return c.fr.WriteRSTStream(s.id, http2.ErrCodeCancel) })
-			c.fail(s, badResponse, fmt.Errorf("body longer than %d bytes", c.p.o.Limits.Body))
+			c.fail(s, badResponse, fmt.Errorf("body longer than %d bytes", c.p.o.Limits.MaxBodyBytes))
 			s = nil
 		}
 	}
--- a/upstream/paused_test.go
+++ b/upstream/paused_test.go
@@ -38,7 +38,7 @@
 			}()
 			stood := false
 			p := New(Options{Network: m.Host("node"), ConnectTime: time.Second, Idle: 4, HTTP2: protocol2,
-				Limits:      http1.Limits{Line: 1000, Fields: 10, Header: 1000, Body: 1000},
+				Limits:      http1.Limits{MaxLineBytes: 1000, MaxHeaderFields: 10, MaxHeaderBytes: 1000, MaxBodyBytes: 1000},
 				PausedSince: func(time.Time) bool { return stood }})
 			stood = true
 			ended := make(chan node.Result, 1)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -576,7 +576,7 @@
 	case head.Framing == http1.Length:
 		return head.Length
 	}
-	return p.o.Limits.Body
+	return p.o.Limits.MaxBodyBytes
 }
 
 // hold counts a long body; false where there is no place for it.
