--- a/peer/authenticated_transport.go
+++ b/peer/authenticated_transport.go
@@ -61,7 +61,7 @@
 func Listen(o Options) (*AuthenticatedTransport, error) {
 	t := &AuthenticatedTransport{options: o, addresses: map[int]net.Addr{}, queue: make(chan outgoingMessage, maxQueuedMessages), done: make(chan struct{})}
 	for number, addr := range o.Addresses {
-		a, err := network.Addr(o.Network, addr)
+		a, err := network.Resolve(o.Network, addr)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", number, err)
 		}
@@ -86,7 +86,7 @@
 	var a net.Addr
 	if address != "" {
 		var err error
-		if a, err = network.Addr(t.options.Network, address); err != nil {
+		if a, err = network.Resolve(t.options.Network, address); err != nil {
 			t.options.Log.Error("a peer's address can't be used", "number", number, "address", address, "error", err)
 			return
 		}
--- a/peer/plain_transport.go
+++ b/peer/plain_transport.go
@@ -41,7 +41,7 @@
 func ListenPlain(o PlainOptions) (*PlainTransport, error) {
 	t := &PlainTransport{options: o, indexes: map[string]int{}, queue: make(chan outgoingMessage, maxQueuedMessages), done: make(chan struct{})}
 	for i, address := range o.Addresses {
-		a, err := network.Addr(o.Network, address)
+		a, err := network.Resolve(o.Network, address)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", i, err)
 		}
@@ -49,7 +49,7 @@
 	}
 	var err error
 	if o.Broadcast != "" {
-		if t.broadcast, err = network.Addr(o.Network, o.Broadcast); err != nil {
+		if t.broadcast, err = network.Resolve(o.Network, o.Broadcast); err != nil {
 			return nil, fmt.Errorf("broadcast address: %w", err)
 		}
 	}
--- a/peer/plain_transport_test.go
+++ b/peer/plain_transport_test.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		to, err := network.Addr(memory.Host("unknown"), addresses[1])
+		to, err := network.Resolve(memory.Host("unknown"), addresses[1])
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/upstream/http2.go
+++ b/upstream/http2.go
@@ -213,7 +213,7 @@
 		if len(call.Body) > 0 {
 			put("content-length", strconv.Itoa(len(call.Body)))
 		}
-		return h2.WriteBlock(c.framer, s.id, c.headerBlock.Bytes(), len(call.Body) == 0)
+		return h2.WriteHeaderBlock(c.framer, s.id, c.headerBlock.Bytes(), len(call.Body) == 0)
 	})
 	if late {
 		return errTooLate // nothing was written, so the connection can still be used
@@ -224,7 +224,7 @@
 		for !s.ended && (s.sendWindow <= 0 || c.sendWindow <= 0) {
 			c.cond.Wait()
 		}
-		n := int(min(int64(len(body)), s.sendWindow, c.sendWindow, h2.Frame))
+		n := int(min(int64(len(body)), s.sendWindow, c.sendWindow, h2.DefaultMaxFrameSize))
 		if s.ended {
 			c.mu.Unlock()
 			return nil
