--- a/day/callers.go
+++ b/day/callers.go
@@ -17,7 +17,7 @@
 	"yardcleat.example/yardcleat/upstream"
 )
 
-func packetAddr(n network.Network, addr string) (net.Addr, error) { return network.Addr(n, addr) }
+func packetAddr(n network.Network, addr string) (net.Addr, error) { return network.Resolve(n, addr) }
 
 // customer is one customer of a crowd.
 type customer struct {
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -194,7 +194,7 @@
 // for clients that have left, with the kernel's word on when it came or without.
 func TestStops(t *testing.T) {
 	for _, stamps := range []bool{true, false} {
-		r := playInBubble(t, source(t, "stops"), func(b *Bubble) { b.Memory.NoStamps = !stamps })
+		r := playInBubble(t, source(t, "stops"), func(b *Bubble) { b.Memory.NoTimestamps = !stamps })
 		if !r.Kept() {
 			r.Write(t.Output())
 			t.Errorf("stamps %v: a rule was broken", stamps)
--- a/day/virtual/virtual.go
+++ b/day/virtual/virtual.go
@@ -56,14 +56,14 @@
 	said := &words{seen: map[string]bool{}}
 	synctest.Test(t, func(t *testing.T) {
 		m := network.NewMemory(time.Millisecond, j.Seed)
-		m.NoStamps = j.NoStamps
+		m.NoTimestamps = j.NoStamps
 		env := &day.Bubble{Memory: m, Temp: temp, Log: said, Seed: j.Seed}
 		if err := defect(env, j.Defect); err != nil {
 			res.Error = err.Error()
 			return
 		}
 		if w, ok := ways[j.Way]; ok {
-			env.Stall, m.NoStamps = w.stall, w.noStamps
+			env.Stall, m.NoTimestamps = w.stall, w.noStamps
 		}
 		if res.Report, err = day.Run(context.Background(), s, day.Options{Env: env}); err != nil {
 			res.Error = err.Error()
--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -128,8 +128,8 @@
 			}
 			return l
 		}
-		h2s := fronthttp2.New(fronthttp2.Options{Node: n, Intake: in, Log: log, Name: "h", Connections: 10, HeaderBytes: 8192, Fields: 50,
-			Body: 1000, Held: 4000, Streams: 10, Abuse: 100, HeaderTime: time.Second, BodyTime: time.Second, IdleTime: time.Minute, WriteTime: time.Second})
+		h2s := fronthttp2.New(fronthttp2.Options{Node: n, Mapper: in, Log: log, TracePrefix: "h", MaxConnections: 10, MaxHeaderBytes: 8192, MaxHeaderFields: 50,
+			MaxRequestBody: 1000, MaxBufferedBodyBytes: 4000, MaxConcurrentStreams: 10, FrameBudget: 100, HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Minute, WriteTimeout: time.Second})
 		hl, gl, h2l := listen("10.0.0.1:80"), listen("10.0.0.1:81"), listen("10.0.0.1:82")
 		go h2s.Serve(h2l)
 		go hs.Serve(hl)
--- a/front/http1/server.go
+++ b/front/http1/server.go
@@ -72,7 +72,7 @@
 
 // Serve takes connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
-	return network.Accept(l, s.o.Log, s.ServeConn)
+	return network.AcceptLoop(l, s.o.Log, s.ServeConn)
 }
 
 // ServeConn serves one connection until it ends.
--- a/front/http2/fuzz_test.go
+++ b/front/http2/fuzz_test.go
@@ -66,9 +66,9 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	s := New(Options{Node: atOnce{}, Intake: intake.New(cfg), Log: slog.New(slog.DiscardHandler), Name: "f", HeaderBytes: 4096, Fields: 20,
-		Body: 1000, Held: 2000, Streams: 5, Abuse: 20, HeaderTime: time.Second, BodyTime: time.Second, IdleTime: time.Second,
-		WriteTime: 50 * time.Millisecond, Connections: 100})
+	s := New(Options{Node: atOnce{}, Mapper: intake.New(cfg), Log: slog.New(slog.DiscardHandler), TracePrefix: "f", MaxHeaderBytes: 4096, MaxHeaderFields: 20,
+		MaxRequestBody: 1000, MaxBufferedBodyBytes: 2000, MaxConcurrentStreams: 5, FrameBudget: 20, HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Second,
+		WriteTimeout: 50 * time.Millisecond, MaxConnections: 100})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		client, server := net.Pipe()
 		ended := make(chan struct{})
--- a/front/http2/server.go
+++ b/front/http2/server.go
@@ -33,22 +33,22 @@
 
 // Options is what a Server is made of.
 type Options struct {
-	Node   Handler
-	Intake *intake.Intake
-	Log    *slog.Logger
-	Name   string // begins the traces of requests that bring none
-
-	HeaderBytes int           // of one header list, as RFC 9113 counts it
-	Fields      int           // of one header list
-	Body        int64         // bytes of a request's body
-	Held        int64         // bytes of bodies held for one connection
-	Streams     int           // open at once on one connection
-	Abuse       int           // frames that bring nothing: so many at once, a tenth of it a second; see docs/frames.md
-	HeaderTime  time.Duration // for the preface
-	BodyTime    time.Duration // from a stream's header to its whole body
-	IdleTime    time.Duration // a connection without a stream is closed after it
-	WriteTime   time.Duration // for a client to take an answer
-	Connections int
+	Node        Handler
+	Mapper      *intake.Intake
+	Log         *slog.Logger
+	TracePrefix string // begins the traces of requests that bring none
+
+	MaxHeaderBytes       int           // of one header list, as RFC 9113 counts it
+	MaxHeaderFields      int           // of one header list
+	MaxRequestBody       int64         // bytes of a request's body
+	MaxBufferedBodyBytes int64         // bytes of bodies held for one connection
+	MaxConcurrentStreams int           // open at once on one connection
+	FrameBudget          int           // frames that bring nothing: so many at once, a tenth of it a second; see docs/frames.md
+	HeaderTimeout        time.Duration // for the preface
+	BodyTimeout          time.Duration // from a stream's header to its whole body
+	IdleTimeout          time.Duration // a connection without a stream is closed after it
+	WriteTimeout         time.Duration // for a client to take an answer
+	MaxConnections       int
 }
 
 // Server serves connections.
@@ -66,17 +66,17 @@
 
 // Serve takes connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
-	return network.Accept(l, s.o.Log, s.ServeConn)
+	return network.AcceptLoop(l, s.o.Log, s.ServeConn)
 }
 
 // ServeConn serves one connection until it ends.
 func (s *Server) ServeConn(nc net.Conn) {
 	defer nc.Close()
 	c := &conn{s: s, nc: nc, streams: map[uint32]*stream{}, sendWindow: initialWindow, peerWindow: initialWindow,
-		peerFrame: h2.Frame, abuse: float64(s.o.Abuse), abuseAt: time.Now()}
+		peerFrame: h2.DefaultMaxFrameSize, abuse: float64(s.o.FrameBudget), abuseAt: time.Now()}
 	c.cond, c.wmu = sync.NewCond(&c.mu), h2.NewLock()
 	s.mu.Lock()
-	full := s.closing || len(s.conns) >= s.o.Connections
+	full := s.closing || len(s.conns) >= s.o.MaxConnections
 	if !full {
 		s.conns[c] = true
 		s.done.Add(1)
@@ -164,22 +164,22 @@
 
 func (c *conn) serve() {
 	o := &c.s.o
-	c.nc.SetDeadline(time.Now().Add(o.HeaderTime))
+	c.nc.SetDeadline(time.Now().Add(o.HeaderTimeout))
 	preface := make([]byte, len(http2.ClientPreface))
 	if _, err := io.ReadFull(c.nc, preface); err != nil || string(preface) != http2.ClientPreface {
 		return
 	}
 	c.fr = http2.NewFramer(c.nc, &meter{r: c.nc, most: continuations, block: c.blockTime})
 	c.fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	c.fr.MaxHeaderListSize = uint32(o.HeaderBytes)
-	c.fr.SetMaxReadFrameSize(h2.Frame)
+	c.fr.MaxHeaderListSize = uint32(o.MaxHeaderBytes)
+	c.fr.SetMaxReadFrameSize(h2.DefaultMaxFrameSize)
 	c.henc = hpack.NewEncoder(&c.hbuf)
 	err := c.write(func() error {
-		return c.fr.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(o.Streams)},
-			http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(o.HeaderBytes)},
+		return c.fr.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(o.MaxConcurrentStreams)},
+			http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(o.MaxHeaderBytes)},
 			http2.Setting{ID: http2.SettingInitialWindowSize, Val: streamWindow}, http2.Setting{ID: http2.SettingEnablePush, Val: 0})
 	})
-	c.nc.SetDeadline(time.Now().Add(o.IdleTime))
+	c.nc.SetDeadline(time.Now().Add(o.IdleTimeout))
 	for err == nil {
 		var f http2.Frame
 		if f, err = c.fr.ReadFrame(); err == nil {
@@ -219,7 +219,7 @@
 func (c *conn) write(f func() error) error {
 	c.wmu.Lock()
 	defer c.wmu.Unlock()
-	c.nc.SetWriteDeadline(time.Now().Add(c.s.o.WriteTime))
+	c.nc.SetWriteDeadline(time.Now().Add(c.s.o.WriteTimeout))
 	err := f()
 	if err != nil {
 		c.nc.Close()
@@ -272,17 +272,17 @@
 	defer c.mu.Unlock()
 	switch {
 	case begins:
-		c.nc.SetReadDeadline(time.Now().Add(c.s.o.HeaderTime))
+		c.nc.SetReadDeadline(time.Now().Add(c.s.o.HeaderTimeout))
 	case len(c.streams) > 0:
 		c.nc.SetReadDeadline(time.Time{})
 	default:
-		c.nc.SetReadDeadline(time.Now().Add(c.s.o.IdleTime))
+		c.nc.SetReadDeadline(time.Now().Add(c.s.o.IdleTimeout))
 	}
 }
 
 // draw is costs under c.mu.
 func (c *conn) draw(much float64) error {
-	most := float64(c.s.o.Abuse)
+	most := float64(c.s.o.FrameBudget)
 	now := time.Now()
 	c.abuse = min(most, c.abuse+most/10*now.Sub(c.abuseAt).Seconds())
 	c.abuseAt = now
@@ -396,7 +396,7 @@
 func (c *conn) headers(f *http2.MetaHeadersFrame) error {
 	id := f.StreamID
 	c.mu.Lock()
-	st, last, away, full := c.streams[id], c.last, c.away, len(c.streams) >= c.s.o.Streams
+	st, last, away, full := c.streams[id], c.last, c.away, len(c.streams) >= c.s.o.MaxConcurrentStreams
 	if st == nil && id > c.last && id%2 == 1 && !away {
 		c.last = id
 	}
@@ -436,7 +436,7 @@
 	if f.StreamEnded() {
 		return c.bodyEnds(st)
 	}
-	st.timer = time.AfterFunc(c.s.o.BodyTime, func() {
+	st.timer = time.AfterFunc(c.s.o.BodyTimeout, func() {
 		if c.claim(st) {
 			c.refuse(st, 408, "the time for the body is over")
 		}
@@ -512,12 +512,12 @@
 	}
 	st.call.Target = path
 	switch {
-	case f.Truncated || len(f.Fields) > c.s.o.Fields:
+	case f.Truncated || len(f.Fields) > c.s.o.MaxHeaderFields:
 		return 431, "header larger than is taken"
 	case path[0] != '/' && !(path == "*" && st.call.Method == "OPTIONS"):
 		return -1, ""
-	case st.size > c.s.o.Body:
-		return 413, "body longer than " + strconv.FormatInt(c.s.o.Body, 10) + " bytes"
+	case st.size > c.s.o.MaxRequestBody:
+		return 413, "body longer than " + strconv.FormatInt(c.s.o.MaxRequestBody, 10) + " bytes"
 	case strings.EqualFold(st.call.Header.Get("Expect"), "100-continue"):
 		st.call.Header.Del("Expect")
 	case st.call.Header.Has("Expect"):
@@ -564,8 +564,8 @@
 		return nil // reset in the meantime
 	}
 	c.mu.Lock()
-	over := int64(len(st.body)+len(data)) > c.s.o.Body
-	full := c.held+int64(len(data)) > c.s.o.Held
+	over := int64(len(st.body)+len(data)) > c.s.o.MaxRequestBody
+	full := c.held+int64(len(data)) > c.s.o.MaxBufferedBodyBytes
 	taken := st.opened || st.dead
 	if !over && !full && !taken {
 		st.body = append(st.body, data...)
@@ -578,7 +578,7 @@
 		return http2.StreamError{StreamID: f.StreamID, Code: http2.ErrCodeProtocol}
 	case over:
 		if c.claim(st) {
-			go c.refuse(st, 413, "body longer than "+strconv.FormatInt(c.s.o.Body, 10)+" bytes")
+			go c.refuse(st, 413, "body longer than "+strconv.FormatInt(c.s.o.MaxRequestBody, 10)+" bytes")
 		}
 	case full:
 		// Nothing ran: the client may send it again.
@@ -671,7 +671,7 @@
 	delete(c.streams, st.id)
 	c.held -= int64(len(st.body))
 	if len(c.streams) == 0 {
-		c.nc.SetReadDeadline(time.Now().Add(c.s.o.IdleTime))
+		c.nc.SetReadDeadline(time.Now().Add(c.s.o.IdleTimeout))
 		if c.away && !c.ended {
 			c.nc.Close()
 		}
@@ -682,7 +682,7 @@
 // answer has a request decided on and writes its answer.
 func (c *conn) answer(st *stream) {
 	o := &c.s.o
-	t, early := o.Intake.Admit(st.call, o.Name+"-"+strconv.FormatUint(c.s.traces.Add(1), 36))
+	t, early := o.Mapper.Admit(st.call, o.TracePrefix+"-"+strconv.FormatUint(c.s.traces.Add(1), 36))
 	var a node.FinalResponse
 	if early != nil {
 		a = *early
@@ -704,7 +704,7 @@
 			return
 		}
 	}
-	c.respond(st, o.Intake.Render(t, a))
+	c.respond(st, o.Mapper.Render(t, a))
 }
 
 // refuse answers what the node is not asked about.
@@ -716,7 +716,7 @@
 	}
 	c.s.o.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(reason), "detail", why,
 		"client", c.nc.RemoteAddr().String())
-	res := c.s.o.Intake.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: reason, Detail: why})
+	res := c.s.o.Mapper.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: reason, Detail: why})
 	res.Status = status
 	c.respond(st, res)
 }
@@ -742,10 +742,10 @@
 		if res.Status != 204 && res.Status != 304 && st.call.Method != "HEAD" {
 			c.henc.WriteField(hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(body))})
 		}
-		return h2.WriteBlock(c.fr, st.id, c.hbuf.Bytes(), len(body) == 0)
+		return h2.WriteHeaderBlock(c.fr, st.id, c.hbuf.Bytes(), len(body) == 0)
 	})
 	if err == nil && len(body) > 0 {
-		timer := time.AfterFunc(c.s.o.WriteTime, func() {
+		timer := time.AfterFunc(c.s.o.WriteTimeout, func() {
 			c.mu.Lock()
 			late := c.streams[st.id] == st && !st.dead
 			if late {
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -102,21 +102,21 @@
 func (g *Gateway) newHTTP2Server(l config.Listener, in *intake.Intake, log *slog.Logger) *fronthttp2.Server {
 	limits := g.cfg.Limits
 	return fronthttp2.New(fronthttp2.Options{
-		Node:        g.node,
-		Intake:      in,
-		Log:         log,
-		Name:        g.tracePrefix(l) + "h2",
-		HeaderBytes: limits.MaxHeaderBytes,
-		Fields:      limits.MaxHeaderFields,
-		Body:        limits.MaxRequestBody,
-		Held:        maxBufferedBodies * max(limits.MaxRequestBody, minBufferedBodyBytes),
-		Streams:     limits.MaxStreams,
-		Abuse:       limits.FrameBudget,
-		HeaderTime:  limits.HeaderTimeout,
-		BodyTime:    limits.BodyTimeout,
-		IdleTime:    limits.IdleTimeout,
-		WriteTime:   limits.WriteTimeout,
-		Connections: limits.MaxConnections,
+		Node:                 g.node,
+		Mapper:               in,
+		Log:                  log,
+		TracePrefix:          g.tracePrefix(l) + "h2",
+		MaxHeaderBytes:       limits.MaxHeaderBytes,
+		MaxHeaderFields:      limits.MaxHeaderFields,
+		MaxRequestBody:       limits.MaxRequestBody,
+		MaxBufferedBodyBytes: maxBufferedBodies * max(limits.MaxRequestBody, minBufferedBodyBytes),
+		MaxConcurrentStreams: limits.MaxStreams,
+		FrameBudget:          limits.FrameBudget,
+		HeaderTimeout:        limits.HeaderTimeout,
+		BodyTimeout:          limits.BodyTimeout,
+		IdleTimeout:          limits.IdleTimeout,
+		WriteTimeout:         limits.WriteTimeout,
+		MaxConnections:       limits.MaxConnections,
 	})
 }
 
--- a/gateway/tls.go
+++ b/gateway/tls.go
@@ -137,7 +137,7 @@
 
 // Serve accepts connections until the listener is closed.
 func (t *tlsListener) Serve(l net.Listener) error {
-	return network.Accept(l, t.log, t.serveConn)
+	return network.AcceptLoop(l, t.log, t.serveConn)
 }
 
 // serveConn takes ownership of a connection, serves it and returns when it has ended.
--- a/internal/h2/block.go
+++ b/internal/h2/header_block.go
@@ -3,16 +3,16 @@
 
 import "golang.org/x/net/http2"
 
-// Frame is the most that a frame holds until a peer allows more (RFC 9113, 6.5.2).
-const Frame = 16384
+// DefaultMaxFrameSize is the most that a frame holds until a peer allows more (RFC 9113, 6.5.2).
+const DefaultMaxFrameSize = 16384
 
-// WriteBlock writes a header block as one HEADERS frame and as many CONTINUATIONs
+// WriteHeaderBlock writes a header block as one HEADERS frame and as many CONTINUATIONs
 // as it takes.
-func WriteBlock(fr *http2.Framer, id uint32, block []byte, endStream bool) error {
-	n := min(len(block), Frame)
+func WriteHeaderBlock(fr *http2.Framer, id uint32, block []byte, endStream bool) error {
+	n := min(len(block), DefaultMaxFrameSize)
 	err := fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: block[:n], EndStream: endStream, EndHeaders: n == len(block)})
 	for block = block[n:]; err == nil && len(block) > 0; block = block[n:] {
-		n = min(len(block), Frame)
+		n = min(len(block), DefaultMaxFrameSize)
 		err = fr.WriteContinuation(id, n == len(block), block[:n])
 	}
 	return err
--- a/internal/network/accept.go
+++ b/internal/network/accept_loop.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Accept takes connections and has each served in a goroutine of its own, until
+// AcceptLoop takes connections and has each served in a goroutine of its own, until
 // the listener is closed. Other errors (out of descriptors, say) pass: it waits a
 // moment and goes on.
-func Accept(l net.Listener, log *slog.Logger, serve func(net.Conn)) error {
+func AcceptLoop(l net.Listener, log *slog.Logger, serve func(net.Conn)) error {
 	const moment = 10 * time.Millisecond
 	for {
 		nc, err := l.Accept()
--- a/internal/network/memory.go
+++ b/internal/network/memory.go
@@ -24,9 +24,9 @@
 	packets   map[string]*memPacketConn
 	nextPort  int
 	loss      func(from, to string) float64
-	// NoStamps has connections not say when their bytes arrived, as systems
+	// NoTimestamps has connections not say when their bytes arrived, as systems
 	// without kernel timestamps.
-	NoStamps bool
+	NoTimestamps bool
 }
 
 // NewMemory returns an empty network. The seed draws which packets are lost.
@@ -35,9 +35,9 @@
 		packets: map[string]*memPacketConn{}, nextPort: 40000}
 }
 
-// Lose sets the chance, 0 to 1, that a packet between two hosts is lost; nil
+// SetPacketLoss sets the chance, 0 to 1, that a packet between two hosts is lost; nil
 // loses none. Hosts are the names given to Host.
-func (m *Memory) Lose(chance func(from, to string) float64) {
+func (m *Memory) SetPacketLoss(chance func(from, to string) float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.loss = chance
@@ -77,8 +77,8 @@
 	}
 }
 
-// Running returns while the host is not paused; else once it goes on.
-func (h *Host) Running() { h.running() }
+// WaitUntilRunning returns while the host is not paused; else once it goes on.
+func (h *Host) WaitUntilRunning() { h.running() }
 
 func (h *Host) running() {
 	h.mu.Lock()
@@ -408,11 +408,11 @@
 		len(c.rx.chunks) == 0 && c.rx.eof && !now.Before(c.rx.eofAt)
 }
 
-// Arrived is when what was last read arrived; false where that is not known.
-func (c *memConn) Arrived() (time.Time, bool) {
+// ArrivalTime is when what was last read arrived; false where that is not known.
+func (c *memConn) ArrivalTime() (time.Time, bool) {
 	c.rx.mu.Lock()
 	defer c.rx.mu.Unlock()
-	return c.rx.last, !c.h.m.NoStamps
+	return c.rx.last, !c.h.m.NoTimestamps
 }
 
 func (c *memConn) SetDeadline(t time.Time) error {
@@ -544,10 +544,10 @@
 func (p *memPacketConn) SetReadDeadline(time.Time) error  { return errors.ErrUnsupported }
 func (p *memPacketConn) SetWriteDeadline(time.Time) error { return errors.ErrUnsupported }
 
-// Addr makes the address of a packet's receiver.
-func Addr(n Network, addr string) (net.Addr, error) {
+// Resolve makes the address of a packet's receiver.
+func Resolve(n Network, addr string) (net.Addr, error) {
 	if u, ok := n.(interface{ Unwrap() Network }); ok {
-		return Addr(u.Unwrap(), addr)
+		return Resolve(u.Unwrap(), addr)
 	}
 	if _, ok := n.(*Host); ok {
 		return memAddr(addr), nil
--- a/internal/pauseclock/clock.go
+++ b/internal/pauseclock/clock.go
@@ -49,8 +49,8 @@
 		closing:          make(chan struct{}),
 		heartbeatDone:    make(chan struct{}),
 	}
-	if host, ok := n.(interface{ Running() }); ok {
-		c.waitUntilRunning = host.Running
+	if host, ok := n.(interface{ WaitUntilRunning() }); ok {
+		c.waitUntilRunning = host.WaitUntilRunning
 	}
 	now := time.Since(origin)
 	c.detector.Observe(now, now)
--- a/internal/pauseclock/conn.go
+++ b/internal/pauseclock/conn.go
@@ -135,8 +135,8 @@
 	}
 	n, err := p.conn.Read(b)
 	result := readResult{n: n}
-	if c, ok := p.conn.(interface{ Arrived() (time.Time, bool) }); ok && n > 0 {
-		result.timestamp, result.hasTimestamp = c.Arrived()
+	if c, ok := p.conn.(interface{ ArrivalTime() (time.Time, bool) }); ok && n > 0 {
+		result.timestamp, result.hasTimestamp = c.ArrivalTime()
 		result.timestamp = result.timestamp.Round(0) // without the monotonic reading
 	}
 	return result, err
--- a/peer/bare.go
+++ b/peer/bare.go
@@ -41,7 +41,7 @@
 func ListenBare(o BareOptions) (*Bare, error) {
 	b := &Bare{o: o, from: map[string]int{}, out: make(chan letter, mostWaiting), done: make(chan struct{})}
 	for n, address := range o.Addresses {
-		a, err := network.Addr(o.Network, address)
+		a, err := network.Resolve(o.Network, address)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", n, err)
 		}
@@ -49,7 +49,7 @@
 	}
 	var err error
 	if o.All != "" {
-		if b.all, err = network.Addr(o.Network, o.All); err != nil {
+		if b.all, err = network.Resolve(o.Network, o.All); err != nil {
 			return nil, fmt.Errorf("all peers: %w", err)
 		}
 	}
--- a/peer/bare_test.go
+++ b/peer/bare_test.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		to, err := network.Addr(mem.Host("stranger"), addresses[1])
+		to, err := network.Resolve(mem.Host("stranger"), addresses[1])
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/peer/mail.go
+++ b/peer/mail.go
@@ -60,7 +60,7 @@
 func Listen(o Options) (*Mail, error) {
 	m := &Mail{o: o, to: map[int]net.Addr{}, out: make(chan letter, mostWaiting), done: make(chan struct{})}
 	for n, addr := range o.Addresses {
-		a, err := network.Addr(o.Network, addr)
+		a, err := network.Resolve(o.Network, addr)
 		if err != nil {
 			return nil, fmt.Errorf("peer %d: %w", n, err)
 		}
@@ -84,7 +84,7 @@
 	var a net.Addr
 	if address != "" {
 		var err error
-		if a, err = network.Addr(m.o.Network, address); err != nil {
+		if a, err = network.Resolve(m.o.Network, address); err != nil {
 			m.o.Log.Error("a peer's address can't be used", "number", number, "address", address, "error", err)
 			return
 		}
--- a/upstream/http2.go
+++ b/upstream/http2.go
@@ -208,7 +208,7 @@
 		if len(call.Body) > 0 {
 			put("content-length", strconv.Itoa(len(call.Body)))
 		}
-		return h2.WriteBlock(c.fr, s.id, c.hbuf.Bytes(), len(call.Body) == 0)
+		return h2.WriteHeaderBlock(c.fr, s.id, c.hbuf.Bytes(), len(call.Body) == 0)
 	})
 	if late {
 		return errLate // the connection is as good as before
@@ -219,7 +219,7 @@
 		for !s.over && (s.send <= 0 || c.sendWindow <= 0) {
 			c.cond.Wait()
 		}
-		n := int(min(int64(len(body)), s.send, c.sendWindow, h2.Frame))
+		n := int(min(int64(len(body)), s.send, c.sendWindow, h2.DefaultMaxFrameSize))
 		if s.over {
 			c.mu.Unlock()
 			return nil
