--- a/front/extauthz/attempt_outcome.go
+++ b/front/extauthz/attempt_outcome.go
@@ -9,12 +9,12 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// flags is the table of what the flags of an access log line say of an attempt,
+// responseFlagOutcomes is the table of what the responseFlagOutcomes of an access log line say of an attempt,
 // in order: the first that is set counts. The proxy has given the client its
 // answer in any case, so nothing is sent again on their account; they teach the
 // module of the server. What never left the proxy for a reason of its own is
 // Moot: it says nothing of the server.
-var flags = []struct {
+var responseFlagOutcomes = []struct {
 	set  func(*datav3.ResponseFlags) bool
 	code policy.ResultCode
 	what string
@@ -35,14 +35,14 @@
 	{(*datav3.ResponseFlags).GetDownstreamConnectionTermination, policy.Cancelled, "DC: the client left"},
 }
 
-// result is how the attempt of an access log line ended.
-func (s *Server) result(e *datav3.HTTPAccessLogEntry) node.Result {
+// attemptOutcome is how the attempt of an access log line ended.
+func (s *Server) attemptOutcome(e *datav3.HTTPAccessLogEntry) node.Result {
 	common := e.GetCommonProperties()
 	res := node.Result{Latency: common.GetTimeToLastUpstreamRxByte().AsDuration()}
 	if res.Latency <= 0 {
 		res.Latency = common.GetDuration().AsDuration()
 	}
-	for _, f := range flags {
+	for _, f := range responseFlagOutcomes {
 		if f.set(common.GetResponseFlags()) {
 			res.Code, res.Detail = f.code, f.what
 			return res
@@ -52,7 +52,7 @@
 	switch {
 	case code == 0:
 		res.Code, res.Detail = policy.Cancelled, "no status"
-	case s.o.RejectionSignal.Matches(code, func(name string) bool { _, ok := e.GetResponse().GetResponseHeaders()[name]; return ok }):
+	case s.options.RejectionSignal.Matches(code, func(name string) bool { _, ok := e.GetResponse().GetResponseHeaders()[name]; return ok }):
 		res.Code = policy.Rejected
 	case code >= 500:
 		res.Code = policy.Error
--- a/front/extauthz/fuzz_test.go
+++ b/front/extauthz/fuzz_test.go
@@ -34,16 +34,16 @@
 }
 `
 
-// passes lets every try go.
-type passes struct{ t *node.Request }
+// permissiveNode lets every try go.
+type permissiveNode struct{ request *node.Request }
 
-func (p *passes) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
-	p.t = t
+func (p *permissiveNode) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
+	p.request = t
 	reply(node.FinalResponse{Kind: node.Served, Permit: &node.ForwardPermit{ID: 1, Server: "127.0.0.1:2"}})
 	return func() {}
 }
 
-func (*passes) FinishProxiedAttempt(policy.RequestID, int, node.Result) {}
+func (*permissiveNode) FinishProxiedAttempt(policy.RequestID, int, node.Result) {}
 
 // Whatever attributes a proxy sends: one answer, and only requests with a known
 // key and an unambiguous path pass.
@@ -56,9 +56,9 @@
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, method, path, host, name1, value1, name2, value2 string) {
-		n := &passes{}
+		n := &permissiveNode{}
 		s := New(Options{Node: n, Mapper: intake.New(cfg), Log: slog.New(slog.DiscardHandler), TracePrefix: "f"})
-		defer s.gs.Stop()
+		defer s.grpcServer.Stop()
 		resp, err := s.Check(context.Background(), &authv3.CheckRequest{Attributes: &authv3.AttributeContext{
 			Request: &authv3.AttributeContext_Request{Http: &authv3.AttributeContext_HttpRequest{Method: method, Path: path, Host: host,
 				Headers: map[string]string{name1: value1, name2: value2}}}}})
@@ -66,7 +66,7 @@
 			t.Fatal(err)
 		}
 		passed := resp.GetOkResponse() != nil
-		if passed == (resp.GetDeniedResponse() != nil) || passed != (n.t != nil) {
+		if passed == (resp.GetDeniedResponse() != nil) || passed != (n.request != nil) {
 			t.Errorf("%v", resp)
 		}
 		if passed && (method != "GET" || value1 != "k" && value2 != "k" || path[0] != '/') {
--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -63,34 +63,34 @@
 type Server struct {
 	authv3.UnimplementedAuthorizationServer
 	alsv3.UnimplementedAccessLogServiceServer
-	o      Options
-	gs     *grpc.Server
-	traces atomic.Uint64
-	checks atomic.Int64 // under way
+	options        Options
+	grpcServer     *grpc.Server
+	traceCounter   atomic.Uint64
+	checksInFlight atomic.Int64 // under way
 
-	mu     sync.Mutex
-	passed map[string]passed // by trace, for logs that do not name the attempt
-	sweep  int
+	mu                 sync.Mutex
+	proxiedAttempts    map[string]proxiedAttempt // by trace, for logs that do not name the attempt
+	recordedSinceSweep int
 }
 
-// passed is an attempt that a proxy was let make.
-type passed struct {
+// proxiedAttempt is an attempt that a proxy was let make.
+type proxiedAttempt struct {
 	id      policy.RequestID
 	attempt int
-	until   time.Time
+	expiry  time.Time
 }
 
 // New returns a Server.
 func New(o Options) *Server {
-	s := &Server{o: o, gs: grpc.NewServer(), passed: map[string]passed{}}
-	authv3.RegisterAuthorizationServer(s.gs, s)
-	alsv3.RegisterAccessLogServiceServer(s.gs, s)
+	s := &Server{options: o, grpcServer: grpc.NewServer(), proxiedAttempts: map[string]proxiedAttempt{}}
+	authv3.RegisterAuthorizationServer(s.grpcServer, s)
+	alsv3.RegisterAccessLogServiceServer(s.grpcServer, s)
 	return s
 }
 
 // Serve takes connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
-	err := s.gs.Serve(l)
+	err := s.grpcServer.Serve(l)
 	if errors.Is(err, grpc.ErrServerStopped) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -102,29 +102,29 @@
 func (s *Server) Drain(ctx context.Context) {
 	const logs, look = 200 * time.Millisecond, 5 * time.Millisecond
 	go func() {
-		for s.checks.Load() > 0 && ctx.Err() == nil {
+		for s.checksInFlight.Load() > 0 && ctx.Err() == nil {
 			time.Sleep(look)
 		}
 		select {
 		case <-time.After(logs):
 		case <-ctx.Done():
 		}
-		s.gs.Stop()
+		s.grpcServer.Stop()
 	}()
-	s.gs.GracefulStop()
+	s.grpcServer.GracefulStop()
 }
 
 // Check answers whether a request may go, and where to.
 func (s *Server) Check(ctx context.Context, req *authv3.CheckRequest) (*authv3.CheckResponse, error) {
-	s.checks.Add(1)
-	defer s.checks.Add(-1)
-	call := callOf(req.GetAttributes().GetRequest().GetHttp())
-	trace := s.o.TracePrefix + "-" + strconv.FormatUint(s.traces.Add(1), 36)
-	t, early := s.o.Mapper.Admit(call, trace)
+	s.checksInFlight.Add(1)
+	defer s.checksInFlight.Add(-1)
+	call := httpRequestOf(req.GetAttributes().GetRequest().GetHttp())
+	trace := s.options.TracePrefix + "-" + strconv.FormatUint(s.traceCounter.Add(1), 36)
+	t, early := s.options.Mapper.Admit(call, trace)
 	if early != nil {
-		s.o.Log.Info("answer", "answer", early.Kind.String(), "trace", t.Trace, "class", t.Class,
+		s.options.Log.Info("answer", "answer", early.Kind.String(), "trace", t.Trace, "class", t.Class,
 			"customer", t.Customer, "reason", string(early.Reason), "detail", early.Detail)
-		return s.denied(t, *early), nil
+		return s.deniedResponse(t, *early), nil
 	}
 	if p, ok := peer.FromContext(ctx); ok {
 		t.Arrived = pauseclock.ArrivalTimeForAddr(p.Addr)
@@ -135,9 +135,9 @@
 		t.ClientTimeout = min(t.ClientTimeout, time.Until(by))
 	}
 	t.Proxied = true
-	t.ClientAddress, t.LocalAddress = address(req.GetAttributes().GetSource()), address(req.GetAttributes().GetDestination())
+	t.ClientAddress, t.LocalAddress = socketAddress(req.GetAttributes().GetSource()), socketAddress(req.GetAttributes().GetDestination())
 	answers := make(chan node.FinalResponse, 1)
-	gone := s.o.Node.Submit(t, func(a node.FinalResponse) { answers <- a })
+	gone := s.options.Node.Submit(t, func(a node.FinalResponse) { answers <- a })
 	var a node.FinalResponse
 	select {
 	case a = <-answers:
@@ -146,18 +146,18 @@
 		a = <-answers
 	}
 	if a.Permit == nil {
-		return s.denied(t, a), nil
+		return s.deniedResponse(t, a), nil
 	}
 	if ctx.Err() != nil {
 		// The answer can't arrive: nothing will be sent.
-		s.o.Node.FinishProxiedAttempt(a.Permit.ID, a.Permit.Attempt, node.Result{Code: policy.TooLate, Detail: "the proxy left"})
+		s.options.Node.FinishProxiedAttempt(a.Permit.ID, a.Permit.Attempt, node.Result{Code: policy.TooLate, Detail: "the proxy left"})
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
-	s.note(t.Trace, passed{a.Permit.ID, a.Permit.Attempt, time.Now().Add(a.Permit.Timeout)})
-	return s.allowed(t, a.Permit), nil
+	s.recordAttempt(t.Trace, proxiedAttempt{a.Permit.ID, a.Permit.Attempt, time.Now().Add(a.Permit.Timeout)})
+	return s.okResponse(t, a.Permit), nil
 }
 
-func callOf(h *authv3.AttributeContext_HttpRequest) node.HTTPRequest {
+func httpRequestOf(h *authv3.AttributeContext_HttpRequest) node.HTTPRequest {
 	c := node.HTTPRequest{Method: h.GetMethod(), Target: h.GetPath(), Host: h.GetHost(), Body: []byte(h.GetBody())}
 	if len(c.Body) == 0 {
 		c.Body = h.GetRawBody()
@@ -171,8 +171,8 @@
 	return c
 }
 
-// address is a peer's, as the proxy says; "" where it does not.
-func address(p *authv3.AttributeContext_Peer) string {
+// socketAddress is a peer's, as the proxy says; "" where it does not.
+func socketAddress(p *authv3.AttributeContext_Peer) string {
 	a := p.GetAddress().GetSocketAddress()
 	if a.GetAddress() == "" {
 		return ""
@@ -180,15 +180,15 @@
 	return net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue())))
 }
 
-func (s *Server) allowed(t *node.Request, g *node.ForwardPermit) *authv3.CheckResponse {
+func (s *Server) okResponse(t *node.Request, g *node.ForwardPermit) *authv3.CheckResponse {
 	by := &g.Authorization
-	ok := &authv3.OkHttpResponse{HeadersToRemove: append(slices.Clone(by.RemoveHeaders), s.o.Mapper.KeyHeader()),
+	ok := &authv3.OkHttpResponse{HeadersToRemove: append(slices.Clone(by.RemoveHeaders), s.options.Mapper.KeyHeader()),
 		QueryParametersToRemove: by.RemoveQuery}
 	for _, f := range by.SetHeaders {
-		ok.Headers = append(ok.Headers, option(f.Name, f.Value))
+		ok.Headers = append(ok.Headers, setHeader(f.Name, f.Value))
 	}
 	for _, f := range by.AppendHeaders {
-		o := option(f.Name, f.Value)
+		o := setHeader(f.Name, f.Value)
 		o.Append, o.AppendAction = wrapperspb.Bool(true), corev3.HeaderValueOption_APPEND_IF_EXISTS_OR_ADD
 		ok.Headers = append(ok.Headers, o)
 	}
@@ -196,20 +196,20 @@
 		ok.QueryParametersToSet = append(ok.QueryParametersToSet, &corev3.QueryParameter{Key: f.Name, Value: f.Value})
 	}
 	for _, f := range by.ResponseHeaders {
-		ok.ResponseHeadersToAdd = append(ok.ResponseHeadersToAdd, option(f.Name, f.Value))
+		ok.ResponseHeadersToAdd = append(ok.ResponseHeadersToAdd, setHeader(f.Name, f.Value))
 	}
-	ok.Headers = append(ok.Headers, option(FieldServer, g.Server), option(FieldAttempt, s.token(g)),
-		option(FieldTimeout, strconv.FormatInt(max(1, g.Timeout.Milliseconds()), 10)),
-		option("x-request-id", t.Trace))
+	ok.Headers = append(ok.Headers, setHeader(FieldServer, g.Server), setHeader(FieldAttempt, s.attemptToken(g)),
+		setHeader(FieldTimeout, strconv.FormatInt(max(1, g.Timeout.Milliseconds()), 10)),
+		setHeader("x-request-id", t.Trace))
 	return &authv3.CheckResponse{Status: &rpc.Status{Code: int32(codes.OK)},
 		HttpResponse: &authv3.CheckResponse_OkResponse{OkResponse: ok}}
 }
 
-func (s *Server) denied(t *node.Request, a node.FinalResponse) *authv3.CheckResponse {
-	res := s.o.Mapper.Render(t, a)
+func (s *Server) deniedResponse(t *node.Request, a node.FinalResponse) *authv3.CheckResponse {
+	res := s.options.Mapper.Render(t, a)
 	d := &authv3.DeniedHttpResponse{Status: &typev3.HttpStatus{Code: typev3.StatusCode(res.Status)}, Body: string(res.Body)}
 	for _, f := range res.Header {
-		d.Headers = append(d.Headers, option(f.Name, f.Value))
+		d.Headers = append(d.Headers, setHeader(f.Name, f.Value))
 	}
 	code := codes.PermissionDenied
 	if a.Kind == node.Failed {
@@ -219,38 +219,38 @@
 		HttpResponse: &authv3.CheckResponse_DeniedResponse{DeniedResponse: d}}
 }
 
-func option(name, value string) *corev3.HeaderValueOption {
+func setHeader(name, value string) *corev3.HeaderValueOption {
 	return &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: strings.ToLower(name), Value: value},
 		AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD}
 }
 
-// token names an attempt of this process; parse reads it back.
-func (s *Server) token(g *node.ForwardPermit) string {
-	return fmt.Sprintf("%s/%d/%d", s.o.TracePrefix, g.ID, g.Attempt)
+// attemptToken names an attempt of this process; parse reads it back.
+func (s *Server) attemptToken(g *node.ForwardPermit) string {
+	return fmt.Sprintf("%s/%d/%d", s.options.TracePrefix, g.ID, g.Attempt)
 }
 
-func (s *Server) parse(token string) (p passed, ok bool) {
-	rest, ok := strings.CutPrefix(token, s.o.TracePrefix+"/")
+func (s *Server) parseAttemptToken(token string) (p proxiedAttempt, ok bool) {
+	rest, ok := strings.CutPrefix(token, s.options.TracePrefix+"/")
 	if !ok {
 		return p, false // of another node, or of this one before a restart
 	}
 	id, attempt, _ := strings.Cut(rest, "/")
 	n, err := strconv.ParseUint(id, 10, 64)
 	k, err2 := strconv.Atoi(attempt)
-	return passed{id: policy.RequestID(n), attempt: k}, err == nil && err2 == nil
+	return proxiedAttempt{id: policy.RequestID(n), attempt: k}, err == nil && err2 == nil
 }
 
-// note remembers an attempt by its trace until its time-out.
-func (s *Server) note(trace string, p passed) {
+// recordAttempt remembers an attempt by its trace until its time-out.
+func (s *Server) recordAttempt(trace string, p proxiedAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.passed[trace] = p
-	if s.sweep++; s.sweep > len(s.passed) {
-		s.sweep = 0
+	s.proxiedAttempts[trace] = p
+	if s.recordedSinceSweep++; s.recordedSinceSweep > len(s.proxiedAttempts) {
+		s.recordedSinceSweep = 0
 		now := time.Now()
-		for t, p := range s.passed {
-			if now.After(p.until) {
-				delete(s.passed, t)
+		for t, p := range s.proxiedAttempts {
+			if now.After(p.expiry) {
+				delete(s.proxiedAttempts, t)
 			}
 		}
 	}
@@ -269,21 +269,21 @@
 			return err
 		}
 		for _, e := range m.GetHttpLogs().GetLogEntry() {
-			s.ended(e)
+			s.finishAttempt(e)
 		}
 	}
 }
 
-func (s *Server) ended(e *datav3.HTTPAccessLogEntry) {
+func (s *Server) finishAttempt(e *datav3.HTTPAccessLogEntry) {
 	trace := e.GetRequest().GetRequestId()
-	p, ok := s.parse(e.GetRequest().GetRequestHeaders()[FieldAttempt])
+	p, ok := s.parseAttemptToken(e.GetRequest().GetRequestHeaders()[FieldAttempt])
 	s.mu.Lock()
-	if byTrace, have := s.passed[trace]; have && (!ok || byTrace.id == p.id) {
+	if byTrace, have := s.proxiedAttempts[trace]; have && (!ok || byTrace.id == p.id) {
 		p, ok = byTrace, true
-		delete(s.passed, trace)
+		delete(s.proxiedAttempts, trace)
 	}
 	s.mu.Unlock()
 	if ok {
-		s.o.Node.FinishProxiedAttempt(p.id, p.attempt, s.result(e))
+		s.options.Node.FinishProxiedAttempt(p.id, p.attempt, s.attemptOutcome(e))
 	}
 }
--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -72,16 +72,16 @@
 }
 `
 
-// scripted is a node that gives one answer to every try, and notes the try.
-type scripted struct {
-	answer node.FinalResponse
-	try    *node.Request
-	ended  []node.Result
+// fakeNode is a node that gives one answer to every try, and notes the try.
+type fakeNode struct {
+	final   node.FinalResponse
+	request *node.Request
+	results []node.Result
 }
 
-func (s *scripted) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
-	s.try = t
-	a := s.answer
+func (s *fakeNode) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
+	s.request = t
+	a := s.final
 	if a.Kind == node.Served {
 		if t.Proxied {
 			a.Response, a.Permit = nil, &node.ForwardPermit{ID: 7, Server: "10.0.1.1:80", Timeout: time.Second}
@@ -91,23 +91,23 @@
 	return func() {}
 }
 
-func (s *scripted) FinishProxiedAttempt(id policy.RequestID, attempt int, res node.Result) {
+func (s *fakeNode) FinishProxiedAttempt(id policy.RequestID, attempt int, res node.Result) {
 	if id == 7 && attempt == 0 {
-		s.ended = append(s.ended, res)
+		s.results = append(s.results, res)
 	}
 }
 
-// fronts is both fronts before a scripted node.
-type fronts struct {
+// frontends is both frontends before a scripted node.
+type frontends struct {
 	t      *testing.T
-	node   *scripted
+	node   *fakeNode
 	client *http.Client
 	h2     *http.Client
 	auth   authv3.AuthorizationClient
 	logs   alsv3.AccessLogServiceClient
 }
 
-func inFronts(t *testing.T, f func(*fronts)) {
+func withFrontends(t *testing.T, f func(*frontends)) {
 	synctest.Test(t, func(t *testing.T) {
 		mem := network.NewMemory(time.Millisecond, 1)
 		host, clients := mem.Host("node"), mem.Host("client")
@@ -115,7 +115,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		in, n, log := intake.New(cfg), &scripted{}, slog.New(slog.DiscardHandler)
+		in, n, log := intake.New(cfg), &fakeNode{}, slog.New(slog.DiscardHandler)
 		hs := fronthttp.New(fronthttp.Options{Node: n, Mapper: in, Log: log, TracePrefix: "h", MaxConnections: 10,
 			Limits:        http1.Limits{MaxLineBytes: 4096, MaxHeaderFields: 50, MaxHeaderBytes: 8192, MaxBodyBytes: 1000},
 			HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Minute, WriteTimeout: time.Second})
@@ -146,7 +146,7 @@
 			DialTLSContext: func(ctx context.Context, _, _ string, _ *tls.Config) (net.Conn, error) {
 				return clients.Dial(ctx, "10.0.0.1:82")
 			}}}
-		f(&fronts{t, n, client, h2c, authv3.NewAuthorizationClient(cc), alsv3.NewAccessLogServiceClient(cc)})
+		f(&frontends{t, n, client, h2c, authv3.NewAuthorizationClient(cc), alsv3.NewAccessLogServiceClient(cc)})
 		client.CloseIdleConnections()
 		h2c.CloseIdleConnections()
 		h2l.Close()
@@ -159,21 +159,21 @@
 	})
 }
 
-// told is what a client learns, by whatever protocol.
-type told struct {
+// clientResponse is what a client learns, by whatever protocol.
+type clientResponse struct {
 	status int
 	header map[string]string
 	body   string
 }
 
-type ask struct {
+type clientRequest struct {
 	method, path string
 	header       map[string]string
 }
 
-func (f *fronts) byHTTP(a ask) told { return f.by(f.client, a) }
+func (f *frontends) viaHTTP1(a clientRequest) clientResponse { return f.via(f.client, a) }
 
-func (f *fronts) by(client *http.Client, a ask) told {
+func (f *frontends) via(client *http.Client, a clientRequest) clientResponse {
 	req, err := http.NewRequest(a.method, "http://10.0.0.1:80"+a.path, nil)
 	if err != nil {
 		f.t.Fatal(err)
@@ -194,7 +194,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	out := told{res.StatusCode, map[string]string{}, string(body)}
+	out := clientResponse{res.StatusCode, map[string]string{}, string(body)}
 	for k := range res.Header {
 		if k != "Content-Length" && k != "Date" {
 			out.header[strings.ToLower(k)] = res.Header.Get(k)
@@ -203,7 +203,7 @@
 	return out
 }
 
-func (f *fronts) check(a ask) *authv3.CheckResponse {
+func (f *frontends) check(a clientRequest) *authv3.CheckResponse {
 	headers := map[string]string{":method": a.method}
 	for k, v := range a.header {
 		headers[strings.ToLower(k)] = strings.ReplaceAll(v, "|", ",") // as a proxy joins them
@@ -217,23 +217,23 @@
 	return resp
 }
 
-func (f *fronts) byCheck(a ask) told {
+func (f *frontends) viaCheck(a clientRequest) clientResponse {
 	resp := f.check(a)
 	if resp.GetOkResponse() != nil {
-		return told{status: 200}
+		return clientResponse{status: 200}
 	}
 	d := resp.GetDeniedResponse()
-	out := told{int(d.GetStatus().GetCode()), map[string]string{}, d.GetBody()}
+	out := clientResponse{int(d.GetStatus().GetCode()), map[string]string{}, d.GetBody()}
 	for _, h := range d.GetHeaders() {
 		out.header[h.GetHeader().GetKey()] = h.GetHeader().GetValue()
 	}
 	return out
 }
 
-func TestSameAnswers(t *testing.T) {
-	good := ask{"GET", "/records/1", map[string]string{"X-Api-Key": "k", "X-Request-Id": "r1"}}
-	with := func(a ask, method, path string, fields ...string) ask {
-		out := ask{method, path, map[string]string{}}
+func TestSameResponseByAnyProtocol(t *testing.T) {
+	good := clientRequest{"GET", "/records/1", map[string]string{"X-Api-Key": "k", "X-Request-Id": "r1"}}
+	with := func(a clientRequest, method, path string, fields ...string) clientRequest {
+		out := clientRequest{method, path, map[string]string{}}
 		for k, v := range a.header {
 			out.header[k] = v
 		}
@@ -251,7 +251,7 @@
 		Response: &node.Response{Status: 451, Header: http1.Header{{Name: "X-Why", Value: "law"}}, Body: []byte("no")}}
 	for _, c := range []struct {
 		name   string
-		ask    ask
+		ask    clientRequest
 		answer node.FinalResponse
 		status int
 		reason string
@@ -286,11 +286,11 @@
 		{"malformed count", with(good, "GET", "/records/1", "X-Envoy-Attempt-Count", "x"), served, 400, "bad-request", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inFronts(t, func(f *fronts) {
-				f.node.answer = c.answer
-				h := f.byHTTP(c.ask)
-				hTry := f.node.try
-				h2 := f.by(f.h2, c.ask)
+			withFrontends(t, func(f *frontends) {
+				f.node.final = c.answer
+				h := f.viaHTTP1(c.ask)
+				hTry := f.node.request
+				h2 := f.via(f.h2, c.ask)
 				if h2.status != h.status || h2.body != h.body || !reflect.DeepEqual(h2.header, h.header) {
 					t.Errorf("by HTTP/1.1 %+v\nby HTTP/2 %+v", h, h2)
 				}
@@ -299,19 +299,19 @@
 					slices.SortFunc(h, func(a, b http1.Field) int { return strings.Compare(a.Name, b.Name) })
 					return h
 				}
-				if hTry != nil && !reflect.DeepEqual(sorted(f.node.try.HTTP.Header), sorted(hTry.HTTP.Header)) {
-					t.Errorf("forwarded by HTTP/1.1 %v\nby HTTP/2 %v", hTry.HTTP.Header, f.node.try.HTTP.Header)
+				if hTry != nil && !reflect.DeepEqual(sorted(f.node.request.HTTP.Header), sorted(hTry.HTTP.Header)) {
+					t.Errorf("forwarded by HTTP/1.1 %v\nby HTTP/2 %v", hTry.HTTP.Header, f.node.request.HTTP.Header)
 				}
-				f.node.try = nil
-				g := f.byCheck(c.ask)
+				f.node.request = nil
+				g := f.viaCheck(c.ask)
 				if h.status != c.status || g.status != c.status {
 					t.Fatalf("status %d by HTTP, %d by Check, want %d", h.status, g.status, c.status)
 				}
-				if (hTry == nil) != (f.node.try == nil) {
+				if (hTry == nil) != (f.node.request == nil) {
 					t.Error("one front asked the node, the other did not")
 				}
 				if hTry != nil {
-					a, b := *hTry, *f.node.try
+					a, b := *hTry, *f.node.request
 					a.HTTP, b.HTTP, a.Proxied, b.Proxied = node.HTTPRequest{}, node.HTTPRequest{}, false, false
 					if a.Class != b.Class || a.Customer != b.Customer || a.Plan != b.Plan || a.Trace != b.Trace || a.ClientTimeout != b.ClientTimeout || a.ClientRetry != b.ClientRetry {
 						t.Errorf("tries differ:\n%+v\n%+v", a, b)
@@ -344,7 +344,7 @@
 }
 
 // Access log lines end attempts, once, with what their flags and status say.
-func TestAccessLogs(t *testing.T) {
+func TestAccessLogsFinishAttempts(t *testing.T) {
 	line := func(status uint32, flags *datav3.ResponseFlags, header ...string) *datav3.HTTPAccessLogEntry {
 		e := &datav3.HTTPAccessLogEntry{CommonProperties: &datav3.AccessLogCommon{ResponseFlags: flags},
 			Response: &datav3.HTTPResponseProperties{ResponseHeaders: map[string]string{}}}
@@ -372,9 +372,9 @@
 	} {
 		for _, by := range []string{"token", "request id"} {
 			t.Run(c.name+" by "+by, func(t *testing.T) {
-				inFronts(t, func(f *fronts) {
-					f.node.answer = node.FinalResponse{Kind: node.Served}
-					resp := f.check(ask{"GET", "/records/1", map[string]string{"X-Api-Key": "k", "X-Request-Id": "r1"}})
+				withFrontends(t, func(f *frontends) {
+					f.node.final = node.FinalResponse{Kind: node.Served}
+					resp := f.check(clientRequest{"GET", "/records/1", map[string]string{"X-Api-Key": "k", "X-Request-Id": "r1"}})
 					set := map[string]string{}
 					for _, h := range resp.GetOkResponse().GetHeaders() {
 						set[h.GetHeader().GetKey()] = h.GetHeader().GetValue()
@@ -398,8 +398,8 @@
 					if _, err := stream.CloseAndRecv(); err != nil {
 						t.Fatal(err)
 					}
-					if len(f.node.ended) != 1 || f.node.ended[0].Code != c.code {
-						t.Errorf("%+v, want code %d", f.node.ended, c.code)
+					if len(f.node.results) != 1 || f.node.results[0].Code != c.code {
+						t.Errorf("%+v, want code %d", f.node.results, c.code)
 					}
 				})
 			})
--- a/front/http1/close_test.go
+++ b/front/http1/close_test.go
@@ -15,119 +15,119 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// heldConn is a real connection whose reads wait at a barrier: what arrives meanwhile lies
+// gatedConn is a real connection whose reads wait at a barrier: what arrives meanwhile lies
 // in the socket, unread.
-type heldConn struct {
+type gatedConn struct {
 	*net.TCPConn
-	entered chan struct{} // a read waits at the barrier
-	pass    chan struct{} // lets one read go on
+	readWaiting chan struct{} // a read waits at the barrier
+	allowRead   chan struct{} // lets one read go on
 }
 
-func (c *heldConn) Read(b []byte) (int, error) {
+func (c *gatedConn) Read(b []byte) (int, error) {
 	select {
-	case c.entered <- struct{}{}:
+	case c.readWaiting <- struct{}{}:
 	default: // the barrier is open, and nobody counts
 	}
-	<-c.pass
+	<-c.allowRead
 	return c.TCPConn.Read(b)
 }
 
-// one answers every request that is passed on with its own id, once it may.
-type one struct {
-	taken chan string
-	reply chan struct{}
-	gone  chan string
+// fakeNode answers every request that is passed on with its own id, once it may.
+type fakeNode struct {
+	submitted    chan string
+	allowReply   chan struct{}
+	disconnected chan string
 }
 
-func (o *one) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
+func (o *fakeNode) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
 	done := make(chan struct{})
 	go func() {
-		o.taken <- t.Trace
+		o.submitted <- t.Trace
 		select {
-		case <-o.reply:
+		case <-o.allowReply:
 			reply(node.FinalResponse{Kind: node.Served, Response: &node.Response{Status: 200, Body: []byte(t.Trace)}})
 		case <-done:
 			reply(node.FinalResponse{Kind: node.Failed, Reason: node.ReasonClientDisconnected})
 		}
 	}()
 	return func() {
-		o.gone <- t.Trace
+		o.disconnected <- t.Trace
 		close(done)
 	}
 }
 
-type plainIntake struct{}
+type fakeMapper struct{}
 
-func (plainIntake) Admit(c node.HTTPRequest, _ string) (*node.Request, *node.FinalResponse) {
+func (fakeMapper) Admit(c node.HTTPRequest, _ string) (*node.Request, *node.FinalResponse) {
 	return &node.Request{Trace: c.Target, HTTP: c}, nil
 }
 
-func (plainIntake) Render(_ *node.Request, a node.FinalResponse) *node.Response {
+func (fakeMapper) Render(_ *node.Request, a node.FinalResponse) *node.Response {
 	if a.Response != nil {
 		return a.Response
 	}
 	return &node.Response{Status: 503, Body: []byte(a.Reason)}
 }
 
-const get = "GET %s HTTP/1.1\r\nHost: h\r\n%s\r\n"
+const requestFormat = "GET %s HTTP/1.1\r\nHost: h\r\n%s\r\n"
 
 func request(id, fields string) string {
-	return strings.Replace(strings.Replace(get, "%s", id, 1), "%s", fields, 1)
+	return strings.Replace(strings.Replace(requestFormat, "%s", id, 1), "%s", fields, 1)
 }
 
-type scene struct {
-	t      *testing.T
-	srv    *Server
-	o      *one
-	client net.Conn
-	r      *http1.Reader
-	held   *heldConn
-	opened bool
+type fixture struct {
+	t           *testing.T
+	server      *Server
+	node        *fakeNode
+	client      net.Conn
+	reader      *http1.Reader
+	conn        *gatedConn
+	gateRemoved bool
 }
 
-// open takes the barrier away.
-func (s *scene) open() {
-	if !s.opened {
-		s.opened = true
-		close(s.held.pass)
+// removeGate takes the barrier away.
+func (s *fixture) removeGate() {
+	if !s.gateRemoved {
+		s.gateRemoved = true
+		close(s.conn.allowRead)
 	}
 }
 
-// onReal serves one real connection that is held at each read.
-func onReal(t *testing.T, change func(*Options), f func(s *scene)) {
+// withConnection serves one real connection that is held at each read.
+func withConnection(t *testing.T, change func(*Options), f func(s *fixture)) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := &scene{t: t, o: &one{taken: make(chan string, 100), reply: make(chan struct{}, 100), gone: make(chan string, 100)}}
+	s := &fixture{t: t, node: &fakeNode{submitted: make(chan string, 100), allowReply: make(chan struct{}, 100), disconnected: make(chan string, 100)}}
 	lim := http1.Limits{MaxLineBytes: 1000, MaxHeaderFields: 10, MaxHeaderBytes: 4000, MaxBodyBytes: 32 << 10}
-	o := Options{Node: s.o, Mapper: plainIntake{}, Log: slog.New(slog.DiscardHandler), Limits: lim, HeaderTimeout: time.Minute,
+	o := Options{Node: s.node, Mapper: fakeMapper{}, Log: slog.New(slog.DiscardHandler), Limits: lim, HeaderTimeout: time.Minute,
 		BodyTimeout: time.Minute, IdleTimeout: time.Minute, WriteTimeout: time.Minute, MaxConnections: 10}
 	if change != nil {
 		change(&o)
 	}
-	s.srv = New(o)
+	s.server = New(o)
 	if s.client, err = net.Dial("tcp", l.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	defer s.client.Close()
 	s.client.SetDeadline(time.Now().Add(20 * time.Second))
-	s.r = http1.NewReader(s.client, lim)
+	s.reader = http1.NewReader(s.client, lim)
 	nc, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.held = &heldConn{TCPConn: nc.(*net.TCPConn), entered: make(chan struct{}, 100), pass: make(chan struct{}, 100)}
+	s.conn = &gatedConn{TCPConn: nc.(*net.TCPConn), readWaiting: make(chan struct{}, 100), allowRead: make(chan struct{}, 100)}
 	served := make(chan struct{})
 	go func() {
-		s.srv.ServeConn(s.held)
+		s.server.ServeConn(s.conn)
 		close(served)
 	}()
 	f(s)
 	s.client.Close()
-	s.open()
+	s.removeGate()
 	select {
 	case <-served:
 	case <-time.After(20 * time.Second):
@@ -135,54 +135,54 @@
 	}
 }
 
-func (s *scene) send(text string) {
+func (s *fixture) send(text string) {
 	s.t.Helper()
 	if _, err := s.client.Write([]byte(text)); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *scene) answered(id string) {
+func (s *fixture) expectResponse(id string) {
 	s.t.Helper()
-	head, err := s.r.Response("GET")
+	head, err := s.reader.Response("GET")
 	if err != nil {
 		s.t.Fatalf("no answer to %s: %v", id, err)
 	}
-	if body, err := s.r.Body(head.Framing, head.Length); err != nil || string(body) != id {
+	if body, err := s.reader.Body(head.Framing, head.Length); err != nil || string(body) != id {
 		s.t.Fatalf("%q for %s, %v", body, id, err)
 	}
 }
 
-// ended wants a clean end: a reset would take answers with it that were not read yet.
-func (s *scene) ended() {
+// expectCleanClose wants a clean end: a reset would take answers with it that were not read yet.
+func (s *fixture) expectCleanClose() {
 	s.t.Helper()
-	if err := s.r.Await(); !errors.Is(err, io.EOF) {
+	if err := s.reader.Await(); !errors.Is(err, io.EOF) {
 		s.t.Errorf("the connection ended with %v (a reset: %v)", err, errors.Is(err, syscall.ECONNRESET))
 	}
 	select {
-	case id := <-s.o.taken:
+	case id := <-s.node.submitted:
 		s.t.Errorf("%s was taken after the connection was shut", id)
 	default:
 	}
 }
 
-// first plays one request and leaves the node waiting for the next at the barrier.
-func (s *scene) first() {
+// completeFirstRequest plays one request and leaves the node waiting for the next at the barrier.
+func (s *fixture) completeFirstRequest() {
 	s.send(request("/first", ""))
-	<-s.held.entered
-	s.held.pass <- struct{}{}
-	s.o.reply <- struct{}{}
-	<-s.o.taken
-	<-s.held.entered // the watch for its leaving
-	s.held.pass <- struct{}{}
-	s.answered("/first")
-	<-s.held.entered // the next request
+	<-s.conn.readWaiting
+	s.conn.allowRead <- struct{}{}
+	s.node.allowReply <- struct{}{}
+	<-s.node.submitted
+	<-s.conn.readWaiting // the watch for its leaving
+	s.conn.allowRead <- struct{}{}
+	s.expectResponse("/first")
+	<-s.conn.readWaiting // the next request
 }
 
 // A request crosses the end of its resting connection: it lies unread in the socket as the
 // connection is closed, by a shutdown, because it was idle for too long, or to make room.
 // The client must find a clean end, and nothing is done with the request.
-func TestCloseCrossesARequest(t *testing.T) {
+func TestCloseWithUnreadRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Options)
 		shut   func(*Server)
@@ -194,29 +194,29 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
-				s.room.leave(&c.seat)
-				c.leave()
+				s.evictor.remove(&c.evictionEntry)
+				c.evict()
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			idle := time.Minute
-			onReal(t, func(o *Options) {
+			withConnection(t, func(o *Options) {
 				if c.change != nil {
 					c.change(o)
 					idle, o.IdleTimeout = o.IdleTimeout, time.Minute
 				}
-			}, func(s *scene) {
-				s.first()
-				if s.srv.o.IdleTimeout != idle {
-					s.held.SetReadDeadline(time.Now().Add(idle))
+			}, func(s *fixture) {
+				s.completeFirstRequest()
+				if s.server.options.IdleTimeout != idle {
+					s.conn.SetReadDeadline(time.Now().Add(idle))
 				}
-				c.shut(s.srv)
+				c.shut(s.server)
 				s.send(request("/crossing", ""))
-				s.held.pass <- struct{}{}
-				<-s.held.entered // what it reads for nothing
-				s.held.pass <- struct{}{}
-				s.ended()
+				s.conn.allowRead <- struct{}{}
+				<-s.conn.readWaiting // what it reads for nothing
+				s.conn.allowRead <- struct{}{}
+				s.expectCleanClose()
 			})
 		})
 	}
@@ -224,106 +224,106 @@
 
 // What lies unread behind an answer that closes the connection is not acted on, and does
 // not cost the client that answer.
-func TestAnswerThatClosesCrossesARequest(t *testing.T) {
-	onReal(t, nil, func(s *scene) {
+func TestClosingResponseWithUnreadRequest(t *testing.T) {
+	withConnection(t, nil, func(s *fixture) {
 		s.send(request("/last", "Connection: close\r\n"))
-		<-s.held.entered
-		s.held.pass <- struct{}{}
-		<-s.o.taken
-		<-s.held.entered // the watch
+		<-s.conn.readWaiting
+		s.conn.allowRead <- struct{}{}
+		<-s.node.submitted
+		<-s.conn.readWaiting // the watch
 		s.send(request("/behind", ""))
-		s.o.reply <- struct{}{}
-		s.held.pass <- struct{}{}
-		<-s.held.entered
-		s.held.pass <- struct{}{}
-		s.answered("/last")
-		s.ended()
+		s.node.allowReply <- struct{}{}
+		s.conn.allowRead <- struct{}{}
+		<-s.conn.readWaiting
+		s.conn.allowRead <- struct{}{}
+		s.expectResponse("/last")
+		s.expectCleanClose()
 	})
 }
 
 // A shutdown that crosses a request under way lets it have its answer, and says that it is
 // the connection's last.
-func TestShutdownCrossesAnAnswer(t *testing.T) {
-	onReal(t, nil, func(s *scene) {
-		s.open()
+func TestShutdownDuringRequest(t *testing.T) {
+	withConnection(t, nil, func(s *fixture) {
+		s.removeGate()
 		s.send(request("/open", ""))
-		<-s.o.taken
-		s.srv.StartDraining()
-		s.srv.StopAccepting()
-		s.srv.RejectPartialRequests()
-		s.o.reply <- struct{}{}
-		s.answered("/open")
-		s.ended()
+		<-s.node.submitted
+		s.server.StartDraining()
+		s.server.StopAccepting()
+		s.server.RejectPartialRequests()
+		s.node.allowReply <- struct{}{}
+		s.expectResponse("/open")
+		s.expectCleanClose()
 	})
 }
 
 // A request that has begun to come as requests stop being read is refused, and the client
 // can read so.
-func TestLateCrossesHalfARequest(t *testing.T) {
-	onReal(t, nil, func(s *scene) {
+func TestRejectPartialRequest(t *testing.T) {
+	withConnection(t, nil, func(s *fixture) {
 		s.send("GET /half HTTP/1.1\r\nHo")
-		<-s.held.entered
-		s.held.pass <- struct{}{}
-		<-s.held.entered
-		s.srv.RejectPartialRequests()
+		<-s.conn.readWaiting
+		s.conn.allowRead <- struct{}{}
+		<-s.conn.readWaiting
+		s.server.RejectPartialRequests()
 		s.send("st: h\r\n\r\n")
-		s.open()
-		head, err := s.r.Response("GET")
+		s.removeGate()
+		head, err := s.reader.Response("GET")
 		if err != nil || head.Status < 400 || head.KeepAlive() {
 			t.Fatalf("%+v, %v", head, err)
 		}
-		s.r.Body(head.Framing, head.Length)
-		s.ended()
+		s.reader.Body(head.Framing, head.Length)
+		s.expectCleanClose()
 	})
 }
 
 // A client that leaves behind requests it sent ahead is heard to leave, also where those
 // fill the buffer that the request under way was read with; one that sends more than a node
 // holds gets an error.
-func TestLeavingBehindRequestsSentAhead(t *testing.T) {
+func TestDisconnectWithPipelinedRequests(t *testing.T) {
 	for _, size := range []int{1, 3 << 10, 20 << 10} {
-		onReal(t, nil, func(s *scene) {
-			s.open()
+		withConnection(t, nil, func(s *fixture) {
+			s.removeGate()
 			s.send(request("/open", ""))
-			<-s.o.taken
+			<-s.node.submitted
 			s.send(strings.Repeat(request("/ahead", ""), 1+size/30))
 			s.client.Close()
 			select {
-			case <-s.o.gone:
+			case <-s.node.disconnected:
 			case <-time.After(20 * time.Second):
 				t.Errorf("%d bytes ahead: nobody heard that the client left", size)
-				s.o.reply <- struct{}{}
+				s.node.allowReply <- struct{}{}
 			}
 		})
 	}
-	onReal(t, nil, func(s *scene) {
-		s.open()
+	withConnection(t, nil, func(s *fixture) {
+		s.removeGate()
 		s.send(request("/open", ""))
-		<-s.o.taken
+		<-s.node.submitted
 		go s.client.Write([]byte(strings.Repeat(request("/ahead", ""), 3000)))
-		if head, err := s.r.Response("GET"); err != nil || head.Status != 503 {
+		if head, err := s.reader.Response("GET"); err != nil || head.Status != 503 {
 			t.Errorf("%+v, %v", head, err)
 		}
-		<-s.o.gone
+		<-s.node.disconnected
 	})
 }
 
 // A connection is to make room just as its next request begins to come: it is woken before
 // it sets its own time for that, which must not put the waking off.
-func TestRoomCrossesABeginning(t *testing.T) {
+func TestEvictionBeforeReadTimeoutIsSet(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		near, far := net.Pipe()
 		s := New(Options{MaxConnections: 1})
-		c := &conn{s: s, nc: near, phase: reading}
+		c := &conn{server: s, netConn: near, state: stateReading}
 		s.conns[c] = true
 		if late {
 			s.RejectPartialRequests()
 		} else {
 			s.mu.Lock()
-			c.leave()
+			c.evict()
 			s.mu.Unlock()
 		}
-		c.within(time.Hour)
+		c.setReadTimeout(time.Hour)
 		read := make(chan error, 1)
 		go func() {
 			_, err := near.Read(make([]byte, 1))
--- a/front/http1/server.go
+++ b/front/http1/server.go
@@ -53,48 +53,48 @@
 
 // Server serves connections.
 type Server struct {
-	o       Options
-	mu      sync.Mutex
-	conns   map[*conn]bool
-	room    room
-	made    []*conn // that linger and have made room, oldest first
-	closing bool    // connections close after the answer under way
-	ended   bool    // and no new ones are taken
-	late    bool    // and no request is read any more
-	done    sync.WaitGroup
-	traces  atomic.Uint64
+	options          Options
+	mu               sync.Mutex
+	conns            map[*conn]bool
+	evictor          connectionEvictor
+	evictedLingering []*conn // that linger and have made room, oldest first
+	draining         bool    // connections close after the answer under way
+	acceptStopped    bool    // and no new ones are taken
+	rejectPartial    bool    // and no request is read any more
+	serving          sync.WaitGroup
+	traceCounter     atomic.Uint64
 }
 
 // New returns a Server.
 func New(o Options) *Server {
-	return &Server{o: o, conns: map[*conn]bool{}, room: room{most: o.MaxConnections, yield: o.MinIdleBeforeEviction, spare: o.MaxIdleConnections, holding: holding}}
+	return &Server{options: o, conns: map[*conn]bool{}, evictor: connectionEvictor{maxConnections: o.MaxConnections, minIdleTime: o.MinIdleBeforeEviction, maxIdle: o.MaxIdleConnections, hasUnreadData: hasUnreadData}}
 }
 
 // Serve takes connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
-	return network.AcceptLoop(l, s.o.Log, s.ServeConn)
+	return network.AcceptLoop(l, s.options.Log, s.ServeConn)
 }
 
 // ServeConn serves one connection until it ends.
 func (s *Server) ServeConn(nc net.Conn) {
-	c := &conn{s: s, nc: nc, r: http1.NewReader(nc, s.o.Limits), answers: make(chan node.FinalResponse, 1)}
-	c.seat.conn = c
+	c := &conn{server: s, netConn: nc, reader: http1.NewReader(nc, s.options.Limits), finalResponses: make(chan node.FinalResponse, 1)}
+	c.evictionEntry.conn = c
 	s.mu.Lock()
 	ok := false
-	if !s.ended {
+	if !s.acceptStopped {
 		var victim *conn
-		if ok, victim = s.room.enter(time.Now()); victim != nil {
-			victim.leave()
+		if ok, victim = s.evictor.admit(time.Now()); victim != nil {
+			victim.evict()
 		}
 	}
 	if ok {
-		s.room.comes(&c.seat, time.Now())
+		s.evictor.markAwaitingRequest(&c.evictionEntry, time.Now())
 		s.conns[c] = true
-		s.done.Add(1)
+		s.serving.Add(1)
 	}
 	s.mu.Unlock()
 	if !ok {
-		if s.draining() {
+		if s.isDraining() {
 			c.linger()
 		}
 		nc.Close()
@@ -103,10 +103,10 @@
 	c.serve()
 }
 
-func (s *Server) draining() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closing
+	return s.draining
 }
 
 // StartDraining closes idle connections, and the others after the answer under way; new
@@ -114,13 +114,13 @@
 func (s *Server) StartDraining() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.close()
+	s.startDraining()
 }
 
-func (s *Server) close() {
-	s.closing = true
+func (s *Server) startDraining() {
+	s.draining = true
 	for c := range s.conns {
-		c.wake()
+		c.interruptRead()
 	}
 }
 
@@ -128,16 +128,16 @@
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
-	s.close()
+	s.acceptStopped = true
+	s.startDraining()
 }
 
 // RejectPartialRequests has what is still being read of requests refused.
 func (s *Server) RejectPartialRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.late = true
-	s.close()
+	s.rejectPartial = true
+	s.startDraining()
 }
 
 // Drain is Ending, and returns when all connections are closed; when the context ends
@@ -148,202 +148,202 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for c := range s.conns {
-			c.nc.Close()
+			c.netConn.Close()
 		}
 	})
 	defer stop()
-	s.done.Wait()
+	s.serving.Wait()
 }
 
-// phase is what a connection is at.
-type phase int
+// connState is what a connection is at.
+type connState int
 
 const (
-	resting   phase = iota // between requests
-	reading                // a request has begun to come
-	open                   // a whole request is under way
-	lingering              // it was closed here
+	stateIdle      connState = iota // between requests
+	stateReading                    // a request has begun to come
+	stateInFlight                   // a whole request is under way
+	stateLingering                  // it was closed here
 )
 
 type conn struct {
-	s       *Server
-	nc      net.Conn
-	r       *http1.Reader
-	seat    seat // under the server's lock, as are the next three
-	phase   phase
-	out     bool      // it makes room for another
-	asked   bool      // it has sent a whole request
-	began   time.Time // when the first byte of the request under way arrived
-	next    time.Time // and of one that came while another was under way; zero: none did
-	first   time.Time // its first request must be whole by then; zero: it was, or need not
-	ahead   bool      // its client sent more ahead than is held
-	gone    bool      // its client closed it, or can't be written to
-	buf     []byte
-	answers chan node.FinalResponse
+	server               *Server
+	netConn              net.Conn
+	reader               *http1.Reader
+	evictionEntry        evictionEntry // under the server's lock, as are the next three
+	state                connState
+	evicted              bool      // it makes room for another
+	hasSentRequest       bool      // it has sent a whole request
+	arrived              time.Time // when the first byte of the request under way arrived
+	nextArrived          time.Time // and of one that came while another was under way; zero: none did
+	firstRequestDeadline time.Time // its first request must be whole by then; zero: it was, or need not
+	pipelineTooLong      bool      // its client sent more ahead than is held
+	disconnected         bool      // its client closed it, or can't be written to
+	buf                  []byte
+	finalResponses       chan node.FinalResponse
 }
 
-// rests notes that no request is under way; false where the connection is to be closed.
-func (c *conn) rests() bool {
-	s := c.s
+// becomeIdle notes that no request is under way; false where the connection is to be closed.
+func (c *conn) becomeIdle() bool {
+	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.phase = resting; c.out {
+	if c.state = stateIdle; c.evicted {
 		return false
 	}
-	if c.asked {
-		if victim := s.room.idle(&c.seat, time.Now()); victim != nil {
-			victim.leave()
+	if c.hasSentRequest {
+		if victim := s.evictor.markIdle(&c.evictionEntry, time.Now()); victim != nil {
+			victim.evict()
 		}
 	}
-	return !s.closing || c.fresh()
+	return !s.draining || c.awaitsFirstRequest()
 }
 
-// reads notes that a request begins to come; false where the connection makes room.
-func (c *conn) reads() bool {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if c.phase = reading; c.out {
+// beginReading notes that a request begins to come; false where the connection makes room.
+func (c *conn) beginReading() bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if c.state = stateReading; c.evicted {
 		return false
 	}
-	c.s.room.comes(&c.seat, time.Now())
+	c.server.evictor.markAwaitingRequest(&c.evictionEntry, time.Now())
 	return true
 }
 
-// fresh tells whether the connection is still owed its first request; under the server's
+// awaitsFirstRequest tells whether the connection is still owed its first request; under the server's
 // lock.
-func (c *conn) fresh() bool { return !c.asked && !c.s.ended }
+func (c *conn) awaitsFirstRequest() bool { return !c.hasSentRequest && !c.server.acceptStopped }
 
-// wake has the connection look up where it waits for what it will not be given any more;
+// interruptRead has the connection look up where it waits for what it will not be given any more;
 // under the server's lock.
-func (c *conn) wake() {
-	if c.phase == resting && !c.fresh() || c.phase == reading && c.s.late {
-		c.nc.SetReadDeadline(time.Unix(1, 0))
+func (c *conn) interruptRead() {
+	if c.state == stateIdle && !c.awaitsFirstRequest() || c.state == stateReading && c.server.rejectPartial {
+		c.netConn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// leave has an idle connection end; under the server's lock.
-func (c *conn) leave() {
-	if c.out = true; c.phase != lingering {
-		c.nc.SetReadDeadline(time.Unix(1, 0))
+// evict has an idle connection end; under the server's lock.
+func (c *conn) evict() {
+	if c.evicted = true; c.state != stateLingering {
+		c.netConn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// taken notes that a whole request has come: it is answered, also where the
+// beginRequest notes that a whole request has come: it is answered, also where the
 // connection was to make room.
-func (c *conn) taken() {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if c.asked, c.phase = true, open; c.out {
-		c.out = false
-		c.s.room.stays()
+func (c *conn) beginRequest() {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if c.hasSentRequest, c.state = true, stateInFlight; c.evicted {
+		c.evicted = false
+		c.server.evictor.readmit()
 	}
-	c.s.room.open(&c.seat)
+	c.server.evictor.dequeue(&c.evictionEntry)
 }
 
-// holding tells whether a connection holds bytes that were not read.
-func holding(c *conn) bool {
-	r, ok := c.nc.(interface{ Readable() bool })
+// hasUnreadData tells whether a connection holds bytes that were not read.
+func hasUnreadData(c *conn) bool {
+	r, ok := c.netConn.(interface{ Readable() bool })
 	return ok && r.Readable()
 }
 
-// within bounds what is read from now on.
-func (c *conn) within(d time.Duration) {
+// setReadTimeout bounds what is read from now on.
+func (c *conn) setReadTimeout(d time.Duration) {
 	at := time.Now().Add(d)
-	if !c.first.IsZero() && c.first.Before(at) {
-		at = c.first
+	if !c.firstRequestDeadline.IsZero() && c.firstRequestDeadline.Before(at) {
+		at = c.firstRequestDeadline
 	}
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if c.s.late || c.out {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if c.server.rejectPartial || c.evicted {
 		at = time.Unix(1, 0) // it was woken before it came to wait
 	}
-	c.nc.SetReadDeadline(at)
+	c.netConn.SetReadDeadline(at)
 }
 
 func (c *conn) serve() {
 	defer func() {
-		if !c.gone {
+		if !c.disconnected {
 			c.linger()
 		}
-		c.nc.Close()
-		c.s.mu.Lock()
-		delete(c.s.conns, c)
-		if !c.out {
-			c.s.room.leave(&c.seat)
+		c.netConn.Close()
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
+		if !c.evicted {
+			c.server.evictor.remove(&c.evictionEntry)
 		}
-		c.s.mu.Unlock()
-		c.s.done.Done()
+		c.server.mu.Unlock()
+		c.server.serving.Done()
 	}()
-	if c.s.o.FirstRequestTimeout > 0 {
-		c.first = time.Now().Add(c.s.o.FirstRequestTimeout)
+	if c.server.options.FirstRequestTimeout > 0 {
+		c.firstRequestDeadline = time.Now().Add(c.server.options.FirstRequestTimeout)
 	}
 	for {
-		c.within(c.s.o.IdleTimeout)
-		if !c.rests() && c.r.Buffered() == 0 {
+		c.setReadTimeout(c.server.options.IdleTimeout)
+		if !c.becomeIdle() && c.reader.Buffered() == 0 {
 			return
 		}
-		if c.r.Buffered() == 0 {
-			if err := c.r.Await(); err != nil {
-				c.gone = !errors.Is(err, os.ErrDeadlineExceeded)
+		if c.reader.Buffered() == 0 {
+			if err := c.reader.Await(); err != nil {
+				c.disconnected = !errors.Is(err, os.ErrDeadlineExceeded)
 				return
 			}
 		}
-		c.began, c.next = c.next, time.Time{}
-		if c.began.IsZero() {
-			c.began = pauseclock.ArrivalTime(c.nc)
+		c.arrived, c.nextArrived = c.nextArrived, time.Time{}
+		if c.arrived.IsZero() {
+			c.arrived = pauseclock.ArrivalTime(c.netConn)
 		}
-		if !c.reads() || !c.one() {
+		if !c.beginReading() || !c.serveRequest() {
 			return
 		}
-		c.first = time.Time{}
+		c.firstRequestDeadline = time.Time{}
 	}
 }
 
-// one serves one request; false where the connection is to be closed.
-func (c *conn) one() bool {
-	c.within(c.s.o.HeaderTimeout)
-	req, err := c.r.Request()
+// serveRequest serves serveRequest request; false where the connection is to be closed.
+func (c *conn) serveRequest() bool {
+	c.setReadTimeout(c.server.options.HeaderTimeout)
+	req, err := c.reader.Request()
 	if err != nil {
-		return c.refuse(req, err)
+		return c.reject(req, err)
 	}
 	call := node.HTTPRequest{Method: req.Method, Target: req.Target, Host: req.Host, Header: req.Header.EndToEnd()}
 	call.Header.Del("Host") // it is call.Host
 	if expect := call.Header.Get("Expect"); expect != "" {
 		if expect != "100-continue" {
-			return c.refuse(req, &http1.Error{Status: 417, Text: "expectation other than 100-continue"})
+			return c.reject(req, &http1.Error{Status: 417, Text: "expectation other than 100-continue"})
 		}
 		call.Header.Del("Expect")
-		if req.Framing != http1.NoBody && c.r.Buffered() == 0 && !c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
+		if req.Framing != http1.NoBody && c.reader.Buffered() == 0 && !c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
 			return false
 		}
 	}
 	if req.Framing != http1.NoBody {
-		c.within(c.s.o.BodyTimeout)
-		if call.Body, err = c.r.Body(req.Framing, req.Length); err != nil {
-			return c.refuse(req, err)
+		c.setReadTimeout(c.server.options.BodyTimeout)
+		if call.Body, err = c.reader.Body(req.Framing, req.Length); err != nil {
+			return c.reject(req, err)
 		}
 	}
-	c.taken()
-	return c.answer(req, call)
+	c.beginRequest()
+	return c.respond(req, call)
 }
 
-// answer puts a whole request to the node and writes the answer.
-func (c *conn) answer(req *http1.Request, call node.HTTPRequest) bool {
-	t, early := c.s.o.Mapper.Admit(call, c.s.o.TracePrefix+"-"+strconv.FormatUint(c.s.traces.Add(1), 36))
+// respond puts a whole request to the node and writes the respond.
+func (c *conn) respond(req *http1.Request, call node.HTTPRequest) bool {
+	t, early := c.server.options.Mapper.Admit(call, c.server.options.TracePrefix+"-"+strconv.FormatUint(c.server.traceCounter.Add(1), 36))
 	var a node.FinalResponse
 	if early != nil {
 		a = *early
-		c.s.o.Log.Info("answer", "answer", a.Kind.String(), "trace", t.Trace, "class", t.Class, "customer", t.Customer,
+		c.server.options.Log.Info("answer", "answer", a.Kind.String(), "trace", t.Trace, "class", t.Class, "customer", t.Customer,
 			"reason", string(a.Reason), "detail", a.Detail)
 	} else {
-		t.ClientAddress, t.LocalAddress = c.nc.RemoteAddr().String(), c.nc.LocalAddr().String()
-		if a = c.wait(t); c.gone {
+		t.ClientAddress, t.LocalAddress = c.netConn.RemoteAddr().String(), c.netConn.LocalAddr().String()
+		if a = c.submit(t); c.disconnected {
 			return false
 		}
 	}
-	res := c.s.o.Mapper.Render(t, a)
-	closing := !req.KeepAlive() || c.ahead || c.s.draining()
-	if len(res.Body) > longBody && req.Method != "HEAD" {
+	res := c.server.options.Mapper.Render(t, a)
+	closing := !req.KeepAlive() || c.pipelineTooLong || c.server.isDraining()
+	if len(res.Body) > maxCopiedBody && req.Method != "HEAD" {
 		c.buf = http1.AppendResponseHead(c.buf[:0], req.Method, res.Status, res.Header, len(res.Body), closing)
 		return c.write(c.buf, res.Body) && !closing
 	}
@@ -351,64 +351,64 @@
 	return c.write(c.buf) && !closing
 }
 
-// wait puts a try to the node and waits for its answer, or for the client to
+// submit puts a try to the node and waits for its answer, or for the client to
 // leave; one that closes its sending side is taken to have left.
-func (c *conn) wait(t *node.Request) (a node.FinalResponse) {
-	c.nc.SetReadDeadline(time.Time{})
-	t.Arrived = c.began
-	gone := c.s.o.Node.Submit(t, func(a node.FinalResponse) { c.answers <- a })
+func (c *conn) submit(t *node.Request) (a node.FinalResponse) {
+	c.netConn.SetReadDeadline(time.Time{})
+	t.Arrived = c.arrived
+	gone := c.server.options.Node.Submit(t, func(a node.FinalResponse) { c.finalResponses <- a })
 	watched := make(chan error, 1)
-	go func() { watched <- c.watch() }()
+	go func() { watched <- c.watchForDisconnect() }()
 	var err error
 	select {
-	case a = <-c.answers:
-		c.nc.SetReadDeadline(time.Unix(1, 0)) // ends the watch
+	case a = <-c.finalResponses:
+		c.netConn.SetReadDeadline(time.Unix(1, 0)) // ends the watch
 		err = <-watched
 	case err = <-watched:
 		gone()
-		a = <-c.answers // the node has its last word in any case
+		a = <-c.finalResponses // the node has its last word in any case
 		if errors.Is(err, http1.ErrPipelineTooLong) {
 			// Whether this client leaves could not be heard any more.
 			a = node.FinalResponse{Kind: node.Failed, Reason: node.ReasonTooLarge, Detail: "requests sent ahead"}
 		}
 	}
-	c.ahead = errors.Is(err, http1.ErrPipelineTooLong)
-	c.gone = !c.ahead && !errors.Is(err, os.ErrDeadlineExceeded)
+	c.pipelineTooLong = errors.Is(err, http1.ErrPipelineTooLong)
+	c.disconnected = !c.pipelineTooLong && !errors.Is(err, os.ErrDeadlineExceeded)
 	return a
 }
 
-// watch waits for the client to leave. What comes meanwhile is the next request,
+// watchForDisconnect waits for the client to leave. What comes meanwhile is the next request,
 // pipelined, which waits for its turn.
-func (c *conn) watch() error {
+func (c *conn) watchForDisconnect() error {
 	for {
-		if err := c.r.Await(); err != nil {
+		if err := c.reader.Await(); err != nil {
 			return err
 		}
-		if c.next.IsZero() {
-			c.next = pauseclock.ArrivalTime(c.nc)
+		if c.nextArrived.IsZero() {
+			c.nextArrived = pauseclock.ArrivalTime(c.netConn)
 		}
 	}
 }
 
-// refuse answers what could not be read, as far as there is someone to answer,
+// reject answers what could not be read, as far as there is someone to answer,
 // and closes the connection.
-func (c *conn) refuse(req *http1.Request, err error) bool {
+func (c *conn) reject(req *http1.Request, err error) bool {
 	var pe *http1.Error
 	status := 408 // the time for the header or the body is over
 	switch {
 	case errors.As(err, &pe):
 		status = pe.Status
 	case !errors.Is(err, os.ErrDeadlineExceeded):
-		c.gone = true // it ended in the middle, or before the first byte
+		c.disconnected = true // it ended in the middle, or before the first byte
 		return false
 	}
 	why := node.ReasonBadRequest
 	if status == 413 {
 		why = node.ReasonTooLarge
 	}
-	c.s.o.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(why), "detail", err.Error(),
-		"client", c.nc.RemoteAddr().String())
-	res := c.s.o.Mapper.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: err.Error()})
+	c.server.options.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(why), "detail", err.Error(),
+		"client", c.netConn.RemoteAddr().String())
+	res := c.server.options.Mapper.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: err.Error()})
 	method := ""
 	if req != nil {
 		method = req.Method
@@ -421,40 +421,40 @@
 // linger half-closes the connection and reads on, for nothing: closing over unread bytes
 // would reset it, and take the answer under way with it.
 func (c *conn) linger() {
-	s := c.s
+	s := c.server
 	s.mu.Lock()
-	c.phase = lingering
-	s.room.open(&c.seat)
-	if c.out && s.o.MaxLingeringConnections > 0 {
-		s.made = append(s.made, c)
-		if len(s.made) > s.o.MaxLingeringConnections {
-			s.made[0].nc.SetReadDeadline(time.Unix(1, 0))
-			s.made = slices.Delete(s.made, 0, 1)
+	c.state = stateLingering
+	s.evictor.dequeue(&c.evictionEntry)
+	if c.evicted && s.options.MaxLingeringConnections > 0 {
+		s.evictedLingering = append(s.evictedLingering, c)
+		if len(s.evictedLingering) > s.options.MaxLingeringConnections {
+			s.evictedLingering[0].netConn.SetReadDeadline(time.Unix(1, 0))
+			s.evictedLingering = slices.Delete(s.evictedLingering, 0, 1)
 		}
 	}
-	c.nc.SetReadDeadline(time.Now().Add(lingerTime))
+	c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	s.mu.Unlock()
-	if w, ok := c.nc.(interface{ CloseWrite() error }); ok {
+	if w, ok := c.netConn.(interface{ CloseWrite() error }); ok {
 		w.CloseWrite()
 	}
-	io.CopyN(io.Discard, c.nc, lingerBytes)
+	io.CopyN(io.Discard, c.netConn, maxLingerBytes)
 	s.mu.Lock()
-	if i := slices.Index(s.made, c); i >= 0 {
-		s.made = slices.Delete(s.made, i, i+1)
+	if i := slices.Index(s.evictedLingering, c); i >= 0 {
+		s.evictedLingering = slices.Delete(s.evictedLingering, i, i+1)
 	}
 	s.mu.Unlock()
 }
 
-// longBody is the length of bodies that are not copied behind their heads, so that
+// maxCopiedBody is the length of bodies that are not copied behind their heads, so that
 // a connection's buffer stays small.
-const longBody = 16 << 10
+const maxCopiedBody = 16 << 10
 
 // write writes the parts of an answer, all within the time for one.
 func (c *conn) write(parts ...[]byte) bool {
-	c.nc.SetWriteDeadline(time.Now().Add(c.s.o.WriteTimeout))
+	c.netConn.SetWriteDeadline(time.Now().Add(c.server.options.WriteTimeout))
 	for _, b := range parts {
-		if _, err := c.nc.Write(b); err != nil {
-			c.gone = true
+		if _, err := c.netConn.Write(b); err != nil {
+			c.disconnected = true
 			return false
 		}
 	}
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -19,23 +19,23 @@
 
 // Mapper knows the routes, keys and plans of a configuration.
 type Mapper struct {
-	cfg    *config.Config
-	routes *segment // by method first
-	keys   map[string]*config.Customer
-	plans  map[string]policy.Plan
+	cfg            *config.Config
+	routes         *routeNode // by method first
+	customersByKey map[string]*config.Customer
+	plans          map[string]policy.Plan
 }
 
-// segment is a place in the tree of routes.
-type segment struct {
-	plain map[string]*segment
-	any   *segment      // {name}
-	rest  *config.Class // {name...}
-	class *config.Class // of a path that ends here
+// routeNode is a place in the tree of routes.
+type routeNode struct {
+	literal  map[string]*routeNode
+	wildcard *routeNode    // {name}
+	tail     *config.Class // {name...}
+	class    *config.Class // of a path that ends here
 }
 
 // New returns the Intake of a checked configuration.
 func New(cfg *config.Config) *Mapper {
-	in := &Mapper{cfg: cfg, routes: &segment{}, keys: map[string]*config.Customer{}, plans: map[string]policy.Plan{}}
+	in := &Mapper{cfg: cfg, routes: &routeNode{}, customersByKey: map[string]*config.Customer{}, plans: map[string]policy.Plan{}}
 	for i := range cfg.Classes {
 		for _, r := range cfg.Classes[i].Routes {
 			in.routes.child(r.Method).add(strings.Split(r.Path, "/")[1:], &cfg.Classes[i])
@@ -43,7 +43,7 @@
 	}
 	for i := range cfg.Customers {
 		for _, k := range cfg.Customers[i].Keys {
-			in.keys[k] = &cfg.Customers[i]
+			in.customersByKey[k] = &cfg.Customers[i]
 		}
 	}
 	for _, p := range cfg.Plans {
@@ -52,27 +52,27 @@
 	return in
 }
 
-func (s *segment) child(name string) *segment {
-	if s.plain == nil {
-		s.plain = map[string]*segment{}
+func (s *routeNode) child(name string) *routeNode {
+	if s.literal == nil {
+		s.literal = map[string]*routeNode{}
 	}
-	if s.plain[name] == nil {
-		s.plain[name] = &segment{}
+	if s.literal[name] == nil {
+		s.literal[name] = &routeNode{}
 	}
-	return s.plain[name]
+	return s.literal[name]
 }
 
-func (s *segment) add(path []string, class *config.Class) {
+func (s *routeNode) add(path []string, class *config.Class) {
 	switch {
 	case len(path) == 0:
 		s.class = class
 	case strings.HasSuffix(path[0], "...}"):
-		s.rest = class
+		s.tail = class
 	case strings.HasPrefix(path[0], "{"):
-		if s.any == nil {
-			s.any = &segment{}
+		if s.wildcard == nil {
+			s.wildcard = &routeNode{}
 		}
-		s.any.add(path[1:], class)
+		s.wildcard.add(path[1:], class)
 	default:
 		s.child(path[0]).add(path[1:], class)
 	}
@@ -80,10 +80,10 @@
 
 // find returns the class of a path: a plain segment goes before {name}, and
 // that before {name...}.
-func (s *segment) find(path string) *config.Class {
+func (s *routeNode) find(path string) *config.Class {
 	first, rest, more := strings.Cut(path, "/")
-	for _, next := range []*segment{s.plain[first], s.any} {
-		if next == nil || next == s.any && first == "" {
+	for _, next := range []*routeNode{s.literal[first], s.wildcard} {
+		if next == nil || next == s.wildcard && first == "" {
 			continue
 		}
 		if !more {
@@ -94,28 +94,28 @@
 			return c
 		}
 	}
-	return s.rest
+	return s.tail
 }
 
 const (
-	fieldAttempt = "X-Envoy-Attempt-Count"
-	fieldKey     = "Idempotency-Key"
-	fieldTrace   = "X-Request-Id"
-	fieldReason  = "X-Yardcleat-Reason"
+	headerAttemptCount   = "X-Envoy-Attempt-Count"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRequestID      = "X-Request-Id"
+	headerReason         = "X-Yardcleat-Reason"
 )
 
 // Field names that the node speaks for itself; they are not taken from clients
 // to servers.
-func (in *Mapper) forwarded(h http1.Header) http1.Header {
+func (in *Mapper) withoutGatewayHeaders(h http1.Header) http1.Header {
 	h.Del(in.cfg.Clients.KeyHeader)
-	h.Del(fieldAttempt)
+	h.Del(headerAttemptCount)
 	return h
 }
 
 // KeyHeader is the field that names the customer.
 func (in *Mapper) KeyHeader() string { return in.cfg.Clients.KeyHeader }
 
-func refusal(why node.Reason, detail string, args ...any) *node.FinalResponse {
+func rejection(why node.Reason, detail string, args ...any) *node.FinalResponse {
 	return &node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: fmt.Sprintf(detail, args...)}
 }
 
@@ -123,64 +123,64 @@
 // answer that it gets at once. trace names it where the client does not.
 func (in *Mapper) Admit(c node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse) {
 	t := &node.Request{Trace: trace}
-	if id := c.Header.Get(fieldTrace); id != "" {
-		t.Trace = clip(id, 128)
+	if id := c.Header.Get(headerRequestID); id != "" {
+		t.Trace = truncate(id, 128)
 	} else {
-		c.Header.Add(fieldTrace, trace)
+		c.Header.Add(headerRequestID, trace)
 	}
 	path, _, _ := strings.Cut(c.Target, "?")
-	if why := ambiguous(path); why != "" {
-		return t, refusal(node.ReasonBadRequest, "%s", why)
+	if why := pathAmbiguity(path); why != "" {
+		return t, rejection(node.ReasonBadRequest, "%s", why)
 	}
-	customer := in.keys[c.Header.Get(in.cfg.Clients.KeyHeader)]
+	customer := in.customersByKey[c.Header.Get(in.cfg.Clients.KeyHeader)]
 	for _, f := range []struct {
 		name   string
 		joined bool
-	}{{in.cfg.Clients.KeyHeader, customer == nil}, {fieldKey, false}, {fieldTrace, false}, {fieldAttempt, true},
+	}{{in.cfg.Clients.KeyHeader, customer == nil}, {headerIdempotencyKey, false}, {headerRequestID, false}, {headerAttemptCount, true},
 		{in.cfg.Clients.ClientTimeoutHeader, true}} {
-		if differs(c.Header, f.name, f.joined) {
-			return t, refusal(node.ReasonBadRequest, "the field %s comes with values that differ", f.name)
+		if hasConflictingValues(c.Header, f.name, f.joined) {
+			return t, rejection(node.ReasonBadRequest, "the field %s comes with values that differ", f.name)
 		}
 	}
 	if customer == nil {
-		return t, refusal(node.ReasonUnknownKey, "the field %s names no customer", in.cfg.Clients.KeyHeader)
+		return t, rejection(node.ReasonUnknownKey, "the field %s names no customer", in.cfg.Clients.KeyHeader)
 	}
 	t.Customer, t.Plan, t.FirstGateway, t.GatewaySpread = customer.Name, customer.Plan, customer.FirstGateway, customer.GatewaySpread
 	var class *config.Class
-	if m := in.routes.plain[c.Method]; m != nil {
+	if m := in.routes.literal[c.Method]; m != nil {
 		class = m.find(strings.TrimPrefix(path, "/"))
 	}
 	if class == nil {
-		return t, refusal(node.ReasonNoRoute, "no class of requests has this method and path")
+		return t, rejection(node.ReasonNoRoute, "no class of requests has this method and path")
 	}
 	t.Class, t.Units = class.Name, class.Units
-	if class.Idempotency == policy.IdempotentWithKey && c.Header.Get(fieldKey) == "" {
-		return t, refusal(node.ReasonBadRequest, "requests of class %s need the field %s", class.Name, fieldKey)
+	if class.Idempotency == policy.IdempotentWithKey && c.Header.Get(headerIdempotencyKey) == "" {
+		return t, rejection(node.ReasonBadRequest, "requests of class %s need the field %s", class.Name, headerIdempotencyKey)
 	}
 	t.ClientTimeout = class.Deadline
 	if v := c.Header.Get(in.cfg.Clients.ClientTimeoutHeader); v != "" {
 		ms, err := strconv.ParseUint(v, 10, 31)
 		if err != nil {
-			return t, refusal(node.ReasonBadRequest, "the field %s is not a number of milliseconds", in.cfg.Clients.ClientTimeoutHeader)
+			return t, rejection(node.ReasonBadRequest, "the field %s is not a number of milliseconds", in.cfg.Clients.ClientTimeoutHeader)
 		}
 		t.ClientTimeout = min(t.ClientTimeout, time.Duration(ms)*time.Millisecond)
 	}
-	if v := c.Header.Get(fieldAttempt); v != "" {
+	if v := c.Header.Get(headerAttemptCount); v != "" {
 		n, err := strconv.ParseUint(v, 10, 31)
 		if err != nil {
-			return t, refusal(node.ReasonBadRequest, "the field %s is not a number", fieldAttempt)
+			return t, rejection(node.ReasonBadRequest, "the field %s is not a number", headerAttemptCount)
 		}
 		t.ClientRetry = n > 1
 	}
-	c.Header = in.forwarded(c.Header)
+	c.Header = in.withoutGatewayHeaders(c.Header)
 	t.HTTP = c
 	return t, nil
 }
 
-// differs tells whether a field that must come once comes with values that differ:
+// hasConflictingValues tells whether a field that must come once comes with values that differ:
 // who stands in front may have gone by another one. Proxies that ask by ext_authz
 // may have joined them with commas.
-func differs(h http1.Header, name string, joined bool) bool {
+func hasConflictingValues(h http1.Header, name string, joined bool) bool {
 	first, have := "", false
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, name) {
@@ -201,8 +201,8 @@
 	return false
 }
 
-// ambiguous says why a path could be read differently by a server, or "".
-func ambiguous(path string) string {
+// pathAmbiguity says why a path could be read differently by a server, or "".
+func pathAmbiguity(path string) string {
 	if path == "" || path[0] != '/' {
 		return "the path does not start with /"
 	}
@@ -221,21 +221,21 @@
 	return ""
 }
 
-func clip(s string, n int) string {
+func truncate(s string, n int) string {
 	if len(s) > n {
 		return s[:n]
 	}
 	return s
 }
 
-// statuses of reasons, for refusals; a failure is 502, or 504 where time ran out.
-var statuses = map[node.Reason]int{
+// rejectionStatuses of reasons, for refusals; a failure is 502, or 504 where time ran out.
+var rejectionStatuses = map[node.Reason]int{
 	node.ReasonBadRequest: 400, node.ReasonUnknownKey: 401, node.ReasonAuthorizationDenied: 403, node.ReasonNoRoute: 404,
 	node.ReasonTooLarge: 413, node.ReasonQuota: 429, node.ReasonInFlightLimit: 429, node.ReasonCeiling: 429,
 }
 
-// titles are what a person reads.
-var titles = map[node.Reason]string{
+// problemTitles are what a person reads.
+var problemTitles = map[node.Reason]string{
 	node.ReasonBadRequest: "The request is malformed.", node.ReasonTooLarge: "The request is too large.",
 	node.ReasonUnknownKey: "The key is not known.", node.ReasonNoRoute: "Nothing is served here.",
 	node.ReasonQuota: "The customer's quota is used up.", node.ReasonInFlightLimit: "The customer has too many requests open.",
@@ -269,16 +269,16 @@
 			return a.Response
 		}
 		if a.Reason != node.ReasonNone {
-			a.Response.Header.Set(fieldReason, string(a.Reason))
+			a.Response.Header.Set(headerReason, string(a.Reason))
 		}
 		return a.Response
 	}
-	p := problem{Type: "urn:yardcleat:reason:" + string(a.Reason), Title: titles[a.Reason], Detail: a.Detail,
+	p := problem{Type: "urn:yardcleat:reason:" + string(a.Reason), Title: problemTitles[a.Reason], Detail: a.Detail,
 		Reason: string(a.Reason), Retry: a.Kind == node.Rejected, Status: 502}
 	res := &node.Response{}
 	switch {
 	case a.Kind == node.Rejected:
-		if p.Status = statuses[a.Reason]; p.Status == 0 {
+		if p.Status = rejectionStatuses[a.Reason]; p.Status == 0 {
 			p.Status = 503
 		}
 		if a.RetryAfter > 0 && (p.Status == 429 || p.Status == 503) {
@@ -295,9 +295,9 @@
 	res.Status = p.Status
 	res.Header.Add("Content-Type", "application/problem+json")
 	if t != nil {
-		res.Header.Add(fieldTrace, t.Trace)
+		res.Header.Add(headerRequestID, t.Trace)
 	}
-	res.Header.Add(fieldReason, string(a.Reason))
+	res.Header.Add(headerReason, string(a.Reason))
 	body, err := json.Marshal(p)
 	if err != nil {
 		panic(err) // texts and numbers alone
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -59,8 +59,8 @@
 	*h = kept
 }
 
-// tokens calls f for each token of a field's comma-separated lists, in lower case.
-func (h Header) tokens(name string, f func(string)) {
+// forEachToken calls f for each token of a field's comma-separated lists, in lower case.
+func (h Header) forEachToken(name string, f func(string)) {
 	for _, field := range h {
 		if field.Name != name {
 			continue
@@ -76,7 +76,7 @@
 // HasToken tells whether a field's lists hold a token, given in lower case.
 func (h Header) HasToken(name, token string) bool {
 	found := false
-	h.tokens(name, func(t string) { found = found || t == token })
+	h.forEachToken(name, func(t string) { found = found || t == token })
 	return found
 }
 
@@ -88,7 +88,7 @@
 // for one connection only (RFC 9110, 7.6.1), and without the message's framing.
 func (h Header) EndToEnd() Header {
 	var named []string
-	h.tokens("Connection", func(t string) { named = append(named, textproto.CanonicalMIMEHeaderKey(t)) })
+	h.forEachToken("Connection", func(t string) { named = append(named, textproto.CanonicalMIMEHeaderKey(t)) })
 	kept := make(Header, 0, len(h)+4)
 next:
 	for _, f := range h {
@@ -161,6 +161,6 @@
 
 func (e *Error) Error() string { return "http1: " + e.Text }
 
-func bad(status int, format string, args ...any) error {
+func newError(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
--- a/internal/http1/read.go
+++ b/internal/http1/read.go
@@ -20,14 +20,14 @@
 
 // Reader reads messages from one connection.
 type Reader struct {
-	br  *bufio.Reader
-	src io.Reader
-	lim Limits
+	br     *bufio.Reader
+	src    io.Reader
+	limits Limits
 }
 
 // NewReader returns a Reader. The buffer holds the longest line allowed.
 func NewReader(r io.Reader, lim Limits) *Reader {
-	return &Reader{br: bufio.NewReaderSize(r, max(4096, lim.MaxLineBytes+2)), src: r, lim: lim}
+	return &Reader{br: bufio.NewReaderSize(r, max(4096, lim.MaxLineBytes+2)), src: r, limits: lim}
 }
 
 // Buffered is the number of bytes read from the connection and not used yet.
@@ -46,7 +46,7 @@
 			return err
 		}
 		size := r.br.Size()
-		if int64(size) >= int64(r.lim.MaxHeaderBytes)+r.lim.MaxBodyBytes {
+		if int64(size) >= int64(r.limits.MaxHeaderBytes)+r.limits.MaxBodyBytes {
 			return ErrPipelineTooLong
 		}
 		held, _ := r.br.Peek(size)
@@ -54,13 +54,13 @@
 	}
 }
 
-const emptyLines = 2 // tolerated before a request line; RFC 9112, 2.2
+const maxEmptyLines = 2 // tolerated before a request line; RFC 9112, 2.2
 
-// line reads one line without its CRLF. The slice is good until the next read.
-func (r *Reader) line(tooLong int) ([]byte, error) {
+// readLine reads one readLine without its CRLF. The slice is good until the next read.
+func (r *Reader) readLine(tooLong int) ([]byte, error) {
 	b, err := r.br.ReadSlice('\n')
-	if errors.Is(err, bufio.ErrBufferFull) || len(b) > r.lim.MaxLineBytes+2 {
-		return nil, bad(tooLong, "line longer than %d bytes", r.lim.MaxLineBytes)
+	if errors.Is(err, bufio.ErrBufferFull) || len(b) > r.limits.MaxLineBytes+2 {
+		return nil, newError(tooLong, "line longer than %d bytes", r.limits.MaxLineBytes)
 	}
 	if err != nil {
 		if err == io.EOF && len(b) > 0 {
@@ -69,12 +69,12 @@
 		return nil, err
 	}
 	if len(b) < 2 || b[len(b)-2] != '\r' {
-		return nil, bad(400, "line ends in a bare LF")
+		return nil, newError(400, "line ends in a bare LF")
 	}
 	b = b[:len(b)-2]
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return nil, bad(400, "control character %#02x in a line", c)
+			return nil, newError(400, "control character %#02x in a line", c)
 		}
 	}
 	return b, nil
@@ -86,18 +86,18 @@
 	var b []byte
 	for empty := 0; len(b) == 0; empty++ {
 		var err error
-		if b, err = r.line(414); err != nil {
+		if b, err = r.readLine(414); err != nil {
 			return nil, err
 		}
-		if empty >= emptyLines {
-			return nil, bad(400, "empty lines before a request")
+		if empty >= maxEmptyLines {
+			return nil, newError(400, "empty lines before a request")
 		}
 	}
 	first := string(b)
 	method, rest, ok := strings.Cut(first, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !token(method) || target == "" || strings.ContainsAny(version, " \t") {
-		return nil, bad(400, "malformed request line")
+	if !ok || !ok2 || !isToken(method) || target == "" || strings.ContainsAny(version, " \t") {
+		return nil, newError(400, "malformed request line")
 	}
 	req := &Request{Method: method, Target: target}
 	switch version {
@@ -106,26 +106,26 @@
 	case "HTTP/1.0":
 	default:
 		if strings.HasPrefix(version, "HTTP/") {
-			return nil, bad(505, "version other than HTTP/1.1 and HTTP/1.0")
+			return nil, newError(505, "version other than HTTP/1.1 and HTTP/1.0")
 		}
-		return nil, bad(400, "malformed request line")
+		return nil, newError(400, "malformed request line")
 	}
 	var err error
-	if req.Header, err = r.header(); err != nil {
+	if req.Header, err = r.readHeader(); err != nil {
 		return nil, err
 	}
-	if err := req.host(); err != nil {
+	if err := req.checkHostAndTarget(); err != nil {
 		return nil, err
 	}
-	req.Framing, req.Length, err = framing(req.Header, req.Minor)
-	if err == nil && req.Length > r.lim.MaxBodyBytes {
-		err = bad(413, "body longer than %d bytes", r.lim.MaxBodyBytes)
+	req.Framing, req.Length, err = parseFraming(req.Header, req.Minor)
+	if err == nil && req.Length > r.limits.MaxBodyBytes {
+		err = newError(413, "body longer than %d bytes", r.limits.MaxBodyBytes)
 	}
 	return req, err
 }
 
-// host checks Host and the target, and brings the target to origin-form.
-func (req *Request) host() error {
+// checkHostAndTarget checks Host and the target, and brings the target to origin-form.
+func (req *Request) checkHostAndTarget() error {
 	hosts := 0
 	for _, f := range req.Header {
 		if f.Name == "Host" {
@@ -134,32 +134,32 @@
 		}
 	}
 	if hosts > 1 || hosts == 0 && req.Minor >= 1 {
-		return bad(400, "%d Host fields", hosts)
+		return newError(400, "%d Host fields", hosts)
 	}
 	if strings.ContainsAny(req.Host, " \t,/@") {
-		return bad(400, "malformed Host")
+		return newError(400, "malformed Host")
 	}
 	for i := range len(req.Target) {
 		if c := req.Target[i]; c <= ' ' || c >= 0x7f || c == '#' || c == '\\' {
-			return bad(400, "character %#02x in the target", c)
+			return newError(400, "character %#02x in the target", c)
 		}
 	}
 	switch {
 	case req.Target[0] == '/':
 	case req.Target == "*":
 		if req.Method != "OPTIONS" {
-			return bad(400, "target * with a method other than OPTIONS")
+			return newError(400, "target * with a method other than OPTIONS")
 		}
 	case req.Method == "CONNECT":
-		return bad(405, "CONNECT is not served")
+		return newError(405, "CONNECT is not served")
 	default:
 		rest, ok := strings.CutPrefix(req.Target, "http://")
 		if !ok {
-			return bad(400, "malformed target")
+			return newError(400, "malformed target")
 		}
 		host, path, _ := strings.Cut(rest, "/")
 		if host == "" || strings.ContainsAny(host, "?@") {
-			return bad(400, "malformed target")
+			return newError(400, "malformed target")
 		}
 		req.Host, req.Target = host, "/"+path // RFC 9112, 3.2.2: it wins over Host
 	}
@@ -171,7 +171,7 @@
 func (r *Reader) Response(method string) (*Response, error) {
 	const mostInterim = 8
 	for range mostInterim {
-		b, err := r.line(400)
+		b, err := r.readLine(400)
 		if err != nil {
 			return nil, err
 		}
@@ -180,7 +180,7 @@
 		code, reason, _ := strings.Cut(rest, " ")
 		status, err := strconv.Atoi(code)
 		if !ok || err != nil || len(code) != 3 || status < 100 || status > 599 {
-			return nil, bad(400, "malformed status line")
+			return nil, newError(400, "malformed status line")
 		}
 		res := &Response{Status: status, Reason: reason}
 		switch version {
@@ -188,13 +188,13 @@
 			res.Minor = 1
 		case "HTTP/1.0":
 		default:
-			return nil, bad(400, "version other than HTTP/1.1 and HTTP/1.0")
+			return nil, newError(400, "version other than HTTP/1.1 and HTTP/1.0")
 		}
-		if res.Header, err = r.header(); err != nil {
+		if res.Header, err = r.readHeader(); err != nil {
 			return nil, err
 		}
 		if status == 101 {
-			return nil, bad(400, "protocol switched unasked")
+			return nil, newError(400, "protocol switched unasked")
 		}
 		if status < 200 {
 			continue
@@ -202,24 +202,24 @@
 		if method == "HEAD" || status == 204 || status == 304 {
 			return res, nil
 		}
-		if res.Framing, res.Length, err = framing(res.Header, res.Minor); err != nil {
+		if res.Framing, res.Length, err = parseFraming(res.Header, res.Minor); err != nil {
 			return nil, err
 		}
 		if res.Framing == NoBody && !res.Header.Has("Content-Length") {
 			res.Framing = UntilClose
 		}
-		if res.Length > r.lim.MaxBodyBytes {
-			return nil, bad(413, "body longer than %d bytes", r.lim.MaxBodyBytes)
+		if res.Length > r.limits.MaxBodyBytes {
+			return nil, newError(413, "body longer than %d bytes", r.limits.MaxBodyBytes)
 		}
 		return res, nil
 	}
-	return nil, bad(400, "more than %d interim responses", mostInterim)
+	return nil, newError(400, "more than %d interim responses", mostInterim)
 }
 
-func (r *Reader) header() (Header, error) {
+func (r *Reader) readHeader() (Header, error) {
 	h := make(Header, 0, 16)
 	for size := 0; ; {
-		b, err := r.line(431)
+		b, err := r.readLine(431)
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
@@ -229,51 +229,51 @@
 		if len(b) == 0 {
 			return h, nil
 		}
-		if size += len(b) + 2; size > r.lim.MaxHeaderBytes || len(h) >= r.lim.MaxHeaderFields {
-			return nil, bad(431, "header larger than %d bytes or %d fields", r.lim.MaxHeaderBytes, r.lim.MaxHeaderFields)
+		if size += len(b) + 2; size > r.limits.MaxHeaderBytes || len(h) >= r.limits.MaxHeaderFields {
+			return nil, newError(431, "header larger than %d bytes or %d fields", r.limits.MaxHeaderBytes, r.limits.MaxHeaderFields)
 		}
 		if b[0] == ' ' || b[0] == '\t' {
-			return nil, bad(400, "folded header line")
+			return nil, newError(400, "folded header line")
 		}
 		line := string(b)
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !token(name) {
-			return nil, bad(400, "malformed header field name")
+		if !ok || !isToken(name) {
+			return nil, newError(400, "malformed header field name")
 		}
 		h = append(h, Field{textproto.CanonicalMIMEHeaderKey(name), textproto.TrimString(value)})
 	}
 }
 
-// framing applies RFC 9112, 6.3, and refuses what is ambiguous.
-func framing(h Header, minor int) (Framing, int64, error) {
+// parseFraming applies RFC 9112, 6.3, and refuses what is ambiguous.
+func parseFraming(h Header, minor int) (Framing, int64, error) {
 	coded, lengths, length := false, 0, ""
 	for _, f := range h {
 		switch f.Name {
 		case "Transfer-Encoding":
 			if coded || !strings.EqualFold(f.Value, "chunked") {
-				return 0, 0, bad(400, "transfer coding other than chunked, once")
+				return 0, 0, newError(400, "transfer coding other than chunked, once")
 			}
 			coded = true
 		case "Content-Length":
 			if lengths++; lengths > 1 && f.Value != length {
-				return 0, 0, bad(400, "lengths that differ")
+				return 0, 0, newError(400, "lengths that differ")
 			}
 			length = f.Value
 		}
 	}
 	switch {
 	case coded && lengths > 0:
-		return 0, 0, bad(400, "both a length and a transfer coding")
+		return 0, 0, newError(400, "both a length and a transfer coding")
 	case coded && minor == 0:
-		return 0, 0, bad(400, "transfer coding in HTTP/1.0")
+		return 0, 0, newError(400, "transfer coding in HTTP/1.0")
 	case coded:
 		return Chunked, 0, nil
 	case lengths == 0:
 		return NoBody, 0, nil
 	}
-	n, ok := digits(length, 10)
+	n, ok := parseDigits(length, 10)
 	if !ok {
-		return 0, 0, bad(400, "malformed length")
+		return 0, 0, newError(400, "malformed length")
 	}
 	if n == 0 {
 		return NoBody, 0, nil
@@ -281,8 +281,8 @@
 	return Length, n, nil
 }
 
-// digits reads a number of digits alone; no sign, no space, no overflow.
-func digits(s string, base int) (int64, bool) {
+// parseDigits reads a number of parseDigits alone; no sign, no space, no overflow.
+func parseDigits(s string, base int) (int64, bool) {
 	if s == "" || len(s) > 18 || base == 16 && len(s) > 15 {
 		return 0, false
 	}
@@ -301,22 +301,22 @@
 func (r *Reader) Body(f Framing, length int64) ([]byte, error) {
 	switch f {
 	case Length:
-		return r.exactly(nil, length)
+		return r.readExactly(nil, length)
 	case Chunked:
-		return r.chunked()
+		return r.readChunked()
 	case UntilClose:
-		b, err := io.ReadAll(io.LimitReader(r.br, r.lim.MaxBodyBytes+1))
-		if err == nil && int64(len(b)) > r.lim.MaxBodyBytes {
-			err = bad(413, "body longer than %d bytes", r.lim.MaxBodyBytes)
+		b, err := io.ReadAll(io.LimitReader(r.br, r.limits.MaxBodyBytes+1))
+		if err == nil && int64(len(b)) > r.limits.MaxBodyBytes {
+			err = newError(413, "body longer than %d bytes", r.limits.MaxBodyBytes)
 		}
 		return b, err
 	}
 	return nil, nil
 }
 
-// exactly appends n bytes to b. Memory grows with what comes in, not with what
+// readExactly appends n bytes to b. Memory grows with what comes in, not with what
 // was announced.
-func (r *Reader) exactly(b []byte, n int64) ([]byte, error) {
+func (r *Reader) readExactly(b []byte, n int64) ([]byte, error) {
 	const step = 64 << 10
 	for n > 0 {
 		k := int(min(n, step))
@@ -334,43 +334,43 @@
 	return b, nil
 }
 
-func (r *Reader) chunked() ([]byte, error) {
+func (r *Reader) readChunked() ([]byte, error) {
 	var body []byte
 	for around := 0; ; {
-		b, err := r.line(400)
+		b, err := r.readLine(400)
 		if err != nil {
-			return body, cut(err)
+			return body, unexpectedEOF(err)
 		}
 		// Chunks of a byte are a client's right; extensions are read for nothing.
-		if around += len(b) + 4; around > r.lim.MaxHeaderBytes+8*len(body) {
-			return body, bad(400, "more around chunks than in them")
+		if around += len(b) + 4; around > r.limits.MaxHeaderBytes+8*len(body) {
+			return body, newError(400, "more around chunks than in them")
 		}
 		size, _, _ := strings.Cut(string(b), ";")
-		n, ok := digits(strings.TrimRight(size, " \t"), 16)
+		n, ok := parseDigits(strings.TrimRight(size, " \t"), 16)
 		if !ok || size == "" {
-			return body, bad(400, "malformed chunk size")
+			return body, newError(400, "malformed chunk size")
 		}
-		if int64(len(body))+n > r.lim.MaxBodyBytes {
-			return body, bad(413, "body longer than %d bytes", r.lim.MaxBodyBytes)
+		if int64(len(body))+n > r.limits.MaxBodyBytes {
+			return body, newError(413, "body longer than %d bytes", r.limits.MaxBodyBytes)
 		}
 		if n == 0 {
-			_, err := r.header() // trailers are bounded and dropped
+			_, err := r.readHeader() // trailers are bounded and dropped
 			return body, err
 		}
-		if body, err = r.exactly(body, n); err != nil {
+		if body, err = r.readExactly(body, n); err != nil {
 			return body, err
 		}
 		var end [2]byte
 		if _, err := io.ReadFull(r.br, end[:]); err != nil {
-			return body, cut(err)
+			return body, unexpectedEOF(err)
 		}
 		if end != [2]byte{'\r', '\n'} {
-			return body, bad(400, "chunk longer than its size")
+			return body, newError(400, "chunk longer than its size")
 		}
 	}
 }
 
-func cut(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -384,7 +384,7 @@
 	return t
 }()
 
-func token(s string) bool {
+func isToken(s string) bool {
 	for i := range len(s) {
 		if !tokenChars[s[i]] {
 			return false
--- a/internal/http1/read_test.go
+++ b/internal/http1/read_test.go
@@ -106,7 +106,7 @@
 	"folded trailer":                 {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0\r\nX: a\r\n b\r\n\r\n", 400},
 }
 
-func TestRequestsRefused(t *testing.T) {
+func TestRequestsRejected(t *testing.T) {
 	for name, c := range rejectedRequests {
 		t.Run(name, func(t *testing.T) {
 			_, _, err := readRequest(NewReader(strings.NewReader(c.in), testLimits))
@@ -151,7 +151,7 @@
 }
 
 // Every cut of a request is an end in the middle, never a request.
-func TestCutAnywhere(t *testing.T) {
+func TestTruncatedRequest(t *testing.T) {
 	in := "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for i := range len(in) {
 		_, _, err := readRequest(NewReader(strings.NewReader(in[:i]), testLimits))
--- a/internal/http1/valid.go
+++ b/internal/http1/valid.go
@@ -4,7 +4,7 @@
 
 // Valid tells whether a field may be put on the wire as it is.
 func (f Field) Valid() bool {
-	if !token(f.Name) {
+	if !isToken(f.Name) {
 		return false
 	}
 	for i := range len(f.Value) {
