--- a/front/http1/connection_eviction.go
+++ b/front/http1/connection_eviction.go
@@ -5,124 +5,125 @@
 	"time"
 )
 
-// connectionEvictor keeps the connections without an open request in the order in which they
-// came to be so, and says which of them makes connectionEvictor for a new one.
+// connectionEvictor limits the number of connections. It orders the connections without a
+// request in flight by how long they have had none, and selects which of them is evicted for
+// a new one. The server's lock guards it.
 type connectionEvictor struct {
-	maxConnections  int           // connections
-	minIdleTime     time.Duration // one that has asked gives way first after so long without a request; 0: none ever does
-	maxIdle         int           // of those that have asked, this many may lie idle; 0: any number
+	maxConnections  int
+	minIdleTime     time.Duration // how long an idle connection is normally kept before it may be evicted; 0: none is ever evicted
+	maxIdle         int           // connections in idle; 0: any number
 	connections     int
-	awaitingRequest list.List        // that have not sent a whole request since they came, or since they began one; longest first
-	idle            list.List        // whose requests are answered
-	hasUnreadData   func(*conn) bool // whether something of it is not read yet
+	awaitingRequest list.List        // connections without a complete request since they were accepted, or since the next one began; oldest first
+	idle            list.List        // connections whose requests are all answered; longest idle first
+	hasUnreadData   func(*conn) bool // whether the connection has received bytes that were not read yet
 }
 
-// evictionEntry is a connection's place in a room. The zero evictionEntry is of one with an open
-// request.
+// evictionEntry is a connection's entry in the lists of a connectionEvictor. The zero
+// evictionEntry is on no list: its connection has a request in flight.
 type evictionEntry struct {
 	conn    *conn
-	list    *list.List
+	queue   *list.List
 	element *list.Element
 	since   time.Time
 }
 
-// A connection that is closed here may have bytes on their way to it, and its client an
-// answer to read: it is half-closed and read on, for nothing, until the client closes too
-// (RFC 9112, 9.6), within these bounds.
+// When the server closes a connection, bytes may still be on their way to it, and the client
+// may still have a response to read. The server therefore closes only its sending side, and
+// reads and discards until the client closes too (RFC 9112, 9.6), within these bounds.
 const (
 	lingerTimeout  = 500 * time.Millisecond // far above a round trip
 	maxLingerBytes = 128 << 10              // above one whole request
 )
 
 const (
-	// Clients send as they connect, and whole requests: one that does not for this
-	// part of yield is not about to. Where that is not enough, those that have asked
-	// go as earlyEvictionDivisor; they are the longest idle ones, and a client that comes back to
-	// one asks again on another.
+	// Clients send a complete request as soon as they connect: one that has not sent it within
+	// this fraction of minIdleTime is not about to. If there is none to evict, connections that
+	// have been idle for the same fraction are evicted early, longest idle first: a client that
+	// returns to one sends its request on another connection.
 	earlyEvictionDivisor = 8
-	maxScanned           = 4 // at connections of a kind, for one that holds nothing unread
+	maxScanned           = 4 // entries of a list that are checked for one without unread data
 )
 
-// admit counts a new connection; false where there is no room, victim is one that
-// makes room for it by leaving.
-func (r *connectionEvictor) admit(now time.Time) (ok bool, victim *conn) {
-	if r.connections < r.maxConnections {
-		r.connections++
+// admit counts a new connection. It returns false if there are too many; victim is a
+// connection to evict in favor of the new one.
+func (e *connectionEvictor) admit(now time.Time) (ok bool, victim *conn) {
+	if e.connections < e.maxConnections {
+		e.connections++
 		return true, nil
 	}
-	if r.minIdleTime == 0 {
+	if e.minIdleTime == 0 {
 		return false, nil
 	}
-	for _, l := range []struct {
-		list *list.List
-		keep time.Duration
-	}{{&r.awaitingRequest, r.minIdleTime / earlyEvictionDivisor}, {&r.idle, r.minIdleTime}, {&r.idle, r.minIdleTime / earlyEvictionDivisor}} {
-		if s := r.oldestEvictable(l.list, now.Add(-l.keep), nil); s != nil {
-			r.dequeue(s)
-			return true, s.conn
+	for _, candidates := range []struct {
+		list    *list.List
+		minTime time.Duration
+	}{{&e.awaitingRequest, e.minIdleTime / earlyEvictionDivisor}, {&e.idle, e.minIdleTime}, {&e.idle, e.minIdleTime / earlyEvictionDivisor}} {
+		if entry := e.oldestEvictable(candidates.list, now.Add(-candidates.minTime), nil); entry != nil {
+			e.dequeue(entry)
+			return true, entry.conn
 		}
 	}
 	return false, nil
 }
 
-// oldestEvictable is the seat that was oldestEvictable on a list, since a time at the latest and
-// other than one, whose connection holds nothing unread; nil where none is found.
-func (r *connectionEvictor) oldestEvictable(l *list.List, since time.Time, but *evictionEntry) *evictionEntry {
-	e := l.Front()
-	for n := 0; n < maxScanned && e != nil; n++ {
-		s := e.Value.(*evictionEntry)
-		if s.since.After(since) {
+// oldestEvictable returns the oldest entry of a list that was added at notAfter or before, is
+// not except, and has no unread data. It returns nil if the first maxScanned entries hold none.
+func (e *connectionEvictor) oldestEvictable(l *list.List, notAfter time.Time, except *evictionEntry) *evictionEntry {
+	element := l.Front()
+	for n := 0; n < maxScanned && element != nil; n++ {
+		entry := element.Value.(*evictionEntry)
+		if entry.since.After(notAfter) {
 			break
 		}
-		if s != but && !r.hasUnreadData(s.conn) {
-			return s
+		if entry != except && !e.hasUnreadData(entry.conn) {
+			return entry
 		}
-		e = e.Next()
+		element = element.Next()
 	}
 	return nil
 }
 
-// markAwaitingRequest notes that a connection came, or began a request.
-func (r *connectionEvictor) markAwaitingRequest(s *evictionEntry, now time.Time) {
-	if s.list != &r.awaitingRequest {
-		r.dequeue(s)
-		r.enqueue(s, &r.awaitingRequest, now)
+// markAwaitingRequest records that a connection was accepted or has begun a request.
+func (e *connectionEvictor) markAwaitingRequest(entry *evictionEntry, now time.Time) {
+	if entry.queue != &e.awaitingRequest {
+		e.dequeue(entry)
+		e.enqueue(entry, &e.awaitingRequest, now)
 	}
 }
 
-// markIdle notes that a connection's request is answered. Where too many lie markIdle the
-// longest markIdle one is to leave.
-func (r *connectionEvictor) markIdle(s *evictionEntry, now time.Time) (victim *conn) {
-	r.dequeue(s)
-	r.enqueue(s, &r.idle, now)
-	if r.maxIdle == 0 || r.idle.Len() <= r.maxIdle {
+// markIdle records that a connection's request is answered. If more than maxIdle connections
+// are idle it returns the longest idle one as the victim to evict.
+func (e *connectionEvictor) markIdle(entry *evictionEntry, now time.Time) (victim *conn) {
+	e.dequeue(entry)
+	e.enqueue(entry, &e.idle, now)
+	if e.maxIdle == 0 || e.idle.Len() <= e.maxIdle {
 		return nil
 	}
-	v := r.oldestEvictable(&r.idle, now, s)
-	if v == nil {
+	oldest := e.oldestEvictable(&e.idle, now, entry)
+	if oldest == nil {
 		return nil
 	}
-	r.remove(v)
-	return v.conn
+	e.remove(oldest)
+	return oldest.conn
 }
 
-func (r *connectionEvictor) enqueue(s *evictionEntry, l *list.List, now time.Time) {
-	s.list, s.since, s.element = l, now, l.PushBack(s)
+func (e *connectionEvictor) enqueue(entry *evictionEntry, l *list.List, now time.Time) {
+	entry.queue, entry.since, entry.element = l, now, l.PushBack(entry)
 }
 
-// dequeue notes that a connection has an dequeue request, or leaves.
-func (r *connectionEvictor) dequeue(s *evictionEntry) {
-	if s.list != nil {
-		s.list.Remove(s.element)
+// dequeue removes a connection that has a request in flight or is being closed from its list.
+func (e *connectionEvictor) dequeue(entry *evictionEntry) {
+	if entry.queue != nil {
+		entry.queue.Remove(entry.element)
 	}
-	s.list, s.element = nil, nil
+	entry.queue, entry.element = nil, nil
 }
 
-// readmit counts a connection that was to make room, and has a request open after all.
-func (r *connectionEvictor) readmit() { r.connections++ }
+// readmit counts an evicted connection again because it has a request in flight after all.
+func (e *connectionEvictor) readmit() { e.connections++ }
 
-// remove counts a connection less.
-func (r *connectionEvictor) remove(s *evictionEntry) {
-	r.dequeue(s)
-	r.connections--
+// remove no longer counts a connection.
+func (e *connectionEvictor) remove(entry *evictionEntry) {
+	e.dequeue(entry)
+	e.connections--
 }
--- a/front/http1/server.go
+++ b/front/http1/server.go
@@ -1,4 +1,4 @@
-// Package http1 is the first front: clients' requests over HTTP/1.1 (RFC 9112).
+// Package http1 serves clients over HTTP/1.1 (RFC 9112).
 package http1
 
 import (
@@ -20,35 +20,36 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// Handler takes tries; a *node.Node is one.
+// Handler handles requests; a *node.Node implements it. The caller of Submit calls
+// disconnected if the client disconnects before the reply.
 type Handler interface {
-	Submit(t *node.Request, reply func(node.FinalResponse)) (gone func())
+	Submit(request *node.Request, reply func(node.FinalResponse)) (disconnected func())
 }
 
-// Mapper turns calls into Tries and Answers into responses; an *intake.Mapper is
-// one. Admit may give the answer at once.
+// Mapper maps HTTP requests to requests of the node, and final responses to HTTP responses;
+// an *intake.Mapper implements it. Admit may return a final response at once.
 type Mapper interface {
-	Admit(c node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse)
-	Render(t *node.Request, a node.FinalResponse) *node.Response
+	Admit(call node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse)
+	Render(request *node.Request, final node.FinalResponse) *node.Response
 }
 
-// Options is what a Server is made of.
+// Options configures a Server.
 type Options struct {
 	Node        Handler
 	Mapper      Mapper
 	Log         *slog.Logger
-	TracePrefix string // begins the traces of requests that bring none
+	TracePrefix string // begins the trace IDs of requests that carry none
 	Limits      http1.Limits
 
-	FirstRequestTimeout     time.Duration // from connecting to the first request, whole; 0: as for the others
+	FirstRequestTimeout     time.Duration // from accepting a connection to its first complete request; 0: only the timeouts of every request apply
 	HeaderTimeout           time.Duration // from a request's first byte to its whole header
-	BodyTimeout             time.Duration // and on to its whole body
-	IdleTimeout             time.Duration // a connection without a request is closed after it
-	WriteTimeout            time.Duration // for a client to take an answer
+	BodyTimeout             time.Duration // from a request's header to its whole body
+	IdleTimeout             time.Duration // after which a connection without a request is closed
+	WriteTimeout            time.Duration // for a client to receive a response
 	MaxConnections          int
-	MaxIdleConnections      int           // connections that may lie idle between requests; more are closed, longest idle first; 0: any number
-	MaxLingeringConnections int           // connections that have made room and still linger; the oldest is cut beyond; 0: any number
-	MinIdleBeforeEviction   time.Duration // with all Connections taken, one without a request for so long makes room for a new one; 0: none does
+	MaxIdleConnections      int           // idle between requests; beyond it the longest idle one is closed; 0: any number
+	MaxLingeringConnections int           // evicted and still lingering; beyond it the oldest is closed; 0: any number
+	MinIdleBeforeEviction   time.Duration // at MaxConnections, a connection idle for this long is evicted for a new one; 0: none is evicted
 }
 
 // Server serves connections.
@@ -57,10 +58,10 @@
 	mu               sync.Mutex
 	conns            map[*conn]bool
 	evictor          connectionEvictor
-	evictedLingering []*conn // that linger and have made room, oldest first
-	draining         bool    // connections close after the answer under way
-	acceptStopped    bool    // and no new ones are taken
-	rejectPartial    bool    // and no request is read any more
+	evictedLingering []*conn // evicted connections that linger, oldest first
+	draining         bool    // connections close after the response in flight
+	acceptStopped    bool    // no new connections are accepted
+	rejectPartial    bool    // requests that are not read completely are rejected
 	serving          sync.WaitGroup
 	traceCounter     atomic.Uint64
 }
@@ -70,12 +71,12 @@
 	return &Server{options: o, conns: map[*conn]bool{}, evictor: connectionEvictor{maxConnections: o.MaxConnections, minIdleTime: o.MinIdleBeforeEviction, maxIdle: o.MaxIdleConnections, hasUnreadData: hasUnreadData}}
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
 	return network.AcceptLoop(l, s.options.Log, s.ServeConn)
 }
 
-// ServeConn serves one connection until it ends.
+// ServeConn serves one connection until it is closed.
 func (s *Server) ServeConn(nc net.Conn) {
 	c := &conn{server: s, netConn: nc, reader: http1.NewReader(nc, s.options.Limits), finalResponses: make(chan node.FinalResponse, 1)}
 	c.evictionEntry.conn = c
@@ -109,8 +110,8 @@
 	return s.draining
 }
 
-// StartDraining closes idle connections, and the others after the answer under way; new
-// ones are taken for one request each.
+// StartDraining closes idle connections at once, and the others after the response in flight.
+// New connections are still accepted, for one request each.
 func (s *Server) StartDraining() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +125,7 @@
 	}
 }
 
-// StopAccepting is Closing, and takes no new connections.
+// StopAccepting does what StartDraining does, and accepts no new connections.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +133,8 @@
 	s.startDraining()
 }
 
-// RejectPartialRequests has what is still being read of requests refused.
+// RejectPartialRequests does what StartDraining does, and rejects requests that are still
+// being read.
 func (s *Server) RejectPartialRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,8 +142,8 @@
 	s.startDraining()
 }
 
-// Drain is Ending, and returns when all connections are closed; when the context ends
-// they are cut.
+// Drain does what StopAccepting does, and returns when all connections are closed. When the
+// context ends it closes them at once.
 func (s *Server) Drain(ctx context.Context) {
 	s.StopAccepting()
 	stop := context.AfterFunc(ctx, func() {
@@ -155,34 +157,35 @@
 	s.serving.Wait()
 }
 
-// connState is what a connection is at.
+// connState is the state of a connection.
 type connState int
 
 const (
-	stateIdle      connState = iota // between requests
-	stateReading                    // a request has begun to come
-	stateInFlight                   // a whole request is under way
-	stateLingering                  // it was closed here
+	stateIdle      connState = iota // no request has begun
+	stateReading                    // a request is being read
+	stateInFlight                   // a complete request is in flight
+	stateLingering                  // the server has closed its sending side
 )
 
 type conn struct {
 	server               *Server
 	netConn              net.Conn
 	reader               *http1.Reader
-	evictionEntry        evictionEntry // under the server's lock, as are the next three
+	evictionEntry        evictionEntry // guarded by the server's lock, as are the next three fields
 	state                connState
-	evicted              bool      // it makes room for another
-	hasSentRequest       bool      // it has sent a whole request
-	arrived              time.Time // when the first byte of the request under way arrived
-	nextArrived          time.Time // and of one that came while another was under way; zero: none did
-	firstRequestDeadline time.Time // its first request must be whole by then; zero: it was, or need not
-	pipelineTooLong      bool      // its client sent more ahead than is held
-	disconnected         bool      // its client closed it, or can't be written to
+	evicted              bool      // closes in favor of another connection
+	hasSentRequest       bool      // a complete request was read
+	arrived              time.Time // when the first byte of the current request arrived
+	nextArrived          time.Time // when the first byte arrived that was sent ahead of the response; zero: none was
+	firstRequestDeadline time.Time // by when the first request must be complete; zero: it is, or there is no limit
+	pipelineTooLong      bool      // the client pipelined more than the reader buffers
+	disconnected         bool      // the client has closed the connection, or a write failed
 	buf                  []byte
 	finalResponses       chan node.FinalResponse
 }
 
-// becomeIdle notes that no request is under way; false where the connection is to be closed.
+// becomeIdle records that no request is being read or in flight. It returns false if the
+// connection is to be closed.
 func (c *conn) becomeIdle() bool {
 	s := c.server
 	s.mu.Lock()
@@ -198,7 +201,8 @@
 	return !s.draining || c.awaitsFirstRequest()
 }
 
-// beginReading notes that a request begins to come; false where the connection makes room.
+// beginReading records that a request has begun to arrive. It returns false if the connection
+// is evicted.
 func (c *conn) beginReading() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -209,27 +213,28 @@
 	return true
 }
 
-// awaitsFirstRequest tells whether the connection is still owed its first request; under the server's
-// lock.
+// awaitsFirstRequest reports whether the connection may still receive its first request while
+// the server is draining. The caller holds the server's lock.
 func (c *conn) awaitsFirstRequest() bool { return !c.hasSentRequest && !c.server.acceptStopped }
 
-// interruptRead has the connection look up where it waits for what it will not be given any more;
-// under the server's lock.
+// interruptRead interrupts the connection's pending read if the request that it waits for is
+// no longer accepted. The caller holds the server's lock.
 func (c *conn) interruptRead() {
 	if c.state == stateIdle && !c.awaitsFirstRequest() || c.state == stateReading && c.server.rejectPartial {
 		c.netConn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// evict has an idle connection end; under the server's lock.
+// evict has a connection without a request in flight closed. The caller holds the server's
+// lock.
 func (c *conn) evict() {
 	if c.evicted = true; c.state != stateLingering {
 		c.netConn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// beginRequest notes that a whole request has come: it is answered, also where the
-// connection was to make room.
+// beginRequest records that a complete request was read. It is answered even if the connection
+// was to be evicted.
 func (c *conn) beginRequest() {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -240,24 +245,24 @@
 	c.server.evictor.dequeue(&c.evictionEntry)
 }
 
-// hasUnreadData tells whether a connection holds bytes that were not read.
+// hasUnreadData reports whether a connection has received bytes that were not read.
 func hasUnreadData(c *conn) bool {
 	r, ok := c.netConn.(interface{ Readable() bool })
 	return ok && r.Readable()
 }
 
-// setReadTimeout bounds what is read from now on.
-func (c *conn) setReadTimeout(d time.Duration) {
-	at := time.Now().Add(d)
-	if !c.firstRequestDeadline.IsZero() && c.firstRequestDeadline.Before(at) {
-		at = c.firstRequestDeadline
+// setReadTimeout sets the time limit of all reads from now on.
+func (c *conn) setReadTimeout(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
+	if !c.firstRequestDeadline.IsZero() && c.firstRequestDeadline.Before(deadline) {
+		deadline = c.firstRequestDeadline
 	}
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	if c.server.rejectPartial || c.evicted {
-		at = time.Unix(1, 0) // it was woken before it came to wait
+		deadline = time.Unix(1, 0) // the read was interrupted before it began
 	}
-	c.netConn.SetReadDeadline(at)
+	c.netConn.SetReadDeadline(deadline)
 }
 
 func (c *conn) serve() {
@@ -299,86 +304,87 @@
 	}
 }
 
-// serveRequest serves serveRequest request; false where the connection is to be closed.
+// serveRequest serves one request. It returns false if the connection is to be closed.
 func (c *conn) serveRequest() bool {
 	c.setReadTimeout(c.server.options.HeaderTimeout)
-	req, err := c.reader.Request()
+	head, err := c.reader.Request()
 	if err != nil {
-		return c.reject(req, err)
+		return c.reject(head, err)
 	}
-	call := node.HTTPRequest{Method: req.Method, Target: req.Target, Host: req.Host, Header: req.Header.EndToEnd()}
+	call := node.HTTPRequest{Method: head.Method, Target: head.Target, Host: head.Host, Header: head.Header.EndToEnd()}
 	call.Header.Del("Host") // it is call.Host
 	if expect := call.Header.Get("Expect"); expect != "" {
 		if expect != "100-continue" {
-			return c.reject(req, &http1.Error{Status: 417, Text: "expectation other than 100-continue"})
+			return c.reject(head, &http1.Error{Status: 417, Text: "expectation other than 100-continue"})
 		}
 		call.Header.Del("Expect")
-		if req.Framing != http1.NoBody && c.reader.Buffered() == 0 && !c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
+		if head.Framing != http1.NoBody && c.reader.Buffered() == 0 && !c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
 			return false
 		}
 	}
-	if req.Framing != http1.NoBody {
+	if head.Framing != http1.NoBody {
 		c.setReadTimeout(c.server.options.BodyTimeout)
-		if call.Body, err = c.reader.Body(req.Framing, req.Length); err != nil {
-			return c.reject(req, err)
+		if call.Body, err = c.reader.Body(head.Framing, head.Length); err != nil {
+			return c.reject(head, err)
 		}
 	}
 	c.beginRequest()
-	return c.respond(req, call)
+	return c.respond(head, call)
 }
 
-// respond puts a whole request to the node and writes the respond.
-func (c *conn) respond(req *http1.Request, call node.HTTPRequest) bool {
-	t, early := c.server.options.Mapper.Admit(call, c.server.options.TracePrefix+"-"+strconv.FormatUint(c.server.traceCounter.Add(1), 36))
-	var a node.FinalResponse
+// respond submits a complete request to the node and writes the response. It returns false if
+// the connection is to be closed.
+func (c *conn) respond(head *http1.Request, call node.HTTPRequest) bool {
+	request, early := c.server.options.Mapper.Admit(call, c.server.options.TracePrefix+"-"+strconv.FormatUint(c.server.traceCounter.Add(1), 36))
+	var final node.FinalResponse
 	if early != nil {
-		a = *early
-		c.server.options.Log.Info("answer", "answer", a.Kind.String(), "trace", t.Trace, "class", t.Class, "customer", t.Customer,
-			"reason", string(a.Reason), "detail", a.Detail)
+		final = *early
+		c.server.options.Log.Info("answer", "answer", final.Kind.String(), "trace", request.Trace, "class", request.Class, "customer", request.Customer,
+			"reason", string(final.Reason), "detail", final.Detail)
 	} else {
-		t.ClientAddress, t.LocalAddress = c.netConn.RemoteAddr().String(), c.netConn.LocalAddr().String()
-		if a = c.submit(t); c.disconnected {
+		request.ClientAddress, request.LocalAddress = c.netConn.RemoteAddr().String(), c.netConn.LocalAddr().String()
+		if final = c.submit(request); c.disconnected {
 			return false
 		}
 	}
-	res := c.server.options.Mapper.Render(t, a)
-	closing := !req.KeepAlive() || c.pipelineTooLong || c.server.isDraining()
-	if len(res.Body) > maxCopiedBody && req.Method != "HEAD" {
-		c.buf = http1.AppendResponseHead(c.buf[:0], req.Method, res.Status, res.Header, len(res.Body), closing)
-		return c.write(c.buf, res.Body) && !closing
+	response := c.server.options.Mapper.Render(request, final)
+	closing := !head.KeepAlive() || c.pipelineTooLong || c.server.isDraining()
+	if len(response.Body) > maxCopiedBody && head.Method != "HEAD" {
+		c.buf = http1.AppendResponseHead(c.buf[:0], head.Method, response.Status, response.Header, len(response.Body), closing)
+		return c.write(c.buf, response.Body) && !closing
 	}
-	c.buf = http1.AppendResponse(c.buf[:0], req.Method, res.Status, res.Header, res.Body, closing)
+	c.buf = http1.AppendResponse(c.buf[:0], head.Method, response.Status, response.Header, response.Body, closing)
 	return c.write(c.buf) && !closing
 }
 
-// submit puts a try to the node and waits for its answer, or for the client to
-// leave; one that closes its sending side is taken to have left.
-func (c *conn) submit(t *node.Request) (a node.FinalResponse) {
+// submit submits a request to the node and waits for its final response, or for the client to
+// disconnect. A client that closes its sending side counts as disconnected.
+func (c *conn) submit(request *node.Request) (final node.FinalResponse) {
 	c.netConn.SetReadDeadline(time.Time{})
-	t.Arrived = c.arrived
-	gone := c.server.options.Node.Submit(t, func(a node.FinalResponse) { c.finalResponses <- a })
+	request.Arrived = c.arrived
+	disconnected := c.server.options.Node.Submit(request, func(final node.FinalResponse) { c.finalResponses <- final })
 	watched := make(chan error, 1)
 	go func() { watched <- c.watchForDisconnect() }()
 	var err error
 	select {
-	case a = <-c.finalResponses:
-		c.netConn.SetReadDeadline(time.Unix(1, 0)) // ends the watch
+	case final = <-c.finalResponses:
+		c.netConn.SetReadDeadline(time.Unix(1, 0)) // ends watchForDisconnect
 		err = <-watched
 	case err = <-watched:
-		gone()
-		a = <-c.finalResponses // the node has its last word in any case
+		disconnected()
+		final = <-c.finalResponses // the node replies in any case
 		if errors.Is(err, http1.ErrPipelineTooLong) {
-			// Whether this client leaves could not be heard any more.
-			a = node.FinalResponse{Kind: node.Failed, Reason: node.ReasonTooLarge, Detail: "requests sent ahead"}
+			// It could no longer be detected whether this client disconnects.
+			final = node.FinalResponse{Kind: node.Failed, Reason: node.ReasonTooLarge, Detail: "requests sent ahead"}
 		}
 	}
 	c.pipelineTooLong = errors.Is(err, http1.ErrPipelineTooLong)
 	c.disconnected = !c.pipelineTooLong && !errors.Is(err, os.ErrDeadlineExceeded)
-	return a
+	return final
 }
 
-// watchForDisconnect waits for the client to leave. What comes meanwhile is the next request,
-// pipelined, which waits for its turn.
+// watchForDisconnect returns when the client disconnects. Bytes that arrive in the meantime
+// belong to pipelined requests, which stay buffered until the current one is answered.
 func (c *conn) watchForDisconnect() error {
 	for {
 		if err := c.reader.Await(); err != nil {
@@ -390,36 +396,37 @@
 	}
 }
 
-// reject answers what could not be read, as far as there is someone to answer,
-// and closes the connection.
-func (c *conn) reject(req *http1.Request, err error) bool {
-	var pe *http1.Error
-	status := 408 // the time for the header or the body is over
+// reject responds to a request that could not be read, unless the client has disconnected. It
+// returns false: the connection is to be closed.
+func (c *conn) reject(head *http1.Request, err error) bool {
+	var protocolError *http1.Error
+	status := 408 // the header or the body did not arrive within its timeout
 	switch {
-	case errors.As(err, &pe):
-		status = pe.Status
+	case errors.As(err, &protocolError):
+		status = protocolError.Status
 	case !errors.Is(err, os.ErrDeadlineExceeded):
-		c.disconnected = true // it ended in the middle, or before the first byte
+		c.disconnected = true // the connection ended in the middle of the request, or before its first byte
 		return false
 	}
-	why := node.ReasonBadRequest
+	reason := node.ReasonBadRequest
 	if status == 413 {
-		why = node.ReasonTooLarge
+		reason = node.ReasonTooLarge
 	}
-	c.server.options.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(why), "detail", err.Error(),
+	c.server.options.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(reason), "detail", err.Error(),
 		"client", c.netConn.RemoteAddr().String())
-	res := c.server.options.Mapper.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: err.Error()})
+	response := c.server.options.Mapper.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: reason, Detail: err.Error()})
 	method := ""
-	if req != nil {
-		method = req.Method
+	if head != nil {
+		method = head.Method
 	}
-	c.buf = http1.AppendResponse(c.buf[:0], method, status, res.Header, res.Body, true)
+	c.buf = http1.AppendResponse(c.buf[:0], method, status, response.Header, response.Body, true)
 	c.write(c.buf)
 	return false
 }
 
-// linger half-closes the connection and reads on, for nothing: closing over unread bytes
-// would reset it, and take the answer under way with it.
+// linger closes the connection's sending side, and reads and discards what still arrives.
+// Closing a connection with unread bytes would reset it, and the client could lose the
+// response before reading it.
 func (c *conn) linger() {
 	s := c.server
 	s.mu.Lock()
@@ -445,15 +452,15 @@
 	s.mu.Unlock()
 }
 
-// maxCopiedBody is the length of bodies that are not copied behind their heads, so that
-// a connection's buffer stays small.
+// maxCopiedBody is the longest body, in bytes, that is copied into the connection's buffer
+// behind its header. Longer ones are written separately, so that the buffer stays small.
 const maxCopiedBody = 16 << 10
 
-// write writes the parts of an answer, all within the time for one.
+// write writes the parts of a response within WriteTimeout. It returns false on failure.
 func (c *conn) write(parts ...[]byte) bool {
 	c.netConn.SetWriteDeadline(time.Now().Add(c.server.options.WriteTimeout))
-	for _, b := range parts {
-		if _, err := c.netConn.Write(b); err != nil {
+	for _, part := range parts {
+		if _, err := c.netConn.Write(part); err != nil {
 			c.disconnected = true
 			return false
 		}
