--- a/front/http1/close_test.go
+++ b/front/http1/close_test.go
@@ -15,58 +15,59 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// gatedConn is a real connection whose reads wait at a barrier: what arrives meanwhile lies
-// in the socket, unread.
+// gatedConn is a TCP connection whose reads wait at a gate. What arrives in the meantime stays
+// unread in the socket.
 type gatedConn struct {
 	*net.TCPConn
-	readWaiting chan struct{} // a read waits at the barrier
-	allowRead   chan struct{} // lets one read go on
+	readWaiting chan struct{} // receives a value when a read waits at the gate
+	allowRead   chan struct{} // each value lets one read proceed; closed: reads no longer wait
 }
 
 func (c *gatedConn) Read(b []byte) (int, error) {
 	select {
 	case c.readWaiting <- struct{}{}:
-	default: // the barrier is open, and nobody counts
+	default: // the gate is removed, and the test no longer receives
 	}
 	<-c.allowRead
 	return c.TCPConn.Read(b)
 }
 
-// fakeNode answers every request that is passed on with its own id, once it may.
+// fakeNode answers each submitted request with its trace ID when the test allows it.
 type fakeNode struct {
-	submitted    chan string
-	allowReply   chan struct{}
-	disconnected chan string
+	submitted    chan string   // trace IDs of submitted requests
+	allowReply   chan struct{} // each value lets one request be answered
+	disconnected chan string   // trace IDs of requests whose client has disconnected
 }
 
-func (o *fakeNode) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
+func (n *fakeNode) Submit(request *node.Request, reply func(node.FinalResponse)) func() {
 	done := make(chan struct{})
 	go func() {
-		o.submitted <- t.Trace
+		n.submitted <- request.Trace
 		select {
-		case <-o.allowReply:
-			reply(node.FinalResponse{Kind: node.Served, Response: &node.Response{Status: 200, Body: []byte(t.Trace)}})
+		case <-n.allowReply:
+			reply(node.FinalResponse{Kind: node.Served, Response: &node.Response{Status: 200, Body: []byte(request.Trace)}})
 		case <-done:
 			reply(node.FinalResponse{Kind: node.Failed, Reason: node.ReasonClientDisconnected})
 		}
 	}()
 	return func() {
-		o.disconnected <- t.Trace
+		n.disconnected <- request.Trace
 		close(done)
 	}
 }
 
+// fakeMapper uses the target of a request as its trace ID.
 type fakeMapper struct{}
 
-func (fakeMapper) Admit(c node.HTTPRequest, _ string) (*node.Request, *node.FinalResponse) {
-	return &node.Request{Trace: c.Target, HTTP: c}, nil
+func (fakeMapper) Admit(call node.HTTPRequest, _ string) (*node.Request, *node.FinalResponse) {
+	return &node.Request{Trace: call.Target, HTTP: call}, nil
 }
 
-func (fakeMapper) Render(_ *node.Request, a node.FinalResponse) *node.Response {
-	if a.Response != nil {
-		return a.Response
+func (fakeMapper) Render(_ *node.Request, final node.FinalResponse) *node.Response {
+	if final.Response != nil {
+		return final.Response
 	}
-	return &node.Response{Status: 503, Body: []byte(a.Reason)}
+	return &node.Response{Status: 503, Body: []byte(final.Reason)}
 }
 
 const requestFormat = "GET %s HTTP/1.1\r\nHost: h\r\n%s\r\n"
@@ -75,6 +76,7 @@
 	return strings.Replace(strings.Replace(requestFormat, "%s", id, 1), "%s", fields, 1)
 }
 
+// fixture is a server that serves one gated connection.
 type fixture struct {
 	t           *testing.T
 	server      *Server
@@ -85,7 +87,7 @@
 	gateRemoved bool
 }
 
-// removeGate takes the barrier away.
+// removeGate lets all reads proceed from now on.
 func (s *fixture) removeGate() {
 	if !s.gateRemoved {
 		s.gateRemoved = true
@@ -93,7 +95,7 @@
 	}
 }
 
-// withConnection serves one real connection that is held at each read.
+// withConnection serves one TCP connection on which each read waits at the gate, and calls f.
 func withConnection(t *testing.T, change func(*Options), f func(s *fixture)) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,19 +104,19 @@
 	}
 	defer l.Close()
 	s := &fixture{t: t, node: &fakeNode{submitted: make(chan string, 100), allowReply: make(chan struct{}, 100), disconnected: make(chan string, 100)}}
-	lim := http1.Limits{MaxLineBytes: 1000, MaxHeaderFields: 10, MaxHeaderBytes: 4000, MaxBodyBytes: 32 << 10}
-	o := Options{Node: s.node, Mapper: fakeMapper{}, Log: slog.New(slog.DiscardHandler), Limits: lim, HeaderTimeout: time.Minute,
+	limits := http1.Limits{MaxLineBytes: 1000, MaxHeaderFields: 10, MaxHeaderBytes: 4000, MaxBodyBytes: 32 << 10}
+	options := Options{Node: s.node, Mapper: fakeMapper{}, Log: slog.New(slog.DiscardHandler), Limits: limits, HeaderTimeout: time.Minute,
 		BodyTimeout: time.Minute, IdleTimeout: time.Minute, WriteTimeout: time.Minute, MaxConnections: 10}
 	if change != nil {
-		change(&o)
+		change(&options)
 	}
-	s.server = New(o)
+	s.server = New(options)
 	if s.client, err = net.Dial("tcp", l.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	defer s.client.Close()
 	s.client.SetDeadline(time.Now().Add(20 * time.Second))
-	s.reader = http1.NewReader(s.client, lim)
+	s.reader = http1.NewReader(s.client, limits)
 	nc, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +133,7 @@
 	select {
 	case <-served:
 	case <-time.After(20 * time.Second):
-		t.Error("the connection is still served")
+		t.Error("ServeConn has not returned 20 s after the client closed the connection")
 	}
 }
 
@@ -146,51 +148,54 @@
 	s.t.Helper()
 	head, err := s.reader.Response("GET")
 	if err != nil {
-		s.t.Fatalf("no answer to %s: %v", id, err)
+		s.t.Fatalf("no response to %s: %v", id, err)
 	}
 	if body, err := s.reader.Body(head.Framing, head.Length); err != nil || string(body) != id {
-		s.t.Fatalf("%q for %s, %v", body, id, err)
+		s.t.Fatalf("response body %q to %s, error %v", body, id, err)
 	}
 }
 
-// expectCleanClose wants a clean end: a reset would take answers with it that were not read yet.
+// expectCleanClose fails the test unless the connection ends with EOF and no further request was
+// submitted. After a reset the client could lose responses that it has not read yet.
 func (s *fixture) expectCleanClose() {
 	s.t.Helper()
 	if err := s.reader.Await(); !errors.Is(err, io.EOF) {
-		s.t.Errorf("the connection ended with %v (a reset: %v)", err, errors.Is(err, syscall.ECONNRESET))
+		s.t.Errorf("the connection ended with %v, want EOF (reset: %v)", err, errors.Is(err, syscall.ECONNRESET))
 	}
 	select {
 	case id := <-s.node.submitted:
-		s.t.Errorf("%s was taken after the connection was shut", id)
+		s.t.Errorf("%s was submitted after the connection was closed", id)
 	default:
 	}
 }
 
-// completeFirstRequest plays one request and leaves the node waiting for the next at the barrier.
+// completeFirstRequest sends one request, reads its response, and returns when the server waits
+// for the next request at the gate.
 func (s *fixture) completeFirstRequest() {
 	s.send(request("/first", ""))
 	<-s.conn.readWaiting
 	s.conn.allowRead <- struct{}{}
 	s.node.allowReply <- struct{}{}
 	<-s.node.submitted
-	<-s.conn.readWaiting // the watch for its leaving
+	<-s.conn.readWaiting // the server watches for the client to disconnect
 	s.conn.allowRead <- struct{}{}
 	s.expectResponse("/first")
-	<-s.conn.readWaiting // the next request
+	<-s.conn.readWaiting // the server waits for the next request
 }
 
-// A request crosses the end of its resting connection: it lies unread in the socket as the
-// connection is closed, by a shutdown, because it was idle for too long, or to make room.
-// The client must find a clean end, and nothing is done with the request.
+// A request arrives just as the server closes its idle connection: it is unread in the socket
+// when the server closes for a shutdown, for the idle timeout, or for an eviction. Closing with
+// unread bytes would reset the connection; the client must get a clean close, and the request
+// must not be submitted.
 func TestCloseWithUnreadRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*Options)
-		shut   func(*Server)
+		change           func(*Options)
+		closeConnections func(*Server)
 	}{
-		"shutdown": {shut: func(s *Server) { s.StartDraining() }},
-		"the end":  {shut: func(s *Server) { s.StopAccepting() }},
-		"idle":     {change: func(o *Options) { o.IdleTimeout = time.Nanosecond }, shut: func(*Server) {}},
-		"room": {shut: func(s *Server) {
+		"shutdown":       {closeConnections: func(s *Server) { s.StartDraining() }},
+		"stop accepting": {closeConnections: func(s *Server) { s.StopAccepting() }},
+		"idle timeout":   {change: func(o *Options) { o.IdleTimeout = time.Nanosecond }, closeConnections: func(*Server) {}},
+		"eviction": {closeConnections: func(s *Server) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
@@ -211,10 +216,10 @@
 				if s.server.options.IdleTimeout != idle {
 					s.conn.SetReadDeadline(time.Now().Add(idle))
 				}
-				c.shut(s.server)
+				c.closeConnections(s.server)
 				s.send(request("/crossing", ""))
 				s.conn.allowRead <- struct{}{}
-				<-s.conn.readWaiting // what it reads for nothing
+				<-s.conn.readWaiting // the server lingers: it reads and discards
 				s.conn.allowRead <- struct{}{}
 				s.expectCleanClose()
 			})
@@ -222,15 +227,15 @@
 	}
 }
 
-// What lies unread behind an answer that closes the connection is not acted on, and does
-// not cost the client that answer.
+// A request that arrives behind one that asks to close the connection is not submitted. It must
+// not cause a reset either, with which the client would lose the response to the first request.
 func TestClosingResponseWithUnreadRequest(t *testing.T) {
 	withConnection(t, nil, func(s *fixture) {
 		s.send(request("/last", "Connection: close\r\n"))
 		<-s.conn.readWaiting
 		s.conn.allowRead <- struct{}{}
 		<-s.node.submitted
-		<-s.conn.readWaiting // the watch
+		<-s.conn.readWaiting // the server watches for the client to disconnect
 		s.send(request("/behind", ""))
 		s.node.allowReply <- struct{}{}
 		s.conn.allowRead <- struct{}{}
@@ -241,8 +246,8 @@
 	})
 }
 
-// A shutdown that crosses a request under way lets it have its answer, and says that it is
-// the connection's last.
+// A request in flight when a shutdown begins still gets its response, and the connection closes
+// cleanly after it.
 func TestShutdownDuringRequest(t *testing.T) {
 	withConnection(t, nil, func(s *fixture) {
 		s.removeGate()
@@ -257,8 +262,8 @@
 	})
 }
 
-// A request that has begun to come as requests stop being read is refused, and the client
-// can read so.
+// A request that is partly read when the server stops reading requests is rejected, and the
+// client can read the rejection before the connection closes.
 func TestRejectPartialRequest(t *testing.T) {
 	withConnection(t, nil, func(s *fixture) {
 		s.send("GET /half HTTP/1.1\r\nHo")
@@ -277,9 +282,9 @@
 	})
 }
 
-// A client that leaves behind requests it sent ahead is heard to leave, also where those
-// fill the buffer that the request under way was read with; one that sends more than a node
-// holds gets an error.
+// The server detects that a client disconnects after it has pipelined requests, even if those
+// fill the buffer that the current request was read with. A client that pipelines more than the
+// server buffers gets an error, since its disconnection could no longer be detected.
 func TestDisconnectWithPipelinedRequests(t *testing.T) {
 	for _, size := range []int{1, 3 << 10, 20 << 10} {
 		withConnection(t, nil, func(s *fixture) {
@@ -291,7 +296,7 @@
 			select {
 			case <-s.node.disconnected:
 			case <-time.After(20 * time.Second):
-				t.Errorf("%d bytes ahead: nobody heard that the client left", size)
+				t.Errorf("%d bytes pipelined: the server did not detect that the client disconnected", size)
 				s.node.allowReply <- struct{}{}
 			}
 		})
@@ -308,15 +313,16 @@
 	})
 }
 
-// A connection is to make room just as its next request begins to come: it is woken before
-// it sets its own time for that, which must not put the waking off.
+// A connection is evicted, or its partial request rejected, just as the request begins to arrive:
+// its reads are interrupted before it sets its own read timeout. The timeout must not replace the
+// interruption, or the connection would wait for the rest of the request.
 func TestEvictionBeforeReadTimeoutIsSet(t *testing.T) {
-	for _, late := range []bool{false, true} {
-		near, far := net.Pipe()
+	for _, rejectPartial := range []bool{false, true} {
+		serverSide, clientSide := net.Pipe()
 		s := New(Options{MaxConnections: 1})
-		c := &conn{server: s, netConn: near, state: stateReading}
+		c := &conn{server: s, netConn: serverSide, state: stateReading}
 		s.conns[c] = true
-		if late {
+		if rejectPartial {
 			s.RejectPartialRequests()
 		} else {
 			s.mu.Lock()
@@ -326,7 +332,7 @@
 		c.setReadTimeout(time.Hour)
 		read := make(chan error, 1)
 		go func() {
-			_, err := near.Read(make([]byte, 1))
+			_, err := serverSide.Read(make([]byte, 1))
 			read <- err
 		}()
 		select {
@@ -335,9 +341,9 @@
 				t.Error(err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Errorf("late %v: it waits for the rest of the request", late)
+			t.Errorf("rejectPartial %v: the connection waits for the rest of the request", rejectPartial)
 		}
-		near.Close()
-		far.Close()
+		serverSide.Close()
+		clientSide.Close()
 	}
 }
