--- a/front/extauthz/attempt_outcome.go
+++ b/front/extauthz/attempt_outcome.go
@@ -9,15 +9,15 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// responseFlagOutcomes is the table of what the responseFlagOutcomes of an access log line say of an attempt,
-// in order: the first that is set counts. The proxy has given the client its
-// answer in any case, so nothing is sent again on their account; they teach the
-// module of the server. What never left the proxy for a reason of its own is
-// Moot: it says nothing of the server.
+// responseFlagOutcomes maps the response flags of an access log entry to the outcome of the
+// attempt. The first flag that is set counts. The proxy has already responded to the client, so
+// no outcome causes a retry; the policy only learns about the server from it. If the proxy did
+// not forward the request for a reason of its own, the code is TooLate, which says nothing about
+// the server.
 var responseFlagOutcomes = []struct {
-	set  func(*datav3.ResponseFlags) bool
-	code policy.ResultCode
-	what string
+	set    func(*datav3.ResponseFlags) bool
+	code   policy.ResultCode
+	detail string
 }{
 	{(*datav3.ResponseFlags).GetUpstreamConnectionFailure, policy.ConnectFailed, "UF: not connected"},
 	{(*datav3.ResponseFlags).GetNoHealthyUpstream, policy.TooLate, "UH: no healthy upstream"},
@@ -35,30 +35,30 @@
 	{(*datav3.ResponseFlags).GetDownstreamConnectionTermination, policy.Cancelled, "DC: the client left"},
 }
 
-// attemptOutcome is how the attempt of an access log line ended.
-func (s *Server) attemptOutcome(e *datav3.HTTPAccessLogEntry) node.Result {
-	common := e.GetCommonProperties()
-	res := node.Result{Latency: common.GetTimeToLastUpstreamRxByte().AsDuration()}
-	if res.Latency <= 0 {
-		res.Latency = common.GetDuration().AsDuration()
+// attemptOutcome returns the outcome of the attempt that an access log entry reports.
+func (s *Server) attemptOutcome(entry *datav3.HTTPAccessLogEntry) node.Result {
+	common := entry.GetCommonProperties()
+	result := node.Result{Latency: common.GetTimeToLastUpstreamRxByte().AsDuration()}
+	if result.Latency <= 0 {
+		result.Latency = common.GetDuration().AsDuration()
 	}
-	for _, f := range responseFlagOutcomes {
-		if f.set(common.GetResponseFlags()) {
-			res.Code, res.Detail = f.code, f.what
-			return res
+	for _, flag := range responseFlagOutcomes {
+		if flag.set(common.GetResponseFlags()) {
+			result.Code, result.Detail = flag.code, flag.detail
+			return result
 		}
 	}
-	code := int(e.GetResponse().GetResponseCode().GetValue())
+	status := int(entry.GetResponse().GetResponseCode().GetValue())
 	switch {
-	case code == 0:
-		res.Code, res.Detail = policy.Cancelled, "no status"
-	case s.options.RejectionSignal.Matches(code, func(name string) bool { _, ok := e.GetResponse().GetResponseHeaders()[name]; return ok }):
-		res.Code = policy.Rejected
-	case code >= 500:
-		res.Code = policy.Error
+	case status == 0:
+		result.Code, result.Detail = policy.Cancelled, "no status"
+	case s.options.RejectionSignal.Matches(status, func(name string) bool { _, ok := entry.GetResponse().GetResponseHeaders()[name]; return ok }):
+		result.Code = policy.Rejected
+	case status >= 500:
+		result.Code = policy.Error
 	}
-	if code >= 500 {
-		res.Detail = fmt.Sprintf("status %d", code)
+	if status >= 500 {
+		result.Detail = fmt.Sprintf("status %d", status)
 	}
-	return res
+	return result
 }
--- a/front/extauthz/golden_test.go
+++ b/front/extauthz/golden_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Fields that tell a proxy of its attempt have exactly these names.
+// The names of the header fields that a proxy gets with a permit are part of the protocol with it.
 func TestFieldNamesAreGolden(t *testing.T) {
 	for got, want := range map[string]string{FieldServer: "x-envoy-original-dst-host", FieldAttempt: "x-yardcleat-attempt",
 		FieldTimeout: "x-envoy-upstream-rq-timeout-ms"} {
--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -1,6 +1,6 @@
-// Package extauthz is the front for proxies: Envoy's ext_authz v3 over gRPC.
-// A Check asks whether a request may go and to which server; the proxy makes the
-// attempt itself and reports its end by the access log service (ALS).
+// Package extauthz serves proxies over gRPC by Envoy's ext_authz v3. A Check asks whether a
+// request may be forwarded and to which server. The proxy makes the attempt itself and reports
+// its outcome through the access log service (ALS).
 package extauthz
 
 import (
@@ -37,43 +37,44 @@
 	"yardcleat.example/yardcleat/upstream"
 )
 
-// Fields of an allowed request.
+// Header fields added to a permitted request.
 const (
-	FieldServer  = "x-envoy-original-dst-host" // where an ORIGINAL_DST cluster sends it
-	FieldAttempt = "x-yardcleat-attempt"       // names the attempt; to be logged
-	FieldTimeout = "x-envoy-upstream-rq-timeout-ms"
+	FieldServer  = "x-envoy-original-dst-host"      // the server that an ORIGINAL_DST cluster forwards to
+	FieldAttempt = "x-yardcleat-attempt"            // identifies the attempt; the proxy must log it
+	FieldTimeout = "x-envoy-upstream-rq-timeout-ms" // timeout of the attempt
 )
 
-// Handler takes tries and is told of their attempts' ends; a *node.Node is one.
+// Handler handles requests and the outcomes of their attempts; a *node.Node implements it. The
+// caller of Submit calls disconnected if the client disconnects before the reply.
 type Handler interface {
-	Submit(t *node.Request, reply func(node.FinalResponse)) (gone func())
-	FinishProxiedAttempt(id policy.RequestID, attempt int, res node.Result)
+	Submit(request *node.Request, reply func(node.FinalResponse)) (disconnected func())
+	FinishProxiedAttempt(id policy.RequestID, attempt int, result node.Result)
 }
 
-// Options is what a Server is made of.
+// Options configures a Server.
 type Options struct {
 	Node            Handler
 	Mapper          *intake.Mapper
 	Log             *slog.Logger
-	TracePrefix     string // begins traces and attempt names; differs for every process
+	TracePrefix     string // begins trace IDs and attempt tokens; differs between processes
 	RejectionSignal upstream.RejectionSignal
 }
 
-// Server serves Checks and access logs.
+// Server serves Checks and receives access logs.
 type Server struct {
 	authv3.UnimplementedAuthorizationServer
 	alsv3.UnimplementedAccessLogServiceServer
 	options        Options
 	grpcServer     *grpc.Server
 	traceCounter   atomic.Uint64
-	checksInFlight atomic.Int64 // under way
+	checksInFlight atomic.Int64
 
 	mu                 sync.Mutex
-	proxiedAttempts    map[string]proxiedAttempt // by trace, for logs that do not name the attempt
+	proxiedAttempts    map[string]proxiedAttempt // by trace ID, for log entries without an attempt token
 	recordedSinceSweep int
 }
 
-// proxiedAttempt is an attempt that a proxy was let make.
+// proxiedAttempt is an attempt that a proxy was permitted to make.
 type proxiedAttempt struct {
 	id      policy.RequestID
 	attempt int
@@ -88,7 +89,7 @@
 	return s
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.grpcServer.Serve(l)
 	if errors.Is(err, grpc.ErrServerStopped) || errors.Is(err, net.ErrClosed) {
@@ -97,16 +98,16 @@
 	return err
 }
 
-// Drain takes no new calls and lets Checks under way end, until the context does.
-// Log streams have no end of their own: they get a moment more for the last lines.
+// Drain accepts no new calls and waits for the Checks in flight, at most until the context ends.
+// Log streams do not end by themselves: they stay open a little longer for the last entries.
 func (s *Server) Drain(ctx context.Context) {
-	const logs, look = 200 * time.Millisecond, 5 * time.Millisecond
+	const logGracePeriod, pollInterval = 200 * time.Millisecond, 5 * time.Millisecond
 	go func() {
 		for s.checksInFlight.Load() > 0 && ctx.Err() == nil {
-			time.Sleep(look)
+			time.Sleep(pollInterval)
 		}
 		select {
-		case <-time.After(logs):
+		case <-time.After(logGracePeriod):
 		case <-ctx.Done():
 		}
 		s.grpcServer.Stop()
@@ -114,176 +115,180 @@
 	s.grpcServer.GracefulStop()
 }
 
-// Check answers whether a request may go, and where to.
+// Check decides whether a request may be forwarded, and to which server.
 func (s *Server) Check(ctx context.Context, req *authv3.CheckRequest) (*authv3.CheckResponse, error) {
 	s.checksInFlight.Add(1)
 	defer s.checksInFlight.Add(-1)
 	call := httpRequestOf(req.GetAttributes().GetRequest().GetHttp())
 	trace := s.options.TracePrefix + "-" + strconv.FormatUint(s.traceCounter.Add(1), 36)
-	t, early := s.options.Mapper.Admit(call, trace)
+	request, early := s.options.Mapper.Admit(call, trace)
 	if early != nil {
-		s.options.Log.Info("answer", "answer", early.Kind.String(), "trace", t.Trace, "class", t.Class,
-			"customer", t.Customer, "reason", string(early.Reason), "detail", early.Detail)
-		return s.deniedResponse(t, *early), nil
+		s.options.Log.Info("answer", "answer", early.Kind.String(), "trace", request.Trace, "class", request.Class,
+			"customer", request.Customer, "reason", string(early.Reason), "detail", early.Detail)
+		return s.deniedResponse(request, *early), nil
 	}
 	if p, ok := peer.FromContext(ctx); ok {
-		t.Arrived = pauseclock.ArrivalTimeForAddr(p.Addr)
+		request.Arrived = pauseclock.ArrivalTimeForAddr(p.Addr)
 	}
-	if by, ok := ctx.Deadline(); ok {
-		// It counts from when the call was read: what the proxy gave it is as much
-		// from when it arrived, and no more.
-		t.ClientTimeout = min(t.ClientTimeout, time.Until(by))
+	if deadline, ok := ctx.Deadline(); ok {
+		// gRPC counts the call's timeout from when it read the call. The proxy's timeout is as
+		// long but started earlier; ClientTimeout counts from the call's arrival.
+		request.ClientTimeout = min(request.ClientTimeout, time.Until(deadline))
 	}
-	t.Proxied = true
-	t.ClientAddress, t.LocalAddress = socketAddress(req.GetAttributes().GetSource()), socketAddress(req.GetAttributes().GetDestination())
-	answers := make(chan node.FinalResponse, 1)
-	gone := s.options.Node.Submit(t, func(a node.FinalResponse) { answers <- a })
-	var a node.FinalResponse
+	request.Proxied = true
+	request.ClientAddress, request.LocalAddress = socketAddress(req.GetAttributes().GetSource()), socketAddress(req.GetAttributes().GetDestination())
+	finalResponses := make(chan node.FinalResponse, 1)
+	disconnected := s.options.Node.Submit(request, func(final node.FinalResponse) { finalResponses <- final })
+	var final node.FinalResponse
 	select {
-	case a = <-answers:
+	case final = <-finalResponses:
 	case <-ctx.Done():
-		gone()
-		a = <-answers
+		disconnected()
+		final = <-finalResponses
 	}
-	if a.Permit == nil {
-		return s.deniedResponse(t, a), nil
+	if final.Permit == nil {
+		return s.deniedResponse(request, final), nil
 	}
 	if ctx.Err() != nil {
-		// The answer can't arrive: nothing will be sent.
-		s.options.Node.FinishProxiedAttempt(a.Permit.ID, a.Permit.Attempt, node.Result{Code: policy.TooLate, Detail: "the proxy left"})
+		// The permit does not reach the proxy, so the attempt is not made.
+		s.options.Node.FinishProxiedAttempt(final.Permit.ID, final.Permit.Attempt, node.Result{Code: policy.TooLate, Detail: "the proxy left"})
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
-	s.recordAttempt(t.Trace, proxiedAttempt{a.Permit.ID, a.Permit.Attempt, time.Now().Add(a.Permit.Timeout)})
-	return s.okResponse(t, a.Permit), nil
+	s.recordAttempt(request.Trace, proxiedAttempt{final.Permit.ID, final.Permit.Attempt, time.Now().Add(final.Permit.Timeout)})
+	return s.okResponse(request, final.Permit), nil
 }
 
-func httpRequestOf(h *authv3.AttributeContext_HttpRequest) node.HTTPRequest {
-	c := node.HTTPRequest{Method: h.GetMethod(), Target: h.GetPath(), Host: h.GetHost(), Body: []byte(h.GetBody())}
-	if len(c.Body) == 0 {
-		c.Body = h.GetRawBody()
+func httpRequestOf(attributes *authv3.AttributeContext_HttpRequest) node.HTTPRequest {
+	call := node.HTTPRequest{Method: attributes.GetMethod(), Target: attributes.GetPath(), Host: attributes.GetHost(), Body: []byte(attributes.GetBody())}
+	if len(call.Body) == 0 {
+		call.Body = attributes.GetRawBody()
 	}
-	for name, value := range h.GetHeaders() {
+	for name, value := range attributes.GetHeaders() {
 		if !strings.HasPrefix(name, ":") {
-			c.Header.Add(name, value)
+			call.Header.Add(name, value)
 		}
 	}
-	slices.SortFunc(c.Header, func(a, b http1.Field) int { return strings.Compare(a.Name, b.Name) })
-	return c
+	slices.SortFunc(call.Header, func(a, b http1.Field) int { return strings.Compare(a.Name, b.Name) })
+	return call
 }
 
-// socketAddress is a peer's, as the proxy says; "" where it does not.
+// socketAddress returns the host:port of a peer, or "" if the proxy does not state it.
 func socketAddress(p *authv3.AttributeContext_Peer) string {
-	a := p.GetAddress().GetSocketAddress()
-	if a.GetAddress() == "" {
+	address := p.GetAddress().GetSocketAddress()
+	if address.GetAddress() == "" {
 		return ""
 	}
-	return net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue())))
+	return net.JoinHostPort(address.GetAddress(), strconv.Itoa(int(address.GetPortValue())))
 }
 
-func (s *Server) okResponse(t *node.Request, g *node.ForwardPermit) *authv3.CheckResponse {
-	by := &g.Authorization
-	ok := &authv3.OkHttpResponse{HeadersToRemove: append(slices.Clone(by.RemoveHeaders), s.options.Mapper.KeyHeader()),
-		QueryParametersToRemove: by.RemoveQuery}
-	for _, f := range by.SetHeaders {
+func (s *Server) okResponse(request *node.Request, permit *node.ForwardPermit) *authv3.CheckResponse {
+	changes := &permit.Authorization
+	ok := &authv3.OkHttpResponse{HeadersToRemove: append(slices.Clone(changes.RemoveHeaders), s.options.Mapper.KeyHeader()),
+		QueryParametersToRemove: changes.RemoveQuery}
+	for _, f := range changes.SetHeaders {
 		ok.Headers = append(ok.Headers, setHeader(f.Name, f.Value))
 	}
-	for _, f := range by.AppendHeaders {
-		o := setHeader(f.Name, f.Value)
-		o.Append, o.AppendAction = wrapperspb.Bool(true), corev3.HeaderValueOption_APPEND_IF_EXISTS_OR_ADD
-		ok.Headers = append(ok.Headers, o)
+	for _, f := range changes.AppendHeaders {
+		option := setHeader(f.Name, f.Value)
+		option.Append, option.AppendAction = wrapperspb.Bool(true), corev3.HeaderValueOption_APPEND_IF_EXISTS_OR_ADD
+		ok.Headers = append(ok.Headers, option)
 	}
-	for _, f := range by.SetQuery {
+	for _, f := range changes.SetQuery {
 		ok.QueryParametersToSet = append(ok.QueryParametersToSet, &corev3.QueryParameter{Key: f.Name, Value: f.Value})
 	}
-	for _, f := range by.ResponseHeaders {
+	for _, f := range changes.ResponseHeaders {
 		ok.ResponseHeadersToAdd = append(ok.ResponseHeadersToAdd, setHeader(f.Name, f.Value))
 	}
-	ok.Headers = append(ok.Headers, setHeader(FieldServer, g.Server), setHeader(FieldAttempt, s.attemptToken(g)),
-		setHeader(FieldTimeout, strconv.FormatInt(max(1, g.Timeout.Milliseconds()), 10)),
-		setHeader("x-request-id", t.Trace))
+	ok.Headers = append(ok.Headers, setHeader(FieldServer, permit.Server), setHeader(FieldAttempt, s.attemptToken(permit)),
+		setHeader(FieldTimeout, strconv.FormatInt(max(1, permit.Timeout.Milliseconds()), 10)),
+		setHeader("x-request-id", request.Trace))
 	return &authv3.CheckResponse{Status: &rpc.Status{Code: int32(codes.OK)},
 		HttpResponse: &authv3.CheckResponse_OkResponse{OkResponse: ok}}
 }
 
-func (s *Server) deniedResponse(t *node.Request, a node.FinalResponse) *authv3.CheckResponse {
-	res := s.options.Mapper.Render(t, a)
-	d := &authv3.DeniedHttpResponse{Status: &typev3.HttpStatus{Code: typev3.StatusCode(res.Status)}, Body: string(res.Body)}
-	for _, f := range res.Header {
-		d.Headers = append(d.Headers, setHeader(f.Name, f.Value))
+func (s *Server) deniedResponse(request *node.Request, final node.FinalResponse) *authv3.CheckResponse {
+	response := s.options.Mapper.Render(request, final)
+	denied := &authv3.DeniedHttpResponse{Status: &typev3.HttpStatus{Code: typev3.StatusCode(response.Status)}, Body: string(response.Body)}
+	for _, f := range response.Header {
+		denied.Headers = append(denied.Headers, setHeader(f.Name, f.Value))
 	}
 	code := codes.PermissionDenied
-	if a.Kind == node.Failed {
+	if final.Kind == node.Failed {
 		code = codes.Unavailable
 	}
-	return &authv3.CheckResponse{Status: &rpc.Status{Code: int32(code), Message: string(a.Reason)},
-		HttpResponse: &authv3.CheckResponse_DeniedResponse{DeniedResponse: d}}
+	return &authv3.CheckResponse{Status: &rpc.Status{Code: int32(code), Message: string(final.Reason)},
+		HttpResponse: &authv3.CheckResponse_DeniedResponse{DeniedResponse: denied}}
 }
 
+// setHeader returns the instruction to set a header field, overwriting any of the same name.
 func setHeader(name, value string) *corev3.HeaderValueOption {
 	return &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: strings.ToLower(name), Value: value},
 		AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD}
 }
 
-// attemptToken names an attempt of this process; parse reads it back.
-func (s *Server) attemptToken(g *node.ForwardPermit) string {
-	return fmt.Sprintf("%s/%d/%d", s.options.TracePrefix, g.ID, g.Attempt)
+// attemptToken returns the token that identifies an attempt of this process. parseAttemptToken
+// parses it.
+func (s *Server) attemptToken(permit *node.ForwardPermit) string {
+	return fmt.Sprintf("%s/%d/%d", s.options.TracePrefix, permit.ID, permit.Attempt)
 }
 
-func (s *Server) parseAttemptToken(token string) (p proxiedAttempt, ok bool) {
+func (s *Server) parseAttemptToken(token string) (attempt proxiedAttempt, ok bool) {
 	rest, ok := strings.CutPrefix(token, s.options.TracePrefix+"/")
 	if !ok {
-		return p, false // of another node, or of this one before a restart
+		return attempt, false // the token of another node, or of this one before a restart
 	}
-	id, attempt, _ := strings.Cut(rest, "/")
-	n, err := strconv.ParseUint(id, 10, 64)
-	k, err2 := strconv.Atoi(attempt)
-	return proxiedAttempt{id: policy.RequestID(n), attempt: k}, err == nil && err2 == nil
+	id, number, _ := strings.Cut(rest, "/")
+	parsedID, err := strconv.ParseUint(id, 10, 64)
+	parsedNumber, err2 := strconv.Atoi(number)
+	return proxiedAttempt{id: policy.RequestID(parsedID), attempt: parsedNumber}, err == nil && err2 == nil
 }
 
-// recordAttempt remembers an attempt by its trace until its time-out.
-func (s *Server) recordAttempt(trace string, p proxiedAttempt) {
+// recordAttempt stores an attempt by its trace ID until its timeout.
+func (s *Server) recordAttempt(trace string, attempt proxiedAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.proxiedAttempts[trace] = p
+	s.proxiedAttempts[trace] = attempt
 	if s.recordedSinceSweep++; s.recordedSinceSweep > len(s.proxiedAttempts) {
 		s.recordedSinceSweep = 0
 		now := time.Now()
-		for t, p := range s.proxiedAttempts {
-			if now.After(p.expiry) {
-				delete(s.proxiedAttempts, t)
+		for trace, attempt := range s.proxiedAttempts {
+			if now.After(attempt.expiry) {
+				delete(s.proxiedAttempts, trace)
 			}
 		}
 	}
 }
 
-// StreamAccessLogs ends attempts. Lines for attempts that have ended, and lines
-// of requests that were never let pass, change nothing.
+// StreamAccessLogs receives access log entries and finishes the attempts that they report. It
+// ignores entries of attempts that have ended, and of requests that were not permitted.
 func (s *Server) StreamAccessLogs(stream grpc.ClientStreamingServer[alsv3.StreamAccessLogsMessage,
 	alsv3.StreamAccessLogsResponse]) error {
 	for {
-		m, err := stream.Recv()
+		message, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
 			return stream.SendAndClose(&alsv3.StreamAccessLogsResponse{})
 		}
 		if err != nil {
 			return err
 		}
-		for _, e := range m.GetHttpLogs().GetLogEntry() {
-			s.finishAttempt(e)
+		for _, entry := range message.GetHttpLogs().GetLogEntry() {
+			s.finishAttempt(entry)
 		}
 	}
 }
 
-func (s *Server) finishAttempt(e *datav3.HTTPAccessLogEntry) {
-	trace := e.GetRequest().GetRequestId()
-	p, ok := s.parseAttemptToken(e.GetRequest().GetRequestHeaders()[FieldAttempt])
+// finishAttempt finishes the attempt that an access log entry reports, identified by its token or
+// else by its trace ID.
+func (s *Server) finishAttempt(entry *datav3.HTTPAccessLogEntry) {
+	trace := entry.GetRequest().GetRequestId()
+	attempt, ok := s.parseAttemptToken(entry.GetRequest().GetRequestHeaders()[FieldAttempt])
 	s.mu.Lock()
-	if byTrace, have := s.proxiedAttempts[trace]; have && (!ok || byTrace.id == p.id) {
-		p, ok = byTrace, true
+	if byTrace, found := s.proxiedAttempts[trace]; found && (!ok || byTrace.id == attempt.id) {
+		attempt, ok = byTrace, true
 		delete(s.proxiedAttempts, trace)
 	}
 	s.mu.Unlock()
 	if ok {
-		s.options.Node.FinishProxiedAttempt(p.id, p.attempt, s.attemptOutcome(e))
+		s.options.Node.FinishProxiedAttempt(attempt.id, attempt.attempt, s.attemptOutcome(entry))
 	}
 }
