--- a/front/extauthz/server.go
+++ b/front/extauthz/server.go
@@ -251,9 +251,9 @@
 	if s.recordedSinceSweep++; s.recordedSinceSweep > len(s.proxiedAttempts) {
 		s.recordedSinceSweep = 0
 		now := time.Now()
-		for trace, attempt := range s.proxiedAttempts {
-			if now.After(attempt.expiry) {
-				delete(s.proxiedAttempts, trace)
+		for other, recorded := range s.proxiedAttempts {
+			if now.After(recorded.expiry) {
+				delete(s.proxiedAttempts, other)
 			}
 		}
 	}
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -1,6 +1,6 @@
-// Package intake turns a client's call into a Try, and an Answer into what the
-// client is told. All fronts use it, so the same request gets the same decision,
-// status, fields and reason by any protocol. It has no I/O.
+// Package intake maps HTTP requests to requests of the node, and final responses to HTTP
+// responses. All frontends use it, so the same request gets the same decision, status, header
+// fields and reason over any protocol. It has no I/O.
 package intake
 
 import (
@@ -17,73 +17,74 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// Mapper knows the routes, keys and plans of a configuration.
+// Mapper maps requests and responses by the routes, keys and plans of a configuration. It is not
+// changed after New, so any number of goroutines may use it.
 type Mapper struct {
 	cfg            *config.Config
-	routes         *routeNode // by method first
+	routes         *routeNode // the first level is the method
 	customersByKey map[string]*config.Customer
 	plans          map[string]policy.Plan
 }
 
-// routeNode is a place in the tree of routes.
+// routeNode is a node of the routing tree. Each level below the method is one path segment.
 type routeNode struct {
 	literal  map[string]*routeNode
-	wildcard *routeNode    // {name}
-	tail     *config.Class // {name...}
-	class    *config.Class // of a path that ends here
+	wildcard *routeNode    // any one segment: {name}
+	tail     *config.Class // all segments that follow: {name...}
+	class    *config.Class // class of the path that ends at this node
 }
 
-// New returns the Intake of a checked configuration.
+// New returns the Mapper of a valid configuration.
 func New(cfg *config.Config) *Mapper {
-	in := &Mapper{cfg: cfg, routes: &routeNode{}, customersByKey: map[string]*config.Customer{}, plans: map[string]policy.Plan{}}
+	m := &Mapper{cfg: cfg, routes: &routeNode{}, customersByKey: map[string]*config.Customer{}, plans: map[string]policy.Plan{}}
 	for i := range cfg.Classes {
-		for _, r := range cfg.Classes[i].Routes {
-			in.routes.child(r.Method).add(strings.Split(r.Path, "/")[1:], &cfg.Classes[i])
+		for _, route := range cfg.Classes[i].Routes {
+			m.routes.child(route.Method).add(strings.Split(route.Path, "/")[1:], &cfg.Classes[i])
 		}
 	}
 	for i := range cfg.Customers {
-		for _, k := range cfg.Customers[i].Keys {
-			in.customersByKey[k] = &cfg.Customers[i]
+		for _, key := range cfg.Customers[i].Keys {
+			m.customersByKey[key] = &cfg.Customers[i]
 		}
 	}
-	for _, p := range cfg.Plans {
-		in.plans[p.Name] = p
+	for _, plan := range cfg.Plans {
+		m.plans[plan.Name] = plan
 	}
-	return in
+	return m
 }
 
-func (s *routeNode) child(name string) *routeNode {
-	if s.literal == nil {
-		s.literal = map[string]*routeNode{}
+func (n *routeNode) child(name string) *routeNode {
+	if n.literal == nil {
+		n.literal = map[string]*routeNode{}
 	}
-	if s.literal[name] == nil {
-		s.literal[name] = &routeNode{}
+	if n.literal[name] == nil {
+		n.literal[name] = &routeNode{}
 	}
-	return s.literal[name]
+	return n.literal[name]
 }
 
-func (s *routeNode) add(path []string, class *config.Class) {
+func (n *routeNode) add(path []string, class *config.Class) {
 	switch {
 	case len(path) == 0:
-		s.class = class
+		n.class = class
 	case strings.HasSuffix(path[0], "...}"):
-		s.tail = class
+		n.tail = class
 	case strings.HasPrefix(path[0], "{"):
-		if s.wildcard == nil {
-			s.wildcard = &routeNode{}
+		if n.wildcard == nil {
+			n.wildcard = &routeNode{}
 		}
-		s.wildcard.add(path[1:], class)
+		n.wildcard.add(path[1:], class)
 	default:
-		s.child(path[0]).add(path[1:], class)
+		n.child(path[0]).add(path[1:], class)
 	}
 }
 
-// find returns the class of a path: a plain segment goes before {name}, and
-// that before {name...}.
-func (s *routeNode) find(path string) *config.Class {
+// find returns the class of a path, or nil. A literal segment takes precedence over {name}, and
+// {name} over {name...}.
+func (n *routeNode) find(path string) *config.Class {
 	first, rest, more := strings.Cut(path, "/")
-	for _, next := range []*routeNode{s.literal[first], s.wildcard} {
-		if next == nil || next == s.wildcard && first == "" {
+	for _, next := range []*routeNode{n.literal[first], n.wildcard} {
+		if next == nil || next == n.wildcard && first == "" {
 			continue
 		}
 		if !more {
@@ -94,7 +95,7 @@
 			return c
 		}
 	}
-	return s.tail
+	return n.tail
 }
 
 const (
@@ -104,94 +105,95 @@
 	headerReason         = "X-Yardcleat-Reason"
 )
 
-// Field names that the node speaks for itself; they are not taken from clients
-// to servers.
-func (in *Mapper) withoutGatewayHeaders(h http1.Header) http1.Header {
-	h.Del(in.cfg.Clients.KeyHeader)
+// withoutGatewayHeaders removes the header fields that are meant for the gateway and are not
+// forwarded to servers.
+func (m *Mapper) withoutGatewayHeaders(h http1.Header) http1.Header {
+	h.Del(m.cfg.Clients.KeyHeader)
 	h.Del(headerAttemptCount)
 	return h
 }
 
-// KeyHeader is the field that names the customer.
-func (in *Mapper) KeyHeader() string { return in.cfg.Clients.KeyHeader }
+// KeyHeader returns the name of the header field that identifies the customer.
+func (m *Mapper) KeyHeader() string { return m.cfg.Clients.KeyHeader }
 
-func rejection(why node.Reason, detail string, args ...any) *node.FinalResponse {
-	return &node.FinalResponse{Kind: node.Rejected, Reason: why, Detail: fmt.Sprintf(detail, args...)}
+func rejection(reason node.Reason, detail string, args ...any) *node.FinalResponse {
+	return &node.FinalResponse{Kind: node.Rejected, Reason: reason, Detail: fmt.Sprintf(detail, args...)}
 }
 
-// Admit makes a Try of a call whose header holds end-to-end fields, or the
-// answer that it gets at once. trace names it where the client does not.
-func (in *Mapper) Admit(c node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse) {
-	t := &node.Request{Trace: trace}
-	if id := c.Header.Get(headerRequestID); id != "" {
-		t.Trace = truncate(id, 128)
+// Admit maps an HTTP request whose header holds end-to-end fields only to a request of the node.
+// If the final response is not nil, it is already decided. trace is the request's trace ID if the
+// client sent none.
+func (m *Mapper) Admit(call node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse) {
+	request := &node.Request{Trace: trace}
+	if id := call.Header.Get(headerRequestID); id != "" {
+		request.Trace = truncate(id, 128)
 	} else {
-		c.Header.Add(headerRequestID, trace)
+		call.Header.Add(headerRequestID, trace)
 	}
-	path, _, _ := strings.Cut(c.Target, "?")
-	if why := pathAmbiguity(path); why != "" {
-		return t, rejection(node.ReasonBadRequest, "%s", why)
+	path, _, _ := strings.Cut(call.Target, "?")
+	if ambiguity := pathAmbiguity(path); ambiguity != "" {
+		return request, rejection(node.ReasonBadRequest, "%s", ambiguity)
 	}
-	customer := in.customersByKey[c.Header.Get(in.cfg.Clients.KeyHeader)]
+	customer := m.customersByKey[call.Header.Get(m.cfg.Clients.KeyHeader)]
 	for _, f := range []struct {
-		name   string
-		joined bool
-	}{{in.cfg.Clients.KeyHeader, customer == nil}, {headerIdempotencyKey, false}, {headerRequestID, false}, {headerAttemptCount, true},
-		{in.cfg.Clients.ClientTimeoutHeader, true}} {
-		if hasConflictingValues(c.Header, f.name, f.joined) {
-			return t, rejection(node.ReasonBadRequest, "the field %s comes with values that differ", f.name)
+		name        string
+		mayBeJoined bool
+	}{{m.cfg.Clients.KeyHeader, customer == nil}, {headerIdempotencyKey, false}, {headerRequestID, false}, {headerAttemptCount, true},
+		{m.cfg.Clients.ClientTimeoutHeader, true}} {
+		if hasConflictingValues(call.Header, f.name, f.mayBeJoined) {
+			return request, rejection(node.ReasonBadRequest, "the field %s comes with values that differ", f.name)
 		}
 	}
 	if customer == nil {
-		return t, rejection(node.ReasonUnknownKey, "the field %s names no customer", in.cfg.Clients.KeyHeader)
+		return request, rejection(node.ReasonUnknownKey, "the field %s names no customer", m.cfg.Clients.KeyHeader)
 	}
-	t.Customer, t.Plan, t.FirstGateway, t.GatewaySpread = customer.Name, customer.Plan, customer.FirstGateway, customer.GatewaySpread
+	request.Customer, request.Plan, request.FirstGateway, request.GatewaySpread = customer.Name, customer.Plan, customer.FirstGateway, customer.GatewaySpread
 	var class *config.Class
-	if m := in.routes.literal[c.Method]; m != nil {
-		class = m.find(strings.TrimPrefix(path, "/"))
+	if routes := m.routes.literal[call.Method]; routes != nil {
+		class = routes.find(strings.TrimPrefix(path, "/"))
 	}
 	if class == nil {
-		return t, rejection(node.ReasonNoRoute, "no class of requests has this method and path")
+		return request, rejection(node.ReasonNoRoute, "no class of requests has this method and path")
 	}
-	t.Class, t.Units = class.Name, class.Units
-	if class.Idempotency == policy.IdempotentWithKey && c.Header.Get(headerIdempotencyKey) == "" {
-		return t, rejection(node.ReasonBadRequest, "requests of class %s need the field %s", class.Name, headerIdempotencyKey)
+	request.Class, request.Units = class.Name, class.Units
+	if class.Idempotency == policy.IdempotentWithKey && call.Header.Get(headerIdempotencyKey) == "" {
+		return request, rejection(node.ReasonBadRequest, "requests of class %s need the field %s", class.Name, headerIdempotencyKey)
 	}
-	t.ClientTimeout = class.Deadline
-	if v := c.Header.Get(in.cfg.Clients.ClientTimeoutHeader); v != "" {
+	request.ClientTimeout = class.Deadline
+	if v := call.Header.Get(m.cfg.Clients.ClientTimeoutHeader); v != "" {
 		ms, err := strconv.ParseUint(v, 10, 31)
 		if err != nil {
-			return t, rejection(node.ReasonBadRequest, "the field %s is not a number of milliseconds", in.cfg.Clients.ClientTimeoutHeader)
+			return request, rejection(node.ReasonBadRequest, "the field %s is not a number of milliseconds", m.cfg.Clients.ClientTimeoutHeader)
 		}
-		t.ClientTimeout = min(t.ClientTimeout, time.Duration(ms)*time.Millisecond)
+		request.ClientTimeout = min(request.ClientTimeout, time.Duration(ms)*time.Millisecond)
 	}
-	if v := c.Header.Get(headerAttemptCount); v != "" {
+	if v := call.Header.Get(headerAttemptCount); v != "" {
 		n, err := strconv.ParseUint(v, 10, 31)
 		if err != nil {
-			return t, rejection(node.ReasonBadRequest, "the field %s is not a number", headerAttemptCount)
+			return request, rejection(node.ReasonBadRequest, "the field %s is not a number", headerAttemptCount)
 		}
-		t.ClientRetry = n > 1
+		request.ClientRetry = n > 1
 	}
-	c.Header = in.withoutGatewayHeaders(c.Header)
-	t.HTTP = c
-	return t, nil
+	call.Header = m.withoutGatewayHeaders(call.Header)
+	request.HTTP = call
+	return request, nil
 }
 
-// hasConflictingValues tells whether a field that must come once comes with values that differ:
-// who stands in front may have gone by another one. Proxies that ask by ext_authz
-// may have joined them with commas.
-func hasConflictingValues(h http1.Header, name string, joined bool) bool {
-	first, have := "", false
+// hasConflictingValues reports whether a header field that may occur once occurs with different
+// values: a proxy in front of the gateway may have used another one of them. mayBeJoined says
+// that the values may be joined with commas, as proxies do before a Check by ext_authz.
+func hasConflictingValues(h http1.Header, name string, mayBeJoined bool) bool {
+	first, found := "", false
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, name) {
 			continue
 		}
-		if have && f.Value != first {
+		if found && f.Value != first {
 			return true
 		}
-		first, have = f.Value, true
+		first, found = f.Value, true
 	}
-	if one, rest, more := strings.Cut(first, ","); joined && more {
+	if one, rest, more := strings.Cut(first, ","); mayBeJoined && more {
 		for v := range strings.SplitSeq(rest, ",") {
 			if strings.TrimSpace(v) != strings.TrimSpace(one) {
 				return true
@@ -201,20 +203,20 @@
 	return false
 }
 
-// pathAmbiguity says why a path could be read differently by a server, or "".
+// pathAmbiguity returns why a server could interpret a path differently, or "" if it could not.
 func pathAmbiguity(path string) string {
 	if path == "" || path[0] != '/' {
 		return "the path does not start with /"
 	}
-	for s := range strings.SplitSeq(path[1:], "/") {
-		if strings.Contains(s, "%") {
-			low := strings.ToLower(s)
-			if strings.Contains(low, "%2f") || strings.Contains(low, "%5c") || strings.Contains(low, "%00") {
+	for segment := range strings.SplitSeq(path[1:], "/") {
+		if strings.Contains(segment, "%") {
+			lower := strings.ToLower(segment)
+			if strings.Contains(lower, "%2f") || strings.Contains(lower, "%5c") || strings.Contains(lower, "%00") {
 				return "the path holds an encoded slash, backslash or NUL"
 			}
-			s = strings.ReplaceAll(low, "%2e", ".")
+			segment = strings.ReplaceAll(lower, "%2e", ".")
 		}
-		if s == "." || s == ".." {
+		if segment == "." || segment == ".." {
 			return "the path holds a dot segment"
 		}
 	}
@@ -228,13 +230,14 @@
 	return s
 }
 
-// rejectionStatuses of reasons, for refusals; a failure is 502, or 504 where time ran out.
+// rejectionStatuses are the HTTP statuses of rejections by reason; 503 for the others. A failure
+// has 502, or 504 after a timeout.
 var rejectionStatuses = map[node.Reason]int{
 	node.ReasonBadRequest: 400, node.ReasonUnknownKey: 401, node.ReasonAuthorizationDenied: 403, node.ReasonNoRoute: 404,
 	node.ReasonTooLarge: 413, node.ReasonQuota: 429, node.ReasonInFlightLimit: 429, node.ReasonCeiling: 429,
 }
 
-// problemTitles are what a person reads.
+// problemTitles are the human-readable summaries of reasons.
 var problemTitles = map[node.Reason]string{
 	node.ReasonBadRequest: "The request is malformed.", node.ReasonTooLarge: "The request is too large.",
 	node.ReasonUnknownKey: "The key is not known.", node.ReasonNoRoute: "Nothing is served here.",
@@ -251,7 +254,7 @@
 	node.ReasonInternal: "The gateway failed.",
 }
 
-// problem is a body by RFC 9457.
+// problem is a problem details object (RFC 9457).
 type problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -261,54 +264,54 @@
 	Retry  bool   `json:"retry_is_harmless"`
 }
 
-// Render makes of an answer the response that a client gets. t may be nil where
-// the call could not be read.
-func (in *Mapper) Render(t *node.Request, a node.FinalResponse) *node.Response {
-	if a.Response != nil {
-		if a.Kind == node.Served {
-			return a.Response
+// Render maps a final response to the HTTP response that the client gets. request is nil if it
+// could not be read.
+func (m *Mapper) Render(request *node.Request, final node.FinalResponse) *node.Response {
+	if final.Response != nil {
+		if final.Kind == node.Served {
+			return final.Response
 		}
-		if a.Reason != node.ReasonNone {
-			a.Response.Header.Set(headerReason, string(a.Reason))
+		if final.Reason != node.ReasonNone {
+			final.Response.Header.Set(headerReason, string(final.Reason))
 		}
-		return a.Response
+		return final.Response
 	}
-	p := problem{Type: "urn:yardcleat:reason:" + string(a.Reason), Title: problemTitles[a.Reason], Detail: a.Detail,
-		Reason: string(a.Reason), Retry: a.Kind == node.Rejected, Status: 502}
-	res := &node.Response{}
+	p := problem{Type: "urn:yardcleat:reason:" + string(final.Reason), Title: problemTitles[final.Reason], Detail: final.Detail,
+		Reason: string(final.Reason), Retry: final.Kind == node.Rejected, Status: 502}
+	response := &node.Response{}
 	switch {
-	case a.Kind == node.Rejected:
-		if p.Status = rejectionStatuses[a.Reason]; p.Status == 0 {
+	case final.Kind == node.Rejected:
+		if p.Status = rejectionStatuses[final.Reason]; p.Status == 0 {
 			p.Status = 503
 		}
-		if a.RetryAfter > 0 && (p.Status == 429 || p.Status == 503) {
-			res.Header.Add("Retry-After", strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
+		if final.RetryAfter > 0 && (p.Status == 429 || p.Status == 503) {
+			response.Header.Add("Retry-After", strconv.Itoa(int(math.Ceil(final.RetryAfter.Seconds()))))
 		}
-		if plan := in.planOf(t); a.Reason == node.ReasonQuota && plan.Rate > 0 {
+		if plan := m.planOf(request); final.Reason == node.ReasonQuota && plan.Rate > 0 {
 			window := int(math.Ceil(plan.Burst / plan.Rate))
-			res.Header.Add("RateLimit-Policy", fmt.Sprintf("%q;q=%d;w=%d", plan.Name, int(plan.Burst), window))
-			res.Header.Add("RateLimit", fmt.Sprintf("%q;r=0;t=%d", plan.Name, int(math.Ceil(a.RetryAfter.Seconds()))))
+			response.Header.Add("RateLimit-Policy", fmt.Sprintf("%q;q=%d;w=%d", plan.Name, int(plan.Burst), window))
+			response.Header.Add("RateLimit", fmt.Sprintf("%q;r=0;t=%d", plan.Name, int(math.Ceil(final.RetryAfter.Seconds()))))
 		}
-	case a.Reason == node.ReasonServerTimeout || a.Reason == node.ReasonNoTime:
+	case final.Reason == node.ReasonServerTimeout || final.Reason == node.ReasonNoTime:
 		p.Status = 504
 	}
-	res.Status = p.Status
-	res.Header.Add("Content-Type", "application/problem+json")
-	if t != nil {
-		res.Header.Add(headerRequestID, t.Trace)
+	response.Status = p.Status
+	response.Header.Add("Content-Type", "application/problem+json")
+	if request != nil {
+		response.Header.Add(headerRequestID, request.Trace)
 	}
-	res.Header.Add(headerReason, string(a.Reason))
+	response.Header.Add(headerReason, string(final.Reason))
 	body, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // texts and numbers alone
+		panic(err) // unreachable: a problem holds only strings, integers and booleans
 	}
-	res.Body = append(body, '\n')
-	return res
+	response.Body = append(body, '\n')
+	return response
 }
 
-func (in *Mapper) planOf(t *node.Request) policy.Plan {
-	if t == nil {
+func (m *Mapper) planOf(request *node.Request) policy.Plan {
+	if request == nil {
 		return policy.Plan{}
 	}
-	return in.plans[t.Plan]
+	return m.plans[request.Plan]
 }
