--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,7 +1,7 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9112) strictly and
-// within bounds. What two parsers could read differently is an error, never a
-// guess. It is laid on net/textproto for names and white space; textproto's own
-// reader takes bare line feeds and folded lines, so lines are read here.
+// Package http1 reads and writes HTTP/1.1 messages (RFC 9112), strictly and within limits. A
+// message that two parsers could read differently is an error. Names and white space are handled
+// by net/textproto. Lines are not: the reader of textproto accepts bare line feeds and folded
+// lines.
 package http1
 
 import (
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// Field is one header field; the name is in canonical form.
+// Field is one header field. The name is in canonical form.
 type Field struct{ Name, Value string }
 
-// Header is a list of fields in the order they came in.
+// Header is a list of header fields in the order in which they were received.
 type Header []Field
 
-// Get returns the first value of a field named in canonical form, or "".
+// Get returns the value of the first field of a name, or "". The name is in canonical form.
 func (h Header) Get(name string) string {
 	for i := range h {
 		if h[i].Name == name {
@@ -26,7 +26,7 @@
 	return ""
 }
 
-// Has tells whether there is a field of a name in canonical form.
+// Has reports whether there is a field of a name. The name is in canonical form.
 func (h Header) Has(name string) bool {
 	for i := range h {
 		if h[i].Name == name {
@@ -36,18 +36,18 @@
 	return false
 }
 
-// Add appends a field, its name made canonical.
+// Add appends a field and brings its name to canonical form.
 func (h *Header) Add(name, value string) {
 	*h = append(*h, Field{textproto.CanonicalMIMEHeaderKey(name), value})
 }
 
-// Set replaces all fields of a name by one.
+// Set replaces all fields of a name by a single one.
 func (h *Header) Set(name, value string) {
 	h.Del(name)
 	h.Add(name, value)
 }
 
-// Del takes all fields of a name out.
+// Del removes all fields of a name.
 func (h *Header) Del(name string) {
 	name = textproto.CanonicalMIMEHeaderKey(name)
 	kept := (*h)[:0]
@@ -59,7 +59,8 @@
 	*h = kept
 }
 
-// forEachToken calls f for each token of a field's comma-separated lists, in lower case.
+// forEachToken calls f for each token, in lower case, of the comma-separated lists in the fields
+// of a name.
 func (h Header) forEachToken(name string, f func(string)) {
 	for _, field := range h {
 		if field.Name != name {
@@ -73,30 +74,32 @@
 	}
 }
 
-// HasToken tells whether a field's lists hold a token, given in lower case.
+// HasToken reports whether the comma-separated lists in the fields of a name contain a token,
+// which is given in lower case.
 func (h Header) HasToken(name, token string) bool {
 	found := false
 	h.forEachToken(name, func(t string) { found = found || t == token })
 	return found
 }
 
+// hopByHop are the header fields that apply to one connection only (RFC 9110, 7.6.1).
 var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true}
 
-// EndToEnd returns the fields that are to be forwarded: those without meaning
-// for one connection only (RFC 9110, 7.6.1), and without the message's framing.
+// EndToEnd returns the fields to forward: all but those that apply to one connection only
+// (RFC 9110, 7.6.1) and Content-Length, which the writer of a message sets.
 func (h Header) EndToEnd() Header {
-	var named []string
-	h.forEachToken("Connection", func(t string) { named = append(named, textproto.CanonicalMIMEHeaderKey(t)) })
+	var connectionOptions []string
+	h.forEachToken("Connection", func(t string) { connectionOptions = append(connectionOptions, textproto.CanonicalMIMEHeaderKey(t)) })
 	kept := make(Header, 0, len(h)+4)
 next:
 	for _, f := range h {
 		if hopByHop[f.Name] || f.Name == "Content-Length" {
 			continue
 		}
-		for _, n := range named {
-			if f.Name == n {
+		for _, option := range connectionOptions {
+			if f.Name == option {
 				continue next
 			}
 		}
@@ -105,7 +108,7 @@
 	return kept
 }
 
-// Framing says how a message's body is delimited.
+// Framing is how the body of a message is delimited.
 type Framing int
 
 // The framings.
@@ -121,13 +124,13 @@
 	Method  string
 	Target  string // in origin-form, or "*"
 	Host    string
-	Minor   int // of the version: HTTP/1.Minor
+	Minor   int // minor version: HTTP/1.Minor
 	Header  Header
 	Framing Framing
-	Length  int64 // where Framing is Length
+	Length  int64 // of the body if Framing is Length
 }
 
-// KeepAlive tells whether the connection may carry another message after it.
+// KeepAlive reports whether the connection may carry another message after the request.
 func (r *Request) KeepAlive() bool { return keepAlive(r.Minor, r.Header) }
 
 // Response is the head of a response.
@@ -140,7 +143,7 @@
 	Length  int64
 }
 
-// KeepAlive tells whether the connection may carry another message after it.
+// KeepAlive reports whether the connection may carry another message after the response.
 func (r *Response) KeepAlive() bool {
 	return r.Framing != UntilClose && keepAlive(r.Minor, r.Header)
 }
@@ -152,10 +155,10 @@
 	return minor >= 1 || h.HasToken("Connection", "keep-alive")
 }
 
-// Error is a message that breaks the protocol or a bound. The connection can't
-// be used further.
+// Error says that a message violates the protocol or a limit. The connection cannot be used any
+// longer.
 type Error struct {
-	Status int // what a server answers it with
+	Status int // HTTP status with which a server responds
 	Text   string
 }
 
--- a/internal/http1/read.go
+++ b/internal/http1/read.go
@@ -10,12 +10,12 @@
 	"strings"
 )
 
-// Limits bounds what one message may hold.
+// Limits are the limits of one message.
 type Limits struct {
-	MaxLineBytes    int   // bytes of the first line, and of any header line
-	MaxHeaderFields int   // header fields
-	MaxHeaderBytes  int   // bytes of all header lines
-	MaxBodyBytes    int64 // bytes of the body
+	MaxLineBytes    int   // of the first line, and of each header line
+	MaxHeaderFields int   // number of header fields
+	MaxHeaderBytes  int   // of all header lines
+	MaxBodyBytes    int64 // of the body
 }
 
 // Reader reads messages from one connection.
@@ -25,20 +25,20 @@
 	limits Limits
 }
 
-// NewReader returns a Reader. The buffer holds the longest line allowed.
-func NewReader(r io.Reader, lim Limits) *Reader {
-	return &Reader{br: bufio.NewReaderSize(r, max(4096, lim.MaxLineBytes+2)), src: r, limits: lim}
+// NewReader returns a Reader. Its buffer holds the longest line that the limits allow.
+func NewReader(r io.Reader, limits Limits) *Reader {
+	return &Reader{br: bufio.NewReaderSize(r, max(4096, limits.MaxLineBytes+2)), src: r, limits: limits}
 }
 
-// Buffered is the number of bytes read from the connection and not used yet.
+// Buffered returns the number of bytes that were read from the connection and not parsed yet.
 func (r *Reader) Buffered() int { return r.br.Buffered() }
 
-// ErrPipelineTooLong says that more has come ahead of its turn than a Reader holds.
+// ErrPipelineTooLong is returned by Await if more bytes are buffered than one message may have.
 var ErrPipelineTooLong = errors.New("http1: more sent ahead than is held")
 
-// Await blocks until there are more bytes than are buffered, or the connection
-// ends. The buffer grows by what comes, to what one message may hold in all: a
-// connection whose end nobody can read up to would end unheard.
+// Await blocks until more bytes arrive than are buffered, or the connection ends. The buffer
+// grows with what arrives, up to the size of the largest message: the end of the connection can
+// only be detected by reading up to it.
 func (r *Reader) Await() error {
 	for {
 		_, err := r.br.Peek(r.br.Buffered() + 1)
@@ -49,18 +49,19 @@
 		if int64(size) >= int64(r.limits.MaxHeaderBytes)+r.limits.MaxBodyBytes {
 			return ErrPipelineTooLong
 		}
-		held, _ := r.br.Peek(size)
-		r.br = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(held)), r.src), 2*size)
+		buffered, _ := r.br.Peek(size)
+		r.br = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(buffered)), r.src), 2*size)
 	}
 }
 
 const maxEmptyLines = 2 // tolerated before a request line; RFC 9112, 2.2
 
-// readLine reads one readLine without its CRLF. The slice is good until the next read.
-func (r *Reader) readLine(tooLong int) ([]byte, error) {
+// readLine reads one line and returns it without its CRLF. The slice is valid until the next
+// read. The error for a line that is too long has the status tooLongStatus.
+func (r *Reader) readLine(tooLongStatus int) ([]byte, error) {
 	b, err := r.br.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(b) > r.limits.MaxLineBytes+2 {
-		return nil, newError(tooLong, "line longer than %d bytes", r.limits.MaxLineBytes)
+		return nil, newError(tooLongStatus, "line longer than %d bytes", r.limits.MaxLineBytes)
 	}
 	if err != nil {
 		if err == io.EOF && len(b) > 0 {
@@ -80,8 +81,8 @@
 	return b, nil
 }
 
-// Request reads the head of a request. The error is io.EOF where the
-// connection ended before its first byte.
+// Request reads the head of a request. The error is io.EOF if the connection ended before the
+// first byte.
 func (r *Reader) Request() (*Request, error) {
 	var b []byte
 	for empty := 0; len(b) == 0; empty++ {
@@ -124,7 +125,7 @@
 	return req, err
 }
 
-// checkHostAndTarget checks Host and the target, and brings the target to origin-form.
+// checkHostAndTarget checks the Host field and the target, and brings the target to origin-form.
 func (req *Request) checkHostAndTarget() error {
 	hosts := 0
 	for _, f := range req.Header {
@@ -161,16 +162,16 @@
 		if host == "" || strings.ContainsAny(host, "?@") {
 			return newError(400, "malformed target")
 		}
-		req.Host, req.Target = host, "/"+path // RFC 9112, 3.2.2: it wins over Host
+		req.Host, req.Target = host, "/"+path // RFC 9112, 3.2.2: the target overrides Host
 	}
 	return nil
 }
 
-// Response reads the head of the final response to a request of a method;
-// interim ones (1xx) are passed over.
+// Response reads the head of the final response to a request with the given method. It skips
+// interim responses (1xx).
 func (r *Reader) Response(method string) (*Response, error) {
-	const mostInterim = 8
-	for range mostInterim {
+	const maxInterimResponses = 8
+	for range maxInterimResponses {
 		b, err := r.readLine(400)
 		if err != nil {
 			return nil, err
@@ -213,7 +214,7 @@
 		}
 		return res, nil
 	}
-	return nil, newError(400, "more than %d interim responses", mostInterim)
+	return nil, newError(400, "more than %d interim responses", maxInterimResponses)
 }
 
 func (r *Reader) readHeader() (Header, error) {
@@ -244,16 +245,17 @@
 	}
 }
 
-// parseFraming applies RFC 9112, 6.3, and refuses what is ambiguous.
+// parseFraming determines the framing of a message by RFC 9112, 6.3. Ambiguous framing is an
+// error.
 func parseFraming(h Header, minor int) (Framing, int64, error) {
-	coded, lengths, length := false, 0, ""
+	chunked, lengths, length := false, 0, ""
 	for _, f := range h {
 		switch f.Name {
 		case "Transfer-Encoding":
-			if coded || !strings.EqualFold(f.Value, "chunked") {
+			if chunked || !strings.EqualFold(f.Value, "chunked") {
 				return 0, 0, newError(400, "transfer coding other than chunked, once")
 			}
-			coded = true
+			chunked = true
 		case "Content-Length":
 			if lengths++; lengths > 1 && f.Value != length {
 				return 0, 0, newError(400, "lengths that differ")
@@ -262,11 +264,11 @@
 		}
 	}
 	switch {
-	case coded && lengths > 0:
+	case chunked && lengths > 0:
 		return 0, 0, newError(400, "both a length and a transfer coding")
-	case coded && minor == 0:
+	case chunked && minor == 0:
 		return 0, 0, newError(400, "transfer coding in HTTP/1.0")
-	case coded:
+	case chunked:
 		return Chunked, 0, nil
 	case lengths == 0:
 		return NoBody, 0, nil
@@ -281,7 +283,7 @@
 	return Length, n, nil
 }
 
-// parseDigits reads a number of parseDigits alone; no sign, no space, no overflow.
+// parseDigits parses a number that consists of digits only: no sign, no space, no overflow.
 func parseDigits(s string, base int) (int64, bool) {
 	if s == "" || len(s) > 18 || base == 16 && len(s) > 15 {
 		return 0, false
@@ -314,12 +316,12 @@
 	return nil, nil
 }
 
-// readExactly appends n bytes to b. Memory grows with what comes in, not with what
-// was announced.
+// readExactly reads n bytes and appends them to b. It allocates memory as the bytes arrive, not
+// for the announced length.
 func (r *Reader) readExactly(b []byte, n int64) ([]byte, error) {
-	const step = 64 << 10
+	const maxStep = 64 << 10
 	for n > 0 {
-		k := int(min(n, step))
+		k := int(min(n, maxStep))
 		at := len(b)
 		b = append(b, make([]byte, k)...)
 		m, err := io.ReadFull(r.br, b[at:])
@@ -336,13 +338,14 @@
 
 func (r *Reader) readChunked() ([]byte, error) {
 	var body []byte
-	for around := 0; ; {
+	for overhead := 0; ; {
 		b, err := r.readLine(400)
 		if err != nil {
 			return body, unexpectedEOF(err)
 		}
-		// Chunks of a byte are a client's right; extensions are read for nothing.
-		if around += len(b) + 4; around > r.limits.MaxHeaderBytes+8*len(body) {
+		// A client may send chunks of one byte. Chunk extensions are limited because they are
+		// read and ignored.
+		if overhead += len(b) + 4; overhead > r.limits.MaxHeaderBytes+8*len(body) {
 			return body, newError(400, "more around chunks than in them")
 		}
 		size, _, _ := strings.Cut(string(b), ";")
@@ -354,7 +357,7 @@
 			return body, newError(413, "body longer than %d bytes", r.limits.MaxBodyBytes)
 		}
 		if n == 0 {
-			_, err := r.readHeader() // trailers are bounded and dropped
+			_, err := r.readHeader() // trailers are limited like a header, and ignored
 			return body, err
 		}
 		if body, err = r.readExactly(body, n); err != nil {
@@ -370,6 +373,7 @@
 	}
 }
 
+// unexpectedEOF returns io.ErrUnexpectedEOF in place of io.EOF, and other errors unchanged.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/read_test.go
+++ b/internal/http1/read_test.go
@@ -35,8 +35,8 @@
 
 const host = "Host: h\r\n"
 
-// rejectedRequests are what two parsers could read differently (RFC 9112 and the known ways
-// of smuggling a request), or what is over the limits; status is that of the error.
+// rejectedRequests are requests that two parsers could read differently (RFC 9112, and known ways
+// of request smuggling) or that exceed the limits. status is the status of the error.
 var rejectedRequests = map[string]struct {
 	in     string
 	status int
@@ -99,7 +99,7 @@
 	"chunk size with a sign":         {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n+3\r\nabc\r\n0\r\n\r\n", 400},
 	"chunk size with 0x":             {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0x3\r\nabc\r\n0\r\n\r\n", 400},
 	"chunk size that overflows":      {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n", 400},
-	"chunk longer than said":         {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n", 400},
+	"chunk longer than its size":     {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n", 400},
 	"chunk line with bare LF":        {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\n", 400},
 	"chunk end with bare LF":         {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\n0\r\n\r\n", 400},
 	"long chunk extension":           {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3;" + strings.Repeat("a", 2000) + "\r\n", 400},
@@ -123,40 +123,42 @@
 		"empty line before": {"\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n", "GET", "/", "h", ""},
 		"absolute target":   {"GET http://real/a HTTP/1.1\r\nHost: h\r\n\r\n", "GET", "/a", "real", ""},
 		"length":            {"PUT / HTTP/1.1\r\nhost:h\r\nCONTENT-LENGTH: 3\r\n\r\nabc", "PUT", "/", "h", "abc"},
-		"length said twice": {"PUT / HTTP/1.1\r\nhost:h\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "PUT", "/", "h", "abc"},
+		"repeated length":   {"PUT / HTTP/1.1\r\nhost:h\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "PUT", "/", "h", "abc"},
 		"chunks": {"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: v\r\n\r\n",
 			"POST", "/", "h", "abc0123456789"},
 		"HTTP/1.0 without host": {"GET / HTTP/1.0\r\n\r\n", "GET", "/", "", ""},
 		"options":               {"OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", "OPTIONS", "*", "h", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			// However the bytes come in, and with another request behind.
+			// The result must not depend on how the bytes arrive, and the request behind must be
+			// read as well.
 			const next = "GET /next HTTP/1.1\r\nHost: n\r\n\r\n"
-			for how, r := range map[string]io.Reader{"at once": strings.NewReader(c.in + next),
+			for delivery, r := range map[string]io.Reader{"at once": strings.NewReader(c.in + next),
 				"byte by byte": iotest.OneByteReader(strings.NewReader(c.in + next))} {
-				rd := NewReader(r, testLimits)
-				req, body, err := readRequest(rd)
+				reader := NewReader(r, testLimits)
+				req, body, err := readRequest(reader)
 				if err != nil {
-					t.Fatalf("%s: %v", how, err)
+					t.Fatalf("%s: %v", delivery, err)
 				}
 				if req.Method != c.method || req.Target != c.target || req.Host != c.host || string(body) != c.body {
-					t.Errorf("%s: %+v, body %q", how, req, body)
+					t.Errorf("%s: %+v, body %q", delivery, req, body)
 				}
-				if req, _, err := readRequest(rd); err != nil || req.Target != "/next" {
-					t.Errorf("%s: the request behind: %v, %v", how, req, err)
+				if req, _, err := readRequest(reader); err != nil || req.Target != "/next" {
+					t.Errorf("%s: the next request: %v, %v", delivery, req, err)
 				}
 			}
 		})
 	}
 }
 
-// Every cut of a request is an end in the middle, never a request.
+// A request that is truncated anywhere is an unexpected EOF. It must never be read as a complete
+// request.
 func TestTruncatedRequest(t *testing.T) {
 	in := "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for i := range len(in) {
 		_, _, err := readRequest(NewReader(strings.NewReader(in[:i]), testLimits))
 		if want := io.ErrUnexpectedEOF; i == 0 && !errors.Is(err, io.EOF) || i > 0 && !errors.Is(err, want) {
-			t.Errorf("cut at %d: %v", i, err)
+			t.Errorf("truncated at %d: %v", i, err)
 		}
 	}
 }
@@ -166,7 +168,7 @@
 		in, method string
 		status     int
 		body       string
-		keep       bool
+		keepAlive  bool
 		fails      bool
 	}{
 		"length":              {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "GET", 200, "abc", true, false},
@@ -177,10 +179,10 @@
 		"no reason":           {"HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n", "GET", 200, "", true, false},
 		"closing":             {"HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 0\r\n\r\n", "GET", 200, "", false, false},
 		"HTTP/1.0":            {"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n", "GET", 200, "", false, false},
-		"interim for ever":    {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100), "GET", 0, "", false, true},
+		"endless interim":     {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100), "GET", 0, "", false, true},
 		"protocol switched":   {"HTTP/1.1 101 Switching Protocols\r\n\r\n", "GET", 0, "", false, true},
-		"cut in the body":     {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", "GET", 200, "", false, true},
-		"cut in a chunk":      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc", "GET", 200, "", false, true},
+		"truncated body":      {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", "GET", 200, "", false, true},
+		"truncated chunk":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc", "GET", 200, "", false, true},
 		"both framings":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n", "GET", 0, "", false, true},
 		"not HTTP":            {"SSH-2.0-x\r\n", "GET", 0, "", false, true},
 		"body over the limit": {"HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n", "GET", 0, "", false, true},
@@ -199,8 +201,8 @@
 				}
 				return
 			}
-			if err != nil || res.Status != c.status || string(body) != c.body || res.KeepAlive() != c.keep {
-				t.Errorf("%+v, body %q, keep %v, error %v", res, body, res.KeepAlive(), err)
+			if err != nil || res.Status != c.status || string(body) != c.body || res.KeepAlive() != c.keepAlive {
+				t.Errorf("%+v, body %q, keep-alive %v, error %v", res, body, res.KeepAlive(), err)
 			}
 		})
 	}
@@ -214,8 +216,8 @@
 	}
 }
 
-// Whatever comes in, reading ends without a panic within the bounds, and what
-// is read and written again is read the same.
+// Whatever bytes arrive, reading ends without a panic and within the limits. A request that was
+// read, written and read again must be the same.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	f.Add([]byte("GET http://h/a?b HTTP/1.1\r\nHost: h\r\nX-A: b\r\nContent-Length: 0\r\n\r\n"))
@@ -229,9 +231,9 @@
 			t.Fatalf("beyond the limits: %d bytes, %d fields", len(body), len(req.Header))
 		}
 		out := AppendRequest(nil, req.Method, req.Target, req.Host, req.Header.EndToEnd(), body)
-		again, body2, err := readRequest(NewReader(bytes.NewReader(out), Limits{MaxLineBytes: 2048, MaxHeaderFields: 40, MaxHeaderBytes: 8192, MaxBodyBytes: 2000}))
-		if err != nil || again.Method != req.Method || again.Target != req.Target || again.Host != req.Host || !bytes.Equal(body, body2) {
-			t.Fatalf("%q was written as %q: %v", in, out, err)
+		again, bodyAgain, err := readRequest(NewReader(bytes.NewReader(out), Limits{MaxLineBytes: 2048, MaxHeaderFields: 40, MaxHeaderBytes: 8192, MaxBodyBytes: 2000}))
+		if err != nil || again.Method != req.Method || again.Target != req.Target || again.Host != req.Host || !bytes.Equal(body, bodyAgain) {
+			t.Fatalf("%q was written as %q, which is read differently: %v", in, out, err)
 		}
 	})
 }
--- a/internal/http1/valid.go
+++ b/internal/http1/valid.go
@@ -2,7 +2,7 @@
 
 import "net/textproto"
 
-// Valid tells whether a field may be put on the wire as it is.
+// Valid reports whether a field can be written to a message unchanged.
 func (f Field) Valid() bool {
 	if !isToken(f.Name) {
 		return false
@@ -15,8 +15,8 @@
 	return textproto.TrimString(f.Value) == f.Value
 }
 
-// Settable tells whether another party (an authoriser) may set a field of a
-// forwarded message: not what frames it, says where it goes or holds for one
+// Settable reports whether another party (an authorizer) may set a field of a forwarded message.
+// It may not set the fields that determine the framing, the destination, or apply to one
 // connection only.
 func (f Field) Settable() bool {
 	name := textproto.CanonicalMIMEHeaderKey(f.Name)
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// AppendRequest appends a request with a body of known length. The fields are
-// those to forward; Host and framing are added.
+// AppendRequest appends a request with a body of known length. h holds the fields to forward;
+// Host and the framing are added.
 func AppendRequest(b []byte, method, target, host string, h Header, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -26,8 +26,8 @@
 	return append(b, body...)
 }
 
-// AppendResponse appends a response with a body of known length. To a HEAD
-// request, and with statuses that have no body, the body stays out.
+// AppendResponse appends a response with a body of known length. The body is omitted if the
+// request's method is HEAD or the status has no body.
 func AppendResponse(b []byte, method string, status int, h Header, body []byte, closing bool) []byte {
 	b = AppendResponseHead(b, method, status, h, len(body), closing)
 	if status == 204 || status == 304 || method == "HEAD" {
@@ -36,7 +36,7 @@
 	return append(b, body...)
 }
 
-// AppendResponseHead is AppendResponse without the body, of a length.
+// AppendResponseHead appends the head of a response with a body of the given length.
 func AppendResponseHead(b []byte, method string, status int, h Header, length int, closing bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
