--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -1,5 +1,5 @@
-// Package front_test holds the fronts to one table: the same request gets the
-// same answer, status, fields and reason by any protocol.
+// Package front_test tests that all frontends give the same request the same final response,
+// status, header fields and reason.
 package front_test
 
 import (
@@ -72,32 +72,33 @@
 }
 `
 
-// fakeNode is a node that gives one answer to every try, and notes the try.
+// fakeNode gives every request the same final response, and records the last request and the
+// results of its attempts.
 type fakeNode struct {
 	final   node.FinalResponse
 	request *node.Request
 	results []node.Result
 }
 
-func (s *fakeNode) Submit(t *node.Request, reply func(node.FinalResponse)) func() {
-	s.request = t
-	a := s.final
-	if a.Kind == node.Served {
-		if t.Proxied {
-			a.Response, a.Permit = nil, &node.ForwardPermit{ID: 7, Server: "10.0.1.1:80", Timeout: time.Second}
+func (n *fakeNode) Submit(request *node.Request, reply func(node.FinalResponse)) func() {
+	n.request = request
+	final := n.final
+	if final.Kind == node.Served {
+		if request.Proxied {
+			final.Response, final.Permit = nil, &node.ForwardPermit{ID: 7, Server: "10.0.1.1:80", Timeout: time.Second}
 		}
 	}
-	reply(a)
+	reply(final)
 	return func() {}
 }
 
-func (s *fakeNode) FinishProxiedAttempt(id policy.RequestID, attempt int, res node.Result) {
+func (n *fakeNode) FinishProxiedAttempt(id policy.RequestID, attempt int, result node.Result) {
 	if id == 7 && attempt == 0 {
-		s.results = append(s.results, res)
+		n.results = append(n.results, result)
 	}
 }
 
-// frontends is both frontends before a scripted node.
+// frontends are clients of all frontends of one fake node.
 type frontends struct {
 	t      *testing.T
 	node   *fakeNode
@@ -107,6 +108,7 @@
 	logs   alsv3.AccessLogServiceClient
 }
 
+// withFrontends calls f with all frontends, in virtual time and on a simulated network.
 func withFrontends(t *testing.T, f func(*frontends)) {
 	synctest.Test(t, func(t *testing.T) {
 		mem := network.NewMemory(time.Millisecond, 1)
@@ -159,7 +161,7 @@
 	})
 }
 
-// clientResponse is what a client learns, by whatever protocol.
+// clientResponse is a response without what depends on the protocol.
 type clientResponse struct {
 	status int
 	header map[string]string
@@ -171,18 +173,18 @@
 	header       map[string]string
 }
 
-func (f *frontends) viaHTTP1(a clientRequest) clientResponse { return f.via(f.client, a) }
+func (f *frontends) viaHTTP1(request clientRequest) clientResponse { return f.via(f.client, request) }
 
-func (f *frontends) via(client *http.Client, a clientRequest) clientResponse {
-	req, err := http.NewRequest(a.method, "http://10.0.0.1:80"+a.path, nil)
+func (f *frontends) via(client *http.Client, request clientRequest) clientResponse {
+	req, err := http.NewRequest(request.method, "http://10.0.0.1:80"+request.path, nil)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	req.Header.Set("User-Agent", "test")
-	for k, v := range a.header {
+	for k, v := range request.header {
 		req.Header.Del(k)
-		for one := range strings.SplitSeq(v, "|") { // several fields of one name
-			req.Header.Add(k, one)
+		for value := range strings.SplitSeq(v, "|") { // several fields of one name
+			req.Header.Add(k, value)
 		}
 	}
 	res, err := client.Do(req)
@@ -203,13 +205,13 @@
 	return out
 }
 
-func (f *frontends) check(a clientRequest) *authv3.CheckResponse {
-	headers := map[string]string{":method": a.method}
-	for k, v := range a.header {
+func (f *frontends) check(request clientRequest) *authv3.CheckResponse {
+	headers := map[string]string{":method": request.method}
+	for k, v := range request.header {
 		headers[strings.ToLower(k)] = strings.ReplaceAll(v, "|", ",") // as a proxy joins them
 	}
 	resp, err := f.auth.Check(context.Background(), &authv3.CheckRequest{Attributes: &authv3.AttributeContext{
-		Request: &authv3.AttributeContext_Request{Http: &authv3.AttributeContext_HttpRequest{Method: a.method, Path: a.path,
+		Request: &authv3.AttributeContext_Request{Http: &authv3.AttributeContext_HttpRequest{Method: request.method, Path: request.path,
 			Host: "10.0.0.1:80", Headers: headers}}}})
 	if err != nil {
 		f.t.Fatal(err)
@@ -217,24 +219,26 @@
 	return resp
 }
 
-func (f *frontends) viaCheck(a clientRequest) clientResponse {
-	resp := f.check(a)
+func (f *frontends) viaCheck(request clientRequest) clientResponse {
+	resp := f.check(request)
 	if resp.GetOkResponse() != nil {
 		return clientResponse{status: 200}
 	}
-	d := resp.GetDeniedResponse()
-	out := clientResponse{int(d.GetStatus().GetCode()), map[string]string{}, d.GetBody()}
-	for _, h := range d.GetHeaders() {
+	denied := resp.GetDeniedResponse()
+	out := clientResponse{int(denied.GetStatus().GetCode()), map[string]string{}, denied.GetBody()}
+	for _, h := range denied.GetHeaders() {
 		out.header[h.GetHeader().GetKey()] = h.GetHeader().GetValue()
 	}
 	return out
 }
 
+// If a frontend mapped requests or final responses in its own way, clients would get another
+// status, header field or reason over one protocol than over the others.
 func TestSameResponseByAnyProtocol(t *testing.T) {
 	good := clientRequest{"GET", "/records/1", map[string]string{"X-Api-Key": "k", "X-Request-Id": "r1"}}
-	with := func(a clientRequest, method, path string, fields ...string) clientRequest {
+	with := func(request clientRequest, method, path string, fields ...string) clientRequest {
 		out := clientRequest{method, path, map[string]string{}}
-		for k, v := range a.header {
+		for k, v := range request.header {
 			out.header[k] = v
 		}
 		for i := 0; i+1 < len(fields); i += 2 {
@@ -242,99 +246,99 @@
 		}
 		return out
 	}
-	refused := func(r node.Reason) node.FinalResponse {
-		return node.FinalResponse{Kind: node.Rejected, Reason: r, RetryAfter: 1500 * time.Millisecond}
+	rejected := func(reason node.Reason) node.FinalResponse {
+		return node.FinalResponse{Kind: node.Rejected, Reason: reason, RetryAfter: 1500 * time.Millisecond}
 	}
 	failed := func(r node.Reason) node.FinalResponse { return node.FinalResponse{Kind: node.Failed, Reason: r} }
 	served := node.FinalResponse{Kind: node.Served, Response: &node.Response{Status: 200}}
 	denied := node.FinalResponse{Kind: node.Rejected, Reason: node.ReasonAuthorizationDenied,
 		Response: &node.Response{Status: 451, Header: http1.Header{{Name: "X-Why", Value: "law"}}, Body: []byte("no")}}
 	for _, c := range []struct {
-		name   string
-		ask    clientRequest
-		answer node.FinalResponse
-		status int
-		reason string
-		retry  string // Retry-After
+		name       string
+		request    clientRequest
+		final      node.FinalResponse
+		status     int
+		reason     string
+		retryAfter string
 	}{
 		{"served", good, served, 200, "", ""},
-		{"quota", good, refused(node.ReasonQuota), 429, "quota", "2"},
-		{"open cap", good, refused(node.ReasonInFlightLimit), 429, "open-cap", "2"},
-		{"ceiling", good, refused(node.ReasonCeiling), 429, "ceiling", "2"},
-		{"shed", good, refused(node.ReasonLoadShed), 503, "shed", "2"},
-		{"no server", good, refused(node.ReasonNoServer), 503, "no-server", "2"},
-		{"no time", good, refused(node.ReasonNoTime), 503, "no-time", "2"},
-		{"quota unknown", good, refused(node.ReasonQuotaUnknown), 503, "quota-unknown", "2"},
-		{"authorisation late", good, refused(node.ReasonAuthorizationTimeout), 503, "authorisation-late", "2"},
-		{"authoriser unreachable", good, refused(node.ReasonAuthorizationUnreachable), 503, "authorisation-unreachable", "2"},
+		{"quota", good, rejected(node.ReasonQuota), 429, "quota", "2"},
+		{"in-flight cap", good, rejected(node.ReasonInFlightLimit), 429, "open-cap", "2"},
+		{"ceiling", good, rejected(node.ReasonCeiling), 429, "ceiling", "2"},
+		{"load shed", good, rejected(node.ReasonLoadShed), 503, "shed", "2"},
+		{"no server", good, rejected(node.ReasonNoServer), 503, "no-server", "2"},
+		{"no time", good, rejected(node.ReasonNoTime), 503, "no-time", "2"},
+		{"quota unknown", good, rejected(node.ReasonQuotaUnknown), 503, "quota-unknown", "2"},
+		{"authorisation late", good, rejected(node.ReasonAuthorizationTimeout), 503, "authorisation-late", "2"},
+		{"authoriser unreachable", good, rejected(node.ReasonAuthorizationUnreachable), 503, "authorisation-unreachable", "2"},
 		{"denied", good, denied, 451, "authorisation-denied", ""},
-		{"overload", good, refused(node.ReasonOverload), 503, "overload", "2"},
-		{"draining", good, refused(node.ReasonDraining), 503, "draining", "2"},
+		{"overload", good, rejected(node.ReasonOverload), 503, "overload", "2"},
+		{"draining", good, rejected(node.ReasonDraining), 503, "draining", "2"},
 		{"server gone", good, failed(node.ReasonServerGone), 502, "server-gone", ""},
 		{"server late", good, failed(node.ReasonServerTimeout), 504, "server-late", ""},
 		{"server error", good, failed(node.ReasonServerError), 502, "server-error", ""},
 		{"internal", good, failed(node.ReasonInternal), 502, "internal", ""},
-		{"unknown key", with(good, "GET", "/records/1", "X-Api-Key", "other"), served, 401, "unknown-key", ""},
+		{"unknown customer key", with(good, "GET", "/records/1", "X-Api-Key", "other"), served, 401, "unknown-key", ""},
 		{"no route", with(good, "GET", "/records"), served, 404, "no-route", ""},
 		{"no route below", with(good, "GET", "/records/1/2"), served, 404, "no-route", ""},
 		{"rest of a path", with(good, "POST", "/loans/1/2/3", "Idempotency-Key", "i"), served, 200, "", ""},
-		{"no key", with(good, "POST", "/loans/1"), served, 400, "bad-request", ""},
+		{"no idempotency key", with(good, "POST", "/loans/1"), served, 400, "bad-request", ""},
 		{"dot segment", with(good, "GET", "/records/%2e."), served, 400, "bad-request", ""},
-		{"malformed patience", with(good, "GET", "/records/1", "X-Envoy-Expected-Rq-Timeout-Ms", "-1"), served, 400, "bad-request", ""},
-		{"two keys that differ", with(good, "GET", "/records/1", "X-Api-Key", "k|other"), served, 400, "bad-request", ""},
-		{"two patiences that differ", with(good, "GET", "/records/1", "X-Envoy-Expected-Rq-Timeout-Ms", "100|2000"), served, 400, "bad-request", ""},
-		{"malformed count", with(good, "GET", "/records/1", "X-Envoy-Attempt-Count", "x"), served, 400, "bad-request", ""},
+		{"malformed client timeout", with(good, "GET", "/records/1", "X-Envoy-Expected-Rq-Timeout-Ms", "-1"), served, 400, "bad-request", ""},
+		{"two customer keys that differ", with(good, "GET", "/records/1", "X-Api-Key", "k|other"), served, 400, "bad-request", ""},
+		{"two client timeouts that differ", with(good, "GET", "/records/1", "X-Envoy-Expected-Rq-Timeout-Ms", "100|2000"), served, 400, "bad-request", ""},
+		{"malformed attempt count", with(good, "GET", "/records/1", "X-Envoy-Attempt-Count", "x"), served, 400, "bad-request", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withFrontends(t, func(f *frontends) {
-				f.node.final = c.answer
-				h := f.viaHTTP1(c.ask)
-				hTry := f.node.request
-				h2 := f.via(f.h2, c.ask)
-				if h2.status != h.status || h2.body != h.body || !reflect.DeepEqual(h2.header, h.header) {
-					t.Errorf("by HTTP/1.1 %+v\nby HTTP/2 %+v", h, h2)
+				f.node.final = c.final
+				viaHTTP1 := f.viaHTTP1(c.request)
+				http1Request := f.node.request
+				viaHTTP2 := f.via(f.h2, c.request)
+				if viaHTTP2.status != viaHTTP1.status || viaHTTP2.body != viaHTTP1.body || !reflect.DeepEqual(viaHTTP2.header, viaHTTP1.header) {
+					t.Errorf("over HTTP/1.1 %+v\nover HTTP/2 %+v", viaHTTP1, viaHTTP2)
 				}
 				sorted := func(h http1.Header) http1.Header {
 					h = slices.Clone(h)
 					slices.SortFunc(h, func(a, b http1.Field) int { return strings.Compare(a.Name, b.Name) })
 					return h
 				}
-				if hTry != nil && !reflect.DeepEqual(sorted(f.node.request.HTTP.Header), sorted(hTry.HTTP.Header)) {
-					t.Errorf("forwarded by HTTP/1.1 %v\nby HTTP/2 %v", hTry.HTTP.Header, f.node.request.HTTP.Header)
+				if http1Request != nil && !reflect.DeepEqual(sorted(f.node.request.HTTP.Header), sorted(http1Request.HTTP.Header)) {
+					t.Errorf("header over HTTP/1.1 %v\nover HTTP/2 %v", http1Request.HTTP.Header, f.node.request.HTTP.Header)
 				}
 				f.node.request = nil
-				g := f.viaCheck(c.ask)
-				if h.status != c.status || g.status != c.status {
-					t.Fatalf("status %d by HTTP, %d by Check, want %d", h.status, g.status, c.status)
+				viaCheck := f.viaCheck(c.request)
+				if viaHTTP1.status != c.status || viaCheck.status != c.status {
+					t.Fatalf("status %d over HTTP, %d by Check, want %d", viaHTTP1.status, viaCheck.status, c.status)
 				}
-				if (hTry == nil) != (f.node.request == nil) {
-					t.Error("one front asked the node, the other did not")
+				if (http1Request == nil) != (f.node.request == nil) {
+					t.Error("one of HTTP and Check submitted the request to the node, the other did not")
 				}
-				if hTry != nil {
-					a, b := *hTry, *f.node.request
+				if http1Request != nil {
+					a, b := *http1Request, *f.node.request
 					a.HTTP, b.HTTP, a.Proxied, b.Proxied = node.HTTPRequest{}, node.HTTPRequest{}, false, false
 					if a.Class != b.Class || a.Customer != b.Customer || a.Plan != b.Plan || a.Trace != b.Trace || a.ClientTimeout != b.ClientTimeout || a.ClientRetry != b.ClientRetry {
-						t.Errorf("tries differ:\n%+v\n%+v", a, b)
+						t.Errorf("requests differ:\n%+v\n%+v", a, b)
 					}
 				}
 				if c.status == 200 {
 					return
 				}
-				if h.body != g.body || h.header["x-yardcleat-reason"] != c.reason || h.header["retry-after"] != c.retry {
-					t.Errorf("by HTTP %+v\nby Check %+v", h, g)
+				if viaHTTP1.body != viaCheck.body || viaHTTP1.header["x-yardcleat-reason"] != c.reason || viaHTTP1.header["retry-after"] != c.retryAfter {
+					t.Errorf("over HTTP %+v\nby Check %+v", viaHTTP1, viaCheck)
 				}
-				for k, v := range h.header {
-					if g.header[k] != v {
-						t.Errorf("%s: %q by HTTP, %q by Check", k, v, g.header[k])
+				for k, v := range viaHTTP1.header {
+					if viaCheck.header[k] != v {
+						t.Errorf("%s: %q over HTTP, %q by Check", k, v, viaCheck.header[k])
 					}
 				}
 				var p struct {
 					Reason string
 					Retry  bool `json:"retry_is_harmless"`
 				}
-				if h.header["content-type"] == "application/problem+json" {
-					if err := json.NewDecoder(bytes.NewReader([]byte(h.body))).Decode(&p); err != nil || p.Reason != c.reason ||
-						p.Retry == (c.answer.Kind == node.Failed) {
+				if viaHTTP1.header["content-type"] == "application/problem+json" {
+					if err := json.NewDecoder(bytes.NewReader([]byte(viaHTTP1.body))).Decode(&p); err != nil || p.Reason != c.reason ||
+						p.Retry == (c.final.Kind == node.Failed) {
 						t.Errorf("problem %+v, %v", p, err)
 					}
 				}
@@ -343,9 +347,10 @@
 	}
 }
 
-// Access log lines end attempts, once, with what their flags and status say.
+// An access log entry finishes its attempt once, with the outcome that its response flags and
+// status give. Entries of other processes change nothing.
 func TestAccessLogsFinishAttempts(t *testing.T) {
-	line := func(status uint32, flags *datav3.ResponseFlags, header ...string) *datav3.HTTPAccessLogEntry {
+	entry := func(status uint32, flags *datav3.ResponseFlags, header ...string) *datav3.HTTPAccessLogEntry {
 		e := &datav3.HTTPAccessLogEntry{CommonProperties: &datav3.AccessLogCommon{ResponseFlags: flags},
 			Response: &datav3.HTTPResponseProperties{ResponseHeaders: map[string]string{}}}
 		if status > 0 {
@@ -357,18 +362,18 @@
 		return e
 	}
 	for _, c := range []struct {
-		name string
-		line *datav3.HTTPAccessLogEntry
-		code policy.ResultCode
+		name  string
+		entry *datav3.HTTPAccessLogEntry
+		code  policy.ResultCode
 	}{
-		{"200", line(200, nil), policy.OK}, {"404", line(404, nil), policy.OK}, {"500", line(500, nil), policy.Error},
-		{"503", line(503, nil), policy.Error}, {"turned away", line(503, nil, "x-not-run"), policy.Rejected},
-		{"UF", line(503, &datav3.ResponseFlags{UpstreamConnectionFailure: true}), policy.ConnectFailed},
-		{"UC", line(503, &datav3.ResponseFlags{UpstreamConnectionTermination: true}), policy.Reset},
-		{"UT", line(504, &datav3.ResponseFlags{UpstreamRequestTimeout: true}), policy.TimedOut},
-		{"UO", line(503, &datav3.ResponseFlags{UpstreamOverflow: true}), policy.TooLate},
-		{"DC", line(0, &datav3.ResponseFlags{DownstreamConnectionTermination: true}), policy.Cancelled},
-		{"nothing", line(0, nil), policy.Cancelled},
+		{"200", entry(200, nil), policy.OK}, {"404", entry(404, nil), policy.OK}, {"500", entry(500, nil), policy.Error},
+		{"503", entry(503, nil), policy.Error}, {"rejection signal", entry(503, nil, "x-not-run"), policy.Rejected},
+		{"UF", entry(503, &datav3.ResponseFlags{UpstreamConnectionFailure: true}), policy.ConnectFailed},
+		{"UC", entry(503, &datav3.ResponseFlags{UpstreamConnectionTermination: true}), policy.Reset},
+		{"UT", entry(504, &datav3.ResponseFlags{UpstreamRequestTimeout: true}), policy.TimedOut},
+		{"UO", entry(503, &datav3.ResponseFlags{UpstreamOverflow: true}), policy.TooLate},
+		{"DC", entry(0, &datav3.ResponseFlags{DownstreamConnectionTermination: true}), policy.Cancelled},
+		{"neither status nor flag", entry(0, nil), policy.Cancelled},
 	} {
 		for _, by := range []string{"token", "request id"} {
 			t.Run(c.name+" by "+by, func(t *testing.T) {
@@ -380,11 +385,11 @@
 						set[h.GetHeader().GetKey()] = h.GetHeader().GetValue()
 					}
 					if set[extauthz.FieldServer] != "10.0.1.1:80" || set[extauthz.FieldTimeout] != "1000" {
-						t.Errorf("%v", set)
+						t.Errorf("header fields of the permit: %v", set)
 					}
-					c.line.Request = &datav3.HTTPRequestProperties{RequestId: "r1"}
+					c.entry.Request = &datav3.HTTPRequestProperties{RequestId: "r1"}
 					if by == "token" {
-						c.line.Request = &datav3.HTTPRequestProperties{RequestHeaders: map[string]string{
+						c.entry.Request = &datav3.HTTPRequestProperties{RequestHeaders: map[string]string{
 							extauthz.FieldAttempt: set[extauthz.FieldAttempt]}}
 					}
 					foreign := &datav3.HTTPAccessLogEntry{Request: &datav3.HTTPRequestProperties{RequestId: "r2",
@@ -394,12 +399,12 @@
 						t.Fatal(err)
 					}
 					stream.Send(&alsv3.StreamAccessLogsMessage{LogEntries: &alsv3.StreamAccessLogsMessage_HttpLogs{
-						HttpLogs: &alsv3.StreamAccessLogsMessage_HTTPAccessLogEntries{LogEntry: []*datav3.HTTPAccessLogEntry{foreign, c.line}}}})
+						HttpLogs: &alsv3.StreamAccessLogsMessage_HTTPAccessLogEntries{LogEntry: []*datav3.HTTPAccessLogEntry{foreign, c.entry}}}})
 					if _, err := stream.CloseAndRecv(); err != nil {
 						t.Fatal(err)
 					}
 					if len(f.node.results) != 1 || f.node.results[0].Code != c.code {
-						t.Errorf("%+v, want code %d", f.node.results, c.code)
+						t.Errorf("results %+v, want one with code %d", f.node.results, c.code)
 					}
 				})
 			})
