--- a/front/http2/fuzz_test.go
+++ b/front/http2/fuzz_test.go
@@ -37,10 +37,10 @@
 }
 `
 
-// atOnce answers every try at once.
-type atOnce struct{}
+// immediateNode answers every try at once.
+type immediateNode struct{}
 
-func (atOnce) Submit(_ *node.Request, reply func(node.FinalResponse)) func() {
+func (immediateNode) Submit(_ *node.Request, reply func(node.FinalResponse)) func() {
 	reply(node.FinalResponse{Kind: node.Served, Response: &node.Response{Status: 200, Body: []byte("hello")}})
 	return func() {}
 }
@@ -66,7 +66,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	s := New(Options{Node: atOnce{}, Mapper: intake.New(cfg), Log: slog.New(slog.DiscardHandler), TracePrefix: "f", MaxHeaderBytes: 4096, MaxHeaderFields: 20,
+	s := New(Options{Node: immediateNode{}, Mapper: intake.New(cfg), Log: slog.New(slog.DiscardHandler), TracePrefix: "f", MaxHeaderBytes: 4096, MaxHeaderFields: 20,
 		MaxRequestBody: 1000, MaxBufferedBodyBytes: 2000, MaxConcurrentStreams: 5, FrameBudget: 20, HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Second,
 		WriteTimeout: 50 * time.Millisecond, MaxConnections: 100})
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/network/memory.go
+++ b/internal/network/memory.go
@@ -17,13 +17,13 @@
 // Memory is a network of hosts in one process. Bytes and packets take Delay;
 // packets are lost by chance. It blocks only in ways testing/synctest knows.
 type Memory struct {
-	mu        sync.Mutex
-	delay     time.Duration
-	rng       *rand.Rand
-	listeners map[string]*memListener
-	packets   map[string]*memPacketConn
-	nextPort  int
-	loss      func(from, to string) float64
+	mu         sync.Mutex
+	delay      time.Duration
+	rng        *rand.Rand
+	listeners  map[string]*memListener
+	packets    map[string]*memPacketConn
+	nextPort   int
+	packetLoss func(from, to string) float64
 	// NoTimestamps has connections not say when their bytes arrived, as systems
 	// without kernel timestamps.
 	NoTimestamps bool
@@ -40,21 +40,23 @@
 func (m *Memory) SetPacketLoss(chance func(from, to string) float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.loss = chance
+	m.packetLoss = chance
 }
 
 // Host returns a host's view of the network. Whatever it opens lives until it
 // is closed or the host is killed.
-func (m *Memory) Host(name string) *Host { return &Host{m: m, name: name, open: map[io.Closer]bool{}} }
+func (m *Memory) Host(name string) *Host {
+	return &Host{network: m, name: name, open: map[io.Closer]bool{}}
+}
 
 // Host is one machine of a Memory network.
 type Host struct {
-	m    *Memory
-	name string
-	mu   sync.Mutex
-	open map[io.Closer]bool
-	dead bool
-	stop chan struct{} // while paused; closed at Resume
+	network *Memory
+	name    string
+	mu      sync.Mutex
+	open    map[io.Closer]bool
+	killed  bool
+	resumed chan struct{} // while paused; closed at Resume
 }
 
 // Pause holds up all that the host reads, writes, dials and accepts, as a
@@ -62,8 +64,8 @@
 func (h *Host) Pause() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.stop == nil {
-		h.stop = make(chan struct{})
+	if h.resumed == nil {
+		h.resumed = make(chan struct{})
 	}
 }
 
@@ -71,37 +73,37 @@
 func (h *Host) Resume() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.stop != nil {
-		close(h.stop)
-		h.stop = nil
+	if h.resumed != nil {
+		close(h.resumed)
+		h.resumed = nil
 	}
 }
 
 // WaitUntilRunning returns while the host is not paused; else once it goes on.
-func (h *Host) WaitUntilRunning() { h.running() }
+func (h *Host) WaitUntilRunning() { h.waitUntilRunning() }
 
-func (h *Host) running() {
+func (h *Host) waitUntilRunning() {
 	h.mu.Lock()
-	stop := h.stop
+	stop := h.resumed
 	h.mu.Unlock()
 	if stop != nil {
 		<-stop
 	}
 }
 
-var errDead = errors.New("network: host is dead")
+var errKilled = errors.New("network: host is dead")
 
-func (h *Host) keep(c io.Closer) error {
+func (h *Host) register(c io.Closer) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.dead {
-		return errDead
+	if h.killed {
+		return errKilled
 	}
 	h.open[c] = true
 	return nil
 }
 
-func (h *Host) drop(c io.Closer) {
+func (h *Host) unregister(c io.Closer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.open, c)
@@ -112,7 +114,7 @@
 func (h *Host) Kill() {
 	h.Resume() // what waits is to see its end
 	h.mu.Lock()
-	h.dead = true
+	h.killed = true
 	open := h.open
 	h.open = map[io.Closer]bool{}
 	h.mu.Unlock()
@@ -125,62 +127,62 @@
 	}
 }
 
-func (h *Host) bind(addr string) (string, error) {
+func (h *Host) assignPort(addr string) (string, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return "", err
 	}
 	if port == "0" {
-		h.m.nextPort++
-		port = strconv.Itoa(h.m.nextPort)
+		h.network.nextPort++
+		port = strconv.Itoa(h.network.nextPort)
 	}
 	return net.JoinHostPort(host, port), nil
 }
 
 // Listen takes connections at an address of the network.
 func (h *Host) Listen(addr string) (net.Listener, error) {
-	h.m.mu.Lock()
-	defer h.m.mu.Unlock()
-	addr, err := h.bind(addr)
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	addr, err := h.assignPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	if h.m.listeners[addr] != nil {
+	if h.network.listeners[addr] != nil {
 		return nil, fmt.Errorf("listen %s: %w", addr, syscall.EADDRINUSE)
 	}
-	l := &memListener{h: h, addr: memAddr(addr), conns: make(chan net.Conn, 1024), done: make(chan struct{})}
-	if err := h.keep(l); err != nil {
+	l := &memListener{host: h, addr: memAddr(addr), conns: make(chan net.Conn, 1024), closed: make(chan struct{})}
+	if err := h.register(l); err != nil {
 		return nil, err
 	}
-	h.m.listeners[addr] = l
+	h.network.listeners[addr] = l
 	return l, nil
 }
 
 // Dial connects; the error is ECONNREFUSED where nobody listens.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	h.running()
+	h.waitUntilRunning()
 	select {
-	case <-time.After(h.m.delay):
+	case <-time.After(h.network.delay):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	h.running()
-	h.m.mu.Lock()
-	defer h.m.mu.Unlock()
-	l := h.m.listeners[addr]
+	h.waitUntilRunning()
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	l := h.network.listeners[addr]
 	refused := fmt.Errorf("dial %s: %w", addr, syscall.ECONNREFUSED)
 	if l == nil {
 		return nil, refused
 	}
-	h.m.nextPort++
-	local := memAddr(net.JoinHostPort("127.0.0.1", strconv.Itoa(h.m.nextPort)))
-	a, b := newStream(h.m.delay), newStream(h.m.delay)
-	near := &memConn{h: h, rx: a, tx: b, local: local, remote: l.addr}
-	far := &memConn{h: l.h, rx: b, tx: a, local: l.addr, remote: local}
-	if err := h.keep(near); err != nil {
+	h.network.nextPort++
+	local := memAddr(net.JoinHostPort("127.0.0.1", strconv.Itoa(h.network.nextPort)))
+	a, b := newStream(h.network.delay), newStream(h.network.delay)
+	near := &memConn{host: h, rx: a, tx: b, local: local, remote: l.addr}
+	far := &memConn{host: l.host, rx: b, tx: a, local: l.addr, remote: local}
+	if err := h.register(near); err != nil {
 		return nil, err
 	}
-	if err := l.h.keep(far); err != nil {
+	if err := l.host.register(far); err != nil {
 		return nil, refused
 	}
 	select {
@@ -197,11 +199,11 @@
 func (a memAddr) String() string { return string(a) }
 
 type memListener struct {
-	h     *Host
-	addr  memAddr
-	conns chan net.Conn
-	once  sync.Once
-	done  chan struct{}
+	host      *Host
+	addr      memAddr
+	conns     chan net.Conn
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func (l *memListener) Addr() net.Addr { return l.addr }
@@ -212,20 +214,20 @@
 func (l *memListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
-		l.h.running()
+		l.host.waitUntilRunning()
 		return c, nil
-	case <-l.done:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 func (l *memListener) Close() error {
-	l.once.Do(func() {
-		close(l.done)
-		l.h.drop(l)
-		l.h.m.mu.Lock()
-		defer l.h.m.mu.Unlock()
-		delete(l.h.m.listeners, string(l.addr))
+	l.closeOnce.Do(func() {
+		close(l.closed)
+		l.host.unregister(l)
+		l.host.network.mu.Lock()
+		defer l.host.network.mu.Unlock()
+		delete(l.host.network.listeners, string(l.addr))
 		for {
 			select {
 			case c := <-l.conns:
@@ -240,57 +242,57 @@
 
 // stream carries bytes one way.
 type stream struct {
-	mu       sync.Mutex
-	cond     *sync.Cond
-	delay    time.Duration
-	chunks   []chunk
-	size     int
-	eof      bool      // no more will be written
-	eofAt    time.Time // when the reader learns of it
-	err      error     // ends both sides at once
-	closed   bool      // the reader went away
-	last     time.Time // when what was read last arrived
-	deadline [2]time.Time
-	timers   [2]*time.Timer
+	mu           sync.Mutex
+	changed      *sync.Cond
+	delay        time.Duration
+	chunks       []chunk
+	size         int
+	eof          bool      // no more will be written
+	eofAt        time.Time // when the reader learns of it
+	err          error     // ends both sides at once
+	readerClosed bool      // the reader went away
+	lastArrival  time.Time // when what was read last arrived
+	deadlines    [2]time.Time
+	timers       [2]*time.Timer
 }
 
 type chunk struct {
-	at   time.Time
-	data []byte
+	arrivesAt time.Time
+	data      []byte
 }
 
 const (
-	reading = iota
-	writing
+	readSide = iota
+	writeSide
 
-	streamBuffer = 64 << 10
+	streamBufferBytes = 64 << 10
 )
 
 func newStream(delay time.Duration) *stream {
 	s := &stream{delay: delay}
-	s.cond = sync.NewCond(&s.mu)
+	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-// wake wakes the waiting ends, also once the delay is over.
-func (s *stream) wake() {
-	s.cond.Broadcast()
+// notify wakes the waiting ends, also once the delay is over.
+func (s *stream) notify() {
+	s.changed.Broadcast()
 	time.AfterFunc(s.delay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.cond.Broadcast()
+		s.changed.Broadcast()
 	})
 }
 
 func (s *stream) expired(side int) bool {
-	d := s.deadline[side]
+	d := s.deadlines[side]
 	return !d.IsZero() && !time.Now().Before(d)
 }
 
 func (s *stream) setDeadline(side int, t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deadline[side] = t
+	s.deadlines[side] = t
 	if s.timers[side] != nil {
 		s.timers[side].Stop()
 	}
@@ -298,10 +300,10 @@
 		s.timers[side] = time.AfterFunc(time.Until(t), func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.cond.Broadcast()
+			s.changed.Broadcast()
 		})
 	}
-	s.cond.Broadcast()
+	s.changed.Broadcast()
 }
 
 func (s *stream) read(b []byte) (int, error) {
@@ -310,25 +312,25 @@
 	for {
 		now := time.Now()
 		switch {
-		case s.closed:
+		case s.readerClosed:
 			return 0, net.ErrClosed
-		case s.expired(reading):
+		case s.expired(readSide):
 			return 0, os.ErrDeadlineExceeded
-		case len(s.chunks) > 0 && !now.Before(s.chunks[0].at):
+		case len(s.chunks) > 0 && !now.Before(s.chunks[0].arrivesAt):
 			n := copy(b, s.chunks[0].data)
-			s.last = s.chunks[0].at
+			s.lastArrival = s.chunks[0].arrivesAt
 			if s.chunks[0].data = s.chunks[0].data[n:]; len(s.chunks[0].data) == 0 {
 				s.chunks = s.chunks[1:]
 			}
 			s.size -= n
-			s.cond.Broadcast()
+			s.changed.Broadcast()
 			return n, nil
 		case s.err != nil:
 			return 0, s.err
 		case len(s.chunks) == 0 && s.eof && !now.Before(s.eofAt):
 			return 0, io.EOF
 		}
-		s.cond.Wait()
+		s.changed.Wait()
 	}
 }
 
@@ -342,30 +344,30 @@
 			return done, net.ErrClosed
 		case s.err != nil:
 			return done, s.err
-		case s.closed:
+		case s.readerClosed:
 			return done, syscall.EPIPE
-		case s.expired(writing):
+		case s.expired(writeSide):
 			return done, os.ErrDeadlineExceeded
 		case len(b) == 0:
 			return done, nil
 		}
-		if n := min(len(b), streamBuffer-s.size); n > 0 {
+		if n := min(len(b), streamBufferBytes-s.size); n > 0 {
 			s.chunks = append(s.chunks, chunk{time.Now().Add(s.delay), append([]byte(nil), b[:n]...)})
 			s.size, done, b = s.size+n, done+n, b[n:]
-			s.wake()
+			s.notify()
 			continue
 		}
-		s.cond.Wait()
+		s.changed.Wait()
 	}
 }
 
-// end says that no more will be written.
-func (s *stream) end() {
+// closeWrite says that no more will be written.
+func (s *stream) closeWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.eof {
 		s.eof, s.eofAt = true, time.Now().Add(s.delay)
-		s.wake()
+		s.notify()
 	}
 }
 
@@ -376,11 +378,11 @@
 	if s.err == nil {
 		s.err, s.chunks, s.size = err, nil, 0
 	}
-	s.cond.Broadcast()
+	s.changed.Broadcast()
 }
 
 type memConn struct {
-	h             *Host
+	host          *Host
 	rx, tx        *stream
 	local, remote memAddr
 }
@@ -390,12 +392,12 @@
 
 func (c *memConn) Read(b []byte) (int, error) {
 	n, err := c.rx.read(b)
-	c.h.running()
+	c.host.waitUntilRunning()
 	return n, err
 }
 
 func (c *memConn) Write(b []byte) (int, error) {
-	c.h.running()
+	c.host.waitUntilRunning()
 	return c.tx.write(b)
 }
 
@@ -404,7 +406,7 @@
 	c.rx.mu.Lock()
 	defer c.rx.mu.Unlock()
 	now := time.Now()
-	return len(c.rx.chunks) > 0 && !now.Before(c.rx.chunks[0].at) || c.rx.err != nil ||
+	return len(c.rx.chunks) > 0 && !now.Before(c.rx.chunks[0].arrivesAt) || c.rx.err != nil ||
 		len(c.rx.chunks) == 0 && c.rx.eof && !now.Before(c.rx.eofAt)
 }
 
@@ -412,28 +414,28 @@
 func (c *memConn) ArrivalTime() (time.Time, bool) {
 	c.rx.mu.Lock()
 	defer c.rx.mu.Unlock()
-	return c.rx.last, !c.h.m.NoTimestamps
+	return c.rx.lastArrival, !c.host.network.NoTimestamps
 }
 
 func (c *memConn) SetDeadline(t time.Time) error {
-	c.rx.setDeadline(reading, t)
-	c.tx.setDeadline(writing, t)
+	c.rx.setDeadline(readSide, t)
+	c.tx.setDeadline(writeSide, t)
 	return nil
 }
 
 func (c *memConn) SetReadDeadline(t time.Time) error {
-	c.rx.setDeadline(reading, t)
+	c.rx.setDeadline(readSide, t)
 	return nil
 }
 
 func (c *memConn) SetWriteDeadline(t time.Time) error {
-	c.tx.setDeadline(writing, t)
+	c.tx.setDeadline(writeSide, t)
 	return nil
 }
 
 // CloseWrite half-closes the connection, as TCP's FIN does.
 func (c *memConn) CloseWrite() error {
-	c.tx.end()
+	c.tx.closeWrite()
 	return nil
 }
 
@@ -441,14 +443,14 @@
 func (c *memConn) Close() error {
 	c.rx.mu.Lock()
 	unread := c.rx.size > 0
-	c.rx.closed = true
-	c.rx.cond.Broadcast()
+	c.rx.readerClosed = true
+	c.rx.changed.Broadcast()
 	c.rx.mu.Unlock()
 	if unread {
 		c.tx.abort(syscall.ECONNRESET)
 	}
-	c.tx.end()
-	c.h.drop(c)
+	c.tx.closeWrite()
+	c.host.unregister(c)
 	return nil
 }
 
@@ -456,25 +458,25 @@
 func (c *memConn) Reset() {
 	c.rx.abort(syscall.ECONNRESET)
 	c.tx.abort(syscall.ECONNRESET)
-	c.h.drop(c)
+	c.host.unregister(c)
 }
 
 // ListenPacket takes packets at an address of the network.
 func (h *Host) ListenPacket(addr string) (net.PacketConn, error) {
-	h.m.mu.Lock()
-	defer h.m.mu.Unlock()
-	addr, err := h.bind(addr)
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	addr, err := h.assignPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	if h.m.packets[addr] != nil {
+	if h.network.packets[addr] != nil {
 		return nil, fmt.Errorf("listen %s: %w", addr, syscall.EADDRINUSE)
 	}
-	p := &memPacketConn{h: h, addr: memAddr(addr), in: make(chan packet, 4096), done: make(chan struct{})}
-	if err := h.keep(p); err != nil {
+	p := &memPacketConn{host: h, addr: memAddr(addr), received: make(chan packet, 4096), closed: make(chan struct{})}
+	if err := h.register(p); err != nil {
 		return nil, err
 	}
-	h.m.packets[addr] = p
+	h.network.packets[addr] = p
 	return p, nil
 }
 
@@ -484,44 +486,44 @@
 }
 
 type memPacketConn struct {
-	h    *Host
-	addr memAddr
-	in   chan packet
-	once sync.Once
-	done chan struct{}
+	host      *Host
+	addr      memAddr
+	received  chan packet
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 // Readable tells whether a packet waits.
-func (p *memPacketConn) Readable() bool { return len(p.in) > 0 }
+func (p *memPacketConn) Readable() bool { return len(p.received) > 0 }
 
 func (p *memPacketConn) LocalAddr() net.Addr { return p.addr }
 
 func (p *memPacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
-	case m := <-p.in:
-		p.h.running()
+	case m := <-p.received:
+		p.host.waitUntilRunning()
 		return copy(b, m.data), m.from, nil
-	case <-p.done:
+	case <-p.closed:
 		return 0, nil, net.ErrClosed
 	}
 }
 
 func (p *memPacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
-	p.h.running()
-	m := p.h.m
+	p.host.waitUntilRunning()
+	m := p.host.network
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	dest := m.packets[to.String()]
 	if dest == nil {
 		return len(b), nil
 	}
-	if m.loss != nil && m.rng.Float64() < m.loss(p.h.name, dest.h.name) {
+	if m.packetLoss != nil && m.rng.Float64() < m.packetLoss(p.host.name, dest.host.name) {
 		return len(b), nil
 	}
 	msg := packet{p.addr, append([]byte(nil), b...)}
 	time.AfterFunc(m.delay, func() {
 		select {
-		case dest.in <- msg:
+		case dest.received <- msg:
 		default:
 		}
 	})
@@ -529,12 +531,12 @@
 }
 
 func (p *memPacketConn) Close() error {
-	p.once.Do(func() {
-		close(p.done)
-		p.h.drop(p)
-		p.h.m.mu.Lock()
-		defer p.h.m.mu.Unlock()
-		delete(p.h.m.packets, string(p.addr))
+	p.closeOnce.Do(func() {
+		close(p.closed)
+		p.host.unregister(p)
+		p.host.network.mu.Lock()
+		defer p.host.network.mu.Unlock()
+		delete(p.host.network.packets, string(p.addr))
 	})
 	return nil
 }
