--- a/front/http2/frame_inspector.go
+++ b/front/http2/frame_inspector.go
@@ -7,87 +7,87 @@
 	"golang.org/x/net/http2"
 )
 
-// frameInspector reads a connection's bytes for the framer, and sees each frame's header go
-// by. The framer gathers a header block by itself, with as many CONTINUATION frames
-// as come, and ends a stream alone where padding is longer than its frame, leaving
-// the header table out of step; both are stopped here.
+// frameInspector is the reader from which the framer reads a connection. It inspects the
+// header of each frame and returns connection errors where the framer is too lenient: the
+// framer reads any number of CONTINUATION frames in a header block, and treats padding longer
+// than its frame as a stream error, which leaves the HPACK dynamic table out of sync.
 type frameInspector struct {
 	reader           io.Reader
-	maxContinuations int        // CONTINUATION frames in one header block
-	onHeaderBlock    func(bool) // a header block begins, or ends, that is more than one frame
+	maxContinuations int        // maximum number of CONTINUATION frames in one header block
+	onHeaderBlock    func(bool) // a header block of several frames begins (true) or ends (false)
 
 	header        [9]byte
-	headerRead    int // bytes of the frame header
-	payloadLeft   int // bytes of the payload still to come
-	priorityBytes int // bytes that the frame has beside padding; -1: it has none to look at
-	continuations int // in the block under way
+	headerRead    int // bytes of the frame header that were read
+	payloadLeft   int // bytes of the payload that were not read yet
+	priorityBytes int // between the pad length and the rest of a padded frame; -1: no pad length to check
+	continuations int // in the current header block
 }
 
-const frameContinuation = 0x9
+const frameContinuation = 0x9 // frame type (RFC 9113, 6.10)
 
-func (m *frameInspector) Read(b []byte) (int, error) {
-	n, err := m.reader.Read(b)
-	if ferr := m.inspect(b[:n]); ferr != nil {
-		return 0, ferr
+func (i *frameInspector) Read(b []byte) (int, error) {
+	n, err := i.reader.Read(b)
+	if inspectErr := i.inspect(b[:n]); inspectErr != nil {
+		return 0, inspectErr
 	}
 	return n, err
 }
 
-// inspect goes through bytes that were read.
-func (m *frameInspector) inspect(b []byte) error {
+// inspect checks bytes that were read.
+func (i *frameInspector) inspect(b []byte) error {
 	for len(b) > 0 {
-		if m.payloadLeft > 0 {
-			if m.priorityBytes >= 0 {
-				// The first byte is the padding's length (RFC 9113, 6.1 and 6.2).
-				if int(b[0]) > m.payloadLeft-1-m.priorityBytes {
+		if i.payloadLeft > 0 {
+			if i.priorityBytes >= 0 {
+				// The first byte is the pad length (RFC 9113, 6.1 and 6.2).
+				if int(b[0]) > i.payloadLeft-1-i.priorityBytes {
 					return http2.ConnectionError(http2.ErrCodeProtocol)
 				}
-				m.priorityBytes = -1
+				i.priorityBytes = -1
 			}
-			k := min(len(b), m.payloadLeft)
-			b, m.payloadLeft = b[k:], m.payloadLeft-k
+			k := min(len(b), i.payloadLeft)
+			b, i.payloadLeft = b[k:], i.payloadLeft-k
 			continue
 		}
-		k := copy(m.header[m.headerRead:], b)
-		b, m.headerRead = b[k:], m.headerRead+k
-		if m.headerRead < len(m.header) {
+		k := copy(i.header[i.headerRead:], b)
+		b, i.headerRead = b[k:], i.headerRead+k
+		if i.headerRead < len(i.header) {
 			return nil
 		}
-		m.headerRead = 0
-		if err := m.inspectHeader(); err != nil {
+		i.headerRead = 0
+		if err := i.inspectHeader(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// inspectHeader looks at a inspectHeader's header.
-func (m *frameInspector) inspectHeader() error {
-	m.payloadLeft = int(binary.BigEndian.Uint32(m.header[:4]) >> 8)
-	kind, flags := m.header[3], http2.Flags(m.header[4])
-	m.priorityBytes = -1
+// inspectHeader checks a complete frame header.
+func (i *frameInspector) inspectHeader() error {
+	i.payloadLeft = int(binary.BigEndian.Uint32(i.header[:4]) >> 8)
+	kind, flags := i.header[3], http2.Flags(i.header[4])
+	i.priorityBytes = -1
 	switch {
 	case kind == byte(http2.FrameData) && flags.Has(http2.FlagDataPadded):
-		m.priorityBytes = 0
+		i.priorityBytes = 0
 	case kind == byte(http2.FrameHeaders) && flags.Has(http2.FlagHeadersPadded):
-		if m.priorityBytes = 0; flags.Has(http2.FlagHeadersPriority) {
-			m.priorityBytes = 5
+		if i.priorityBytes = 0; flags.Has(http2.FlagHeadersPriority) {
+			i.priorityBytes = 5
 		}
 	}
-	if m.priorityBytes >= 0 && m.payloadLeft < 1+m.priorityBytes {
+	if i.priorityBytes >= 0 && i.payloadLeft < 1+i.priorityBytes {
 		return http2.ConnectionError(http2.ErrCodeProtocol)
 	}
 	switch kind {
 	case byte(http2.FrameHeaders):
-		if m.continuations = 0; !flags.Has(http2.FlagHeadersEndHeaders) {
-			m.onHeaderBlock(true)
+		if i.continuations = 0; !flags.Has(http2.FlagHeadersEndHeaders) {
+			i.onHeaderBlock(true)
 		}
 	case frameContinuation:
-		if m.continuations++; m.continuations > m.maxContinuations {
+		if i.continuations++; i.continuations > i.maxContinuations {
 			return http2.ConnectionError(http2.ErrCodeEnhanceYourCalm)
 		}
 		if flags.Has(http2.FlagContinuationEndHeaders) {
-			m.onHeaderBlock(false)
+			i.onHeaderBlock(false)
 		}
 	}
 	return nil
--- a/front/http2/fuzz_test.go
+++ b/front/http2/fuzz_test.go
@@ -37,7 +37,7 @@
 }
 `
 
-// immediateNode answers every try at once.
+// immediateNode serves every request immediately.
 type immediateNode struct{}
 
 func (immediateNode) Submit(_ *node.Request, reply func(node.FinalResponse)) func() {
@@ -45,30 +45,31 @@
 	return func() {}
 }
 
-// Whatever frames come in, the connection ends when its client's bytes do,
-// without a panic, and holds nothing.
+// A client sends arbitrary bytes after the preface and closes the connection. Malformed frames
+// must neither cause a panic nor keep the server from ending and releasing the connection.
 func FuzzFrames(f *testing.F) {
-	var b bytes.Buffer
-	fr := http2.NewFramer(&b, nil)
-	fr.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1})
+	var seed bytes.Buffer
+	framer := http2.NewFramer(&seed, nil)
+	framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1})
 	var block bytes.Buffer
-	enc := hpack.NewEncoder(&block)
-	for _, p := range [][2]string{{":method", "GET"}, {":scheme", "http"}, {":path", "/a"}, {":authority", "h"}, {"x-api-key", "k"}} {
-		enc.WriteField(hpack.HeaderField{Name: p[0], Value: p[1]})
+	encoder := hpack.NewEncoder(&block)
+	for _, field := range [][2]string{{":method", "GET"}, {":scheme", "http"}, {":path", "/a"}, {":authority", "h"}, {"x-api-key", "k"}} {
+		encoder.WriteField(hpack.HeaderField{Name: field[0], Value: field[1]})
 	}
-	fr.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: block.Bytes(), EndHeaders: true})
-	fr.WriteData(1, true, []byte("abc"))
-	fr.WriteWindowUpdate(1, 10)
-	fr.WriteRSTStream(1, http2.ErrCodeCancel)
-	fr.WritePing(false, [8]byte{})
-	f.Add(b.Bytes())
+	framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: block.Bytes(), EndHeaders: true})
+	framer.WriteData(1, true, []byte("abc"))
+	framer.WriteWindowUpdate(1, 10)
+	framer.WriteRSTStream(1, http2.ErrCodeCancel)
+	framer.WritePing(false, [8]byte{})
+	f.Add(seed.Bytes())
 	cfg, err := config.Parse([]byte(fuzzConfig), "fuzz.hcl")
 	if err != nil {
 		f.Fatal(err)
 	}
-	s := New(Options{Node: immediateNode{}, Mapper: intake.New(cfg), Log: slog.New(slog.DiscardHandler), TracePrefix: "f", MaxHeaderBytes: 4096, MaxHeaderFields: 20,
-		MaxRequestBody: 1000, MaxBufferedBodyBytes: 2000, MaxConcurrentStreams: 5, FrameBudget: 20, HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Second,
-		WriteTimeout: 50 * time.Millisecond, MaxConnections: 100})
+	s := New(Options{Node: immediateNode{}, Mapper: intake.New(cfg), Log: slog.New(slog.DiscardHandler), TracePrefix: "f",
+		MaxHeaderBytes: 4096, MaxHeaderFields: 20, MaxRequestBody: 1000, MaxBufferedBodyBytes: 2000,
+		MaxConcurrentStreams: 5, FrameBudget: 20, MaxConnections: 100,
+		HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 50 * time.Millisecond})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		client, server := net.Pipe()
 		ended := make(chan struct{})
@@ -83,12 +84,12 @@
 		select {
 		case <-ended:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the connection does not end")
+			t.Fatal("the connection is still served 10 s after the client closed it")
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if len(s.conns) != 0 {
-			t.Errorf("%d connections are held", len(s.conns))
+			t.Errorf("%d connections are still registered after the end", len(s.conns))
 		}
 	})
 }
--- a/front/http2/server.go
+++ b/front/http2/server.go
@@ -1,5 +1,5 @@
-// Package http2 is the front for clients over HTTP/2 (RFC 9113), on cleartext by
-// prior knowledge or behind TLS. It shares all but the protocol with HTTP/1.1.
+// Package http2 serves clients over HTTP/2 (RFC 9113), in cleartext with prior knowledge or
+// behind TLS. Requests are mapped and handled in the same way as those over HTTP/1.1.
 package http2
 
 import (
@@ -26,32 +26,34 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// Handler takes tries; a *node.Node is one.
+// Handler handles requests. *node.Node implements it.
 type Handler interface {
-	Submit(t *node.Request, reply func(node.FinalResponse)) (gone func())
+	Submit(request *node.Request, reply func(node.FinalResponse)) (disconnected func())
 }
 
-// Options is what a Server is made of.
+// Options configures a Server.
 type Options struct {
 	Node        Handler
 	Mapper      *intake.Mapper
 	Log         *slog.Logger
-	TracePrefix string // begins the traces of requests that bring none
-
-	MaxHeaderBytes       int           // of one header list, as RFC 9113 counts it
-	MaxHeaderFields      int           // of one header list
-	MaxRequestBody       int64         // bytes of a request's body
-	MaxBufferedBodyBytes int64         // bytes of bodies held for one connection
-	MaxConcurrentStreams int           // open at once on one connection
-	FrameBudget          int           // frames that bring nothing: so many at once, a tenth of it a second; see docs/frames.md
-	HeaderTimeout        time.Duration // for the preface
-	BodyTimeout          time.Duration // from a stream's header to its whole body
-	IdleTimeout          time.Duration // a connection without a stream is closed after it
-	WriteTimeout         time.Duration // for a client to take an answer
-	MaxConnections       int
-}
-
-// Server serves connections.
+	TracePrefix string // begins the trace IDs of requests that have none
+
+	MaxHeaderBytes       int   // of a header list, as counted by RFC 9113, 6.5.2
+	MaxHeaderFields      int   // of a header list
+	MaxRequestBody       int64 // bytes of a request body
+	MaxBufferedBodyBytes int64 // of the request bodies of one connection
+	MaxConcurrentStreams int   // on one connection
+	// FrameBudget is how many costly frames a connection may send at once. A tenth of it returns
+	// each second. See docs/frames.md.
+	FrameBudget    int
+	HeaderTimeout  time.Duration // for the client preface, and for a header block of several frames
+	BodyTimeout    time.Duration // from a stream's header to the end of its body
+	IdleTimeout    time.Duration // of a connection without streams
+	WriteTimeout   time.Duration // for a client to receive a response
+	MaxConnections int           // further connections are closed at once
+}
+
+// Server serves HTTP/2 connections.
 type Server struct {
 	options    Options
 	mu         sync.Mutex
@@ -64,16 +66,17 @@
 // New returns a Server.
 func New(o Options) *Server { return &Server{options: o, conns: map[*conn]bool{}} }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts and serves connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
 	return network.AcceptLoop(l, s.options.Log, s.ServeConn)
 }
 
-// ServeConn serves one connection until it ends.
+// ServeConn serves a connection until it ends, and closes it.
 func (s *Server) ServeConn(nc net.Conn) {
 	defer nc.Close()
-	c := &conn{server: s, netConn: nc, streams: map[uint32]*stream{}, sendWindow: initialWindow, peerInitialWindow: initialWindow,
-		peerMaxFrameSize: h2.DefaultMaxFrameSize, frameBudget: float64(s.options.FrameBudget), budgetUpdatedAt: time.Now()}
+	c := &conn{server: s, netConn: nc, streams: map[uint32]*stream{},
+		sendWindow: initialWindow, peerInitialWindow: initialWindow, peerMaxFrameSize: h2.DefaultMaxFrameSize,
+		frameBudget: float64(s.options.FrameBudget), budgetUpdatedAt: time.Now()}
 	c.changed, c.writeLock = sync.NewCond(&c.mu), h2.NewLock()
 	s.mu.Lock()
 	full := s.draining || len(s.conns) >= s.options.MaxConnections
@@ -92,8 +95,8 @@
 	s.serving.Done()
 }
 
-// Drain tells clients by GOAWAY which streams are taken, and waits until those
-// are answered; when the context ends the connections are cut.
+// Drain refuses new connections, sends GOAWAY on the open ones, and waits until the streams
+// accepted before have ended. When the context ends it closes the connections.
 func (s *Server) Drain(ctx context.Context) {
 	s.mu.Lock()
 	s.draining = true
@@ -113,55 +116,57 @@
 }
 
 const (
-	initialWindow = 65535 // before settings; RFC 9113, 6.9.2
-	streamWindow  = 64 << 10
+	initialWindow = 65535    // flow-control window before SETTINGS (RFC 9113, 6.9.2)
+	streamWindow  = 64 << 10 // flow-control window of each stream for its request body
 
-	maxContinuations     = 16  // frames of one header block after its first
-	smallDataBytes       = 256 // bytes of a DATA frame below which it costs a part of the allowance
-	smallDataCost        = 0.125
-	bytesPerWindowUpdate = 256 // bytes sent that pay for one WINDOW_UPDATE
+	maxContinuations     = 16    // CONTINUATION frames of one header block
+	smallDataBytes       = 256   // a DATA frame with fewer bytes is charged, unless it ends its stream
+	smallDataCost        = 0.125 // part of the frame budget; an empty frame costs 1
+	bytesPerWindowUpdate = 256   // body bytes sent for each WINDOW_UPDATE that is not charged
 )
 
+// conn is a client's connection.
 type conn struct {
 	server  *Server
 	netConn net.Conn
 	framer  *http2.Framer
 
-	writeLock     h2.Lock // over writes
+	writeLock     h2.Lock // guards writes, headerBuffer and headerEncoder
 	headerBuffer  bytes.Buffer
 	headerEncoder *hpack.Encoder
 
-	mu                 sync.Mutex
-	changed            *sync.Cond
+	mu                 sync.Mutex // guards the fields below
+	changed            *sync.Cond // a window, or the state of a stream, has changed
 	streams            map[uint32]*stream
-	lastStreamID       uint32 // highest stream taken
-	goAwaySent         bool   // GOAWAY was sent: nothing above last is taken
-	ended              bool
-	sendWindow         int64 // bytes that may be sent on all streams
-	peerInitialWindow  int64 // and on a new one
-	peerMaxFrameSize   int   // bytes in one frame
-	bufferedBodyBytes  int64 // bytes of bodies held
-	unreturnedWindow   int64 // of the connection's window, to be given back
-	windowUpdateCredit int64 // bytes of bodies sent that no WINDOW_UPDATE has drawn on
-	frameBudget        float64
+	lastStreamID       uint32  // highest ID of an accepted stream
+	goingAway          bool    // no stream above lastStreamID is accepted
+	ended              bool    // no more frames are read, or a connection error was sent
+	sendWindow         int64   // bytes that may be sent on all streams together
+	peerInitialWindow  int64   // bytes that may be sent on a new stream
+	peerMaxFrameSize   int     // payload bytes that may be sent in one frame
+	bufferedBodyBytes  int64   // request body bytes in memory
+	unreturnedWindow   int64   // bytes received but not yet returned to the connection's window
+	windowUpdateCredit int64   // body bytes sent, less those used up by WINDOW_UPDATE frames
+	frameBudget        float64 // what was left at budgetUpdatedAt
 	budgetUpdatedAt    time.Time
 }
 
 // stream is one request.
 type stream struct {
 	id            uint32
-	arrivedAt     time.Time // when its header arrived
+	arrivedAt     time.Time // arrival time of its header
 	request       node.HTTPRequest
-	contentLength int64 // of the body as announced; -1: not
+	contentLength int64 // -1: none was announced
 	body          []byte
-	bodyComplete  bool
-	sendWindow    int64 // bytes that may be sent on it
-	aborted       bool  // reset, or its connection ended
-	abortSignal   chan struct{}
-	bodyTimer     *time.Timer // for the body
-	claimed       bool        // put to the node
+	bodyComplete  bool          // the end of the request was received
+	sendWindow    int64         // bytes that may be sent on the stream
+	aborted       bool          // reset, timed out, or its connection has ended
+	abortSignal   chan struct{} // closed when aborted is set
+	bodyTimer     *time.Timer   // runs until the body is complete
+	claimed       bool          // a goroutine responds to it, or it was aborted
 }
 
+// serve handles the connection's frames until it ends, and waits for its streams to end.
 func (c *conn) serve() {
 	o := &c.server.options
 	c.netConn.SetDeadline(time.Now().Add(o.HeaderTimeout))
@@ -169,7 +174,8 @@
 	if _, err := io.ReadFull(c.netConn, preface); err != nil || string(preface) != http2.ClientPreface {
 		return
 	}
-	c.framer = http2.NewFramer(c.netConn, &frameInspector{reader: c.netConn, maxContinuations: maxContinuations, onHeaderBlock: c.setHeaderBlockDeadline})
+	c.framer = http2.NewFramer(c.netConn, &frameInspector{reader: c.netConn, maxContinuations: maxContinuations,
+		onHeaderBlock: c.setHeaderBlockDeadline})
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	c.framer.MaxHeaderListSize = uint32(o.MaxHeaderBytes)
 	c.framer.SetMaxReadFrameSize(h2.DefaultMaxFrameSize)
@@ -187,7 +193,8 @@
 		}
 		var se http2.StreamError
 		if errors.As(err, &se) {
-			// A malformed stream takes none with it, but it is not to be had for nothing.
+			// The other streams are not affected, but the frame is charged, as the server had to
+			// handle it.
 			c.abortStream(se.StreamID)
 			if err = c.chargeFrame(); err == nil {
 				err = c.write(func() error { return c.framer.WriteRSTStream(se.StreamID, se.Code) })
@@ -207,7 +214,7 @@
 		c.abortLocked(st)
 	}
 	for len(c.streams) > 0 {
-		c.changed.Wait() // the node has its last word in any case
+		c.changed.Wait() // the node always replies, so that each stream is removed
 	}
 	c.mu.Unlock()
 	if ce != 0 {
@@ -215,7 +222,8 @@
 	}
 }
 
-// write makes one write, one at a time, in its time.
+// write calls f, which writes frames, with the write lock held and the write timeout set. If f
+// fails it closes the connection.
 func (c *conn) write(f func() error) error {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
@@ -227,46 +235,48 @@
 	return err
 }
 
-// sendGoAway says that no stream above the last taken one will be served, and closes
-// the connection once those are.
-func (c *conn) sendGoAway(code http2.ErrCode, why string) {
+// sendGoAway sends GOAWAY with the ID of the last accepted stream, unless that was done before.
+// If the code is ErrCodeNo the connection is closed once it has no streams.
+func (c *conn) sendGoAway(code http2.ErrCode, debugData string) {
 	c.mu.Lock()
-	first, last := !c.goAwaySent, c.lastStreamID
-	c.goAwaySent, c.ended = true, c.ended || code != http2.ErrCodeNo
+	first, last := !c.goingAway, c.lastStreamID
+	c.goingAway, c.ended = true, c.ended || code != http2.ErrCodeNo
 	empty := len(c.streams) == 0
 	ready := c.framer != nil
 	c.mu.Unlock()
 	if ready && first {
-		c.write(func() error { return c.framer.WriteGoAway(last, code, []byte(why)) })
+		c.write(func() error { return c.framer.WriteGoAway(last, code, []byte(debugData)) })
 	}
 	if empty && code == http2.ErrCodeNo {
 		c.netConn.Close()
 	}
 }
 
-// linger lets the client read a GOAWAY: closing with unread bytes would reset the
-// connection.
+// linger closes the sending direction and discards what the client sends for a while, so that
+// the client can read the GOAWAY. Closing with unread bytes would reset the connection.
 func (c *conn) linger() {
-	const most = 1 << 20
+	const maxBytes = 1 << 20
 	if w, ok := c.netConn.(interface{ CloseWrite() error }); ok {
 		w.CloseWrite()
 	}
 	c.netConn.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
-	io.CopyN(io.Discard, c.netConn, most)
+	io.CopyN(io.Discard, c.netConn, maxBytes)
 }
 
-// chargeFrame counts what costs a client nothing and the server something: a little
-// of it is normal, a flood ends the connection.
+// chargeFrame charges a frame that costs the client nothing but the server work. Some such
+// frames are normal; a flood of them ends the connection.
 func (c *conn) chargeFrame() error { return c.charge(1) }
 
-// charge takes a part of the allowance.
-func (c *conn) charge(much float64) error {
+// charge takes a cost from the frame budget. It returns a connection error if the budget does
+// not suffice.
+func (c *conn) charge(cost float64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.chargeLocked(much)
+	return c.chargeLocked(cost)
 }
 
-// setHeaderBlockDeadline bounds the time of a header block that is more than one frame.
+// setHeaderBlockDeadline sets the read deadline when a header block of several frames begins,
+// and restores it when the block ends.
 func (c *conn) setHeaderBlockDeadline(begins bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -280,16 +290,16 @@
 	}
 }
 
-// chargeLocked is costs under c.mu.
-func (c *conn) chargeLocked(much float64) error {
-	most := float64(c.server.options.FrameBudget)
+// chargeLocked is charge with c.mu held.
+func (c *conn) chargeLocked(cost float64) error {
+	capacity := float64(c.server.options.FrameBudget)
 	now := time.Now()
-	c.frameBudget = min(most, c.frameBudget+most/10*now.Sub(c.budgetUpdatedAt).Seconds())
+	c.frameBudget = min(capacity, c.frameBudget+capacity/10*now.Sub(c.budgetUpdatedAt).Seconds())
 	c.budgetUpdatedAt = now
-	if c.frameBudget < much {
+	if c.frameBudget < cost {
 		return http2.ConnectionError(http2.ErrCodeEnhanceYourCalm)
 	}
-	c.frameBudget -= much
+	c.frameBudget -= cost
 	return nil
 }
 
@@ -311,15 +321,15 @@
 		return c.handleSettings(f)
 	case *http2.PingFrame:
 		if err := c.chargeFrame(); err != nil || f.IsAck() {
-			return err // none was asked for
+			return err // the server sends no PING, so an ACK needs no handling
 		}
 		return c.write(func() error { return c.framer.WritePing(true, f.Data) })
 	case *http2.PushPromiseFrame:
 		return http2.ConnectionError(http2.ErrCodeProtocol)
 	case *http2.GoAwayFrame:
-		return c.chargeFrame() // the client opens no more; what is open is answered
+		return c.chargeFrame() // open streams are still served
 	}
-	return c.chargeFrame() // priorities and unknown frames
+	return c.chargeFrame() // PRIORITY, and frames of unknown types
 }
 
 func (c *conn) handleSettings(f *http2.SettingsFrame) error {
@@ -334,10 +344,10 @@
 		defer c.mu.Unlock()
 		switch s.ID {
 		case http2.SettingInitialWindowSize:
-			d := int64(s.Val) - c.peerInitialWindow
+			delta := int64(s.Val) - c.peerInitialWindow
 			c.peerInitialWindow = int64(s.Val)
 			for _, st := range c.streams {
-				if st.sendWindow += d; st.sendWindow > 1<<31-1 {
+				if st.sendWindow += delta; st.sendWindow > 1<<31-1 {
 					return http2.ConnectionError(http2.ErrCodeFlowControl)
 				}
 			}
@@ -363,9 +373,9 @@
 	defer c.mu.Unlock()
 	defer c.changed.Broadcast()
 	if f.StreamID > c.lastStreamID || f.StreamID != 0 && f.StreamID%2 == 0 {
-		return http2.ConnectionError(http2.ErrCodeProtocol) // idle; RFC 9113, 5.1
+		return http2.ConnectionError(http2.ErrCodeProtocol) // the stream is idle (RFC 9113, 5.1)
 	}
-	// One follows from what was sent; others cost.
+	// A WINDOW_UPDATE is charged only if too few body bytes were sent since the last ones.
 	if c.windowUpdateCredit >= bytesPerWindowUpdate {
 		c.windowUpdateCredit -= bytesPerWindowUpdate
 	} else if err := c.chargeLocked(1); err != nil {
@@ -385,32 +395,32 @@
 	return nil
 }
 
-// isIdle tells whether no stream of a number was ever opened.
+// isIdle reports whether no stream with the ID was ever opened by the client.
 func (c *conn) isIdle(id uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return id > c.lastStreamID || id%2 == 0
 }
 
-// handleHeaders opens a stream.
+// handleHeaders opens a stream or, if the frame holds trailers, ends a request body.
 func (c *conn) handleHeaders(f *http2.MetaHeadersFrame) error {
 	id := f.StreamID
 	c.mu.Lock()
-	st, last, away, full := c.streams[id], c.lastStreamID, c.goAwaySent, len(c.streams) >= c.server.options.MaxConcurrentStreams
-	if st == nil && id > c.lastStreamID && id%2 == 1 && !away {
+	st, last, goingAway, full := c.streams[id], c.lastStreamID, c.goingAway, len(c.streams) >= c.server.options.MaxConcurrentStreams
+	if st == nil && id > c.lastStreamID && id%2 == 1 && !goingAway {
 		c.lastStreamID = id
 	}
 	c.mu.Unlock()
 	switch {
-	case st != nil: // trailers end a body
+	case st != nil: // trailers, which end the body
 		if !f.StreamEnded() || len(f.PseudoFields()) > 0 {
 			return http2.StreamError{StreamID: id, Code: http2.ErrCodeProtocol}
 		}
 		return c.finishBody(st)
 	case id%2 == 0:
 		return http2.ConnectionError(http2.ErrCodeProtocol)
-	case away && id > last:
-		return nil // said not to be taken
+	case goingAway && id > last:
+		return nil // not accepted, as GOAWAY has announced
 	case id <= last:
 		return http2.ConnectionError(http2.ErrCodeStreamClosed)
 	case full:
@@ -420,7 +430,7 @@
 		return c.write(func() error { return c.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
 	}
 	st = &stream{id: id, contentLength: -1, abortSignal: make(chan struct{}), arrivedAt: pauseclock.ArrivalTime(c.netConn)}
-	status, why := c.parseRequest(st, f)
+	status, detail := c.parseRequest(st, f)
 	if status < 0 {
 		return http2.StreamError{StreamID: id, Code: http2.ErrCodeProtocol}
 	}
@@ -430,7 +440,7 @@
 	c.netConn.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
 	if status > 0 {
-		go c.reject(st, status, why)
+		go c.reject(st, status, detail)
 		return nil
 	}
 	if f.StreamEnded() {
@@ -444,9 +454,10 @@
 	return nil
 }
 
-// parseRequest reads a request's fields. The status is 0 where they are good, -1 where
-// the stream is malformed (RFC 9113, 8.1.1), else what it is answered with.
-func (c *conn) parseRequest(st *stream, f *http2.MetaHeadersFrame) (status int, why string) {
+// parseRequest sets st.request and st.contentLength from the header fields. The status is 0 if
+// the request is valid, -1 if it is malformed (RFC 9113, 8.1.1), and otherwise that of the
+// response that rejects it.
+func (c *conn) parseRequest(st *stream, f *http2.MetaHeadersFrame) (status int, detail string) {
 	var scheme, path string
 	for _, p := range f.PseudoFields() {
 		switch p.Name {
@@ -526,8 +537,8 @@
 	return 0, ""
 }
 
-// claim takes a stream for one that answers it; false where another has, or it
-// is dead.
+// claim reports whether the caller is to respond to a stream, and reserves the stream for it.
+// The result is false if the stream was claimed before or was aborted.
 func (c *conn) claim(st *stream) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -538,8 +549,9 @@
 	return true
 }
 
+// handleData adds the data to the request body. Data that is not needed any more is discarded.
 func (c *conn) handleData(f *http2.DataFrame) error {
-	n := int64(f.Length) // padding counts in flow control
+	n := int64(f.Length) // with the padding, which counts in flow control
 	c.mu.Lock()
 	c.unreturnedWindow += n
 	st := c.streams[f.StreamID]
@@ -561,27 +573,27 @@
 		if st != nil {
 			return http2.StreamError{StreamID: f.StreamID, Code: http2.ErrCodeStreamClosed}
 		}
-		return nil // reset in the meantime
+		return nil // the stream has ended in the meantime
 	}
 	c.mu.Lock()
-	over := int64(len(st.body)+len(data)) > c.server.options.MaxRequestBody
-	full := c.bufferedBodyBytes+int64(len(data)) > c.server.options.MaxBufferedBodyBytes
-	taken := st.claimed || st.aborted
-	if !over && !full && !taken {
+	tooLong := int64(len(st.body)+len(data)) > c.server.options.MaxRequestBody
+	bufferFull := c.bufferedBodyBytes+int64(len(data)) > c.server.options.MaxBufferedBodyBytes
+	discard := st.claimed || st.aborted
+	if !tooLong && !bufferFull && !discard {
 		st.body = append(st.body, data...)
 		c.bufferedBodyBytes += int64(len(data))
 	}
 	c.mu.Unlock()
 	switch {
-	case taken:
+	case discard:
 	case st.contentLength >= 0 && int64(len(st.body)) > st.contentLength:
 		return http2.StreamError{StreamID: f.StreamID, Code: http2.ErrCodeProtocol}
-	case over:
+	case tooLong:
 		if c.claim(st) {
 			go c.reject(st, 413, "body longer than "+strconv.FormatInt(c.server.options.MaxRequestBody, 10)+" bytes")
 		}
-	case full:
-		// Nothing ran: the client may send it again.
+	case bufferFull:
+		// REFUSED_STREAM: the request was not handled, so the client may retry it.
 		c.abortStream(st.id)
 		c.returnWindow(0, 0)
 		return c.write(func() error { return c.framer.WriteRSTStream(st.id, http2.ErrCodeRefusedStream) })
@@ -593,21 +605,22 @@
 	return c.returnWindow(st.id, n)
 }
 
-// returnWindow opens the windows again for what was taken in.
+// returnWindow returns n bytes to the window of a stream. It also returns the bytes received to
+// the connection's window, once they are a quarter of it.
 func (c *conn) returnWindow(id uint32, n int64) error {
 	c.mu.Lock()
-	owed := c.unreturnedWindow
-	if owed < initialWindow/4 {
-		owed = 0
+	connBytes := c.unreturnedWindow
+	if connBytes < initialWindow/4 {
+		connBytes = 0
 	}
-	c.unreturnedWindow -= owed
+	c.unreturnedWindow -= connBytes
 	c.mu.Unlock()
-	if owed == 0 && n == 0 {
+	if connBytes == 0 && n == 0 {
 		return nil
 	}
 	return c.write(func() error {
-		if owed > 0 {
-			if err := c.framer.WriteWindowUpdate(0, uint32(owed)); err != nil {
+		if connBytes > 0 {
+			if err := c.framer.WriteWindowUpdate(0, uint32(connBytes)); err != nil {
 				return err
 			}
 		}
@@ -618,7 +631,8 @@
 	})
 }
 
-// finishBody puts a whole request to the node.
+// finishBody is called at the end of a request. It starts the handling of the request, unless
+// the stream was claimed before.
 func (c *conn) finishBody(st *stream) error {
 	if st.bodyComplete {
 		return http2.StreamError{StreamID: st.id, Code: http2.ErrCodeStreamClosed}
@@ -637,7 +651,7 @@
 	return nil
 }
 
-// abortStream kills a stream that its client has reset, or that is malformed.
+// abortStream aborts the stream with the ID, if there is one.
 func (c *conn) abortStream(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -646,7 +660,8 @@
 	}
 }
 
-// abortLocked marks a stream as dead; who answers it takes it out. Under c.mu.
+// abortLocked aborts a stream. If a goroutine responds to the stream, that goroutine removes it.
+// c.mu must be held.
 func (c *conn) abortLocked(st *stream) {
 	if st.aborted {
 		return
@@ -663,7 +678,8 @@
 	}
 }
 
-// removeLocked takes a stream out. Under c.mu.
+// removeLocked removes a stream. When the last one is removed, it starts the idle timeout or, if
+// the connection is going away, closes it. c.mu must be held.
 func (c *conn) removeLocked(st *stream) {
 	if c.streams[st.id] != st {
 		return
@@ -672,56 +688,57 @@
 	c.bufferedBodyBytes -= int64(len(st.body))
 	if len(c.streams) == 0 {
 		c.netConn.SetReadDeadline(time.Now().Add(c.server.options.IdleTimeout))
-		if c.goAwaySent && !c.ended {
+		if c.goingAway && !c.ended {
 			c.netConn.Close()
 		}
 	}
 	c.changed.Broadcast()
 }
 
-// handleRequest has a request decided on and writes its handleRequest.
+// handleRequest submits a request to the node and writes the final response.
 func (c *conn) handleRequest(st *stream) {
 	o := &c.server.options
-	t, early := o.Mapper.Admit(st.request, o.TracePrefix+"-"+strconv.FormatUint(c.server.traceCount.Add(1), 36))
-	var a node.FinalResponse
-	if early != nil {
-		a = *early
-		o.Log.Info("answer", "answer", a.Kind.String(), "trace", t.Trace, "class", t.Class, "customer", t.Customer,
-			"reason", string(a.Reason), "detail", a.Detail)
+	request, immediate := o.Mapper.Admit(st.request, o.TracePrefix+"-"+strconv.FormatUint(c.server.traceCount.Add(1), 36))
+	var response node.FinalResponse
+	if immediate != nil {
+		response = *immediate
+		o.Log.Info("answer", "answer", response.Kind.String(), "trace", request.Trace, "class", request.Class, "customer", request.Customer,
+			"reason", string(response.Reason), "detail", response.Detail)
 	} else {
-		t.ClientAddress, t.LocalAddress = c.netConn.RemoteAddr().String(), c.netConn.LocalAddr().String()
-		t.Arrived = st.arrivedAt
-		answers := make(chan node.FinalResponse, 1)
-		gone := o.Node.Submit(t, func(a node.FinalResponse) { answers <- a })
+		request.ClientAddress, request.LocalAddress = c.netConn.RemoteAddr().String(), c.netConn.LocalAddr().String()
+		request.Arrived = st.arrivedAt
+		responses := make(chan node.FinalResponse, 1)
+		disconnected := o.Node.Submit(request, func(r node.FinalResponse) { responses <- r })
 		select {
-		case a = <-answers:
+		case response = <-responses:
 		case <-st.abortSignal:
-			gone()
-			<-answers // the node has its last word in any case
+			disconnected()
+			<-responses // the node always replies
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.removeLocked(st)
 			return
 		}
 	}
-	c.respond(st, o.Mapper.Render(t, a))
+	c.respond(st, o.Mapper.Render(request, response))
 }
 
-// reject answers what the node is not asked about.
-func (c *conn) reject(st *stream, status int, why string) {
+// reject responds to a request that is not submitted to the node.
+func (c *conn) reject(st *stream, status int, detail string) {
 	c.claim(st)
 	reason := node.ReasonBadRequest
 	if status == 413 {
 		reason = node.ReasonTooLarge
 	}
-	c.server.options.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(reason), "detail", why,
+	c.server.options.Log.Info("answer", "answer", node.Rejected.String(), "reason", string(reason), "detail", detail,
 		"client", c.netConn.RemoteAddr().String())
-	res := c.server.options.Mapper.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: reason, Detail: why})
+	res := c.server.options.Mapper.Render(nil, node.FinalResponse{Kind: node.Rejected, Reason: reason, Detail: detail})
 	res.Status = status
 	c.respond(st, res)
 }
 
-// respond writes a response, as the client's windows allow, in its time.
+// respond writes a response, as the client's flow-control windows allow, within the write
+// timeout. Then it removes the stream.
 func (c *conn) respond(st *stream, res *node.Response) {
 	body := res.Body
 	if st.request.Method == "HEAD" || res.Status == 204 || res.Status == 304 {
@@ -729,9 +746,9 @@
 	}
 	err := c.write(func() error {
 		c.mu.Lock()
-		dead := st.aborted
+		aborted := st.aborted
 		c.mu.Unlock()
-		if dead {
+		if aborted {
 			return nil
 		}
 		c.headerBuffer.Reset()
@@ -747,12 +764,12 @@
 	if err == nil && len(body) > 0 {
 		timer := time.AfterFunc(c.server.options.WriteTimeout, func() {
 			c.mu.Lock()
-			late := c.streams[st.id] == st && !st.aborted
-			if late {
+			timedOut := c.streams[st.id] == st && !st.aborted
+			if timedOut {
 				c.abortLocked(st)
 			}
 			c.mu.Unlock()
-			if late {
+			if timedOut {
 				c.write(func() error { return c.framer.WriteRSTStream(st.id, http2.ErrCodeCancel) })
 			}
 		})
@@ -760,7 +777,8 @@
 		timer.Stop()
 	}
 	if err == nil && !st.bodyComplete {
-		// Answered before its body was read: the client need not send the rest.
+		// The request was not received completely: with NO_ERROR after the response, the client
+		// need not send the rest (RFC 9113, 8.1).
 		c.write(func() error { return c.framer.WriteRSTStream(st.id, http2.ErrCodeNo) })
 	}
 	c.mu.Lock()
@@ -768,6 +786,8 @@
 	c.removeLocked(st)
 }
 
+// sendBody writes a response body, and waits for the windows where necessary. It stops if the
+// stream is aborted or the connection ends.
 func (c *conn) sendBody(st *stream, body []byte) {
 	for len(body) > 0 {
 		c.mu.Lock()
--- a/internal/h2/lock.go
+++ b/internal/h2/lock.go
@@ -1,15 +1,15 @@
 package h2
 
-// Lock is a lock that is held over writes to a connection, which may take long. Who
-// waits for it waits on a channel, so that virtual time passes (testing/synctest
-// takes one that waits for a sync.Mutex for busy).
+// Lock is a mutual exclusion lock for writes to a connection, which may block for long.
+// Waiting for it blocks on a channel: testing/synctest does not regard a wait for a
+// sync.Mutex as durably blocking, and virtual time would not advance.
 type Lock chan struct{}
 
-// NewLock returns a Lock that nobody holds.
+// NewLock returns an unlocked Lock.
 func NewLock() Lock { return make(Lock, 1) }
 
-// Lock takes the lock.
+// Lock locks l. It blocks while l is locked.
 func (l Lock) Lock() { l <- struct{}{} }
 
-// Unlock gives it back.
+// Unlock unlocks l, which must be locked.
 func (l Lock) Unlock() { <-l }
--- a/internal/network/accept_loop.go
+++ b/internal/network/accept_loop.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// AcceptLoop takes connections and has each served in a goroutine of its own, until
-// the listener is closed. Other errors (out of descriptors, say) pass: it waits a
-// moment and goes on.
+// AcceptLoop accepts connections and calls serve for each in a new goroutine. It returns
+// nil when the listener is closed. It logs other errors, such as a lack of file
+// descriptors, and retries after a delay, since they are temporary.
 func AcceptLoop(l net.Listener, log *slog.Logger, serve func(net.Conn)) error {
-	const moment = 10 * time.Millisecond
+	const retryDelay = 10 * time.Millisecond
 	for {
 		nc, err := l.Accept()
 		switch {
@@ -19,7 +19,7 @@
 			return nil
 		case err != nil:
 			log.Warn("accept failed", "error", err)
-			time.Sleep(moment)
+			time.Sleep(retryDelay)
 		default:
 			go serve(nc)
 		}
--- a/internal/network/memory.go
+++ b/internal/network/memory.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// Memory is a network of hosts in one process. Bytes and packets take Delay;
-// packets are lost by chance. It blocks only in ways testing/synctest knows.
+// Memory is a simulated network of hosts in one process. It delays bytes and packets by a
+// fixed latency, and can lose packets at random. It blocks only in operations that
+// testing/synctest regards as durably blocking.
 type Memory struct {
 	mu         sync.Mutex
 	delay      time.Duration
@@ -24,43 +25,41 @@
 	packets    map[string]*memPacketConn
 	nextPort   int
 	packetLoss func(from, to string) float64
-	// NoTimestamps has connections not say when their bytes arrived, as systems
-	// without kernel timestamps.
+	// NoTimestamps means that connections do not report when their bytes arrived, as on
+	// systems without kernel timestamps.
 	NoTimestamps bool
 }
 
-// NewMemory returns an empty network. The seed draws which packets are lost.
+// NewMemory returns a network without hosts. The seed determines which packets are lost.
 func NewMemory(delay time.Duration, seed uint64) *Memory {
 	return &Memory{delay: delay, rng: rand.New(rand.NewPCG(seed, 1)), listeners: map[string]*memListener{},
 		packets: map[string]*memPacketConn{}, nextPort: 40000}
 }
 
-// SetPacketLoss sets the chance, 0 to 1, that a packet between two hosts is lost; nil
-// loses none. Hosts are the names given to Host.
-func (m *Memory) SetPacketLoss(chance func(from, to string) float64) {
+// SetPacketLoss sets the probability, from 0 to 1, that a packet from one host to another
+// is lost. The arguments of the function are the names of the hosts. Nil: none is lost.
+func (m *Memory) SetPacketLoss(probability func(from, to string) float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.packetLoss = chance
+	m.packetLoss = probability
 }
 
-// Host returns a host's view of the network. Whatever it opens lives until it
-// is closed or the host is killed.
-func (m *Memory) Host(name string) *Host {
-	return &Host{network: m, name: name, open: map[io.Closer]bool{}}
-}
+// Host returns a new host of the network. What the host opens stays open until it is closed
+// or the host is killed.
+func (m *Memory) Host(name string) *Host { return &Host{m: m, name: name, open: map[io.Closer]bool{}} }
 
-// Host is one machine of a Memory network.
+// Host is a host of a Memory network. It implements Network.
 type Host struct {
-	network *Memory
+	m       *Memory
 	name    string
 	mu      sync.Mutex
-	open    map[io.Closer]bool
+	open    map[io.Closer]bool // listeners, connections and packet connections
 	killed  bool
-	resumed chan struct{} // while paused; closed at Resume
+	resumed chan struct{} // closed by Resume; nil: the host is not paused
 }
 
-// Pause holds up all that the host reads, writes, dials and accepts, as a
-// stopped process does; what others send it waits.
+// Pause makes the host's reads, writes, dials and accepts block until Resume, as in a stopped
+// process. Data sent to the host in the meantime is kept for it to read later.
 func (h *Host) Pause() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -69,7 +68,7 @@
 	}
 }
 
-// Resume lets a paused host go on.
+// Resume ends a pause.
 func (h *Host) Resume() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,20 +78,21 @@
 	}
 }
 
-// WaitUntilRunning returns while the host is not paused; else once it goes on.
+// WaitUntilRunning blocks while the host is paused.
 func (h *Host) WaitUntilRunning() { h.waitUntilRunning() }
 
 func (h *Host) waitUntilRunning() {
 	h.mu.Lock()
-	stop := h.resumed
+	resumed := h.resumed
 	h.mu.Unlock()
-	if stop != nil {
-		<-stop
+	if resumed != nil {
+		<-resumed
 	}
 }
 
-var errKilled = errors.New("network: host is dead")
+var errKilled = errors.New("network: host was killed")
 
+// register adds c to what Kill closes. It fails if the host was killed.
 func (h *Host) register(c io.Closer) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,10 +109,10 @@
 	delete(h.open, c)
 }
 
-// Kill closes all the host has open at once, as the kernel does for a process
-// killed outright: connections are reset. The Host is of no use afterwards.
+// Kill resets the host's connections and closes the rest that it has open, as the kernel does
+// for a killed process. The host can't open anything afterwards.
 func (h *Host) Kill() {
-	h.Resume() // what waits is to see its end
+	h.Resume() // operations that the pause blocks must return
 	h.mu.Lock()
 	h.killed = true
 	open := h.open
@@ -127,69 +127,70 @@
 	}
 }
 
+// assignPort replaces port 0 in an address by an unused port. h.m.mu must be held.
 func (h *Host) assignPort(addr string) (string, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return "", err
 	}
 	if port == "0" {
-		h.network.nextPort++
-		port = strconv.Itoa(h.network.nextPort)
+		h.m.nextPort++
+		port = strconv.Itoa(h.m.nextPort)
 	}
 	return net.JoinHostPort(host, port), nil
 }
 
-// Listen takes connections at an address of the network.
+// Listen opens a listener at an address of the network.
 func (h *Host) Listen(addr string) (net.Listener, error) {
-	h.network.mu.Lock()
-	defer h.network.mu.Unlock()
+	h.m.mu.Lock()
+	defer h.m.mu.Unlock()
 	addr, err := h.assignPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	if h.network.listeners[addr] != nil {
+	if h.m.listeners[addr] != nil {
 		return nil, fmt.Errorf("listen %s: %w", addr, syscall.EADDRINUSE)
 	}
 	l := &memListener{host: h, addr: memAddr(addr), conns: make(chan net.Conn, 1024), closed: make(chan struct{})}
 	if err := h.register(l); err != nil {
 		return nil, err
 	}
-	h.network.listeners[addr] = l
+	h.m.listeners[addr] = l
 	return l, nil
 }
 
-// Dial connects; the error is ECONNREFUSED where nobody listens.
+// Dial opens a connection. The error is ECONNREFUSED if there is no listener at the address.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	h.waitUntilRunning()
 	select {
-	case <-time.After(h.network.delay):
+	case <-time.After(h.m.delay):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	h.waitUntilRunning()
-	h.network.mu.Lock()
-	defer h.network.mu.Unlock()
-	l := h.network.listeners[addr]
+	h.m.mu.Lock()
+	defer h.m.mu.Unlock()
+	l := h.m.listeners[addr]
 	refused := fmt.Errorf("dial %s: %w", addr, syscall.ECONNREFUSED)
 	if l == nil {
 		return nil, refused
 	}
-	h.network.nextPort++
-	local := memAddr(net.JoinHostPort("127.0.0.1", strconv.Itoa(h.network.nextPort)))
-	a, b := newStream(h.network.delay), newStream(h.network.delay)
-	near := &memConn{host: h, rx: a, tx: b, local: local, remote: l.addr}
-	far := &memConn{host: l.host, rx: b, tx: a, local: l.addr, remote: local}
-	if err := h.register(near); err != nil {
+	h.m.nextPort++
+	local := memAddr(net.JoinHostPort("127.0.0.1", strconv.Itoa(h.m.nextPort)))
+	toClient, toServer := newStream(h.m.delay), newStream(h.m.delay)
+	client := &memConn{host: h, rx: toClient, tx: toServer, local: local, remote: l.addr}
+	server := &memConn{host: l.host, rx: toServer, tx: toClient, local: l.addr, remote: local}
+	if err := h.register(client); err != nil {
 		return nil, err
 	}
-	if err := l.host.register(far); err != nil {
+	if err := l.host.register(server); err != nil {
 		return nil, refused
 	}
 	select {
-	case l.conns <- far:
-		return near, nil
+	case l.conns <- server:
+		return client, nil
 	default:
-		return nil, refused // its accept queue is full
+		return nil, refused // the accept queue is full
 	}
 }
 
@@ -198,17 +199,18 @@
 func (memAddr) Network() string  { return "memory" }
 func (a memAddr) String() string { return string(a) }
 
+// memListener is a listener of a host.
 type memListener struct {
 	host      *Host
 	addr      memAddr
-	conns     chan net.Conn
+	conns     chan net.Conn // the accept queue
 	closeOnce sync.Once
 	closed    chan struct{}
 }
 
 func (l *memListener) Addr() net.Addr { return l.addr }
 
-// Readable tells whether a connection waits to be taken.
+// Readable reports whether a connection waits to be accepted.
 func (l *memListener) Readable() bool { return len(l.conns) > 0 }
 
 func (l *memListener) Accept() (net.Conn, error) {
@@ -225,9 +227,9 @@
 	l.closeOnce.Do(func() {
 		close(l.closed)
 		l.host.unregister(l)
-		l.host.network.mu.Lock()
-		defer l.host.network.mu.Unlock()
-		delete(l.host.network.listeners, string(l.addr))
+		l.host.m.mu.Lock()
+		defer l.host.m.mu.Unlock()
+		delete(l.host.m.listeners, string(l.addr))
 		for {
 			select {
 			case c := <-l.conns:
@@ -240,22 +242,23 @@
 	return nil
 }
 
-// stream carries bytes one way.
+// stream carries bytes in one direction of a connection.
 type stream struct {
 	mu           sync.Mutex
 	changed      *sync.Cond
 	delay        time.Duration
 	chunks       []chunk
 	size         int
-	eof          bool      // no more will be written
-	eofAt        time.Time // when the reader learns of it
-	err          error     // ends both sides at once
-	readerClosed bool      // the reader went away
-	lastArrival  time.Time // when what was read last arrived
+	eof          bool      // the writer has closed its end
+	eofAt        time.Time // when the end reaches the reader
+	err          error     // set by abort; both ends fail with it
+	readerClosed bool      // the reader has closed its end
+	lastArrival  time.Time // when the bytes last read arrived
 	deadlines    [2]time.Time
 	timers       [2]*time.Timer
 }
 
+// chunk holds bytes of a stream that arrive at the same time.
 type chunk struct {
 	arrivesAt time.Time
 	data      []byte
@@ -274,7 +277,7 @@
 	return s
 }
 
-// notify wakes the waiting ends, also once the delay is over.
+// notify wakes both ends now, and again after the latency, when what was written arrives.
 func (s *stream) notify() {
 	s.changed.Broadcast()
 	time.AfterFunc(s.delay, func() {
@@ -285,8 +288,8 @@
 }
 
 func (s *stream) expired(side int) bool {
-	d := s.deadlines[side]
-	return !d.IsZero() && !time.Now().Before(d)
+	deadline := s.deadlines[side]
+	return !deadline.IsZero() && !time.Now().Before(deadline)
 }
 
 func (s *stream) setDeadline(side int, t time.Time) {
@@ -337,23 +340,23 @@
 func (s *stream) write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	done := 0
+	written := 0
 	for {
 		switch {
 		case s.eof:
-			return done, net.ErrClosed
+			return written, net.ErrClosed
 		case s.err != nil:
-			return done, s.err
+			return written, s.err
 		case s.readerClosed:
-			return done, syscall.EPIPE
+			return written, syscall.EPIPE
 		case s.expired(writeSide):
-			return done, os.ErrDeadlineExceeded
+			return written, os.ErrDeadlineExceeded
 		case len(b) == 0:
-			return done, nil
+			return written, nil
 		}
 		if n := min(len(b), streamBufferBytes-s.size); n > 0 {
 			s.chunks = append(s.chunks, chunk{time.Now().Add(s.delay), append([]byte(nil), b[:n]...)})
-			s.size, done, b = s.size+n, done+n, b[n:]
+			s.size, written, b = s.size+n, written+n, b[n:]
 			s.notify()
 			continue
 		}
@@ -361,7 +364,7 @@
 	}
 }
 
-// closeWrite says that no more will be written.
+// closeWrite closes the writer's end. The reader reads the remaining bytes, then io.EOF.
 func (s *stream) closeWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -371,7 +374,7 @@
 	}
 }
 
-// abort ends both sides with an error; what was not read is lost.
+// abort makes reads and writes fail with err. Bytes that were not read are lost.
 func (s *stream) abort(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -381,6 +384,7 @@
 	s.changed.Broadcast()
 }
 
+// memConn is one end of a connection.
 type memConn struct {
 	host          *Host
 	rx, tx        *stream
@@ -401,7 +405,7 @@
 	return c.tx.write(b)
 }
 
-// Readable tells whether there is something to read, or the end.
+// Readable reports whether the connection holds unread bytes or is at its end.
 func (c *memConn) Readable() bool {
 	c.rx.mu.Lock()
 	defer c.rx.mu.Unlock()
@@ -410,11 +414,11 @@
 		len(c.rx.chunks) == 0 && c.rx.eof && !now.Before(c.rx.eofAt)
 }
 
-// ArrivalTime is when what was last read arrived; false where that is not known.
+// ArrivalTime returns when the bytes last read arrived, and whether that is known.
 func (c *memConn) ArrivalTime() (time.Time, bool) {
 	c.rx.mu.Lock()
 	defer c.rx.mu.Unlock()
-	return c.rx.lastArrival, !c.host.network.NoTimestamps
+	return c.rx.lastArrival, !c.host.m.NoTimestamps
 }
 
 func (c *memConn) SetDeadline(t time.Time) error {
@@ -433,13 +437,13 @@
 	return nil
 }
 
-// CloseWrite half-closes the connection, as TCP's FIN does.
+// CloseWrite closes the sending direction of the connection, as a FIN does in TCP.
 func (c *memConn) CloseWrite() error {
 	c.tx.closeWrite()
 	return nil
 }
 
-// Close ends the connection; bytes not read here reset it, as in TCP.
+// Close closes the connection. If it holds unread bytes the peer sees a reset, as in TCP.
 func (c *memConn) Close() error {
 	c.rx.mu.Lock()
 	unread := c.rx.size > 0
@@ -454,37 +458,39 @@
 	return nil
 }
 
-// Reset ends the connection with an error at both ends.
+// Reset resets the connection: both ends fail with ECONNRESET.
 func (c *memConn) Reset() {
 	c.rx.abort(syscall.ECONNRESET)
 	c.tx.abort(syscall.ECONNRESET)
 	c.host.unregister(c)
 }
 
-// ListenPacket takes packets at an address of the network.
+// ListenPacket opens a packet connection at an address of the network.
 func (h *Host) ListenPacket(addr string) (net.PacketConn, error) {
-	h.network.mu.Lock()
-	defer h.network.mu.Unlock()
+	h.m.mu.Lock()
+	defer h.m.mu.Unlock()
 	addr, err := h.assignPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	if h.network.packets[addr] != nil {
+	if h.m.packets[addr] != nil {
 		return nil, fmt.Errorf("listen %s: %w", addr, syscall.EADDRINUSE)
 	}
 	p := &memPacketConn{host: h, addr: memAddr(addr), received: make(chan packet, 4096), closed: make(chan struct{})}
 	if err := h.register(p); err != nil {
 		return nil, err
 	}
-	h.network.packets[addr] = p
+	h.m.packets[addr] = p
 	return p, nil
 }
 
+// packet is a packet on its way to a host.
 type packet struct {
 	from memAddr
 	data []byte
 }
 
+// memPacketConn is a packet connection of a host.
 type memPacketConn struct {
 	host      *Host
 	addr      memAddr
@@ -493,7 +499,7 @@
 	closed    chan struct{}
 }
 
-// Readable tells whether a packet waits.
+// Readable reports whether a packet waits to be read.
 func (p *memPacketConn) Readable() bool { return len(p.received) > 0 }
 
 func (p *memPacketConn) LocalAddr() net.Addr { return p.addr }
@@ -510,7 +516,7 @@
 
 func (p *memPacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	p.host.waitUntilRunning()
-	m := p.host.network
+	m := p.host.m
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	dest := m.packets[to.String()]
@@ -534,19 +540,20 @@
 	p.closeOnce.Do(func() {
 		close(p.closed)
 		p.host.unregister(p)
-		p.host.network.mu.Lock()
-		defer p.host.network.mu.Unlock()
-		delete(p.host.network.packets, string(p.addr))
+		p.host.m.mu.Lock()
+		defer p.host.m.mu.Unlock()
+		delete(p.host.m.packets, string(p.addr))
 	})
 	return nil
 }
 
-// Deadlines are not needed by any user of packets here.
+// Deadlines of packet connections are not supported, as no caller needs them.
 func (p *memPacketConn) SetDeadline(time.Time) error      { return errors.ErrUnsupported }
 func (p *memPacketConn) SetReadDeadline(time.Time) error  { return errors.ErrUnsupported }
 func (p *memPacketConn) SetWriteDeadline(time.Time) error { return errors.ErrUnsupported }
 
-// Resolve makes the address of a packet's receiver.
+// Resolve returns an address as a net.Addr to which packet connections of the network can
+// send. It unwraps networks that have an Unwrap method.
 func Resolve(n Network, addr string) (net.Addr, error) {
 	if u, ok := n.(interface{ Unwrap() Network }); ok {
 		return Resolve(u.Unwrap(), addr)
