--- a/front/http2/fuzz_test.go
+++ b/front/http2/fuzz_test.go
@@ -68,8 +68,9 @@
 	}
 	s := New(Options{Node: immediateNode{}, Mapper: intake.New(cfg), Log: slog.New(slog.DiscardHandler), TracePrefix: "f",
 		MaxHeaderBytes: 4096, MaxHeaderFields: 20, MaxRequestBody: 1000, MaxBufferedBodyBytes: 2000,
-		MaxConcurrentStreams: 5, FrameBudget: 20, MaxConnections: 100,
-		HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 50 * time.Millisecond})
+		MaxConcurrentStreams: 5, FrameBudget: 20,
+		HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 50 * time.Millisecond,
+		MaxConnections: 100})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		client, server := net.Pipe()
 		ended := make(chan struct{})
--- a/internal/network/memory.go
+++ b/internal/network/memory.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Memory is a simulated network of hosts in one process. It delays bytes and packets by a
-// fixed latency, and can lose packets at random. It blocks only in operations that
+// Memory is a simulated network of hosts in one process. It delivers bytes and packets
+// after a fixed delay, and can lose packets at random. It blocks only in operations that
 // testing/synctest regards as durably blocking.
 type Memory struct {
 	mu         sync.Mutex
@@ -248,13 +248,13 @@
 	changed      *sync.Cond
 	delay        time.Duration
 	chunks       []chunk
-	size         int
-	eof          bool      // the writer has closed its end
-	eofAt        time.Time // when the end reaches the reader
-	err          error     // set by abort; both ends fail with it
-	readerClosed bool      // the reader has closed its end
-	lastArrival  time.Time // when the bytes last read arrived
-	deadlines    [2]time.Time
+	size         int          // bytes in chunks
+	eof          bool         // the writer has closed its end
+	eofAt        time.Time    // when the end reaches the reader
+	err          error        // set by abort; both ends fail with it
+	readerClosed bool         // the reader has closed its end
+	lastArrival  time.Time    // when the bytes last read arrived
+	deadlines    [2]time.Time // of readSide and writeSide; zero: none
 	timers       [2]*time.Timer
 }
 
@@ -277,7 +277,7 @@
 	return s
 }
 
-// notify wakes both ends now, and again after the latency, when what was written arrives.
+// notify wakes both ends now, and again after the delay, when what was written arrives.
 func (s *stream) notify() {
 	s.changed.Broadcast()
 	time.AfterFunc(s.delay, func() {
