--- a/cmd/yardcleat/day.go
+++ b/cmd/yardcleat/day.go
@@ -18,10 +18,10 @@
 func dayCommand() *cobra.Command {
 	var asJSON, show, list bool
 	var keep string
-	c := &cobra.Command{Use: "day [SCRIPT]", Short: "Play a scripted day of trouble on real nodes and check the rules",
-		Long: "Play a day: nodes as processes of their own, stand-ins for all that is around them, and clients, on\n" +
-			"loopback. At the end a table tells what came of the tries and what was found of each rule. Without\n" +
-			"SCRIPT, a file or the name of one that comes with the program, a day of half a minute is played. The exit code is 1 where a rule was broken.",
+	c := &cobra.Command{Use: "day [SCRIPT]", Short: "Run a scripted fault scenario on real nodes and check the five rules",
+		Long: "Run a scenario on loopback: each node as a process of its own, fakes of the systems around them, and clients.\n" +
+			"At the end a table shows the outcomes of the clients' requests and the violations of each rule. SCRIPT is a\n" +
+			"file or the name of a built-in script; the default is a scenario of half a minute. The exit code is 1 if a rule was violated.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if list {
@@ -32,63 +32,64 @@
 			if len(args) == 1 {
 				name = args[0]
 			}
-			src, err := day.Source(name)
+			source, err := day.Source(name)
 			if err != nil {
-				src, err = os.ReadFile(name)
+				source, err = os.ReadFile(name)
 			}
 			if err != nil {
-				return fmt.Errorf("there is no script %q; the program has %s", name, strings.Join(day.Names(), ", "))
+				return fmt.Errorf("no file or built-in script %q; the built-in scripts are %s", name, strings.Join(day.Names(), ", "))
 			}
 			if show {
-				_, err := cmd.OutOrStdout().Write(src)
+				_, err := cmd.OutOrStdout().Write(source)
 				return err
 			}
-			s, err := day.Parse(src, strings.TrimSuffix(name, ".hcl")+".hcl")
+			script, err := day.Parse(source, strings.TrimSuffix(name, ".hcl")+".hcl")
 			if err != nil {
 				return err
 			}
-			return runScenario(cmd, s, keep, asJSON)
+			return runScenario(cmd, script, keep, asJSON)
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print the report as one JSON document")
-	c.Flags().BoolVar(&list, "list", false, "list the scripts that come with the program")
-	c.Flags().BoolVar(&show, "show", false, "print the script and play nothing")
+	c.Flags().BoolVar(&list, "list", false, "list the built-in scripts")
+	c.Flags().BoolVar(&show, "show", false, "print the script without running it")
 	c.Flags().StringVar(&keep, "keep", "", "keep the nodes' configurations and logs in this directory")
 	return c
 }
 
-func runScenario(cmd *cobra.Command, s *day.Script, keep string, asJSON bool) error {
+// runScenario runs a script and prints its report. It returns an error if a rule was violated.
+func runScenario(cmd *cobra.Command, script *day.Script, keep string, asJSON bool) error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	temp := keep
-	if temp == "" {
-		if temp, err = os.MkdirTemp("", "yardcleat-day-"); err != nil {
+	dir := keep
+	if dir == "" {
+		if dir, err = os.MkdirTemp("", "yardcleat-day-"); err != nil {
 			return err
 		}
-		defer os.RemoveAll(temp)
+		defer os.RemoveAll(dir)
 	}
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	start := time.Now()
-	r, err := day.Run(ctx, s, day.Options{Env: &day.Processes{Program: program, Temp: temp},
+	report, err := day.Run(ctx, script, day.Options{Env: &day.Processes{Program: program, Temp: dir},
 		Progress: func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }})
 	if err != nil {
 		return err
 	}
 	if asJSON {
-		e := json.NewEncoder(cmd.OutOrStdout())
-		e.SetIndent("", "  ")
-		if err := e.Encode(r); err != nil {
+		encoder := json.NewEncoder(cmd.OutOrStdout())
+		encoder.SetIndent("", "  ")
+		if err := encoder.Encode(report); err != nil {
 			return err
 		}
 	} else {
 		fmt.Fprintln(cmd.OutOrStdout())
-		r.Write(cmd.OutOrStdout())
+		report.Write(cmd.OutOrStdout())
 	}
-	if !r.Kept() {
-		return errors.New("the day broke a rule, or did not go as scripted")
+	if !report.Kept() {
+		return errors.New("a rule was violated, or the scenario did not run as scripted")
 	}
-	fmt.Fprintf(cmd.ErrOrStderr(), "all rules kept; %.0f s\n", time.Since(start).Seconds())
+	fmt.Fprintf(cmd.ErrOrStderr(), "no rule violated; %.0f s\n", time.Since(start).Seconds())
 	return nil
 }
--- a/cmd/yardcleat/hunt.go
+++ b/cmd/yardcleat/hunt.go
@@ -22,23 +22,23 @@
 	"yardcleat.example/yardcleat/lab/hunt"
 )
 
-// workerCommand is what a hunt's workers run.
+// workerCommand returns the command that the worker processes of a fault search run.
 func workerCommand() *cobra.Command {
-	return &cobra.Command{Use: "worker", Short: "Play days in virtual time, as they come on standard input", Hidden: true,
+	return &cobra.Command{Use: "worker", Short: "Run scenarios from standard input in virtual time", Hidden: true,
 		Args: cobra.NoArgs, Run: func(*cobra.Command, []string) { virtual.Worker() }}
 }
 
-// newWorkerPool is a pool of this program's own newWorkerPool.
+// newWorkerPool returns a pool of worker processes that run this program.
 func newWorkerPool() (*virtual.Pool, error) {
 	program, err := os.Executable()
 	return &virtual.Pool{Longest: 2 * time.Minute, Command: func() *exec.Cmd {
 		c := exec.Command(program, "lab", "worker")
-		c.Env = append(os.Environ(), "GOMAXPROCS=1") // one bubble has little to share out
+		c.Env = append(os.Environ(), "GOMAXPROCS=1") // a synctest bubble has little parallelism
 		return c
 	}}, err
 }
 
-// faultSearch is a hunt under way.
+// faultSearch is a running fault search.
 type faultSearch struct {
 	cmd             *cobra.Command
 	pool            *virtual.Pool
@@ -54,44 +54,45 @@
 	stopAtFirst     bool
 	shrinkBudget    int
 	maxScenarioTime time.Duration
-	violationCounts map[string]int
+	violationCounts map[string]int // by rule
 }
 
 func huntCommand() *cobra.Command {
 	h := &faultSearch{limits: hunt.DefaultLimits(), violationCounts: map[string]int{}}
 	var nodes, faults string
-	c := &cobra.Command{Use: "hunt", Short: "Search for days of trouble that break a rule",
-		Long: "Draw days from a grammar of faults, play them in virtual time on all cores, and check the five rules.\n" +
-			"What days reached leads to the next ones. A day that breaks a rule is shrunk to the least that still\n" +
-			"does, and kept as a script. Equal seeds draw equal days. The exit code is 1 where a rule was broken.",
+	c := &cobra.Command{Use: "hunt", Short: "Search for fault scenarios that violate a rule",
+		Long: "Generate scenarios from a grammar of faults, run them in virtual time on all cores, and check the five rules.\n" +
+			"The features that scenarios reach guide the generation of later ones. A scenario that violates a rule is\n" +
+			"shrunk while it still does, and saved as a script. Equal seeds generate equal scenarios. The exit code is 1\n" +
+			"if a rule was violated.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			h.cmd = cmd
-			for text, to := range map[string]*[2]int{nodes: &h.limits.Nodes, faults: &h.limits.Faults} {
-				if _, err := fmt.Sscanf(text, "%d-%d", &to[0], &to[1]); err != nil || to[0] < 1 || to[1] < to[0] {
-					return fmt.Errorf("%q: two numbers such as 2-12 are needed", text)
+			for text, bounds := range map[string]*[2]int{nodes: &h.limits.Nodes, faults: &h.limits.Faults} {
+				if _, err := fmt.Sscanf(text, "%d-%d", &bounds[0], &bounds[1]); err != nil || bounds[0] < 1 || bounds[1] < bounds[0] {
+					return fmt.Errorf("invalid range %q: must be two numbers such as 2-12", text)
 				}
 			}
-			for _, k := range h.limits.Kinds {
-				if !slices.Contains(hunt.Kinds(), k) {
-					return fmt.Errorf("there is no kind of fault %q; there are %s", k, strings.Join(hunt.Kinds(), ", "))
+			for _, kind := range h.limits.Kinds {
+				if !slices.Contains(hunt.Kinds(), kind) {
+					return fmt.Errorf("unknown kind of fault %q; the kinds are %s", kind, strings.Join(hunt.Kinds(), ", "))
 				}
 			}
 			return h.run()
 		}}
-	c.Flags().IntVar(&h.budget, "budget", 200, "days to play")
-	c.Flags().Uint64Var(&h.seed, "seed", 1, "seed of all chance")
-	c.Flags().StringVar(&h.outputDir, "keep", "", "directory for scripts of days that broke a rule, with what was seen")
-	c.Flags().IntVar(&h.workers, "workers", runtime.NumCPU(), "days played at once")
-	c.Flags().BoolVar(&h.unguided, "unled", false, "draw each day alone, not led by the earlier ones")
-	c.Flags().BoolVar(&h.searchesRegret, "worth", false, "search for days whose faults cost more together than one at a time")
-	c.Flags().StringVar(&h.mutation, "defect", "", "play builds with a defence taken out: "+strings.Join(virtual.Defects(), ", "))
-	c.Flags().BoolVar(&h.stopAtFirst, "first", false, "end at the first find, and shrink nothing")
-	c.Flags().IntVar(&h.shrinkBudget, "shrink", 80, "plays for shrinking one find")
-	c.Flags().DurationVar(&h.maxScenarioTime, "longest", time.Minute, "real time after which a day is given up, and is a find")
-	c.Flags().StringVar(&nodes, "nodes", "2-12", "sizes of fleets")
-	c.Flags().StringVar(&faults, "faults", "3-14", "faults of a day")
-	c.Flags().StringSliceVar(&h.limits.Kinds, "kind", nil, "kinds of fault to draw; all where none is given")
+	c.Flags().IntVar(&h.budget, "budget", 200, "number of scenarios to run")
+	c.Flags().Uint64Var(&h.seed, "seed", 1, "seed of the random numbers")
+	c.Flags().StringVar(&h.outputDir, "keep", "", "directory for scripts of scenarios that violated a rule, with the violations")
+	c.Flags().IntVar(&h.workers, "workers", runtime.NumCPU(), "number of scenarios run at a time")
+	c.Flags().BoolVar(&h.unguided, "unled", false, "generate each scenario independently of the earlier ones")
+	c.Flags().BoolVar(&h.searchesRegret, "worth", false, "search for scenarios whose faults together cost more served requests than each of them alone in total")
+	c.Flags().StringVar(&h.mutation, "defect", "", "run with a mutation, a defence removed on purpose: "+strings.Join(virtual.Defects(), ", "))
+	c.Flags().BoolVar(&h.stopAtFirst, "first", false, "stop at the first violation, and shrink nothing")
+	c.Flags().IntVar(&h.shrinkBudget, "shrink", 80, "maximum number of runs to shrink one scenario")
+	c.Flags().DurationVar(&h.maxScenarioTime, "longest", time.Minute, "real time after which a scenario is aborted and counts as a violation")
+	c.Flags().StringVar(&nodes, "nodes", "2-12", "range of fleet sizes")
+	c.Flags().StringVar(&faults, "faults", "3-14", "range of the number of faults in a scenario")
+	c.Flags().StringSliceVar(&h.limits.Kinds, "kind", nil, "kinds of fault to generate; all by default")
 	return c
 }
 
@@ -99,46 +100,47 @@
 	fmt.Fprintf(h.cmd.ErrOrStderr(), format+"\n", args...)
 }
 
-func (h *faultSearch) newJob(d hunt.Day) virtual.Job {
-	return virtual.Job{Source: d.Script.Source(), Seed: d.Seed, NoStamps: d.NoStamps, Defect: h.mutation}
+func (h *faultSearch) newJob(scenario hunt.Day) virtual.Job {
+	return virtual.Job{Source: scenario.Script.Source(), Seed: scenario.Seed, NoStamps: scenario.NoStamps, Defect: h.mutation}
 }
 
-// evaluate reads what came of a day. A day that did not go to its end is broken in
-// rule 0.
-func evaluate(r virtual.Result) (o hunt.Outcome, words []string) {
-	if r.Error != "" {
-		return hunt.Outcome{Broken: []int{0}}, []string{r.Error}
+// evaluate returns the outcome of a scenario, and a message about each violation. Errors, and a
+// scenario that did not run to its end, count as violations of rule 0.
+func evaluate(result virtual.Result) (outcome hunt.Outcome, messages []string) {
+	if result.Error != "" {
+		return hunt.Outcome{Broken: []int{0}}, []string{result.Error}
 	}
-	o = hunt.Outcome{Features: r.Features, Near: r.Report.Near, Worth: r.Report.Worth}
-	for _, f := range r.Report.Rules {
-		if len(f.Broken) > 0 {
-			o.Broken = append(o.Broken, f.Rule)
-			words = append(words, fmt.Sprintf("rule %d, %d times: %s", f.Rule, len(f.Broken), f.Broken[0]))
+	outcome = hunt.Outcome{Features: result.Features, Near: result.Report.Near, Worth: result.Report.Worth}
+	for _, finding := range result.Report.Rules {
+		if len(finding.Broken) > 0 {
+			outcome.Broken = append(outcome.Broken, finding.Rule)
+			messages = append(messages, fmt.Sprintf("rule %d, %d times: %s", finding.Rule, len(finding.Broken), finding.Broken[0]))
 		}
 	}
-	if len(r.Report.Errors) > 0 {
-		o.Broken = append(o.Broken, 0)
-		words = append(words, r.Report.Errors...)
+	if len(result.Report.Errors) > 0 {
+		outcome.Broken = append(outcome.Broken, 0)
+		messages = append(messages, result.Report.Errors...)
 	}
-	return o, words
+	return outcome, messages
 }
 
-// runScenarios plays days at once, and returns their results in order.
-func (h *faultSearch) runScenarios(ctx context.Context, days []hunt.Day) ([]virtual.Result, error) {
-	results, errs := make([]virtual.Result, len(days)), make([]error, len(days))
+// runScenarios runs scenarios in parallel, and returns their results in the same order.
+func (h *faultSearch) runScenarios(ctx context.Context, scenarios []hunt.Day) ([]virtual.Result, error) {
+	results, errs := make([]virtual.Result, len(scenarios)), make([]error, len(scenarios))
 	slots := make(chan struct{}, h.workers)
 	var wait sync.WaitGroup
-	for i, d := range days {
+	for i, scenario := range scenarios {
 		wait.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			results[i], errs[i] = h.pool.Play(ctx, h.newJob(d))
+			results[i], errs[i] = h.pool.Play(ctx, h.newJob(scenario))
 		})
 	}
 	wait.Wait()
 	return results, errors.Join(errs...)
 }
 
+// run runs the search. It returns an error if a scenario violated a rule.
 func (h *faultSearch) run() error {
 	ctx, stop := signal.NotifyContext(h.cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -159,136 +161,137 @@
 	if h.searchesRegret {
 		return h.searchRegret(ctx)
 	}
-	hunter := hunt.New(h.base, h.limits, h.seed, !h.unguided)
-	begun, played, broken := time.Now(), 0, 0
-	// Days are told in the order they were drawn, a round at a time, so that equal
-	// seeds lead to equal days whatever the number of workers.
+	generator := hunt.New(h.base, h.limits, h.seed, !h.unguided)
+	startedAt, runs, violating := time.Now(), 0, 0
+	// The generator learns outcomes one round at a time and in the order of generation, so that
+	// equal seeds generate equal scenarios with any number of workers.
 	const round = 16
-	for played < h.budget {
-		var days []hunt.Day
-		for len(days) < min(round, h.budget-played) {
-			days = append(days, hunter.Next())
+	for runs < h.budget {
+		var scenarios []hunt.Day
+		for len(scenarios) < min(round, h.budget-runs) {
+			scenarios = append(scenarios, generator.Next())
 		}
-		results, err := h.runScenarios(ctx, days)
+		results, err := h.runScenarios(ctx, scenarios)
 		if err != nil {
 			return err
 		}
-		for i, r := range results {
-			played++
-			o, words := evaluate(r)
-			hunter.Learn(days[i], o)
-			if len(o.Broken) == 0 {
+		for i, result := range results {
+			runs++
+			outcome, messages := evaluate(result)
+			generator.Learn(scenarios[i], outcome)
+			if len(outcome.Broken) == 0 {
 				continue
 			}
-			broken++
-			h.logf("day %d: %s\n  %s", played, days[i].Words(), strings.Join(words, "\n  "))
+			violating++
+			h.logf("scenario %d: %s\n  %s", runs, scenarios[i].Words(), strings.Join(messages, "\n  "))
 			if h.stopAtFirst {
-				h.logf("found after %d days", played)
-				return errors.New("a rule was broken")
+				h.logf("violation found after %d scenarios", runs)
+				return errors.New("a rule was violated")
 			}
-			if r.Stacks != "" && h.outputDir != "" {
-				// Shrinking one that waits for ever would take as long each time.
-				name := filepath.Join(h.outputDir, fmt.Sprintf("stacks-%d-%d", h.seed, played))
-				if err := errors.Join(os.WriteFile(name+".txt", []byte(r.Stacks), 0o644),
-					os.WriteFile(name+".hcl", days[i].Script.Source(), 0o644)); err != nil {
+			if result.Stacks != "" && h.outputDir != "" {
+				// A scenario that hangs is not shrunk: each run would take the whole time limit.
+				name := filepath.Join(h.outputDir, fmt.Sprintf("stacks-%d-%d", h.seed, runs))
+				if err := errors.Join(os.WriteFile(name+".txt", []byte(result.Stacks), 0o644),
+					os.WriteFile(name+".hcl", scenarios[i].Script.Source(), 0o644)); err != nil {
 					return err
 				}
 				continue
 			}
-			if err := h.shrinkAndSave(ctx, days[i], o, words); err != nil {
+			if err := h.shrinkAndSave(ctx, scenarios[i], outcome, messages); err != nil {
 				return err
 			}
 		}
-		features, near := hunter.Reached()
-		took := time.Since(begun)
-		h.logf("%d of %d days, %.0f a minute; %d broke a rule; %d features reached; nearest to the rules' edges %.2f", played, h.budget,
-			float64(played)/took.Minutes(), broken, features, near)
+		features, near := generator.Reached()
+		elapsed := time.Since(startedAt)
+		h.logf("%d of %d scenarios, %.0f per minute; %d violated a rule; %d features reached; nearest to the limits of the rules %.2f", runs, h.budget,
+			float64(runs)/elapsed.Minutes(), violating, features, near)
 	}
-	fmt.Fprintf(h.cmd.OutOrStdout(), "%d days played, %d broke a rule\n", played, broken)
-	if broken > 0 {
-		return errors.New("a rule was broken")
+	fmt.Fprintf(h.cmd.OutOrStdout(), "%d scenarios run, %d violated a rule\n", runs, violating)
+	if violating > 0 {
+		return errors.New("a rule was violated")
 	}
 	return nil
 }
 
-// shrinkAndSave shrinks a day that broke a rule, and keeps it. What looks like an earlier
-// shrinkAndSave is not shrunk again.
-func (h *faultSearch) shrinkAndSave(ctx context.Context, d hunt.Day, o hunt.Outcome, words []string) error {
-	rule := o.Broken[0]
-	const alike = 3 // finds of one rule that are shrunk
+// shrinkAndSave shrinks a scenario that violated a rule, and saves it. Of each rule only the first
+// few violations are shrunk and saved, since later ones are likely to have the same cause.
+func (h *faultSearch) shrinkAndSave(ctx context.Context, scenario hunt.Day, outcome hunt.Outcome, messages []string) error {
+	rule := outcome.Broken[0]
+	const maxShrunkPerRule = 3
 	key := fmt.Sprint("rule-", rule)
-	if h.violationCounts[key]++; h.violationCounts[key] > alike {
+	if h.violationCounts[key]++; h.violationCounts[key] > maxShrunkPerRule {
 		return nil
 	}
-	s := hunt.NewShrinker(d, h.shrinkBudget)
+	shrinker := hunt.NewShrinker(scenario, h.shrinkBudget)
 	for {
-		c, ok := s.Next()
+		candidate, ok := shrinker.Next()
 		if !ok {
 			break
 		}
-		r, err := h.pool.Play(ctx, h.newJob(c))
+		result, err := h.pool.Play(ctx, h.newJob(candidate))
 		if err != nil {
 			return err
 		}
-		co, cw := evaluate(r)
-		broke := slices.Contains(co.Broken, rule)
-		if broke {
-			words = cw
+		candidateOutcome, candidateMessages := evaluate(result)
+		violates := slices.Contains(candidateOutcome.Broken, rule)
+		if violates {
+			messages = candidateMessages
 		}
-		s.Report(broke)
+		shrinker.Report(violates)
 	}
-	best := s.Best()
-	h.logf("  shrunk: %s\n  %s", best.Words(), strings.Join(words, "\n  "))
+	smallest := shrinker.Best()
+	h.logf("  shrunk: %s\n  %s", smallest.Words(), strings.Join(messages, "\n  "))
 	if h.outputDir == "" {
 		return nil
 	}
-	text := fmt.Sprintf("# Found by lab hunt --seed %d; play it with --seed %d", h.seed, best.Seed)
-	if best.NoStamps {
+	text := fmt.Sprintf("# Found by lab hunt --seed %d; play it with --seed %d", h.seed, smallest.Seed)
+	if smallest.NoStamps {
 		text += " --no-stamps"
 	}
-	for _, w := range words {
-		text += "\n# " + strings.ReplaceAll(w, "\n", "\n# ")
+	for _, message := range messages {
+		text += "\n# " + strings.ReplaceAll(message, "\n", "\n# ")
 	}
 	name := filepath.Join(h.outputDir, fmt.Sprintf("%s-%d-%d.hcl", key, h.seed, h.violationCounts[key]))
-	return os.WriteFile(name, append([]byte(text+"\n\n"), best.Script.Source()...), 0o644)
+	return os.WriteFile(name, append([]byte(text+"\n\n"), smallest.Script.Source()...), 0o644)
 }
 
-// searchRegret looks for days whose faults cost more together than one at a time.
+// searchRegret searches for scenarios whose faults together cost more served requests than each of
+// them alone in total.
 func (h *faultSearch) searchRegret(ctx context.Context) error {
 	h.limits.Faults = [2]int{2, 4}
-	hunter := hunt.New(h.base, h.limits, h.seed, false)
-	type found struct {
-		regret float64
-		words  string
+	generator := hunt.New(h.base, h.limits, h.seed, false)
+	type rankedScenario struct {
+		regret      float64
+		description string
 	}
-	var worst []found
-	for played := 0; played < h.budget; {
-		d := hunter.Next()
-		days := []hunt.Day{d, d.Only()}
-		for i := range d.Script.Faults {
-			days = append(days, d.Only(i))
+	var worst []rankedScenario
+	for runs := 0; runs < h.budget; {
+		scenario := generator.Next()
+		scenarios := []hunt.Day{scenario, scenario.Only()}
+		for i := range scenario.Script.Faults {
+			scenarios = append(scenarios, scenario.Only(i))
 		}
-		results, err := h.runScenarios(ctx, days)
+		results, err := h.runScenarios(ctx, scenarios)
 		if err != nil {
 			return err
 		}
-		played += len(days)
+		runs += len(scenarios)
 		var worth []float64
-		for _, r := range results {
-			o, words := evaluate(r)
-			if len(o.Broken) > 0 {
-				h.logf("%s\n  %s", d.Words(), strings.Join(words, "\n  "))
+		for _, result := range results {
+			outcome, messages := evaluate(result)
+			if len(outcome.Broken) > 0 {
+				h.logf("%s\n  %s", scenario.Words(), strings.Join(messages, "\n  "))
 			}
-			worth = append(worth, o.Worth)
+			worth = append(worth, outcome.Worth)
 		}
 		regret := hunt.Regret(worth[1], worth[2:], worth[0])
-		worst = append(worst, found{regret, fmt.Sprintf("%.0f of %.0f; alone %.0f; %s", worth[0], worth[1], worth[2:], d.Words())})
-		slices.SortFunc(worst, func(a, b found) int { return int(1e6 * (b.regret - a.regret)) })
+		worst = append(worst, rankedScenario{regret, fmt.Sprintf("%.0f of %.0f; alone %.0f; %s", worth[0], worth[1], worth[2:], scenario.Words())})
+		slices.SortFunc(worst, func(a, b rankedScenario) int { return int(1e6 * (b.regret - a.regret)) })
 		worst = worst[:min(10, len(worst))]
-		h.logf("%d of %d plays; the worst regret is %.3f", played, h.budget, worst[0].regret)
+		h.logf("%d of %d runs; the highest regret is %.3f", runs, h.budget, worst[0].regret)
 	}
-	for _, w := range worst {
-		fmt.Fprintf(h.cmd.OutOrStdout(), "%.3f  %s\n", w.regret, w.words)
+	for _, entry := range worst {
+		fmt.Fprintf(h.cmd.OutOrStdout(), "%.3f  %s\n", entry.regret, entry.description)
 	}
 	return nil
 }
--- a/cmd/yardcleat/lab.go
+++ b/cmd/yardcleat/lab.go
@@ -20,34 +20,34 @@
 	var nodes []int
 	var faults []string
 	var seed uint64
-	c := &cobra.Command{Use: "quota", Short: "Compare ways of keeping quotas under faults of the counter", Args: cobra.NoArgs,
-		Long: "Run fleets with one way of keeping quotas and one fault each, and print a table: units let pass beyond the\n" +
-			"hard ceiling and beyond the quota, as shares of what the ceiling lets pass from the fault on, by how\n" +
-			"much less passed than one counter without faults would let pass, and how far the counter is from the truth at the end. Simulated.",
+	c := &cobra.Command{Use: "quota", Short: "Compare methods of quota enforcement under faults of the shared counter", Args: cobra.NoArgs,
+		Long: "Simulate fleets, each with one method of quota enforcement and one fault, and print a table: units admitted\n" +
+			"beyond the hard ceiling and beyond the quota, as fractions of what the ceiling admits from the fault on; how much\n" +
+			"less was admitted than by a single counter without faults; and the error of the shared counter at the end.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, f := range faults {
-				if !slices.Contains(lab.Faults, lab.Fault(f)) {
-					return fmt.Errorf("fault %q is unknown; there are %q", f, lab.Faults)
+			for _, fault := range faults {
+				if !slices.Contains(lab.Faults, lab.Fault(fault)) {
+					return fmt.Errorf("unknown fault %q; the faults are %q", fault, lab.Faults)
 				}
 			}
-			var all []lab.Experiment
-			for _, n := range nodes {
-				for _, f := range lab.Faults {
-					for _, w := range lab.Ways {
-						if len(faults) == 0 || slices.Contains(faults, string(f)) {
-							all = append(all, lab.Experiment{Nodes: n, Fault: f, Way: w, Seed: seed})
+			var experiments []lab.Experiment
+			for _, count := range nodes {
+				for _, fault := range lab.Faults {
+					for _, method := range lab.Ways {
+						if len(faults) == 0 || slices.Contains(faults, string(fault)) {
+							experiments = append(experiments, lab.Experiment{Nodes: count, Fault: fault, Way: method, Seed: seed})
 						}
 					}
 				}
 			}
-			results, errs := make([]lab.Result, len(all)), make([]error, len(all))
+			results, errs := make([]lab.Result, len(experiments)), make([]error, len(experiments))
 			var wait sync.WaitGroup
 			slots := make(chan struct{}, 4)
-			for i, e := range all {
+			for i, experiment := range experiments {
 				wait.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					results[i], errs[i] = lab.Quota(e)
+					results[i], errs[i] = lab.Quota(experiment)
 				})
 			}
 			wait.Wait()
@@ -59,8 +59,8 @@
 			fmt.Fprint(cmd.OutOrStdout(), lab.Table(results))
 			return nil
 		}}
-	c.Flags().IntSliceVar(&nodes, "nodes", []int{3, 30, 200}, "sizes of fleets")
-	c.Flags().StringArrayVar(&faults, "fault", nil, "faults to play; all where none is given")
-	c.Flags().Uint64Var(&seed, "seed", 1, "seed of all chance")
+	c.Flags().IntSliceVar(&nodes, "nodes", []int{3, 30, 200}, "fleet sizes")
+	c.Flags().StringArrayVar(&faults, "fault", nil, "faults to simulate; all by default")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the random numbers")
 	return c
 }
--- a/cmd/yardcleat/main.go
+++ b/cmd/yardcleat/main.go
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good; node %d of %d, %d classes, %d plans, %d customers\n", path, cfg.Number,
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: valid; node %d of %d, %d classes, %d plans, %d customers\n", path, cfg.Number,
 				len(cfg.Peers.Addresses)+1, len(cfg.Classes), len(cfg.Plans), len(cfg.Customers))
 			return nil
 		}}
@@ -42,35 +42,35 @@
 }
 
 func addConfigFlag(c *cobra.Command, path *string) {
-	c.Flags().StringVarP(path, "config", "c", "", "the configuration, an HCL file")
+	c.Flags().StringVarP(path, "config", "c", "", "configuration file (HCL)")
 	c.MarkFlagRequired("config")
 }
 
-// loadConfig reads a configuration; mistakes in it are told one by one.
+// loadConfig reads a configuration. For an invalid one, the error describes each problem.
 func loadConfig(path string) (*config.Config, error) {
 	cfg, err := config.Load(path)
-	var m *config.ValidationError
-	if errors.As(err, &m) {
-		n := "a mistake"
-		if len(m.Diagnostics) != 1 {
-			n = fmt.Sprint(len(m.Diagnostics), " mistakes")
+	var invalid *config.ValidationError
+	if errors.As(err, &invalid) {
+		count := "1 error"
+		if len(invalid.Diagnostics) != 1 {
+			count = fmt.Sprint(len(invalid.Diagnostics), " errors")
 		}
-		return nil, fmt.Errorf("%s in %s\n\n%w", n, path, err)
+		return nil, fmt.Errorf("%s in %s\n\n%w", count, path, err)
 	}
 	return cfg, err
 }
 
 func edgeCommand() *cobra.Command {
-	return &cobra.Command{Use: "edge", Short: "Run a node as an edge node of the users' platform", Args: cobra.NoArgs,
-		Long: "Run a node by the platform's configuration, in the file that NODE_CONFIG names, until SIGTERM;\n" +
-			"SIGHUP has it read again. The command edge is this alone, for small machines.",
+	return &cobra.Command{Use: "edge", Short: "Run a node as an edge node of the platform", Args: cobra.NoArgs,
+		Long: "Run a node until SIGTERM, with the platform's configuration in the file that NODE_CONFIG names;\n" +
+			"SIGHUP reloads it. The separate program edge contains only this command, for small machines.",
 		RunE: func(cmd *cobra.Command, _ []string) error { return edgenode.Run(cmd.Context(), cmd.ErrOrStderr()) }}
 }
 
 func newLogger(w io.Writer, cfg *config.Config) *slog.Logger {
-	o := &slog.HandlerOptions{Level: cfg.LogLevel}
+	options := &slog.HandlerOptions{Level: cfg.LogLevel}
 	if cfg.LogJSON {
-		return slog.New(slog.NewJSONHandler(w, o))
+		return slog.New(slog.NewJSONHandler(w, options))
 	}
-	return slog.New(slog.NewTextHandler(w, o))
+	return slog.New(slog.NewTextHandler(w, options))
 }
--- a/cmd/yardcleat/roster.go
+++ b/cmd/yardcleat/roster.go
@@ -14,55 +14,57 @@
 )
 
 func rosterCommand() *cobra.Command {
-	c := &cobra.Command{Use: "roster", Short: "Make and check the roster of a fleet"}
+	c := &cobra.Command{Use: "roster", Short: "Create and check the roster of a fleet"}
 	var path string
 	var add, replace, remove, gone []string
-	next := &cobra.Command{Use: "next", Short: "Make the next epoch: nodes join, leave, or take over a number", Args: cobra.NoArgs,
-		Long: "Write the roster that follows the one in a file, which it replaces; the first where there is no file.\n" +
-			"Copy it to every node then: each takes it within a second, without a restart.\n" +
-			"--gone vouches that a node surely runs no more: only then is its number free, and it holds up no change.",
+	next := &cobra.Command{Use: "next", Short: "Create the next epoch: nodes join, leave, or take over a number", Args: cobra.NoArgs,
+		Long: "Replace the roster in a file by that of the next epoch, or create the first roster if there is no file.\n" +
+			"Then copy the file to every node: each reads it within a second, without a restart.\n" +
+			"--gone states that a node has stopped for good: only then is its number free, and no change waits for it.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := nextRoster(path, add, replace, remove, gone)
+			roster, err := nextRoster(path, add, replace, remove, gone)
 			if err != nil {
 				return err
 			}
-			tmp := path + ".new"
-			if err := os.WriteFile(tmp, config.FormatRoster(&r), 0o644); err != nil {
+			temporaryPath := path + ".new"
+			if err := os.WriteFile(temporaryPath, config.FormatRoster(&roster), 0o644); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: epoch %d, %d nodes, %d leaving\n", filepath.Base(path), r.Epoch, len(r.Nodes), len(r.Leaving))
-			return os.Rename(tmp, path)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: epoch %d, %d nodes, %d leaving\n", filepath.Base(path), roster.Epoch, len(roster.Nodes), len(roster.Leaving))
+			return os.Rename(temporaryPath, path)
 		}}
-	next.Flags().StringArrayVar(&add, "add", nil, "a node that joins, NAME=ADDRESS of its peers' port; may be given again")
-	next.Flags().StringArrayVar(&replace, "replace", nil, "a node that takes over the number of one that is gone, OLD=NAME=ADDRESS")
-	next.Flags().StringArrayVar(&remove, "remove", nil, "a node that leaves; those after it must leave, too, or one must take its number")
-	next.Flags().StringArrayVar(&gone, "gone", nil, "a node that surely runs no more")
+	next.Flags().StringArrayVar(&add, "add", nil, "a node that joins, as NAME=ADDRESS of its listener for peers; may be repeated")
+	next.Flags().StringArrayVar(&replace, "replace", nil, "a node that takes over the number of one that has stopped for good, as OLD=NAME=ADDRESS")
+	next.Flags().StringArrayVar(&remove, "remove", nil, "a node that leaves; those after it in the roster must leave too, or one of them must take its number")
+	next.Flags().StringArrayVar(&gone, "gone", nil, "a node that has stopped for good")
 	check := &cobra.Command{Use: "check", Short: "Check a roster", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := config.LoadRoster(path)
+			roster, err := config.LoadRoster(path)
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: good; epoch %d, %d nodes, %d leaving\n", path, r.Epoch, len(r.Nodes), len(r.Leaving))
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: valid; epoch %d, %d nodes, %d leaving\n", path, roster.Epoch, len(roster.Nodes), len(roster.Leaving))
 			}
 			return err
 		}}
-	for _, sub := range []*cobra.Command{next, check} {
-		sub.Flags().StringVarP(&path, "file", "f", "", "the roster, an HCL file")
-		sub.MarkFlagRequired("file")
-		c.AddCommand(sub)
+	for _, subcommand := range []*cobra.Command{next, check} {
+		subcommand.Flags().StringVarP(&path, "file", "f", "", "roster file (HCL)")
+		subcommand.MarkFlagRequired("file")
+		c.AddCommand(subcommand)
 	}
 	return c
 }
 
-func nextRoster(path string, add, replace, remove, gone []string) (r membership.Roster, err error) {
-	old := &membership.Roster{}
-	if _, serr := os.Stat(path); serr == nil {
-		if old, err = config.LoadRoster(path); err != nil {
-			return r, err
+// nextRoster returns the roster of the epoch after the one in the file at path, with the changes
+// that the flags of the same names describe.
+func nextRoster(path string, add, replace, remove, gone []string) (next membership.Roster, err error) {
+	current := &membership.Roster{}
+	if _, statErr := os.Stat(path); statErr == nil {
+		if current, err = config.LoadRoster(path); err != nil {
+			return next, err
 		}
 	}
-	list := slices.Clone(old.Nodes)
-	at := func(name string) (int, error) {
-		i := slices.IndexFunc(list, func(n membership.Node) bool { return n.Name == name })
+	nodes := slices.Clone(current.Nodes)
+	indexOf := func(name string) (int, error) {
+		i := slices.IndexFunc(nodes, func(n membership.Node) bool { return n.Name == name })
 		if i < 0 {
 			return 0, fmt.Errorf("there is no node %q in the roster", name)
 		}
@@ -71,28 +73,28 @@
 	for _, text := range replace {
 		parts := strings.SplitN(text, "=", 3)
 		if len(parts) != 3 {
-			return r, fmt.Errorf("--replace %q: OLD=NAME=ADDRESS is needed", text)
+			return next, fmt.Errorf("--replace %q: must be OLD=NAME=ADDRESS", text)
 		}
-		i, err := at(parts[0])
+		i, err := indexOf(parts[0])
 		if err != nil {
-			return r, err
+			return next, err
 		}
-		list[i] = membership.Node{Name: parts[1], Address: parts[2]}
+		nodes[i] = membership.Node{Name: parts[1], Address: parts[2]}
 		gone = append(gone, parts[0])
 	}
 	for _, name := range remove {
-		i, err := at(name)
+		i, err := indexOf(name)
 		if err != nil {
-			return r, err
+			return next, err
 		}
-		list = slices.Delete(list, i, i+1)
+		nodes = slices.Delete(nodes, i, i+1)
 	}
 	for _, text := range add {
 		name, address, ok := strings.Cut(text, "=")
 		if !ok {
-			return r, fmt.Errorf("--add %q: NAME=ADDRESS is needed", text)
+			return next, fmt.Errorf("--add %q: must be NAME=ADDRESS", text)
 		}
-		list = append(list, membership.Node{Name: name, Address: address})
+		nodes = append(nodes, membership.Node{Name: name, Address: address})
 	}
-	return old.Next(list, gone)
+	return current.Next(nodes, gone)
 }
--- a/cmd/yardcleat/serve.go
+++ b/cmd/yardcleat/serve.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// defaultDrainTimeout is how long requests in flight may take to end.
+	// defaultDrainTimeout is how long requests in flight may take to complete.
 	defaultDrainTimeout = 30 * time.Second
 
-	// maxPendingSignals is how many signals wait while one is handled; more are dropped.
+	// maxPendingSignals is the number of signals queued while one is handled; further ones are dropped.
 	maxPendingSignals = 8
 )
 
@@ -27,8 +27,8 @@
 	var path string
 	var drain time.Duration
 	c := &cobra.Command{Use: "serve", Short: "Run a node", Args: cobra.NoArgs,
-		Long: "Run a node until SIGTERM or SIGINT: it then takes no new connections, ends what it holds and exits.\n" +
-			"Further SIGTERMs change nothing; a second SIGINT ends it at once. SIGHUP changes nothing.",
+		Long: "Run a node until SIGTERM or SIGINT: it then accepts no new connections, finishes the requests that it\n" +
+			"holds and exits. Further SIGTERMs are ignored; a second SIGINT ends it at once. SIGHUP is ignored.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := loadConfig(path)
 			if err != nil {
@@ -37,7 +37,7 @@
 			return serve(cmd.Context(), cfg, drain)
 		}}
 	addConfigFlag(c, &path)
-	c.Flags().DurationVar(&drain, "drain", defaultDrainTimeout, "most time for what is held to end")
+	c.Flags().DurationVar(&drain, "drain", defaultDrainTimeout, "maximum time to finish requests before the node exits")
 	return c
 }
 
@@ -69,9 +69,9 @@
 	gateway      *gateway.Gateway
 	log          *slog.Logger
 	drainTimeout time.Duration
-	interrupted  bool               // a SIGINT has come
-	endDrain     context.CancelFunc // nil until the drain begins
-	drained      chan error         // nil until the drain begins; then gets its result
+	interrupted  bool               // a SIGINT was received
+	endDrain     context.CancelFunc // ends the drain early; nil until it begins
+	drained      chan error         // nil until the drain begins; then receives its result
 }
 
 // handleSignals returns when the drain is complete, with its result.
--- a/cmd/yardcleat/stalls.go
+++ b/cmd/yardcleat/stalls.go
@@ -13,14 +13,15 @@
 	"yardcleat.example/yardcleat/day/virtual"
 )
 
-// stallsCommand compares ways of living through stalls.
+// stallsCommand compares ways of handling a pause of a node.
 func stallsCommand() *cobra.Command {
 	var seeds int
 	var lengths []time.Duration
-	c := &cobra.Command{Use: "stalls", Short: "Compare ways of living through stops of a node", Args: cobra.NoArgs,
-		Long: "Play days with one stop, by each front alone, with each way of telling how old is what was read after it.\n" +
-			"Late are attempts sent after their clients had left; needless are tries refused for want of time that had\n" +
-			"200 ms and more left, of those that the stop met or that came within 5 s after it. Simulated.",
+	c := &cobra.Command{Use: "stalls", Short: "Compare ways of handling a pause of a node", Args: cobra.NoArgs,
+		Long: "Run scenarios with one pause (stop) in virtual time, for each listener protocol (front) alone and each way of\n" +
+			"reading and dating the requests that arrived during the pause. The table counts the requests (tries) in progress\n" +
+			"during the pause or sent within 5 s after it: late are attempts sent after their client had disconnected;\n" +
+			"needless are requests rejected or failed for lack of time although more than 200 ms were left.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			pool, err := newWorkerPool()
 			if err != nil {
@@ -31,11 +32,11 @@
 				name           string
 				proxied, http2 float64
 			}{{"HTTP/1.1", 0, 0}, {"HTTP/2", 0, 1}, {"ext_authz", 1, 0}}
-			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 1, ' ', 0)
-			fmt.Fprintln(t, "| stop\t| front\t| way\t| tries\t| late\t| needless\t| served\t|")
-			fmt.Fprintln(t, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 1, ' ', 0)
+			fmt.Fprintln(table, "| stop\t| front\t| way\t| tries\t| late\t| needless\t| served\t|")
+			fmt.Fprintln(table, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 			for _, length := range lengths {
-				for _, f := range fronts {
+				for _, front := range fronts {
 					sums := make([]day.Stops, len(virtual.Ways))
 					var mu sync.Mutex
 					var wait sync.WaitGroup
@@ -45,24 +46,24 @@
 							wait.Go(func() {
 								s, err := day.Load("base")
 								if err != nil {
-									panic(err) // it comes with the program
+									panic(err) // base is a built-in script
 								}
 								s.Nodes, s.Length, s.Seed = 2, (length + 12*time.Second).String(), seed+1
-								s.Clients.Proxied, s.Clients.HTTP2, s.Clients.Retries = f.proxied, f.http2, 0
+								s.Clients.Proxied, s.Clients.HTTP2, s.Clients.Retries = front.proxied, front.http2, 0
 								s.Faults = []day.Fault{{Kind: "node-stop", At: "4s", For: length.String()}}
-								r, err := pool.Play(cmd.Context(), virtual.Job{Source: s.Source(), Seed: uint64(seed + 1), Way: way})
+								result, err := pool.Play(cmd.Context(), virtual.Job{Source: s.Source(), Seed: uint64(seed + 1), Way: way})
 								mu.Lock()
 								defer mu.Unlock()
-								if err == nil && r.Error != "" {
-									err = fmt.Errorf("%s, %v, %s: %s", f.name, length, way, r.Error)
+								if err == nil && result.Error != "" {
+									err = fmt.Errorf("%s, %v, %s: %s", front.name, length, way, result.Error)
 								}
 								if err != nil {
 									failed = err
 									return
 								}
-								if st := r.Report.Stops; st != nil {
-									sums[i].Tries, sums[i].Late = sums[i].Tries+st.Tries, sums[i].Late+st.Late
-									sums[i].Needless, sums[i].Served = sums[i].Needless+st.Needless, sums[i].Served+st.Served
+								if stops := result.Report.Stops; stops != nil {
+									sums[i].Tries, sums[i].Late = sums[i].Tries+stops.Tries, sums[i].Late+stops.Late
+									sums[i].Needless, sums[i].Served = sums[i].Needless+stops.Needless, sums[i].Served+stops.Served
 								}
 							})
 						}
@@ -73,15 +74,15 @@
 					}
 					for i, way := range virtual.Ways {
 						s := sums[i]
-						fmt.Fprintf(t, "| %v\t| %s\t| %s\t| %d\t| %d\t| %d (%s%%)\t| %d\t|\n", length, f.name, way, s.Tries, s.Late, s.Needless,
+						fmt.Fprintf(table, "| %v\t| %s\t| %s\t| %d\t| %d\t| %d (%s%%)\t| %d\t|\n", length, front.name, way, s.Tries, s.Late, s.Needless,
 							strconv.FormatFloat(100*float64(s.Needless)/float64(max(1, s.Tries)), 'f', 1, 64), s.Served)
 					}
 				}
 			}
-			return t.Flush()
+			return table.Flush()
 		}}
-	c.Flags().IntVar(&seeds, "seeds", 2, "days for each line")
+	c.Flags().IntVar(&seeds, "seeds", 2, "scenarios for each line of the table")
 	c.Flags().DurationSliceVar(&lengths, "stop", []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 8 * time.Second},
-		"lengths of the stop")
+		"lengths of the pause")
 	return c
 }
