--- a/cmd/yardcleat/process_testbed_test.go
+++ b/cmd/yardcleat/process_testbed_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// childVariable marks a process that is to be the program itself.
+// childVariable is the environment variable that makes the test binary run as the program itself.
 const childVariable = "YARDCLEAT_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -29,28 +29,28 @@
 	os.Exit(m.Run())
 }
 
-// longestDeadline is that of the classes in the configurations below.
+// longestDeadline is the deadline of all classes in the configurations below.
 const longestDeadline = 3 * time.Second
 
-// The idempotency of the classes, as the requests of this test name them.
+// Names of the classes, by their idempotency.
 const (
 	classIdempotent        = "lookup"
 	classIdempotentWithKey = "loan-change"
 	classNonIdempotent     = "order"
 )
 
-// nodeProcess is a node in a process of its own.
+// nodeProcess is a node that runs in a process of its own.
 type nodeProcess struct {
 	t       *testing.T
-	edge    bool // yardcleat edge; else yardcleat serve
+	edge    bool // runs yardcleat edge, else yardcleat serve
 	address string
 	cmd     *exec.Cmd
-	log     bytes.Buffer // read it only once exited is closed
-	err     error        // of the exit; the same
+	log     bytes.Buffer // may be read only after exited is closed
+	err     error        // of the process; may be read only after exited is closed
 	exited  chan struct{}
 }
 
-// startNode starts a node and waits until it answers.
+// startNode starts a node and waits until it is ready.
 func startNode(t *testing.T, edge bool, servers *serverGroup, discovery string) *nodeProcess {
 	t.Helper()
 	p := &nodeProcess{t: t, edge: edge, address: freeAddress(t), exited: make(chan struct{})}
@@ -73,14 +73,14 @@
 		close(p.exited)
 	}()
 	t.Cleanup(func() {
-		_ = p.cmd.Process.Kill() // fails where the process has exited, as it should
+		_ = p.cmd.Process.Kill() // fails if the process has exited, as it should have
 		<-p.exited
 	})
 	p.waitUntilReady()
 	return p
 }
 
-// waitUntilReady waits for an answer of status 200.
+// waitUntilReady waits until the node responds with status 200.
 func (p *nodeProcess) waitUntilReady() {
 	p.t.Helper()
 	probe := "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -88,28 +88,28 @@
 		probe = requestText(false, classIdempotent, "ready", longestDeadline)
 	}
 	for range 500 {
-		if nc, err := net.Dial("tcp", p.address); err == nil {
-			c := newClientConn(nc)
-			_, err := io.WriteString(nc, probe)
-			answer, readErr := c.read(time.Now().Add(time.Second))
-			_ = nc.Close()
-			if err == nil && readErr == nil && answer.status == http.StatusOK {
+		if conn, err := net.Dial("tcp", p.address); err == nil {
+			client := newClientConn(conn)
+			_, err := io.WriteString(conn, probe)
+			response, readErr := client.read(time.Now().Add(time.Second))
+			_ = conn.Close()
+			if err == nil && readErr == nil && response.status == http.StatusOK {
 				return
 			}
 		}
 		select {
 		case <-p.exited:
-			p.t.Fatalf("the node ended with %v: %s", p.err, &p.log)
+			p.t.Fatalf("the node exited before it was ready: %v: %s", p.err, &p.log)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 	p.t.Fatal("the node did not become ready")
 }
 
-// signal sends a signal, which fails once the process has exited.
+// signal sends a signal. It has no effect after the process has exited.
 func (p *nodeProcess) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// hasExited reports whether the process has ended.
+// hasExited reports whether the process has exited.
 func (p *nodeProcess) hasExited() bool {
 	select {
 	case <-p.exited:
@@ -186,7 +186,7 @@
 		address, discovery, class(classIdempotent, "repeatable"), class(classIdempotentWithKey, "by_key"), class(classNonIdempotent, "once"))
 }
 
-// requestText is a request as bytes, for either program.
+// requestText returns an HTTP/1.1 request in the form that yardcleat edge or serve expects.
 func requestText(edge bool, class, id string, timeout time.Duration) string {
 	method, target, body, fields := "GET", "/records/", "", ""
 	if class != classIdempotent {
@@ -207,29 +207,30 @@
 	return method + " " + target + id + " HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n" + body
 }
 
-// receivedRequest is a request that a server has receivedRequest.
+// receivedRequest is a request that servers have received.
 type receivedRequest struct {
 	class      string
-	receivedAt []time.Time // of each receipt
+	receivedAt []time.Time // once per attempt
 }
 
-// serverGroup is the servers behind the node, and what they have received.
+// serverGroup is the servers behind a node and the requests that they have received. It also serves
+// their endpoint list as discovery does.
 type serverGroup struct {
 	servers   []*fakeServer
-	listIndex atomic.Int64 // of the endpoint list
+	listIndex atomic.Int64 // number of changes of the endpoint list
 
 	mu       sync.Mutex
 	requests map[string]*receivedRequest // by id
 }
 
-// fakeServer is one of them.
+// fakeServer is one server of a group.
 type fakeServer struct {
 	group        *serverGroup
 	address      string
 	latency      time.Duration
-	paddingBytes int         // bytes by which its answers are longer
-	hangs        atomic.Bool // it answers nothing any more
-	isDraining   atomic.Bool // its endpoint drains
+	paddingBytes int         // additional length of response bodies
+	hangs        atomic.Bool // sends no more responses
+	isDraining   atomic.Bool // discovery lists its endpoint as draining
 }
 
 func newServerGroup(t *testing.T, count int) *serverGroup {
@@ -254,13 +255,13 @@
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(l) }()
 	t.Cleanup(func() {
-		_ = server.Close() // connections of a killed node may be broken
+		_ = server.Close() // connections of a killed node may be broken, so errors are expected
 		<-served
 	})
 	return l.Addr().String()
 }
 
-// ServeHTTP records a request and answers it.
+// ServeHTTP records a request and responds to it.
 func (s *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Correlation-Id") + r.Header.Get("X-Request-Id")
 	s.group.record(id, r)
@@ -269,7 +270,7 @@
 		return
 	}
 	time.Sleep(s.latency)
-	_, _ = io.WriteString(w, "for "+id+strings.Repeat(".", s.paddingBytes)) // the node may have gone
+	_, _ = io.WriteString(w, "for "+id+strings.Repeat(".", s.paddingBytes)) // the node may have closed the connection
 }
 
 func (f *serverGroup) record(id string, r *http.Request) {
@@ -280,16 +281,16 @@
 	case r.Method == "POST":
 		class = classNonIdempotent
 	}
-	at := time.Now()
+	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.requests[id] == nil {
 		f.requests[id] = &receivedRequest{class: class}
 	}
-	f.requests[id].receivedAt = append(f.requests[id].receivedAt, at)
+	f.requests[id].receivedAt = append(f.requests[id].receivedAt, now)
 }
 
-// endpointList is what discovery tells now.
+// endpointList returns the current endpoint list as JSON.
 func (f *serverGroup) endpointList() string {
 	type endpoint struct {
 		Name    string `json:"name"`
@@ -314,29 +315,29 @@
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // the types above can be marshalled
+		panic(err) // not reached: the types above can be marshalled
 	}
 	return string(text)
 }
 
-// drain has discovery tell that a server drains.
+// drain marks a server as draining in the endpoint list.
 func (f *serverGroup) drain(s *fakeServer) {
 	s.isDraining.Store(true)
 	f.listIndex.Add(1)
 }
 
-// longPollTime is how long discovery holds a call that waits for changes.
+// longPollTime is how long discovery holds a request that waits for changes.
 const longPollTime = 200 * time.Millisecond
 
-// ServeHTTP answers as discovery does.
+// ServeHTTP serves the endpoint list; a request for later changes is held for longPollTime.
 func (f *serverGroup) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.Contains(r.RequestURI, "after=") {
 		time.Sleep(longPollTime)
 	}
-	_, _ = io.WriteString(w, f.endpointList()) // the node may have gone
+	_, _ = io.WriteString(w, f.endpointList()) // the node may have closed the connection
 }
 
-// freeAddress is an address on loopback at which nothing listens.
+// freeAddress returns an address on loopback that has no listener.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/yardcleat/serve_test.go
+++ b/cmd/yardcleat/serve_test.go
@@ -11,26 +11,27 @@
 	"time"
 )
 
-// startRequest sends a request on a connection of its own, and returns a channel for its status; 0: no answer.
+// startRequest sends a request on a connection of its own, and returns a channel that receives the status of the
+// response, or 0 if there is none.
 func startRequest(t *testing.T, node *nodeProcess, class, id string) <-chan int {
 	t.Helper()
-	nc, err := net.Dial("tcp", node.address)
+	conn, err := net.Dial("tcp", node.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = nc.Close() }) // the node closes it, too
-	if _, err := io.WriteString(nc, requestText(node.edge, class, id, longestDeadline)); err != nil {
+	t.Cleanup(func() { _ = conn.Close() }) // the node may have closed it
+	if _, err := io.WriteString(conn, requestText(node.edge, class, id, longestDeadline)); err != nil {
 		t.Fatal(err)
 	}
 	status := make(chan int, 1)
 	go func() {
-		answer, _ := newClientConn(nc).read(time.Now().Add(longestDeadline + time.Second)) // 0 where it fails
-		status <- answer.status
+		response, _ := newClientConn(conn).read(time.Now().Add(longestDeadline + time.Second)) // the status is 0 on an error
+		status <- response.status
 	}()
 	return status
 }
 
-// waitUntilReceived waits until servers have received so many requests.
+// waitUntilReceived waits until the servers have received count requests.
 func waitUntilReceived(t *testing.T, servers *serverGroup, count int) {
 	t.Helper()
 	for range 500 {
@@ -45,7 +46,8 @@
 	t.Fatalf("the servers did not receive %d requests", count)
 }
 
-// Supervisors repeat SIGTERM: further ones, and SIGHUP, cut off no request that is in progress.
+// A SIGTERM or SIGHUP that is received during the shutdown must not cut off requests in progress. Supervisors repeat
+// SIGTERM; a node that treated the second one as a demand to end at once would lose the requests that it holds.
 func TestFurtherSignalsCutOffNoRequest(t *testing.T) {
 	t.Parallel()
 	const inProgress = 4
@@ -58,7 +60,7 @@
 	for i := range 24 {
 		open = append(open, startRequest(t, node, classNonIdempotent, string(rune('a'+i))))
 	}
-	waitUntilReceived(t, servers, 1+inProgress) // one made it ready; the rest is queued
+	waitUntilReceived(t, servers, 1+inProgress) // one is that of startNode; the others are queued
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT, syscall.SIGTERM} {
 		node.signal(s)
 		time.Sleep(50 * time.Millisecond)
@@ -67,22 +69,22 @@
 	for i, status := range open {
 		got := <-status
 		if got == 0 {
-			t.Errorf("request %d: no answer", i)
+			t.Errorf("request %d: no response", i)
 		}
 		if got == http.StatusOK {
 			served++
 		}
 	}
 	if served < inProgress {
-		t.Errorf("%d served, %d were in progress", served, inProgress)
+		t.Errorf("%d requests served, want at least the %d that were in progress", served, inProgress)
 	}
 	<-node.exited
 	if node.err != nil {
-		t.Errorf("ended with %v: %s", node.err, &node.log)
+		t.Errorf("exited with %v: %s", node.err, &node.log)
 	}
 }
 
-// A second interrupt, from a terminal, ends a node at once.
+// A second SIGINT, which a person at a terminal sends, must end a node at once, even if a request is still in progress.
 func TestSecondInterruptEndsAtOnce(t *testing.T) {
 	t.Parallel()
 	servers := newServerGroup(t, 1)
@@ -90,7 +92,7 @@
 	servers.servers[0].hangs.Store(true)
 	startRequest(t, node, classNonIdempotent, "hangs")
 	waitUntilReceived(t, servers, 2)
-	begun := time.Now()
+	start := time.Now()
 	node.signal(syscall.SIGINT)
 	time.Sleep(100 * time.Millisecond)
 	if node.hasExited() {
@@ -98,11 +100,11 @@
 	}
 	node.signal(syscall.SIGINT)
 	<-node.exited
-	if took := time.Since(begun); took > longestDeadline-time.Second {
-		t.Errorf("it took %v", took)
+	if elapsed := time.Since(start); elapsed > longestDeadline-time.Second {
+		t.Errorf("the node exited %v after the first interrupt", elapsed)
 	}
 	var exit *exec.ExitError
 	if !errors.As(node.err, &exit) {
-		t.Errorf("ended with %v where a request was cut off", node.err)
+		t.Errorf("exited with %v, want an exit error because a request was cut off", node.err)
 	}
 }
--- a/cmd/yardcleat/soak_clients_test.go
+++ b/cmd/yardcleat/soak_clients_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// clientConn is a client's connection.
+// clientConn is a connection of a client.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -20,49 +20,49 @@
 
 func newClientConn(nc net.Conn) *clientConn { return &clientConn{nc, bufio.NewReader(nc)} }
 
-// clientResponse is one answer.
+// clientResponse is a response that a client has received.
 type clientResponse struct {
 	status           int
 	body             string
-	closesConnection bool // the connection is not to be used again
+	closesConnection bool // the connection must not be used again
 }
 
-// read reads one answer, whole.
-func (c *clientConn) read(deadline time.Time) (answer clientResponse, err error) {
+// read reads one complete response.
+func (c *clientConn) read(deadline time.Time) (received clientResponse, err error) {
 	if err := c.SetReadDeadline(deadline); err != nil {
-		return answer, err
+		return received, err
 	}
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return answer, err
+		return received, err
 	}
 	body, err := io.ReadAll(response.Body)
 	return clientResponse{response.StatusCode, string(body), response.Close}, err
 }
 
-// sentRequest is a request as its client saw it.
+// sentRequest is a request and its outcome, as its client observed them.
 type sentRequest struct {
 	class          string
 	sentAt         time.Time
-	disconnectedAt time.Time // zero: the client has not closed its connection before the answer
-	respondedAt    time.Time // zero: there was no answer
-	err            error     // that ended the wait for it
-	isMismatched   bool      // the answer was for another request
+	disconnectedAt time.Time // zero: the client did not close its connection before the response
+	respondedAt    time.Time // zero: there was no response
+	err            error     // that ended the wait for the response
+	isMismatched   bool      // the response was for another request
 }
 
-// clientTimeout is how long clients wait, and what they tell the node.
+// clientTimeout is how long clients wait for a response. Their requests carry it.
 const clientTimeout = 3 * time.Second
 
-// lateResponseGrace is how long clients read on after their time, to tell a late answer from none.
+// lateResponseGrace is how long clients continue to read after their timeout, to distinguish a late response from none.
 const lateResponseGrace = time.Second
 
-// clientPopulation is the clients of a node.
+// clientPopulation is all clients of a node.
 type clientPopulation struct {
 	node            *nodeProcess
 	seed            uint64
 	stopped         chan struct{}
 	clients         sync.WaitGroup
-	idleConnections sync.WaitGroup // of clients that only hold a connection
+	idleConnections sync.WaitGroup // of openIdleConnections
 	mu              sync.Mutex
 	lastID          int
 	requests        map[string]*sentRequest // by id
@@ -72,7 +72,7 @@
 	return &clientPopulation{node: node, seed: seed, stopped: make(chan struct{}), requests: map[string]*sentRequest{}}
 }
 
-// stop ends all clients; those that wait for an answer read on until the node's end.
+// stop ends all clients, after each has received its current response or its connection has ended.
 func (p *clientPopulation) stop() {
 	close(p.stopped)
 	p.clients.Wait()
@@ -88,17 +88,17 @@
 	}
 }
 
-// client is one that sends a request after the other.
+// client sends one request after another.
 type client struct {
 	*clientPopulation
 	random                 *rand.Rand
 	conn                   *clientConn
-	disconnectsEarly       bool          // it closes its connection before some answers
-	pieceDelay             time.Duration // it writes in pieces, so far apart; 0: at once
-	ignoresConnectionClose bool          // it uses a connection on until that is closed
+	disconnectsEarly       bool          // closes its connection before some responses
+	pieceDelay             time.Duration // time between the pieces in which it writes; 0: writes at once
+	ignoresConnectionClose bool          // reuses a connection until the node closes it
 }
 
-// start starts a client.
+// start starts a client, after behave has set its behaviour.
 func (p *clientPopulation) start(number int, behave func(*client)) {
 	c := &client{clientPopulation: p, random: rand.New(rand.NewPCG(p.seed, uint64(number)))}
 	c.ignoresConnectionClose = c.random.IntN(2) == 0
@@ -122,11 +122,11 @@
 }
 
 func (c *client) dial() bool {
-	nc, err := net.DialTimeout("tcp", c.node.address, clientTimeout)
+	conn, err := net.DialTimeout("tcp", c.node.address, clientTimeout)
 	if err != nil {
 		return false
 	}
-	c.conn = newClientConn(nc)
+	c.conn = newClientConn(conn)
 	return true
 }
 
@@ -137,12 +137,12 @@
 	}
 }
 
-// exchange sends a request and reads its answer, or leaves before that.
+// exchange sends a request and reads the response, or closes the connection before that.
 func (c *client) exchange() {
 	class := []string{classIdempotent, classIdempotentWithKey, classNonIdempotent}[c.random.IntN(3)]
-	r, id := c.newRequest(class)
+	request, id := c.newRequest(class)
 	if err := c.write(requestText(c.node.edge, class, id, clientTimeout)); err != nil {
-		c.finish(r, clientResponse{}, err, id)
+		c.finish(request, clientResponse{}, err, id)
 		c.closeConnection()
 		return
 	}
@@ -150,40 +150,40 @@
 		time.Sleep(time.Duration(c.random.IntN(80)) * time.Millisecond)
 		c.closeConnection()
 		c.mu.Lock()
-		r.disconnectedAt = time.Now()
+		request.disconnectedAt = time.Now()
 		c.mu.Unlock()
 		return
 	}
-	answer, err := c.conn.read(time.Now().Add(clientTimeout + lateResponseGrace))
-	c.finish(r, answer, err, id)
-	if err != nil || answer.closesConnection && !c.ignoresConnectionClose {
+	response, err := c.conn.read(time.Now().Add(clientTimeout + lateResponseGrace))
+	c.finish(request, response, err, id)
+	if err != nil || response.closesConnection && !c.ignoresConnectionClose {
 		c.closeConnection()
 	}
 }
 
-func (p *clientPopulation) newRequest(class string) (r *sentRequest, id string) {
+func (p *clientPopulation) newRequest(class string) (request *sentRequest, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastID++
 	id = fmt.Sprintf("%016x", p.lastID)
-	r = &sentRequest{class: class, sentAt: time.Now()}
-	p.requests[id] = r
-	return r, id
+	request = &sentRequest{class: class, sentAt: time.Now()}
+	p.requests[id] = request
+	return request, id
 }
 
-// finish records what came of a request.
-func (p *clientPopulation) finish(r *sentRequest, answer clientResponse, err error, id string) {
+// finish records the outcome of a request.
+func (p *clientPopulation) finish(request *sentRequest, response clientResponse, err error, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		r.err = err
+		request.err = err
 		return
 	}
-	r.respondedAt = time.Now()
-	r.isMismatched = answer.status == http.StatusOK && !strings.HasPrefix(answer.body, "for "+id)
+	request.respondedAt = time.Now()
+	request.isMismatched = response.status == http.StatusOK && !strings.HasPrefix(response.body, "for "+id)
 }
 
-// write writes a request, in pieces where the client is slow.
+// write writes a request, in pieces if pieceDelay is set.
 func (c *client) write(text string) error {
 	if c.pieceDelay == 0 {
 		_, err := io.WriteString(c.conn, text)
@@ -204,12 +204,12 @@
 func (p *clientPopulation) openIdleConnections(count int) {
 	for range count {
 		p.idleConnections.Go(func() {
-			nc, err := net.DialTimeout("tcp", p.node.address, clientTimeout)
+			conn, err := net.DialTimeout("tcp", p.node.address, clientTimeout)
 			if err != nil {
 				return
 			}
 			<-p.stopped
-			_ = nc.Close() // the node may have closed it
+			_ = conn.Close() // the node may have closed it
 		})
 	}
 }
--- a/cmd/yardcleat/soak_test.go
+++ b/cmd/yardcleat/soak_test.go
@@ -11,41 +11,41 @@
 )
 
 var (
-	soakSeeds = flag.Int("soak-seeds", 15, "number of shutdowns of each program")
+	soakSeeds = flag.Int("soak-seeds", 15, "number of shutdowns per program")
 	soakFirst = flag.Uint64("soak-first", 1, "seed of the first shutdown")
-	soakSlots = flag.Int("soak-parallel", 3, "shutdowns at a time")
+	soakSlots = flag.Int("soak-parallel", 3, "number of shutdowns that run at a time")
 )
 
 const (
-	// killGrace is how long after the longest deadline SIGKILL comes at the earliest.
+	// killGrace is the time between the end of the longest deadline and SIGKILL.
 	killGrace = 700 * time.Millisecond
 
-	// guaranteedTime is how long after SIGTERM a request may be received that the kill must not meet.
+	// guaranteedTime is the time after SIGTERM within which each received request must get a response before SIGKILL.
 	guaranteedTime = 700 * time.Millisecond
 
-	// responseSlack is how late an answer may be.
+	// responseSlack is how long after the client timeout a response may be received.
 	responseSlack = 500 * time.Millisecond
 
-	// disconnectSlack is how long after its client has left an attempt may begin.
+	// disconnectSlack is how long after its client has disconnected an attempt may begin.
 	disconnectSlack = 100 * time.Millisecond
 )
 
-// shutdown is a drawn shutdown.
+// shutdown is a randomly generated shutdown, with the clients and faults around it.
 type shutdown struct {
 	edge             bool
 	seed             uint64
 	clients          int
 	earlyDisconnects int
 	slowWriters      int
-	idleConnections  int // connections that send nothing
-	burst            int // clients that come just before SIGTERM
-	hanging          int // servers that hang, from just before SIGTERM on
-	draining         int // servers that begin to drain then; edge nodes only
+	idleConnections  int // connections on which no request is sent
+	burst            int // clients that start just before SIGTERM
+	hanging          int // servers that hang from just before SIGTERM
+	draining         int // servers that start to drain just before SIGTERM; edge nodes only
 	longResponses    bool
 	signals          []timedSignal
 }
 
-// timedSignal is a signal at a time after the first SIGTERM.
+// timedSignal is a signal that is sent at a time after the first SIGTERM.
 type timedSignal struct {
 	after  time.Duration
 	signal syscall.Signal
@@ -54,8 +54,8 @@
 // serverCount is the number of servers behind a node.
 const serverCount = 4
 
-// drawShutdown draws the shutdown of a seed: every other one has a crowd, and hanging or draining servers come
-// with two of three.
+// drawShutdown generates the shutdown of a seed. Even seeds add early disconnects, slow writers, idle connections
+// and a burst. One third of the shutdowns has hanging servers; of edge nodes, another third has draining ones.
 func drawShutdown(edge bool, seed uint64) shutdown {
 	random := rand.New(rand.NewPCG(seed, 7))
 	s := shutdown{edge: edge, seed: seed, clients: 24 + random.IntN(73), longResponses: random.IntN(3) == 0}
@@ -83,8 +83,9 @@
 	return s
 }
 
-// Nodes that are shut down while clients keep using them answer every request that a server has received, once and
-// in time, until the earliest SIGKILL; whatever signals come in series, servers hang or drain, and crowds come.
+// A node that is shut down while clients keep using it must respond to every request that a server has received, once
+// and in time, until the earliest SIGKILL. Requests could be lost if a repeated signal, a hanging or draining server,
+// or a burst of clients crosses the shutdown.
 func TestShutdownsLoseNoRequest(t *testing.T) {
 	slots := make(chan struct{}, *soakSlots)
 	for _, edge := range []bool{false, true} {
@@ -107,7 +108,7 @@
 	return "serve"
 }
 
-// run plays the shutdown and checks what servers received and clients got.
+// run performs the shutdown and checks that servers and clients received what they should.
 func (s shutdown) run(t *testing.T) {
 	random := rand.New(rand.NewPCG(s.seed, 8))
 	servers := newServerGroup(t, serverCount)
@@ -126,14 +127,14 @@
 	terminatedAt := s.sendSignals(node)
 	killed := killAt(node, terminatedAt.Add(longestDeadline+killGrace))
 	clients.stop()
-	v := shutdownReport{shutdown: s, terminatedAt: terminatedAt, killed: killed, lag: lag.stop()}
-	v.check(servers, clients)
-	t.Log(v.summary())
-	for _, violation := range v.violations {
+	report := shutdownReport{shutdown: s, terminatedAt: terminatedAt, killed: killed, lag: lag.stop()}
+	report.check(servers, clients)
+	t.Log(report.summary())
+	for _, violation := range report.violations {
 		t.Error(violation)
 	}
-	if !killed && node.err != nil && len(v.violations) > 0 {
-		t.Errorf("the node ended with %v: %s", node.err, &node.log)
+	if !killed && node.err != nil && len(report.violations) > 0 {
+		t.Errorf("the node exited with %v: %s", node.err, &node.log)
 	}
 }
 
@@ -149,7 +150,7 @@
 	clients.openIdleConnections(s.idleConnections)
 }
 
-// injectFaults brings what crosses the shutdown.
+// injectFaults makes servers hang or drain, and starts the burst of clients.
 func (s shutdown) injectFaults(servers *serverGroup, clients *clientPopulation) {
 	for _, server := range servers.servers[:s.hanging] {
 		server.hangs.Store(true)
@@ -164,15 +165,15 @@
 
 // sendSignals sends the signals and returns the time of the first.
 func (s shutdown) sendSignals(node *nodeProcess) time.Time {
-	begun := time.Now()
+	start := time.Now()
 	for _, next := range s.signals {
-		time.Sleep(time.Until(begun.Add(next.after)))
+		time.Sleep(time.Until(start.Add(next.after)))
 		node.signal(next.signal)
 	}
-	return begun
+	return start
 }
 
-// killAt waits for the end of the process until a time and kills it then.
+// killAt kills the process at a time, unless it has exited by then.
 func killAt(node *nodeProcess, at time.Time) (killed bool) {
 	select {
 	case <-node.exited:
@@ -184,13 +185,14 @@
 	return true
 }
 
-// lagMeter measures for how long this process did not run: what it saw late by that was not late.
+// lagMeter measures the longest time for which this process did not run. Its observations may be late
+// by that.
 type lagMeter struct {
 	done  chan struct{}
 	worst chan time.Duration
 }
 
-// lagInterval is the time between two looks at the clock.
+// lagInterval is the time between two readings of the clock.
 const lagInterval = 5 * time.Millisecond
 
 func startLagMeter() *lagMeter {
@@ -217,68 +219,69 @@
 	return <-m.worst
 }
 
-// shutdownReport is what came of a shutdown.
+// shutdownReport is the outcome of a shutdown.
 type shutdownReport struct {
 	shutdown
 	terminatedAt      time.Time
 	killed            bool
 	lag               time.Duration
-	received          int // requests that servers have received
-	late              int // of them after mustAnswerTime
-	interruptedByKill int // of them, met by the kill
+	received          int // requests that servers received
+	late              int // received requests, later than guaranteedTime after SIGTERM
+	interruptedByKill int // late requests that SIGKILL cut off
 	violations        []string
 }
 
-func (v *shutdownReport) summary() string {
-	return fmt.Sprintf("%s, seed %d: %d clients, %d leavers, %d slow, %d idle, %d in a burst, %d hanging, %d draining, %d signals; "+
-		"%d requests received, %d later than %v after SIGTERM, %d of them met by the kill; killed %v, lag %v, pid %d",
-		v.program(), v.seed, v.clients, v.earlyDisconnects, v.slowWriters, v.idleConnections, v.burst, v.hanging, v.draining, len(v.signals),
-		v.received, v.late, guaranteedTime, v.interruptedByKill, v.killed, v.lag.Round(time.Millisecond), os.Getpid())
+func (r *shutdownReport) summary() string {
+	return fmt.Sprintf("%s, seed %d: %d clients, %d early disconnects, %d slow writers, %d idle, %d in a burst, %d hanging, %d draining, %d signals; "+
+		"%d requests received, %d later than %v after SIGTERM, %d of them cut off by SIGKILL; killed %v, lag %v, pid %d",
+		r.program(), r.seed, r.clients, r.earlyDisconnects, r.slowWriters, r.idleConnections, r.burst, r.hanging, r.draining, len(r.signals),
+		r.received, r.late, guaranteedTime, r.interruptedByKill, r.killed, r.lag.Round(time.Millisecond), os.Getpid())
 }
 
-// check compares what servers received with what clients got.
-func (v *shutdownReport) check(servers *serverGroup, clients *clientPopulation) {
+// check compares the requests that servers received with the responses that clients received.
+func (r *shutdownReport) check(servers *serverGroup, clients *clientPopulation) {
 	servers.mu.Lock()
 	defer servers.mu.Unlock()
 	clients.mu.Lock()
 	defer clients.mu.Unlock()
-	for id, at := range servers.requests {
+	for id, received := range servers.requests {
 		if sent := clients.requests[id]; sent != nil {
-			v.received++
-			v.checkRequest(id, at, sent)
+			r.received++
+			r.checkRequest(id, received, sent)
 		}
 	}
 }
 
-func (v *shutdownReport) checkRequest(id string, at *receivedRequest, sent *sentRequest) {
-	first, last := at.receivedAt[0], at.receivedAt[len(at.receivedAt)-1]
-	isLate := first.Sub(v.terminatedAt) > guaranteedTime
+// checkRequest adds the violations of one request that servers received.
+func (r *shutdownReport) checkRequest(id string, received *receivedRequest, sent *sentRequest) {
+	first, last := received.receivedAt[0], received.receivedAt[len(received.receivedAt)-1]
+	isLate := first.Sub(r.terminatedAt) > guaranteedTime
 	if isLate {
-		v.late++
+		r.late++
 	}
 	violate := func(format string, values ...any) {
-		v.violations = append(v.violations, fmt.Sprintf("%s %s, received %v after SIGTERM: ", at.class, id,
-			first.Sub(v.terminatedAt).Round(time.Millisecond))+fmt.Sprintf(format, values...))
+		r.violations = append(r.violations, fmt.Sprintf("%s %s, received %v after SIGTERM: ", received.class, id,
+			first.Sub(r.terminatedAt).Round(time.Millisecond))+fmt.Sprintf(format, values...))
 	}
-	if at.class == classNonIdempotent && len(at.receivedAt) > 1 {
-		violate("received %d times", len(at.receivedAt))
+	if received.class == classNonIdempotent && len(received.receivedAt) > 1 {
+		violate("received %d times", len(received.receivedAt))
 	}
 	if !sent.disconnectedAt.IsZero() {
-		if after := last.Sub(sent.disconnectedAt); after > disconnectSlack+v.lag {
-			violate("an attempt began %v after its client had left", after)
+		if after := last.Sub(sent.disconnectedAt); after > disconnectSlack+r.lag {
+			violate("an attempt began %v after its client had disconnected", after)
 		}
 		return
 	}
 	switch {
 	case sent.isMismatched:
-		violate("its answer was for another request")
+		violate("its response was for another request")
 	case !sent.respondedAt.IsZero():
-		if took := sent.respondedAt.Sub(sent.sentAt); took > clientTimeout+responseSlack+v.lag {
-			violate("answered after %v", took)
+		if elapsed := sent.respondedAt.Sub(sent.sentAt); elapsed > clientTimeout+responseSlack+r.lag {
+			violate("response after %v", elapsed)
 		}
-	case isLate && v.killed:
-		v.interruptedByKill++
+	case isLate && r.killed:
+		r.interruptedByKill++
 	default:
-		violate("no answer: %v", sent.err)
+		violate("no response: %v", sent.err)
 	}
 }
