--- a/standin/authoriser/authoriser.go
+++ b/standin/authoriser/authoriser.go
@@ -105,7 +105,7 @@
 			HttpResponse: &authv3.CheckResponse_DeniedResponse{DeniedResponse: &authv3.DeniedHttpResponse{
 				Status:  &typev3.HttpStatus{Code: typev3.StatusCode_Forbidden},
 				Headers: []*corev3.HeaderValueOption{overwriteHeader("x-denied-by", "authoriser")},
-				Body:    "not permitted to " + strings.ToLower(req.GetAttributes().GetRequest().GetHttp().GetMethod()) + " this resource\n"}}}, nil
+				Body:    "no right to " + strings.ToLower(req.GetAttributes().GetRequest().GetHttp().GetMethod()) + " this\n"}}}, nil
 	}
 	return &authv3.CheckResponse{Status: &rpc.Status{Code: int32(codes.OK)},
 		HttpResponse: &authv3.CheckResponse_OkResponse{OkResponse: &authv3.OkHttpResponse{
