--- a/cmd/yardcleat/hunt.go
+++ b/cmd/yardcleat/hunt.go
@@ -74,8 +74,8 @@
 				}
 			}
 			for _, kind := range h.limits.Kinds {
-				if !slices.Contains(hunt.Kinds(), kind) {
-					return fmt.Errorf("unknown kind of fault %q; the kinds are %s", kind, strings.Join(hunt.Kinds(), ", "))
+				if !slices.Contains(hunt.FaultKinds(), kind) {
+					return fmt.Errorf("unknown kind of fault %q; the kinds are %s", kind, strings.Join(hunt.FaultKinds(), ", "))
 				}
 			}
 			return h.run()
@@ -100,32 +100,32 @@
 	fmt.Fprintf(h.cmd.ErrOrStderr(), format+"\n", args...)
 }
 
-func (h *faultSearch) newJob(scenario hunt.Day) virtual.Job {
-	return virtual.Job{Source: scenario.Script.Source(), Seed: scenario.Seed, NoStamps: scenario.NoStamps, Defect: h.mutation}
+func (h *faultSearch) newJob(scenario hunt.Scenario) virtual.Job {
+	return virtual.Job{Source: scenario.Script.Source(), Seed: scenario.Seed, NoStamps: scenario.NoReceiveTimestamps, Defect: h.mutation}
 }
 
 // evaluate returns the outcome of a scenario, and a message about each violation. Errors, and a
 // scenario that did not run to its end, count as violations of rule 0.
 func evaluate(result virtual.Result) (outcome hunt.Outcome, messages []string) {
 	if result.Error != "" {
-		return hunt.Outcome{Broken: []int{0}}, []string{result.Error}
+		return hunt.Outcome{ViolatedRules: []int{0}}, []string{result.Error}
 	}
-	outcome = hunt.Outcome{Features: result.Features, Near: result.Report.Near, Worth: result.Report.Worth}
+	outcome = hunt.Outcome{Features: result.Features, Margins: result.Report.Near, ServedWithinObjective: result.Report.Worth}
 	for _, finding := range result.Report.Rules {
 		if len(finding.Broken) > 0 {
-			outcome.Broken = append(outcome.Broken, finding.Rule)
+			outcome.ViolatedRules = append(outcome.ViolatedRules, finding.Rule)
 			messages = append(messages, fmt.Sprintf("rule %d, %d times: %s", finding.Rule, len(finding.Broken), finding.Broken[0]))
 		}
 	}
 	if len(result.Report.Errors) > 0 {
-		outcome.Broken = append(outcome.Broken, 0)
+		outcome.ViolatedRules = append(outcome.ViolatedRules, 0)
 		messages = append(messages, result.Report.Errors...)
 	}
 	return outcome, messages
 }
 
 // runScenarios runs scenarios in parallel, and returns their results in the same order.
-func (h *faultSearch) runScenarios(ctx context.Context, scenarios []hunt.Day) ([]virtual.Result, error) {
+func (h *faultSearch) runScenarios(ctx context.Context, scenarios []hunt.Scenario) ([]virtual.Result, error) {
 	results, errs := make([]virtual.Result, len(scenarios)), make([]error, len(scenarios))
 	slots := make(chan struct{}, h.workers)
 	var wait sync.WaitGroup
@@ -167,7 +167,7 @@
 	// equal seeds generate equal scenarios with any number of workers.
 	const round = 16
 	for runs < h.budget {
-		var scenarios []hunt.Day
+		var scenarios []hunt.Scenario
 		for len(scenarios) < min(round, h.budget-runs) {
 			scenarios = append(scenarios, generator.Next())
 		}
@@ -179,11 +179,11 @@
 			runs++
 			outcome, messages := evaluate(result)
 			generator.Learn(scenarios[i], outcome)
-			if len(outcome.Broken) == 0 {
+			if len(outcome.ViolatedRules) == 0 {
 				continue
 			}
 			violating++
-			h.logf("scenario %d: %s\n  %s", runs, scenarios[i].Words(), strings.Join(messages, "\n  "))
+			h.logf("scenario %d: %s\n  %s", runs, scenarios[i].Summary(), strings.Join(messages, "\n  "))
 			if h.stopAtFirst {
 				h.logf("violation found after %d scenarios", runs)
 				return errors.New("a rule was violated")
@@ -201,7 +201,7 @@
 				return err
 			}
 		}
-		features, near := generator.Reached()
+		features, near := generator.Coverage()
 		elapsed := time.Since(startedAt)
 		h.logf("%d of %d scenarios, %.0f per minute; %d violated a rule; %d features reached; nearest to the limits of the rules %.2f", runs, h.budget,
 			float64(runs)/elapsed.Minutes(), violating, features, near)
@@ -215,8 +215,8 @@
 
 // shrinkAndSave shrinks a scenario that violated a rule, and saves it. Of each rule only the first
 // few violations are shrunk and saved, since later ones are likely to have the same cause.
-func (h *faultSearch) shrinkAndSave(ctx context.Context, scenario hunt.Day, outcome hunt.Outcome, messages []string) error {
-	rule := outcome.Broken[0]
+func (h *faultSearch) shrinkAndSave(ctx context.Context, scenario hunt.Scenario, outcome hunt.Outcome, messages []string) error {
+	rule := outcome.ViolatedRules[0]
 	const maxShrunkPerRule = 3
 	key := fmt.Sprint("rule-", rule)
 	if h.violationCounts[key]++; h.violationCounts[key] > maxShrunkPerRule {
@@ -233,19 +233,19 @@
 			return err
 		}
 		candidateOutcome, candidateMessages := evaluate(result)
-		violates := slices.Contains(candidateOutcome.Broken, rule)
+		violates := slices.Contains(candidateOutcome.ViolatedRules, rule)
 		if violates {
 			messages = candidateMessages
 		}
 		shrinker.Report(violates)
 	}
 	smallest := shrinker.Best()
-	h.logf("  shrunk: %s\n  %s", smallest.Words(), strings.Join(messages, "\n  "))
+	h.logf("  shrunk: %s\n  %s", smallest.Summary(), strings.Join(messages, "\n  "))
 	if h.outputDir == "" {
 		return nil
 	}
 	text := fmt.Sprintf("# Found by lab hunt --seed %d; play it with --seed %d", h.seed, smallest.Seed)
-	if smallest.NoStamps {
+	if smallest.NoReceiveTimestamps {
 		text += " --no-stamps"
 	}
 	for _, message := range messages {
@@ -267,9 +267,9 @@
 	var worst []rankedScenario
 	for runs := 0; runs < h.budget; {
 		scenario := generator.Next()
-		scenarios := []hunt.Day{scenario, scenario.Only()}
+		scenarios := []hunt.Scenario{scenario, scenario.WithFaults()}
 		for i := range scenario.Script.Faults {
-			scenarios = append(scenarios, scenario.Only(i))
+			scenarios = append(scenarios, scenario.WithFaults(i))
 		}
 		results, err := h.runScenarios(ctx, scenarios)
 		if err != nil {
@@ -279,13 +279,13 @@
 		var worth []float64
 		for _, result := range results {
 			outcome, messages := evaluate(result)
-			if len(outcome.Broken) > 0 {
-				h.logf("%s\n  %s", scenario.Words(), strings.Join(messages, "\n  "))
+			if len(outcome.ViolatedRules) > 0 {
+				h.logf("%s\n  %s", scenario.Summary(), strings.Join(messages, "\n  "))
 			}
-			worth = append(worth, outcome.Worth)
+			worth = append(worth, outcome.ServedWithinObjective)
 		}
-		regret := hunt.Regret(worth[1], worth[2:], worth[0])
-		worst = append(worst, rankedScenario{regret, fmt.Sprintf("%.0f of %.0f; alone %.0f; %s", worth[0], worth[1], worth[2:], scenario.Words())})
+		regret := hunt.InteractionCost(worth[1], worth[2:], worth[0])
+		worst = append(worst, rankedScenario{regret, fmt.Sprintf("%.0f of %.0f; alone %.0f; %s", worth[0], worth[1], worth[2:], scenario.Summary())})
 		slices.SortFunc(worst, func(a, b rankedScenario) int { return int(1e6 * (b.regret - a.regret)) })
 		worst = worst[:min(10, len(worst))]
 		h.logf("%d of %d runs; the highest regret is %.3f", runs, h.budget, worst[0].regret)
--- a/cmd/yardcleat/lab.go
+++ b/cmd/yardcleat/lab.go
@@ -33,9 +33,9 @@
 			var experiments []lab.Experiment
 			for _, count := range nodes {
 				for _, fault := range lab.Faults {
-					for _, method := range lab.Ways {
+					for _, method := range lab.Methods {
 						if len(faults) == 0 || slices.Contains(faults, string(fault)) {
-							experiments = append(experiments, lab.Experiment{Nodes: count, Fault: fault, Way: method, Seed: seed})
+							experiments = append(experiments, lab.Experiment{Nodes: count, Fault: fault, Method: method, Seed: seed})
 						}
 					}
 				}
@@ -47,7 +47,7 @@
 				wait.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					results[i], errs[i] = lab.Quota(experiment)
+					results[i], errs[i] = lab.RunQuota(experiment)
 				})
 			}
 			wait.Wait()
--- a/day/virtual/virtual_test.go
+++ b/day/virtual/virtual_test.go
@@ -25,9 +25,9 @@
 		if d.Script.Check() != nil {
 			continue // a fault is aimed at a node that is no more
 		}
-		r := Play(t, Job{Source: d.Script.Source(), Seed: d.Seed, NoStamps: d.NoStamps})
+		r := Play(t, Job{Source: d.Script.Source(), Seed: d.Seed, NoStamps: d.NoReceiveTimestamps})
 		if r.Error != "" || !r.Report.Kept() {
-			t.Errorf("%s: %s", d.Words(), r.Error)
+			t.Errorf("%s: %s", d.Summary(), r.Error)
 			if r.Report != nil {
 				r.Report.Write(t.Output())
 			}
--- a/lab/hunt/hunt.go
+++ b/lab/hunt/generator.go
@@ -10,14 +10,14 @@
 
 // Outcome is what came of a day.
 type Outcome struct {
-	Features []string // reasons, states and messages that it reached
-	Near     []audit.Margin
-	Broken   []int // rules; 0 stands for a day that did not go to its end
-	Worth    float64
+	Features              []string // reasons, states and messages that it reached
+	Margins               []audit.Margin
+	ViolatedRules         []int // rules; 0 stands for a day that did not go to its end
+	ServedWithinObjective float64
 }
 
-// Hunter draws the next days from what came of the earlier ones.
-type Hunter struct {
+// Generator draws the next days from what came of the earlier ones.
+type Generator struct {
 	g      drawer
 	led    bool
 	seen   map[string]int // features, and on how many days
@@ -27,22 +27,22 @@
 
 // entry is a day worth going on from.
 type entry struct {
-	day   Day
+	day   Scenario
 	score float64
 	used  int
 }
 
 // New returns a Hunter. Without being led each day is drawn alone. Equal seeds and
 // outcomes give equal days.
-func New(base *day.Script, lim Limits, seed uint64, led bool) *Hunter {
-	return &Hunter{g: drawer{rng: rand.New(rand.NewPCG(seed, 0x6875_6e74)), base: base, lim: lim}, led: led, seen: map[string]int{}}
+func New(base *day.Script, lim Limits, seed uint64, led bool) *Generator {
+	return &Generator{g: drawer{rng: rand.New(rand.NewPCG(seed, 0x6875_6e74)), base: base, lim: lim}, led: led, seen: map[string]int{}}
 }
 
 // explore is the share of days that are drawn anew all the same.
 const explore = 0.35
 
 // Next is a day to play.
-func (h *Hunter) Next() Day {
+func (h *Generator) Next() Scenario {
 	if !h.led || len(h.corpus) == 0 || h.g.rng.Float64() < explore {
 		return h.g.day()
 	}
@@ -67,7 +67,7 @@
 
 // Learn takes in what came of a day, and returns how much of it was new: features,
 // pairs of them, and steps nearer to a rule's edge.
-func (h *Hunter) Learn(d Day, o Outcome) (news int) {
+func (h *Generator) Learn(d Scenario, o Outcome) (news int) {
 	score := 0.0
 	note := func(f string) {
 		if h.seen[f]++; h.seen[f] == 1 {
@@ -85,7 +85,7 @@
 			note(k + " with " + f)
 		}
 	}
-	for _, m := range o.Near {
+	for _, m := range o.Margins {
 		if m.Rule < len(h.best) && m.Near > h.best[m.Rule]+0.01 {
 			h.best[m.Rule] = m.Near
 			news++
@@ -93,7 +93,7 @@
 		}
 		score += 2 * min(m.Near, 1.5)
 	}
-	if news > 0 || len(o.Broken) > 0 {
+	if news > 0 || len(o.ViolatedRules) > 0 {
 		h.corpus = append(h.corpus, entry{day: d, score: score})
 		if len(h.corpus) > mostCorpus {
 			least := 0
@@ -108,14 +108,14 @@
 	return news
 }
 
-// Reached is how many different features and pairs were seen, and how near the
+// Coverage is how many different features and pairs were seen, and how near the
 // days came to each rule's edge, from rule 1 on.
-func (h *Hunter) Reached() (features int, near []float64) { return len(h.seen), h.best[1:] }
+func (h *Generator) Coverage() (features int, near []float64) { return len(h.seen), h.best[1:] }
 
-// Regret is how much less a day of several faults was worth than its faults, one
+// InteractionCost is how much less a day of several faults was worth than its faults, one
 // at a time, cost together: as a part of the day without any. Above 0 the faults
 // are worse together.
-func Regret(none float64, alone []float64, all float64) float64 {
+func InteractionCost(none float64, alone []float64, all float64) float64 {
 	if none <= 0 {
 		return 0
 	}
@@ -126,8 +126,8 @@
 	return (max(0, want) - all) / none
 }
 
-// Only is a day with the faults whose numbers are given.
-func (d Day) Only(faults ...int) Day {
+// WithFaults is a day with the faults whose numbers are given.
+func (d Scenario) WithFaults(faults ...int) Scenario {
 	s := clone(d.Script)
 	s.Faults = nil
 	for _, i := range faults {
--- a/lab/hunt/hunt_test.go
+++ b/lab/hunt/generator_test.go
@@ -19,12 +19,12 @@
 }
 
 // drawn plays a hunt on paper: a day "breaks" what the test says.
-func drawn(t *testing.T, seed uint64, led bool, n int) (days []Day) {
+func drawn(t *testing.T, seed uint64, led bool, n int) (days []Scenario) {
 	h := New(base(t), DefaultLimits(), seed, led)
 	for range n {
 		d := h.Next()
 		days = append(days, d)
-		h.Learn(d, Outcome{Features: []string{d.Script.Faults[0].Kind}, Near: []audit.Margin{{Rule: 1, Near: float64(len(d.Script.Faults)) / 20}}})
+		h.Learn(d, Outcome{Features: []string{d.Script.Faults[0].Kind}, Margins: []audit.Margin{{Rule: 1, Near: float64(len(d.Script.Faults)) / 20}}})
 	}
 	return days
 }
@@ -43,7 +43,7 @@
 		}
 		for _, d := range days {
 			if err := d.Script.Check(); err != nil {
-				t.Fatalf("%s: %v", d.Words(), err)
+				t.Fatalf("%s: %v", d.Summary(), err)
 			}
 			back, err := day.Parse(d.Script.Source(), "back.hcl")
 			if err != nil {
@@ -58,16 +58,16 @@
 			}
 		}
 	}
-	for _, k := range Kinds() {
+	for _, k := range FaultKinds() {
 		if !kinds[k] {
 			t.Errorf("%s was never drawn", k)
 		}
 	}
 }
 
-func words(days []Day) (out []string) {
+func words(days []Scenario) (out []string) {
 	for _, d := range days {
-		out = append(out, d.Words())
+		out = append(out, d.Summary())
 	}
 	return out
 }
@@ -91,7 +91,7 @@
 		if a == "server-return" || b == "" {
 			continue
 		}
-		breaks := func(d Day) bool {
+		breaks := func(d Scenario) bool {
 			has := func(k string) bool {
 				return slices.ContainsFunc(d.Script.Faults, func(f day.Fault) bool { return f.Kind == k })
 			}
@@ -106,7 +106,7 @@
 			s.Report(breaks(c))
 		}
 		if best := s.Best(); !breaks(best) || len(best.Script.Faults) != 2 || best.Script.Nodes != 2 {
-			t.Errorf("%s and %s: %s", a, b, best.Words())
+			t.Errorf("%s and %s: %s", a, b, best.Summary())
 		}
 	}
 }
@@ -126,7 +126,7 @@
 			if got == 4 {
 				return n
 			}
-			h.Learn(d, Outcome{Near: []audit.Margin{{Rule: 2, Near: float64(got) / 4}}})
+			h.Learn(d, Outcome{Margins: []audit.Margin{{Rule: 2, Near: float64(got) / 4}}})
 		}
 		return 1500
 	}
@@ -147,7 +147,7 @@
 		all   float64
 		want  float64
 	}{{100, []float64{90, 80}, 70, 0}, {100, []float64{90, 80}, 40, 0.3}, {100, []float64{10, 20}, 0, 0}, {0, nil, 0, 0}} {
-		if got := Regret(c.none, c.alone, c.all); got != c.want {
+		if got := InteractionCost(c.none, c.alone, c.all); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
--- a/lab/hunt/draw.go
+++ b/lab/hunt/sampler.go
@@ -15,11 +15,11 @@
 	"yardcleat.example/yardcleat/day"
 )
 
-// Day is a day to play.
-type Day struct {
-	Script   *day.Script
-	Seed     uint64 // of the network's and the nodes' chance
-	NoStamps bool   // the kernel does not say when bytes came in
+// Scenario is a day to play.
+type Scenario struct {
+	Script              *day.Script
+	Seed                uint64 // of the network's and the nodes' chance
+	NoReceiveTimestamps bool   // the kernel does not say when bytes came in
 }
 
 // Limits bounds what is drawn.
@@ -94,8 +94,8 @@
 	{"counter-heal", 1, 0, 0, numbers("first", "second", "both")},
 }
 
-// Kinds lists the kinds of fault that are drawn.
-func Kinds() (out []string) {
+// FaultKinds lists the kinds of fault that are drawn.
+func FaultKinds() (out []string) {
 	for _, s := range grammar {
 		out = append(out, s.kind)
 	}
@@ -127,7 +127,7 @@
 }
 
 // day draws a whole day.
-func (g *drawer) day() Day {
+func (g *drawer) day() Scenario {
 	s := clone(g.base)
 	s.Extends, s.Faults = "", nil
 	s.Seed = 1 + g.rng.IntN(1<<20)
@@ -144,7 +144,7 @@
 	for n := g.within(g.lim.Faults); n > 0; n-- {
 		g.add(s)
 	}
-	return Day{Script: s, Seed: 1 + g.rng.Uint64N(1<<32), NoStamps: g.rng.IntN(4) == 0}
+	return Scenario{Script: s, Seed: 1 + g.rng.Uint64N(1<<32), NoReceiveTimestamps: g.rng.IntN(4) == 0}
 }
 
 // mix draws who asks for what, by which front.
@@ -278,7 +278,7 @@
 }
 
 // mutate changes a day a little.
-func (g *drawer) mutate(d Day) Day {
+func (g *drawer) mutate(d Scenario) Scenario {
 	for range 20 {
 		m := d
 		m.Script = clone(d.Script)
@@ -293,7 +293,7 @@
 	return g.day()
 }
 
-func (g *drawer) change(m *Day, s *day.Script) {
+func (g *drawer) change(m *Scenario, s *day.Script) {
 	i := 0
 	if len(s.Faults) > 0 {
 		i = g.rng.IntN(len(s.Faults))
@@ -322,8 +322,8 @@
 	}
 }
 
-// Words is a line that names a day's faults.
-func (d Day) Words() string {
+// Summary is a line that names a day's faults.
+func (d Scenario) Summary() string {
 	out := fmt.Sprintf("%d nodes, %s:", d.Script.Nodes, d.Script.Length)
 	for _, f := range d.Script.Faults {
 		out += fmt.Sprintf(" %s@%s", f.Kind, f.At)
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -12,24 +12,24 @@
 // Next for a day, play it, and Report whether it broke the rule, until Next has no
 // more.
 type Shrinker struct {
-	best  Day
+	best  Scenario
 	tried map[string]bool
 	plays int
 	most  int
-	cand  Day
+	cand  Scenario
 }
 
 // NewShrinker starts from a day; most bounds the plays.
-func NewShrinker(d Day, most int) *Shrinker {
+func NewShrinker(d Scenario, most int) *Shrinker {
 	return &Shrinker{best: d, tried: map[string]bool{}, most: most}
 }
 
 // Best is the smallest day so far.
-func (s *Shrinker) Best() Day { return s.best }
+func (s *Shrinker) Best() Scenario { return s.best }
 
 // changes lists smaller days, the boldest first: half of the faults gone, one gone,
 // a smaller fleet, a shorter day, shorter faults.
-func (s *Shrinker) changes() (out []Day) {
+func (s *Shrinker) changes() (out []Scenario) {
 	d := s.best
 	n := len(d.Script.Faults)
 	all := func(keep func(int) bool) []int {
@@ -43,11 +43,11 @@
 	}
 	for parts := 2; parts < n; parts *= 2 {
 		for p := range parts {
-			out = append(out, d.Only(all(func(i int) bool { return i*parts/n != p })...))
+			out = append(out, d.WithFaults(all(func(i int) bool { return i*parts/n != p })...))
 		}
 	}
 	for i := range n {
-		out = append(out, d.Only(all(func(k int) bool { return k != i })...))
+		out = append(out, d.WithFaults(all(func(k int) bool { return k != i })...))
 	}
 	change := func(f func(*day.Script)) {
 		c := d
@@ -99,12 +99,12 @@
 
 // Next is a smaller day to try; false where there is none left, or the plays are
 // used up.
-func (s *Shrinker) Next() (Day, bool) {
+func (s *Shrinker) Next() (Scenario, bool) {
 	for _, c := range s.changes() {
 		if s.plays >= s.most {
 			break
 		}
-		key := fmt.Sprint(c.Words(), c.Script.Nodes, c.Script.Faults)
+		key := fmt.Sprint(c.Summary(), c.Script.Nodes, c.Script.Faults)
 		if s.tried[key] || c.Script.Check() != nil {
 			continue
 		}
@@ -113,7 +113,7 @@
 		s.cand = c
 		return c, true
 	}
-	return Day{}, false
+	return Scenario{}, false
 }
 
 // Report says whether the day that Next gave still broke the rule.
--- a/lab/quota.go
+++ b/lab/quota.go
@@ -16,20 +16,20 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// Way is a way of keeping quotas over a fleet.
-type Way string
+// Method is a way of keeping quotas over a fleet.
+type Method string
 
 // The ways.
 const (
-	AskOpen     Way = "counter asked, fails open"   // each request asks the counter
-	AskClosed   Way = "counter asked, fails closed" // and is refused without an answer
-	EvenParts   Way = "even parts"                  // each node has its part, no counter
-	ReportsOnly Way = "reports"                     // the module alone
-	WithTally   Way = "reports and tally"           // the module with tally's levels
+	CounterFailOpen   Method = "counter asked, fails open"   // each request asks the counter
+	CounterFailClosed Method = "counter asked, fails closed" // and is refused without an answer
+	EvenShares        Method = "even parts"                  // each node has its part, no counter
+	ReportsOnly       Method = "reports"                     // the module alone
+	ReportsAndTracker Method = "reports and tally"           // the module with tally's levels
 )
 
-// Ways lists them all.
-var Ways = []Way{AskOpen, AskClosed, EvenParts, ReportsOnly, WithTally}
+// Methods lists them all.
+var Methods = []Method{CounterFailOpen, CounterFailClosed, EvenShares, ReportsOnly, ReportsAndTracker}
 
 // Fault is a trouble of the counter, of messages and of nodes. Several may be
 // joined by "+".
@@ -39,14 +39,14 @@
 var Faults = []Fault{"none", "silent", "silent, back empty", "emptied", "old copy", "split, first wins", "split, second wins",
 	"split, both merged", "flapping", "restarts", "mail 8% lost", "mail lost", "emptied + restarts", "silent + restarts",
 	"split, both merged + restarts", "silent + mail lost", "mail lost + restarts",
-	Doubled, Halved, DoubledByRestart, HalvedByRestart}
+	FleetDoubled, FleetHalved, FleetDoubledByRestart, FleetHalvedByRestart}
 
 // Changes of the fleet's size: heard of in service, or by a restart of all nodes.
 const (
-	Doubled          Fault = "doubled in service"
-	Halved           Fault = "halved in service"
-	DoubledByRestart Fault = "doubled by restarts"
-	HalvedByRestart  Fault = "halved by restarts"
+	FleetDoubled          Fault = "doubled in service"
+	FleetHalved           Fault = "halved in service"
+	FleetDoubledByRestart Fault = "doubled by restarts"
+	FleetHalvedByRestart  Fault = "halved by restarts"
 
 	hearing  = 2 * time.Second        // over which nodes read of a change
 	wording  = 500 * time.Millisecond // within which each then hears that all have,
@@ -55,23 +55,23 @@
 
 // Experiment is one run.
 type Experiment struct {
-	Nodes int
-	Way   Way
-	Fault Fault
-	Seed  uint64
+	Nodes  int
+	Method Method
+	Fault  Fault
+	Seed   uint64
 }
 
 // Result is what came of a run, from the beginning of the fault on, in shares of
 // what the ceiling lets pass in that time.
 type Result struct {
 	Experiment
-	Admitted   float64 // units
-	OverQuota  float64 // beyond the quota, of all customers
-	OverHard   float64 // beyond the ceiling, of all customers
-	WorstQuota float64 // of the worst customer
-	WorstHard  float64
-	Under      float64 // short of what one counter without faults would let pass inside quotas
-	Tally      float64 // at the end: counter against truth, of what was passed; -1: no counter
+	Admitted         float64 // units
+	OverQuota        float64 // beyond the quota, of all customers
+	OverCeiling      float64 // beyond the ceiling, of all customers
+	WorstOverQuota   float64 // of the worst customer
+	WorstOverCeiling float64
+	Shortfall        float64 // short of what one counter without faults would let pass inside quotas
+	CounterError     float64 // at the end: counter against truth, of what was passed; -1: no counter
 }
 
 const (
@@ -233,8 +233,8 @@
 	heap.Push(&f.queue, event{f.now + d, f.seq, do})
 }
 
-// Quota runs an experiment.
-func Quota(e Experiment) (Result, error) {
+// RunQuota runs an experiment.
+func RunQuota(e Experiment) (Result, error) {
 	f := &fleet{e: e, size: e.Nodes, rng: rand.New(rand.NewPCG(e.Seed, 7)), has: map[string]bool{}, counter: &counter{epoch: 1}}
 	for _, part := range strings.Split(string(e.Fault), " + ") {
 		f.has[part] = true
@@ -344,7 +344,7 @@
 		}
 	}
 	n.feed(list)
-	if n.f.e.Way == WithTally {
+	if n.f.e.Method == ReportsAndTracker {
 		n.tl = usage.New(usage.Settings{Self: usage.WriterID{Node: n.num, Incarnation: n.inc}, Shards: 1, Window: time.Hour, RetainedWindows: 24,
 			CommandsPerSecond: callRate / float64(n.size), PeerMessagesPerSecond: mailRate * 0.05,
 			Plans: map[string]usage.Plan{plan.Name: {Rate: plan.Rate, Burst: plan.Burst}}})
@@ -363,15 +363,15 @@
 
 func (n *instance) request(c *customer) {
 	f := n.f
-	switch f.e.Way {
-	case EvenParts:
+	switch f.e.Method {
+	case EvenShares:
 		k := float64(len(c.weights))
 		if n.part(c.name+" q", plan.Rate/k, plan.Burst/k).take(f.now, 1) && n.part(c.name+" h", plan.HardRate/k, plan.HardBurst/k).take(f.now, 1) {
 			f.admit(n, c)
 		}
-	case AskOpen, AskClosed:
+	case CounterFailOpen, CounterFailClosed:
 		if f.counter.silent {
-			if f.e.Way == AskOpen {
+			if f.e.Method == CounterFailOpen {
 				f.admit(n, c)
 			}
 			return
@@ -535,7 +535,7 @@
 	}
 	for part := range f.has {
 		switch part {
-		case string(Doubled), string(Halved), string(DoubledByRestart), string(HalvedByRestart):
+		case string(FleetDoubled), string(FleetHalved), string(FleetDoubledByRestart), string(FleetHalvedByRestart):
 			f.resize(Fault(part))
 		case "silent", "silent, back empty":
 			c.silent = true
@@ -587,7 +587,7 @@
 func (f *fleet) resize(how Fault) {
 	old := f.e.Nodes
 	size := 2 * old
-	if how == Halved || how == HalvedByRestart {
+	if how == FleetHalved || how == FleetHalvedByRestart {
 		size = max(1, old/2)
 		f.size = size
 	}
@@ -597,7 +597,7 @@
 	for i, n := range f.nodes {
 		f.after(time.Duration(f.rng.Int64N(int64(hearing))), func() {
 			switch {
-			case how == DoubledByRestart || how == HalvedByRestart:
+			case how == FleetDoubledByRestart || how == FleetHalvedByRestart:
 				n.down = true
 				if i < size {
 					f.after(time.Second, func() { n.up(size) })
@@ -608,7 +608,7 @@
 			}
 		})
 		word := func() time.Duration { return time.Duration(f.rng.Int64N(int64(wording))) }
-		if how == Doubled || how == Halved {
+		if how == FleetDoubled || how == FleetHalved {
 			if i < old {
 				f.after(hearing+word(), func() { n.resized(size, old) })
 			}
@@ -656,19 +656,19 @@
 }
 
 func (f *fleet) result() Result {
-	r := Result{Experiment: f.e, Admitted: f.admitted, Tally: -1}
+	r := Result{Experiment: f.e, Admitted: f.admitted, CounterError: -1}
 	span := (length - faultAt).Seconds()
 	ceiling := plan.HardRate*span + plan.HardBurst
 	inside, under := 0.0, 0.0
 	for _, c := range f.customers {
 		r.OverQuota += c.over / ceiling / float64(len(f.customers))
-		r.OverHard += c.above / ceiling / float64(len(f.customers))
-		r.WorstQuota, r.WorstHard = max(r.WorstQuota, c.over/ceiling), max(r.WorstHard, c.above/ceiling)
+		r.OverCeiling += c.above / ceiling / float64(len(f.customers))
+		r.WorstOverQuota, r.WorstOverCeiling = max(r.WorstOverQuota, c.over/ceiling), max(r.WorstOverCeiling, c.above/ceiling)
 		inside, under = inside+c.inside, under+max(0, c.inside-c.got)
 	}
-	r.Under = under / max(1, inside)
-	if f.e.Way == WithTally {
-		r.Tally = f.tallyError()
+	r.Shortfall = under / max(1, inside)
+	if f.e.Method == ReportsAndTracker {
+		r.CounterError = f.tallyError()
 	}
 	return r
 }
@@ -703,11 +703,11 @@
 	pct := func(v float64) string { return fmt.Sprintf("%.1f%%", 100*v) }
 	for _, r := range all {
 		t := "–"
-		if r.Tally >= 0 {
-			t = pct(r.Tally)
+		if r.CounterError >= 0 {
+			t = pct(r.CounterError)
 		}
-		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s | %s | %s | %s | %s |\n", r.Nodes, r.Fault, r.Way, pct(r.OverHard), pct(r.WorstHard),
-			pct(r.OverQuota), pct(r.WorstQuota), pct(r.Under), t)
+		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s | %s | %s | %s | %s |\n", r.Nodes, r.Fault, r.Method, pct(r.OverCeiling), pct(r.WorstOverCeiling),
+			pct(r.OverQuota), pct(r.WorstOverQuota), pct(r.Shortfall), t)
 	}
 	return b.String()
 }
