--- a/audit/check.go
+++ b/audit/check.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// Finding is what was found of one rule.
-type Finding struct {
-	Rule    int      `json:"rule"`
-	Name    string   `json:"name"`
-	Checked int      `json:"checked"` // cases that could have broken it
-	Broken  []string `json:"broken"`
+// RuleResult is what was found of one rule.
+type RuleResult struct {
+	Rule       int      `json:"rule"`
+	Name       string   `json:"name"`
+	Checked    int      `json:"checked"` // cases that could have broken it
+	Violations []string `json:"broken"`
 }
 
 // Check checks the five rules.
-func Check(r *Record) []Finding {
+func Check(r *Record) []RuleResult {
 	c := newChecker(r)
-	out := []Finding{
+	out := []RuleResult{
 		{Rule: 1, Name: "one final answer in time, nothing sent after"},
 		{Rule: 2, Name: "no effect twice, one attempt at a time"},
 		{Rule: 3, Name: "drains kept"},
 		{Rule: 4, Name: "no cold server pushed over"},
 		{Rule: 5, Name: "hard ceilings kept"},
 	}
-	for i, check := range []func(*Finding){c.answers, c.effects, c.drains, c.cold, c.ceilings} {
+	for i, check := range []func(*RuleResult){c.answers, c.effects, c.drains, c.cold, c.ceilings} {
 		check(&out[i])
 	}
 	return out
 }
 
 func newChecker(r *Record) *checker {
-	c := &checker{r: r, tries: map[string]*Tried{}, attempts: map[string][]*Seen{}}
-	for i := range r.Tried {
-		c.tries[r.Tried[i].Trace] = &r.Tried[i]
+	c := &checker{r: r, tries: map[string]*RequestRecord{}, attempts: map[string][]*AttemptRecord{}}
+	for i := range r.Requests {
+		c.tries[r.Requests[i].Trace] = &r.Requests[i]
 	}
-	for i := range r.Seen {
-		c.attempts[r.Seen[i].Trace] = append(c.attempts[r.Seen[i].Trace], &r.Seen[i])
+	for i := range r.Attempts {
+		c.attempts[r.Attempts[i].Trace] = append(c.attempts[r.Attempts[i].Trace], &r.Attempts[i])
 	}
 	for trace, list := range c.attempts {
-		slices.SortStableFunc(list, func(a, b *Seen) int { return a.At.Compare(b.At) })
+		slices.SortStableFunc(list, func(a, b *AttemptRecord) int { return a.ArrivedAt.Compare(b.ArrivedAt) })
 		c.traces = append(c.traces, trace)
 	}
 	slices.Sort(c.traces)
@@ -49,36 +49,36 @@
 
 type checker struct {
 	r        *Record
-	tries    map[string]*Tried
-	attempts map[string][]*Seen // by trace, as they arrived
+	tries    map[string]*RequestRecord
+	attempts map[string][]*AttemptRecord // by trace, as they arrived
 	traces   []string
 }
 
-func (f *Finding) broken(format string, args ...any) {
-	f.Broken = append(f.Broken, fmt.Sprintf(format, args...))
+func (f *RuleResult) broken(format string, args ...any) {
+	f.Violations = append(f.Violations, fmt.Sprintf(format, args...))
 }
 
 // ran tells whether a node ran during a whole time.
 func (c *checker) ran(node int, from, to time.Time) bool {
-	return !overlaps(c.r.Down, node, from, to)
+	return !overlaps(c.r.Downtimes, node, from, to)
 }
 
-func overlaps(list []Down, node int, from, to time.Time) bool {
-	return slices.ContainsFunc(list, func(d Down) bool { return d.Node == node && d.From.Before(to) && d.To.After(from) })
+func overlaps(list []Downtime, node int, from, to time.Time) bool {
+	return slices.ContainsFunc(list, func(d Downtime) bool { return d.Node == node && d.From.Before(to) && d.To.After(from) })
 }
 
-func (c *checker) answers(f *Finding) {
-	for i := range c.r.Tried {
-		t := &c.r.Tried[i]
-		if t.Refused || !c.ran(t.Node, t.Sent, t.GiveUp) || t.Front == "proxy" && overlaps(c.r.ProxyDown, t.Node, t.Sent, t.GiveUp) {
+func (c *checker) answers(f *RuleResult) {
+	for i := range c.r.Requests {
+		t := &c.r.Requests[i]
+		if t.NotAccepted || !c.ran(t.Node, t.SentAt, t.TimesOutAt) || t.Frontend == "proxy" && overlaps(c.r.ProxyDowntimes, t.Node, t.SentAt, t.TimesOutAt) {
 			continue
 		}
 		f.Checked++
 		switch {
-		case t.Answer == "":
-			f.broken("%s: %s of %s at node %d by %s got no answer in %v", t.Trace, t.Class, t.Customer, t.Node, t.Front,
-				t.GiveUp.Sub(t.Sent))
-		case t.Foreign:
+		case t.Outcome == "":
+			f.broken("%s: %s of %s at node %d by %s got no answer in %v", t.Trace, t.Class, t.Customer, t.Node, t.Frontend,
+				t.TimesOutAt.Sub(t.SentAt))
+		case t.Mismatched:
 			f.broken("%s: got the answer of another request", t.Trace)
 		}
 	}
@@ -89,48 +89,48 @@
 				f.broken("%s: %s took an attempt that no client asked for", trace, s.Server)
 				continue
 			}
-			end := t.GiveUp
-			if !t.Answered.IsZero() && t.Answered.Before(end) {
-				end = t.Answered
+			end := t.TimesOutAt
+			if !t.RespondedAt.IsZero() && t.RespondedAt.Before(end) {
+				end = t.RespondedAt
 			}
-			if late := s.At.Sub(end); late > c.r.Slop {
-				f.broken("%s: sent to %s %v after the end of the request (%s %s)", trace, s.Server, late, t.Answer, t.Reason)
+			if late := s.ArrivedAt.Sub(end); late > c.r.Tolerance {
+				f.broken("%s: sent to %s %v after the end of the request (%s %s)", trace, s.Server, late, t.Outcome, t.Reason)
 			}
 		}
 	}
 }
 
-func (c *checker) effects(f *Finding) {
+func (c *checker) effects(f *RuleResult) {
 	effects := map[string]int{}
 	for _, trace := range c.traces {
 		list := c.attempts[trace]
 		class := c.r.Classes[list[0].Class]
 		f.Checked++
-		var ran *Seen // the first that may have run
+		var ran *AttemptRecord // the first that may have run
 		for i, s := range list {
-			if i > 0 && list[i-1].End.Sub(s.At) > c.r.Slop {
+			if i > 0 && list[i-1].EndedAt.Sub(s.ArrivedAt) > c.r.Tolerance {
 				f.broken("%s: attempts at %s and %s out together for %v", trace, list[i-1].Server, s.Server,
-					list[i-1].End.Sub(s.At))
+					list[i-1].EndedAt.Sub(s.ArrivedAt))
 			}
 			if ran != nil {
 				switch {
 				case class.Effect == "unsafe":
 					f.broken("%s: unsafe, sent to %s after %s may have run it", trace, s.Server, ran.Server)
-				case class.Effect == "keyed" && !class.GroupAll && s.Rack != ran.Rack:
-					f.broken("%s: keyed, sent to rack %s after rack %s may have run it", trace, s.Rack, ran.Rack)
-				case class.Effect == "keyed" && s.At.Sub(ran.At) > class.Window+c.r.Slop:
-					f.broken("%s: keyed, sent again after %v", trace, s.At.Sub(ran.At))
+				case class.Effect == "keyed" && !class.GlobalDedup && s.DedupScope != ran.DedupScope:
+					f.broken("%s: keyed, sent to rack %s after rack %s may have run it", trace, s.DedupScope, ran.DedupScope)
+				case class.Effect == "keyed" && s.ArrivedAt.Sub(ran.ArrivedAt) > class.DedupWindow+c.r.Tolerance:
+					f.broken("%s: keyed, sent again after %v", trace, s.ArrivedAt.Sub(ran.ArrivedAt))
 				}
 			}
-			if ran == nil && !s.Away {
+			if ran == nil && !s.Rejected {
 				ran = s
 			}
-			if s.Ran && class.Effect != "safe" {
+			if s.TookEffect && class.Effect != "safe" {
 				effects[cmp.Or(s.Key, trace)]++
 			}
 		}
 		t := c.tries[trace]
-		if t != nil && t.Answer == "refused" && ran != nil && class.Effect != "safe" && !(class.Effect == "keyed" && class.GroupAll) {
+		if t != nil && t.Outcome == "refused" && ran != nil && class.Effect != "safe" && !(class.Effect == "keyed" && class.GlobalDedup) {
 			f.broken("%s: %s refused as harmless to retry (%s) after %s may have run it", trace, class.Effect, t.Reason, ran.Server)
 		}
 	}
@@ -139,27 +139,27 @@
 			f.broken("key %s: took effect %d times", key, n)
 		}
 	}
-	slices.Sort(f.Broken)
+	slices.Sort(f.Violations)
 }
 
-func (c *checker) drains(f *Finding) {
+func (c *checker) drains(f *RuleResult) {
 	for _, trace := range c.traces {
 		t := c.tries[trace]
 		if t == nil {
 			continue
 		}
 		for _, s := range c.attempts[trace] {
-			if told, down := c.told(t.Node, s.Server, s.At); down {
+			if told, down := c.told(t.Node, s.Server, s.ArrivedAt); down {
 				f.Checked++
-				if late := s.At.Sub(told); late > c.r.Grace+c.r.Slop {
+				if late := s.ArrivedAt.Sub(told); late > c.r.DrainGrace+c.r.Tolerance {
 					f.broken("%s: sent to %s %v after node %d was told that it drains or is gone", trace, s.Server, late, t.Node)
 				}
 			}
 		}
 	}
 	// Every word that a server is down is a case, too, sent to or not.
-	for _, w := range c.r.Told {
-		if w.Down {
+	for _, w := range c.r.EndpointUpdates {
+		if w.Unavailable {
 			f.Checked++
 		}
 	}
@@ -167,13 +167,13 @@
 
 // told is since when a running node has last been told that a server is down.
 func (c *checker) told(node int, server string, at time.Time) (since time.Time, down bool) {
-	for _, w := range c.r.Told {
+	for _, w := range c.r.EndpointUpdates {
 		if w.Node != node || w.Server != server {
 			continue
 		}
 		heard := w.At
 		forgotten := false
-		for _, d := range c.r.Down {
+		for _, d := range c.r.Downtimes {
 			if d.Node != node || at.Before(d.From) {
 				continue
 			}
@@ -187,29 +187,29 @@
 		if forgotten || heard.After(at) {
 			continue
 		}
-		if w.Down && !down {
+		if w.Unavailable && !down {
 			since = heard
 		}
-		down = w.Down
+		down = w.Unavailable
 	}
 	return since, down
 }
 
-func (c *checker) cold(f *Finding) {
-	f.Checked = len(c.r.Seen)
-	for _, fell := range c.r.Fell {
+func (c *checker) cold(f *RuleResult) {
+	f.Checked = len(c.r.Attempts)
+	for _, fell := range c.r.ColdOverloads {
 		f.broken("%s fell over while cold", fell.Server)
 	}
 }
 
-func (c *checker) ceilings(f *Finding) {
+func (c *checker) ceilings(f *RuleResult) {
 	c.overCeilings(f)
-	slices.Sort(f.Broken)
+	slices.Sort(f.Violations)
 }
 
 // overCeilings returns the most that a customer used up of its ceiling's store and
 // the slack. f, where it is not nil, takes in what breaks the rule.
-func (c *checker) overCeilings(f *Finding) (worst float64) {
+func (c *checker) overCeilings(f *RuleResult) (worst float64) {
 	type first struct {
 		at    time.Time
 		units float64
@@ -222,7 +222,7 @@
 			continue
 		}
 		if ceiling, ok := c.r.Ceilings[t.Plan]; ok {
-			firsts[t.Customer] = append(firsts[t.Customer], first{c.attempts[trace][0].At, t.Units})
+			firsts[t.Customer] = append(firsts[t.Customer], first{c.attempts[trace][0].ArrivedAt, t.Units})
 			plans[t.Customer] = ceiling
 		}
 	}
--- a/cmd/yardcleat/hunt.go
+++ b/cmd/yardcleat/hunt.go
@@ -25,13 +25,13 @@
 // workerCommand returns the command that the worker processes of a fault search run.
 func workerCommand() *cobra.Command {
 	return &cobra.Command{Use: "worker", Short: "Run scenarios from standard input in virtual time", Hidden: true,
-		Args: cobra.NoArgs, Run: func(*cobra.Command, []string) { virtual.Worker() }}
+		Args: cobra.NoArgs, Run: func(*cobra.Command, []string) { virtual.RunWorker() }}
 }
 
 // newWorkerPool returns a pool of worker processes that run this program.
 func newWorkerPool() (*virtual.Pool, error) {
 	program, err := os.Executable()
-	return &virtual.Pool{Longest: 2 * time.Minute, Command: func() *exec.Cmd {
+	return &virtual.Pool{Timeout: 2 * time.Minute, Command: func() *exec.Cmd {
 		c := exec.Command(program, "lab", "worker")
 		c.Env = append(os.Environ(), "GOMAXPROCS=1") // a synctest bubble has little parallelism
 		return c
@@ -86,7 +86,7 @@
 	c.Flags().IntVar(&h.workers, "workers", runtime.NumCPU(), "number of scenarios run at a time")
 	c.Flags().BoolVar(&h.unguided, "unled", false, "generate each scenario independently of the earlier ones")
 	c.Flags().BoolVar(&h.searchesRegret, "worth", false, "search for scenarios whose faults together cost more served requests than each of them alone in total")
-	c.Flags().StringVar(&h.mutation, "defect", "", "run with a mutation, a defence removed on purpose: "+strings.Join(virtual.Defects(), ", "))
+	c.Flags().StringVar(&h.mutation, "defect", "", "run with a mutation, a defence removed on purpose: "+strings.Join(virtual.Mutations(), ", "))
 	c.Flags().BoolVar(&h.stopAtFirst, "first", false, "stop at the first violation, and shrink nothing")
 	c.Flags().IntVar(&h.shrinkBudget, "shrink", 80, "maximum number of runs to shrink one scenario")
 	c.Flags().DurationVar(&h.maxScenarioTime, "longest", time.Minute, "real time after which a scenario is aborted and counts as a violation")
@@ -101,7 +101,7 @@
 }
 
 func (h *faultSearch) newJob(scenario hunt.Day) virtual.Job {
-	return virtual.Job{Source: scenario.Script.Source(), Seed: scenario.Seed, NoStamps: scenario.NoStamps, Defect: h.mutation}
+	return virtual.Job{Source: scenario.Script.Source(), Seed: scenario.Seed, NoTimestamps: scenario.NoStamps, Mutation: h.mutation}
 }
 
 // evaluate returns the outcome of a scenario, and a message about each violation. Errors, and a
@@ -112,9 +112,9 @@
 	}
 	outcome = hunt.Outcome{Features: result.Features, Near: result.Report.Near, Worth: result.Report.Worth}
 	for _, finding := range result.Report.Rules {
-		if len(finding.Broken) > 0 {
+		if len(finding.Violations) > 0 {
 			outcome.Broken = append(outcome.Broken, finding.Rule)
-			messages = append(messages, fmt.Sprintf("rule %d, %d times: %s", finding.Rule, len(finding.Broken), finding.Broken[0]))
+			messages = append(messages, fmt.Sprintf("rule %d, %d times: %s", finding.Rule, len(finding.Violations), finding.Violations[0]))
 		}
 	}
 	if len(result.Report.Errors) > 0 {
@@ -133,7 +133,7 @@
 		wait.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			results[i], errs[i] = h.pool.Play(ctx, h.newJob(scenario))
+			results[i], errs[i] = h.pool.Run(ctx, h.newJob(scenario))
 		})
 	}
 	wait.Wait()
@@ -151,7 +151,7 @@
 	if h.pool, err = newWorkerPool(); err != nil {
 		return err
 	}
-	h.pool.Longest = h.maxScenarioTime
+	h.pool.Timeout = h.maxScenarioTime
 	defer h.pool.Close()
 	if h.outputDir != "" {
 		if err := os.MkdirAll(h.outputDir, 0o755); err != nil {
@@ -228,7 +228,7 @@
 		if !ok {
 			break
 		}
-		result, err := h.pool.Play(ctx, h.newJob(candidate))
+		result, err := h.pool.Run(ctx, h.newJob(candidate))
 		if err != nil {
 			return err
 		}
--- a/cmd/yardcleat/stalls.go
+++ b/cmd/yardcleat/stalls.go
@@ -37,11 +37,11 @@
 			fmt.Fprintln(table, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 			for _, length := range lengths {
 				for _, front := range fronts {
-					sums := make([]day.Stops, len(virtual.Ways))
+					sums := make([]day.Stops, len(virtual.PauseStrategies))
 					var mu sync.Mutex
 					var wait sync.WaitGroup
 					var failed error
-					for i, way := range virtual.Ways {
+					for i, way := range virtual.PauseStrategies {
 						for seed := range seeds {
 							wait.Go(func() {
 								s, err := day.Load("base")
@@ -51,7 +51,7 @@
 								s.Nodes, s.Length, s.Seed = 2, (length + 12*time.Second).String(), seed+1
 								s.Clients.Proxied, s.Clients.HTTP2, s.Clients.Retries = front.proxied, front.http2, 0
 								s.Faults = []day.Fault{{Kind: "node-stop", At: "4s", For: length.String()}}
-								result, err := pool.Play(cmd.Context(), virtual.Job{Source: s.Source(), Seed: uint64(seed + 1), Way: way})
+								result, err := pool.Run(cmd.Context(), virtual.Job{Source: s.Source(), Seed: uint64(seed + 1), PauseStrategy: way})
 								mu.Lock()
 								defer mu.Unlock()
 								if err == nil && result.Error != "" {
@@ -72,7 +72,7 @@
 					if failed != nil {
 						return failed
 					}
-					for i, way := range virtual.Ways {
+					for i, way := range virtual.PauseStrategies {
 						s := sums[i]
 						fmt.Fprintf(table, "| %v\t| %s\t| %s\t| %d\t| %d\t| %d (%s%%)\t| %d\t|\n", length, front.name, way, s.Tries, s.Late, s.Needless,
 							strconv.FormatFloat(100*float64(s.Needless)/float64(max(1, s.Tries)), 'f', 1, 64), s.Served)
--- a/cmd/yardcleat/standin.go
+++ b/cmd/yardcleat/standin.go
@@ -101,7 +101,7 @@
 				Classes: []catalogue.Class{{Name: "lookup", Method: "GET", PathPrefix: "/records/", Work: lookup},
 					{Name: "loan-change", Method: "POST", PathPrefix: "/loans/", Work: loan, IdempotentWithKey: true},
 					{Name: "note", Method: "POST", PathPrefix: "/notes/", Work: loan}},
-				Record: func(s audit.Seen) { writeRecord(s) }, OnColdOverload: func(f audit.Fell) { writeRecord(f) }})
+				Record: func(s audit.AttemptRecord) { writeRecord(s) }, OnColdOverload: func(f audit.ColdOverload) { writeRecord(f) }})
 			return fakeSystem{s.Serve, s.Kill, s.InjectFault}.run(cmd, address, faults)
 		}}
 	addCommonFlags(c, &address, &faults)
@@ -168,7 +168,7 @@
 		Long: "Faults: drain or run, with the address of a server, such as 5s:drain:127.0.0.1:9001.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			writeRecord := newRecordWriter()
-			s := discovery.New(cluster, late, func(update audit.Told) { writeRecord(update) })
+			s := discovery.New(cluster, late, func(update audit.EndpointUpdate) { writeRecord(update) })
 			var endpoints []discovery.Endpoint
 			for i, server := range servers {
 				if _, _, err := net.SplitHostPort(server); err != nil {
--- a/day/callers.go
+++ b/day/callers.go
@@ -51,7 +51,7 @@
 	mu     sync.Mutex
 	next   int
 	counts map[string]int
-	tried  []audit.Tried
+	tried  []audit.RequestRecord
 }
 
 func newCallers(d *stage) *callers {
@@ -110,21 +110,21 @@
 		if patience < 10*time.Millisecond {
 			return
 		}
-		t := audit.Tried{Trace: fmt.Sprintf("try-%d-%d", number, attempt), Node: rng.IntN(int(c.d.asked.Load())), Front: "http",
-			Customer: who.Name, Plan: who.Plan, Class: class.Name, Units: max(1, class.Units), Repeat: attempt > 0}
+		t := audit.RequestRecord{Trace: fmt.Sprintf("try-%d-%d", number, attempt), Node: rng.IntN(int(c.d.asked.Load())), Frontend: "http",
+			Customer: who.Name, Plan: who.Plan, Class: class.Name, Units: max(1, class.Units), ClientRetry: attempt > 0}
 		switch at := rng.Float64(); {
 		case at < c.d.s.Clients.Proxied:
-			t.Front = "proxy"
+			t.Frontend = "proxy"
 		case at < c.d.s.Clients.Proxied+c.d.s.Clients.HTTP2:
-			t.Front = "http2"
+			t.Frontend = "http2"
 		}
 		c.try(&t, class, key, patience, attempt)
 		c.mu.Lock()
 		c.tried = append(c.tried, t)
-		c.counts[t.Answer]++
+		c.counts[t.Outcome]++
 		c.mu.Unlock()
-		again := t.Answer == "refused" || t.Refused || class.Effect == "safe"
-		if t.Answer == "served" || !again {
+		again := t.Outcome == "refused" || t.NotAccepted || class.Effect == "safe"
+		if t.Outcome == "served" || !again {
 			return
 		}
 		time.Sleep(time.Duration((0.5 + rng.Float64()) * float64(dur(c.d.s.Clients.Wait))))
@@ -142,7 +142,7 @@
 }
 
 // try makes one try and records what came of it.
-func (c *callers) try(t *audit.Tried, class *Class, key string, patience time.Duration, attempt int) {
+func (c *callers) try(t *audit.RequestRecord, class *Class, key string, patience time.Duration, attempt int) {
 	call := node.HTTPRequest{Method: class.Method, Target: class.Path + t.Trace, Host: "catalogue.example"}
 	call.Header.Add("X-Api-Key", "key-of-"+t.Customer)
 	call.Header.Add("X-Request-Id", t.Trace)
@@ -152,14 +152,14 @@
 		call.Header.Add("Idempotency-Key", key)
 	}
 	address, pool := c.d.http[t.Node], c.pool
-	switch t.Front {
+	switch t.Frontend {
 	case "proxy":
 		address = c.d.proxies[t.Node]
 	case "http2":
 		address, pool = c.d.http2[t.Node], c.h2
 	}
-	t.Sent = time.Now()
-	t.GiveUp = t.Sent.Add(patience)
+	t.SentAt = time.Now()
+	t.TimesOutAt = t.SentAt.Add(patience)
 	ended := make(chan node.Result, 1)
 	sending := pool.Start(node.Attempt{Address: address, Request: &node.Request{HTTP: call}}, func(r node.Result) { ended <- r })
 	timer := time.NewTimer(patience)
@@ -173,23 +173,23 @@
 }
 
 // answer reads what a client was told.
-func answer(t *audit.Tried, r node.Result) {
+func answer(t *audit.RequestRecord, r node.Result) {
 	if r.Response == nil {
-		t.Refused = r.Code.NeverRan() // not connected, or the stream was not taken
+		t.NotAccepted = r.Code.NeverRan() // not connected, or the stream was not taken
 		return
 	}
-	t.Answered, t.Status = time.Now(), r.Response.Status
+	t.RespondedAt, t.Status = time.Now(), r.Response.Status
 	t.Reason = r.Response.Header.Get("X-Yardcleat-Reason")
 	id := r.Response.Header.Get("X-Request-Id")
-	t.Foreign = id != "" && id != t.Trace
+	t.Mismatched = id != "" && id != t.Trace
 	switch {
 	case t.Status == 502 || t.Status == 504 || t.Status == 500:
-		t.Answer = "failed"
+		t.Outcome = "failed"
 	case t.Reason != "" || r.Response.Header.Has(catalogue.RejectionHeader):
-		t.Answer = "refused"
+		t.Outcome = "refused"
 	case t.Status >= 400:
-		t.Answer = "failed" // the proxy's own word: it promises nothing
+		t.Outcome = "failed" // the proxy's own word: it promises nothing
 	default:
-		t.Answer = "served"
+		t.Outcome = "served"
 	}
 }
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -142,7 +142,7 @@
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			r := playInBubble(t, c.script, c.defect)
-			if len(r.Rules[c.rule-1].Broken) == 0 {
+			if len(r.Rules[c.rule-1].Violations) == 0 {
 				r.Write(t.Output())
 				t.Errorf("rule %d was not found broken", c.rule)
 			}
--- a/day/faults.go
+++ b/day/faults.go
@@ -83,7 +83,7 @@
 	err := d.startProxy(f.Target)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.record.ProxyDown = append(d.record.ProxyDown, audit.Down{Node: f.Target, From: from, To: time.Now()})
+	d.record.ProxyDowntimes = append(d.record.ProxyDowntimes, audit.Downtime{Node: f.Target, From: from, To: time.Now()})
 	return err
 }
 
@@ -198,7 +198,7 @@
 func (d *stage) down(node int, from time.Time, killed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.record.Down = append(d.record.Down, audit.Down{Node: node, From: from, To: time.Now(), Killed: killed})
+	d.record.Downtimes = append(d.record.Downtimes, audit.Downtime{Node: node, From: from, To: time.Now(), Killed: killed})
 }
 
 // killTwice kills a node, starts it again, and kills it while it starts.
--- a/day/golden_test.go
+++ b/day/golden_test.go
@@ -22,8 +22,8 @@
 		{"all fields set", Report{Seconds: 30.5, Tries: 5, Goodput: 1.5, Plans: []Row{row}, Fronts: []Row{{Name: "http1"}},
 			Classes:  []Latency{{Class: "lookup", Served: 2, InAim: 0.5, P50: 1.5, P90: 2.5, P99: 3.5, Longest: 4.5}},
 			Attempts: 4, Tally: &Tally{Arrived: 4, Counted: 5, Below: 1, Above: 2},
-			Rules: []audit.Finding{{Rule: 1, Name: "n", Checked: 7, Broken: []string{"b"}}}, Near: []audit.Margin{{Rule: 1, Near: 0.5}},
-			Open: []audit.Open{{Customer: "c", Most: 3, Cap: 4}}, Worth: 2, Stops: &Stops{Tries: 4, Late: 1, Needless: 2, Served: 3},
+			Rules: []audit.RuleResult{{Rule: 1, Name: "n", Checked: 7, Violations: []string{"b"}}}, Near: []audit.Margin{{Rule: 1, Used: 0.5}},
+			Open: []audit.InFlightPeak{{Customer: "c", Peak: 3, Cap: 4}}, Worth: 2, Stops: &Stops{Tries: 4, Late: 1, Needless: 2, Served: 3},
 			Errors: []string{"e"}},
 			`{"seconds":30.5,"tries":5,"goodput":1.5,` +
 				`"plans":[{"name":"basic","tries":5,"served":2,"refused":{"quota":1},"failed":{"server-late":1},"no_answer":1}],` +
--- a/day/report.go
+++ b/day/report.go
@@ -18,20 +18,20 @@
 
 // Report is what came of a day.
 type Report struct {
-	Seconds  float64         `json:"seconds"`
-	Tries    int             `json:"tries"`
-	Goodput  float64         `json:"goodput"` // answers within the aim, a second
-	Plans    []Row           `json:"plans"`
-	Fronts   []Row           `json:"fronts"`
-	Classes  []Latency       `json:"classes"`
-	Attempts int             `json:"attempts"` // that reached servers
-	Tally    *Tally          `json:"tally,omitempty"`
-	Rules    []audit.Finding `json:"rules"`
-	Near     []audit.Margin  `json:"near"`  // how near each rule came to being broken
-	Open     []audit.Open    `json:"open"`  // of customers with a cap, the most out at once; the worst first
-	Worth    float64         `json:"worth"` // answers served within their aim
-	Stops    *Stops          `json:"stops,omitempty"`
-	Errors   []string        `json:"errors"` // of the day itself
+	Seconds  float64              `json:"seconds"`
+	Tries    int                  `json:"tries"`
+	Goodput  float64              `json:"goodput"` // answers within the aim, a second
+	Plans    []Row                `json:"plans"`
+	Fronts   []Row                `json:"fronts"`
+	Classes  []Latency            `json:"classes"`
+	Attempts int                  `json:"attempts"` // that reached servers
+	Tally    *Tally               `json:"tally,omitempty"`
+	Rules    []audit.RuleResult   `json:"rules"`
+	Near     []audit.Margin       `json:"near"`  // how near each rule came to being broken
+	Open     []audit.InFlightPeak `json:"open"`  // of customers with a cap, the most out at once; the worst first
+	Worth    float64              `json:"worth"` // answers served within their aim
+	Stops    *Stops               `json:"stops,omitempty"`
+	Errors   []string             `json:"errors"` // of the day itself
 }
 
 // Stops is what came of tries that a stop of their node met, and of those within
@@ -46,19 +46,19 @@
 func (d *stage) stops() *Stops {
 	const after, left = 5 * time.Second, 200 * time.Millisecond
 	out := &Stops{}
-	met := map[string]*audit.Tried{}
-	for i := range d.record.Tried {
-		t := &d.record.Tried[i]
-		for _, w := range d.record.Down {
-			if w.Killed || w.Node != t.Node || t.GiveUp.Before(w.From) || t.Sent.After(w.To.Add(after)) || t.GiveUp.Before(w.To) && t.Sent.Before(w.From) {
+	met := map[string]*audit.RequestRecord{}
+	for i := range d.record.Requests {
+		t := &d.record.Requests[i]
+		for _, w := range d.record.Downtimes {
+			if w.Killed || w.Node != t.Node || t.TimesOutAt.Before(w.From) || t.SentAt.After(w.To.Add(after)) || t.TimesOutAt.Before(w.To) && t.SentAt.Before(w.From) {
 				continue
 			}
 			out.Tries++
 			met[t.Trace] = t
 			switch {
-			case t.Answer == "served":
+			case t.Outcome == "served":
 				out.Served++
-			case t.Reason == string(node.ReasonNoTime) && t.GiveUp.Sub(t.Answered) > left:
+			case t.Reason == string(node.ReasonNoTime) && t.TimesOutAt.Sub(t.RespondedAt) > left:
 				out.Needless++
 			}
 			break
@@ -67,8 +67,8 @@
 	if len(met) == 0 {
 		return nil
 	}
-	for _, s := range d.record.Seen {
-		if t := met[s.Trace]; t != nil && s.At.Sub(t.GiveUp) > d.record.Slop {
+	for _, s := range d.record.Attempts {
+		if t := met[s.Trace]; t != nil && s.ArrivedAt.Sub(t.TimesOutAt) > d.record.Tolerance {
 			out.Late++
 		}
 	}
@@ -88,7 +88,7 @@
 		}
 	}
 	for _, m := range r.Near {
-		out = append(out, fmt.Sprintf("rule %d at %d tenths", m.Rule, int(min(m.Near, 1.2)*10)))
+		out = append(out, fmt.Sprintf("rule %d at %d tenths", m.Rule, int(min(m.Used, 1.2)*10)))
 	}
 	slices.Sort(out)
 	return out
@@ -127,23 +127,23 @@
 
 // Kept tells whether all rules were kept.
 func (r *Report) Kept() bool {
-	return len(r.Errors) == 0 && !slices.ContainsFunc(r.Rules, func(f audit.Finding) bool { return len(f.Broken) > 0 })
+	return len(r.Errors) == 0 && !slices.ContainsFunc(r.Rules, func(f audit.RuleResult) bool { return len(f.Violations) > 0 })
 }
 
 func (d *stage) report() *Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := &Report{Seconds: dur(d.s.Length).Seconds(), Tries: len(d.record.Tried), Attempts: len(d.record.Seen)}
+	r := &Report{Seconds: dur(d.s.Length).Seconds(), Tries: len(d.record.Requests), Attempts: len(d.record.Attempts)}
 	plans, fronts := map[string]*Row{}, map[string]*Row{}
 	good := 0
 	for _, c := range d.s.Classes {
 		h := hdrhistogram.New(1, 60_000_000, 3) // microseconds
 		in := 0
-		for _, t := range d.record.Tried {
-			if t.Class != c.Name || t.Answer != "served" {
+		for _, t := range d.record.Requests {
+			if t.Class != c.Name || t.Outcome != "served" {
 				continue
 			}
-			took := t.Answered.Sub(t.Sent)
+			took := t.RespondedAt.Sub(t.SentAt)
 			h.RecordValue(max(1, took.Microseconds()))
 			if took <= dur(c.Aim) {
 				in++
@@ -154,10 +154,10 @@
 		n := int(h.TotalCount())
 		r.Classes = append(r.Classes, Latency{c.Name, n, float64(in) / float64(max(1, n)), ms(50), ms(90), ms(99), ms(100)})
 	}
-	for i := range d.record.Tried {
-		t := &d.record.Tried[i]
+	for i := range d.record.Requests {
+		t := &d.record.Requests[i]
 		count(plans, t.Plan, t)
-		count(fronts, t.Front, t)
+		count(fronts, t.Frontend, t)
 	}
 	r.Goodput = float64(good) / r.Seconds
 	r.Plans, r.Fronts = rows(plans), rows(fronts)
@@ -169,12 +169,12 @@
 	for _, n := range d.colds {
 		cold = max(cold, n.PeakColdLoad())
 	}
-	r.Near = audit.Near(&d.record, cold)
+	r.Near = audit.Margins(&d.record, cold)
 	caps := map[string]int{}
 	for _, p := range d.s.Plans {
 		caps[p.Name] = p.Open
 	}
-	r.Open = audit.OpenCaps(&d.record, caps)
+	r.Open = audit.InFlightPeaks(&d.record, caps)
 	r.Open = r.Open[:min(5, len(r.Open))]
 	for _, err := range d.errs {
 		r.Errors = append(r.Errors, err.Error())
@@ -187,12 +187,12 @@
 		return nil
 	}
 	arrived, counted := map[string]float64{}, map[string]float64{}
-	tries := map[string]*audit.Tried{}
-	for i := range d.record.Tried {
-		tries[d.record.Tried[i].Trace] = &d.record.Tried[i]
+	tries := map[string]*audit.RequestRecord{}
+	for i := range d.record.Requests {
+		tries[d.record.Requests[i].Trace] = &d.record.Requests[i]
 	}
 	seen := map[string]bool{}
-	for _, s := range d.record.Seen {
+	for _, s := range d.record.Attempts {
 		if t := tries[s.Trace]; t != nil && !seen[s.Trace] {
 			seen[s.Trace] = true
 			arrived[t.Customer] += t.Units
@@ -213,7 +213,7 @@
 	return t
 }
 
-func count(rows map[string]*Row, name string, t *audit.Tried) {
+func count(rows map[string]*Row, name string, t *audit.RequestRecord) {
 	row := rows[name]
 	if row == nil {
 		row = &Row{Name: name, Refused: map[string]int{}, Failed: map[string]int{}}
@@ -221,7 +221,7 @@
 	}
 	row.Tries++
 	reason := cmp.Or(t.Reason, fmt.Sprint("status-", t.Status))
-	switch t.Answer {
+	switch t.Outcome {
 	case "served":
 		row.Served++
 	case "refused":
@@ -272,9 +272,9 @@
 	for i, f := range r.Rules {
 		near := ""
 		if i < len(r.Near) {
-			near = fmt.Sprintf("%.2f", r.Near[i].Near)
+			near = fmt.Sprintf("%.2f", r.Near[i].Used)
 		}
-		fmt.Fprintf(t, "%d %s\t%d\t%d\t%s\n", f.Rule, f.Name, f.Checked, len(f.Broken), near)
+		fmt.Fprintf(t, "%d %s\t%d\t%d\t%s\n", f.Rule, f.Name, f.Checked, len(f.Violations), near)
 	}
 	t.Flush()
 	if r.Tally != nil {
@@ -283,9 +283,9 @@
 	}
 	const most = 10
 	for _, f := range r.Rules {
-		for i, b := range f.Broken {
+		for i, b := range f.Violations {
 			if i == most {
-				fmt.Fprintf(w, "rule %d: and %d more\n", f.Rule, len(f.Broken)-most)
+				fmt.Fprintf(w, "rule %d: and %d more\n", f.Rule, len(f.Violations)-most)
 				break
 			}
 			fmt.Fprintf(w, "rule %d: %s\n", f.Rule, b)
--- a/day/run.go
+++ b/day/run.go
@@ -53,7 +53,7 @@
 	d.nodes = nil
 	callers.close()
 	d.mu.Lock()
-	d.record.Tried = callers.tried
+	d.record.Requests = callers.tried
 	d.mu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return nil, err
--- a/day/stage.go
+++ b/day/stage.go
@@ -102,9 +102,9 @@
 	}
 	s := d.s
 	d.record = audit.Record{Classes: map[string]audit.Class{}, Ceilings: map[string]audit.Ceiling{},
-		Grace: dur(s.Servers.Grace), Slop: d.o.Env.Slop()}
+		DrainGrace: dur(s.Servers.Grace), Tolerance: d.o.Env.Slop()}
 	for _, c := range s.Classes {
-		d.record.Classes[c.Name] = audit.Class{Effect: c.Effect, Window: dur(c.Window), GroupAll: c.Group == "" || c.Group == "all"}
+		d.record.Classes[c.Name] = audit.Class{Effect: c.Effect, DedupWindow: dur(c.Window), GlobalDedup: c.Group == "" || c.Group == "all"}
 	}
 	for _, p := range s.Plans {
 		if p.HardRate > 0 {
@@ -141,10 +141,10 @@
 			}
 		}
 	}
-	d.discovery = discovery.New("catalogue", dur(s.Servers.Late), func(t audit.Told) {
+	d.discovery = discovery.New("catalogue", dur(s.Servers.Late), func(t audit.EndpointUpdate) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.record.Told = append(d.record.Told, t)
+		d.record.EndpointUpdates = append(d.record.EndpointUpdates, t)
 	})
 	d.edsAddr = address()
 	if err := d.serve("discovery", d.edsAddr, d.discovery.Serve, d.discovery.Kill); err != nil {
@@ -229,15 +229,15 @@
 func (d *stage) startServer(b *box, cold bool) error {
 	v := d.s.Servers
 	o := catalogue.Options{Name: b.name, DedupScope: d.racks[b.rack], Cores: v.Cores, QueueLength: v.Queue,
-		Record: func(s audit.Seen) {
+		Record: func(s audit.AttemptRecord) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.record.Seen = append(d.record.Seen, s)
+			d.record.Attempts = append(d.record.Attempts, s)
 		},
-		OnColdOverload: func(f audit.Fell) {
+		OnColdOverload: func(f audit.ColdOverload) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.record.Fell = append(d.record.Fell, f)
+			d.record.ColdOverloads = append(d.record.ColdOverloads, f)
 		}}
 	if cold {
 		o.InitialCapacity, o.WarmupTime, o.ColdOverloadFactor, o.ColdOverloadTime = v.ColdShare, dur(v.WarmWithin), v.FallMultiple, dur(v.FallTime)
--- a/day/virtual/golden_test.go
+++ b/day/virtual/golden_test.go
@@ -14,7 +14,7 @@
 		line   any
 		golden string
 	}{
-		{"job", Job{Source: []byte("x"), Seed: 7, NoStamps: true, Defect: "d", Way: "w"},
+		{"job", Job{Source: []byte("x"), Seed: 7, NoTimestamps: true, Mutation: "d", PauseStrategy: "w"},
 			`{"source":"eA==","seed":7,"no_stamps":true,"defect":"d","way":"w"}`},
 		{"result", Result{Report: &day.Report{}, Features: []string{"f"}, Error: "e", Stacks: "s"},
 			`{"report":{"seconds":0,"tries":0,"goodput":0,"plans":null,"fronts":null,"classes":null,"attempts":0,` +
--- a/day/virtual/defects.go
+++ b/day/virtual/mutations.go
@@ -20,7 +20,7 @@
 	// Rule 1.
 	"patience-not-read": edit("clients {", "clients {\n patience_header = \"x-none\""),
 	"stalls-not-seen": func(b *day.Bubble) {
-		b.Stall = ways[Ways[0]].stall
+		b.Stall = ways[PauseStrategies[0]].stall
 		// What its client has left is taken back where it is still on its way, which
 		// hides most of it: that defence goes, too.
 		b.Carry = func(u node.Upstream) node.Upstream { return sendsAll{u} }
@@ -53,9 +53,9 @@
 
 func (goesOn) Withdraw() bool { return false }
 
-// Ways of living through stalls, as weighed: what is read to its end before
+// PauseStrategies of living through stalls, as weighed: what is read to its end before
 // anything is sent, and from when what was read counts.
-var Ways = []string{"nothing", "read first", "age by the gap", "age by stamps", "read first, age by the gap",
+var PauseStrategies = []string{"nothing", "read first", "age by the gap", "age by stamps", "read first, age by the gap",
 	"read first, age by stamps"}
 
 var ways = func() map[string]struct {
@@ -70,16 +70,16 @@
 	none.MinPause, none.IgnoreArrivalTimes = time.Hour, true
 	read.IgnoreArrivalTimes = true
 	age.MaxBarrier = 1
-	return map[string]way{Ways[0]: {none, true}, Ways[1]: {read, true}, Ways[2]: {age, true}, Ways[3]: {age, false},
-		Ways[4]: {both, true}, Ways[5]: {both, false}}
+	return map[string]way{PauseStrategies[0]: {none, true}, PauseStrategies[1]: {read, true}, PauseStrategies[2]: {age, true}, PauseStrategies[3]: {age, false},
+		PauseStrategies[4]: {both, true}, PauseStrategies[5]: {both, false}}
 }()
 
 const quotas = "rate = 8\n  burst = 16\n  open = 6\n  hard_rate = 14\n  hard_burst = 24"
 
 var windows = regexp.MustCompile(`window = "(2s|500ms)"`)
 
-// Defects lists them.
-func Defects() []string { return slices.Sorted(maps.Keys(defects)) }
+// Mutations lists them.
+func Mutations() []string { return slices.Sorted(maps.Keys(defects)) }
 
 func edit(old, new string) func(*day.Bubble) {
 	return func(b *day.Bubble) {
@@ -104,7 +104,7 @@
 	}
 	take, ok := defects[name]
 	if !ok {
-		return fmt.Errorf("there is no defect %q; there are %s", name, strings.Join(Defects(), ", "))
+		return fmt.Errorf("there is no defect %q; there are %s", name, strings.Join(Mutations(), ", "))
 	}
 	take(b)
 	return nil
--- a/day/virtual/virtual.go
+++ b/day/virtual/virtual.go
@@ -27,11 +27,11 @@
 
 // Job is a day to play.
 type Job struct {
-	Source   []byte `json:"source"` // of the script
-	Seed     uint64 `json:"seed"`   // of the network's and the nodes' chance
-	NoStamps bool   `json:"no_stamps,omitempty"`
-	Defect   string `json:"defect,omitempty"` // a defence that is taken out; see Defects
-	Way      string `json:"way,omitempty"`    // of living through stalls; see Ways
+	Source        []byte `json:"source"` // of the script
+	Seed          uint64 `json:"seed"`   // of the network's and the nodes' chance
+	NoTimestamps  bool   `json:"no_stamps,omitempty"`
+	Mutation      string `json:"defect,omitempty"` // a defence that is taken out; see Defects
+	PauseStrategy string `json:"way,omitempty"`    // of living through stalls; see Ways
 }
 
 // Result is what came of a day.
@@ -42,8 +42,8 @@
 	Stacks   string      `json:"stacks,omitempty"`   // of a day that was not over in time
 }
 
-// Play plays one day in a bubble of a test.
-func Play(t *testing.T, j Job) (res Result) {
+// Run plays one day in a bubble of a test.
+func Run(t *testing.T, j Job) (res Result) {
 	s, err := day.Parse(j.Source, "day.hcl")
 	if err != nil {
 		return Result{Error: err.Error()}
@@ -56,13 +56,13 @@
 	said := &words{seen: map[string]bool{}}
 	synctest.Test(t, func(t *testing.T) {
 		m := network.NewMemory(time.Millisecond, j.Seed)
-		m.NoTimestamps = j.NoStamps
+		m.NoTimestamps = j.NoTimestamps
 		env := &day.Bubble{Memory: m, Temp: temp, Log: said, Seed: j.Seed}
-		if err := defect(env, j.Defect); err != nil {
+		if err := defect(env, j.Mutation); err != nil {
 			res.Error = err.Error()
 			return
 		}
-		if w, ok := ways[j.Way]; ok {
+		if w, ok := ways[j.PauseStrategy]; ok {
 			env.Stall, m.NoTimestamps = w.stall, w.noStamps
 		}
 		if res.Report, err = day.Run(context.Background(), s, day.Options{Env: env}); err != nil {
@@ -116,9 +116,9 @@
 	return out
 }
 
-// Worker plays the jobs on standard input, a JSON document a line, and answers
+// RunWorker plays the jobs on standard input, a JSON document a line, and answers
 // on standard output. It does not return.
-func Worker() {
+func RunWorker() {
 	test := func(t *testing.T) {
 		in := bufio.NewReaderSize(os.Stdin, 1<<20)
 		for {
@@ -130,7 +130,7 @@
 			if err := json.Unmarshal(line, &j); err != nil {
 				panic(err) // the pool wrote it
 			}
-			b, err := json.Marshal(Play(t, j))
+			b, err := json.Marshal(Run(t, j))
 			if err != nil {
 				panic(err)
 			}
@@ -143,7 +143,7 @@
 // Pool plays days in worker processes.
 type Pool struct {
 	Command func() *exec.Cmd // starts a worker; it must call Worker
-	Longest time.Duration    // real time after which a day is given up
+	Timeout time.Duration    // real time after which a day is given up
 
 	mu   sync.Mutex
 	idle []*worker
@@ -219,9 +219,9 @@
 	delete(p.all, w)
 }
 
-// Play plays a day. A worker that panics, or takes too long, makes an error of it;
+// Run plays a day. A worker that panics, or takes too long, makes an error of it;
 // err is for what has nothing to do with the day.
-func (p *Pool) Play(ctx context.Context, j Job) (Result, error) {
+func (p *Pool) Run(ctx context.Context, j Job) (Result, error) {
 	w, err := p.worker()
 	if err != nil {
 		return Result{}, err
@@ -230,7 +230,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.Longest)
+	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
 		// Where it is not over in time, the worker's stacks say what it waits for.
@@ -249,7 +249,7 @@
 			p.end(w)
 			switch {
 			case errors.Is(ctx.Err(), context.DeadlineExceeded):
-				return Result{Error: fmt.Sprintf("not over after %v", p.Longest), Stacks: w.err.String()}, nil
+				return Result{Error: fmt.Sprintf("not over after %v", p.Timeout), Stacks: w.err.String()}, nil
 			case ctx.Err() != nil:
 				return Result{}, ctx.Err()
 			}
--- a/day/virtual/virtual_test.go
+++ b/day/virtual/virtual_test.go
@@ -25,7 +25,7 @@
 		if d.Script.Check() != nil {
 			continue // a fault is aimed at a node that is no more
 		}
-		r := Play(t, Job{Source: d.Script.Source(), Seed: d.Seed, NoStamps: d.NoStamps})
+		r := Run(t, Job{Source: d.Script.Source(), Seed: d.Seed, NoTimestamps: d.NoStamps})
 		if r.Error != "" || !r.Report.Kept() {
 			t.Errorf("%s: %s", d.Words(), r.Error)
 			if r.Report != nil {
@@ -41,11 +41,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := Play(t, Job{Source: src, Seed: 1, Defect: "stalls-not-seen"})
+	r := Run(t, Job{Source: src, Seed: 1, Mutation: "stalls-not-seen"})
 	if r.Error != "" {
 		t.Fatal(r.Error)
 	}
-	if len(r.Report.Rules[0].Broken) == 0 {
+	if len(r.Report.Rules[0].Violations) == 0 {
 		t.Error("rule 1 was not found broken")
 	}
 }
--- a/edgenode/fake_server_test.go
+++ b/edgenode/fake_server_test.go
@@ -26,8 +26,8 @@
 	requests          []string // id, key, method, target, body of each request
 	connections       int
 	respond           func(n int, id string) (out string, end bool)
-	observe           func(s audit.Seen, out string) // gets each request and the response to it; may be nil
-	resetsConnections bool                           // the server closes connections with a reset
+	observe           func(s audit.AttemptRecord, out string) // gets each request and the response to it; may be nil
+	resetsConnections bool                                    // the server closes connections with a reset
 }
 
 func newFakeServer(respond func(n int, id string) (string, bool)) *fakeServer {
@@ -85,7 +85,7 @@
 	}
 	id, key := req.Header.Get("X-Correlation-Id"), req.Header.Get("Idempotency-Key")
 	n := s.record(strings.Join([]string{id, key, req.Method, req.Target, string(body)}, " "))
-	seen := audit.Seen{Trace: id, Class: "lookup", Key: key, At: time.Now()}
+	seen := audit.AttemptRecord{Trace: id, Class: "lookup", Key: key, ArrivedAt: time.Now()}
 	// Await returns when the node closes the connection or, after the response, sends the next request.
 	next := make(chan time.Time, 1)
 	go func() {
@@ -94,10 +94,10 @@
 	}()
 	time.Sleep(serverTime)
 	out, end := s.respond(n, id)
-	seen.End = time.Now()
+	seen.EndedAt = time.Now()
 	nodeClosed := false
 	select {
-	case seen.End = <-next:
+	case seen.EndedAt = <-next:
 		nodeClosed = true
 	default:
 	}
--- a/edgenode/invariants_test.go
+++ b/edgenode/invariants_test.go
@@ -36,29 +36,29 @@
 		bed:   s,
 		start: time.Now(),
 		rng:   rand.New(rand.NewPCG(3, 3)),
-		record: &audit.Record{Grace: 250 * time.Millisecond, Slop: 10 * time.Millisecond,
-			Classes: map[string]audit.Class{"lookup": {Effect: "safe"}, "loan-change": {Effect: "keyed", Window: dedupWindow}}},
+		record: &audit.Record{DrainGrace: 250 * time.Millisecond, Tolerance: 10 * time.Millisecond,
+			Classes: map[string]audit.Class{"lookup": {Effect: "safe"}, "loan-change": {Effect: "keyed", DedupWindow: dedupWindow}}},
 		statuses:    map[int]int{},
 		processedAt: map[string]time.Time{},
 	}
 }
 
 // observe records a request at a server and the response to it.
-func (f *faultRun) observe(server string, seen audit.Seen, out string) {
+func (f *faultRun) observe(server string, seen audit.AttemptRecord, out string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen.Server, seen.Rack = server, "1"
+	seen.Server, seen.DedupScope = server, "1"
 	if seen.Class == "loan-change" {
 		at, before := f.processedAt[seen.Key]
-		seen.Dropped = before && seen.At.Sub(at) < dedupWindow
+		seen.Deduplicated = before && seen.ArrivedAt.Sub(at) < dedupWindow
 	}
-	seen.Away = strings.Contains(out, "X-Unprocessed")
-	seen.Ran = !seen.Away && !seen.Dropped
-	seen.Answered = strings.HasPrefix(out, "HTTP/1.1 200")
-	if seen.Ran && seen.Key != "" {
-		f.processedAt[seen.Key] = seen.At
+	seen.Rejected = strings.Contains(out, "X-Unprocessed")
+	seen.TookEffect = !seen.Rejected && !seen.Deduplicated
+	seen.Responded = strings.HasPrefix(out, "HTTP/1.1 200")
+	if seen.TookEffect && seen.Key != "" {
+		f.processedAt[seen.Key] = seen.ArrivedAt
 	}
-	f.record.Seen = append(f.record.Seen, seen)
+	f.record.Attempts = append(f.record.Attempts, seen)
 }
 
 // respond fails 8 requests in 60, in different ways.
@@ -97,7 +97,7 @@
 	defer f.mu.Unlock()
 	if f.lastAnnounced == nil || *f.lastAnnounced != down {
 		f.lastAnnounced = &down
-		f.record.Told = append(f.record.Told, audit.Told{Server: "s-1", At: at, Down: down})
+		f.record.EndpointUpdates = append(f.record.EndpointUpdates, audit.EndpointUpdate{Server: "s-1", At: at, Unavailable: down})
 	}
 	if down {
 		return strings.Replace(twoEndpoints, `"status":"ready"`, `"status":"draining"`, 1)
@@ -108,29 +108,29 @@
 // request sends a request as a client and records the response.
 func (f *faultRun) request(t *testing.T, class, id, text string) {
 	t.Helper()
-	tried := audit.Tried{Trace: id, Front: "http", Customer: "c", Plan: "basic", Class: class, Units: 1, Sent: time.Now()}
-	tried.GiveUp = tried.Sent.Add(clientTimeout)
+	tried := audit.RequestRecord{Trace: id, Frontend: "http", Customer: "c", Plan: "basic", Class: class, Units: 1, SentAt: time.Now()}
+	tried.TimesOutAt = tried.SentAt.Add(clientTimeout)
 	nc := f.bed.dial()
 	defer mustClose(t, nc)
 	mustWrite(t, nc, text)
-	mustSetDeadline(t, nc, tried.GiveUp)
+	mustSetDeadline(t, nc, tried.TimesOutAt)
 	status, body := readResponse(nc)
 	tried.Status = status
 	switch {
 	case status == 200:
-		tried.Answer, tried.Foreign = "served", body != "for "+id
+		tried.Outcome, tried.Mismatched = "served", body != "for "+id
 	case status == 429 || status == 503:
-		tried.Answer = "refused"
+		tried.Outcome = "refused"
 	case status != 0:
-		tried.Answer = "failed"
+		tried.Outcome = "failed"
 	}
-	if tried.Answer != "" {
-		tried.Answered = time.Now()
+	if tried.Outcome != "" {
+		tried.RespondedAt = time.Now()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.statuses[status]++
-	f.record.Tried = append(f.record.Tried, tried)
+	f.record.Requests = append(f.record.Requests, tried)
 }
 
 // check checks that the run had the intended requests and announcements, and that no rule was
@@ -140,17 +140,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	served := 0
-	for _, tried := range f.record.Tried {
-		if tried.Answer == "served" {
+	for _, tried := range f.record.Requests {
+		if tried.Outcome == "served" {
 			served++
 		}
 	}
-	if served < 200 || len(f.record.Seen) < 250 || len(f.record.Told) != 3 {
-		t.Errorf("%d served, %d attempts, %d announcements by discovery: not the intended run; statuses %v", served, len(f.record.Seen), len(f.record.Told), f.statuses)
+	if served < 200 || len(f.record.Attempts) < 250 || len(f.record.EndpointUpdates) != 3 {
+		t.Errorf("%d served, %d attempts, %d announcements by discovery: not the intended run; statuses %v", served, len(f.record.Attempts), len(f.record.EndpointUpdates), f.statuses)
 	}
 	for _, rule := range audit.Check(f.record) {
 		t.Logf("rule %d, %s: %d cases", rule.Rule, rule.Name, rule.Checked)
-		for _, broken := range rule.Broken {
+		for _, broken := range rule.Violations {
 			t.Errorf("rule %d violated: %s", rule.Rule, broken)
 		}
 	}
@@ -163,7 +163,7 @@
 		run := newFaultRun(s)
 		for i, server := range s.servers {
 			name := fmt.Sprint("s-", i+1)
-			server.observe = func(seen audit.Seen, out string) { run.observe(name, seen, out) }
+			server.observe = func(seen audit.AttemptRecord, out string) { run.observe(name, seen, out) }
 			server.respond = run.respond
 		}
 		s.serveDiscovery("10.0.3.2:80", run.endpoints)
--- a/gateway/authorization_test.go
+++ b/gateway/authorization_test.go
@@ -385,7 +385,7 @@
 			}
 		}
 		for _, s := range bed.arrivedAttempts() {
-			if s.Server == "s1" && s.At.After(updatedAt) {
+			if s.Server == "s1" && s.ArrivedAt.After(updatedAt) {
 				t.Errorf("attempt sent to the draining server: %+v", s)
 			}
 		}
--- a/gateway/client_disconnect_test.go
+++ b/gateway/client_disconnect_test.go
@@ -63,7 +63,7 @@
 				bed.setAuthorizerFault(bed.authorizer, "ok", "")
 				time.Sleep(5 * time.Second)
 				for _, s := range bed.arrivedAttempts() {
-					if s.Class == "loan-change" && s.At.Sub(disconnectedAt) > 3*time.Millisecond {
+					if s.Class == "loan-change" && s.ArrivedAt.Sub(disconnectedAt) > 3*time.Millisecond {
 						t.Errorf("attempt sent after its client had disconnected: %+v", s)
 					}
 				}
--- a/gateway/endpoint_cache_test.go
+++ b/gateway/endpoint_cache_test.go
@@ -49,7 +49,7 @@
 			}
 		}
 		for _, s := range bed.arrivedAttempts() {
-			if s.Server == "s1" && s.At.After(updatedAt) {
+			if s.Server == "s1" && s.ArrivedAt.After(updatedAt) {
 				t.Errorf("attempt sent to the draining server: %+v", s)
 			}
 		}
--- a/gateway/http2_upstream_test.go
+++ b/gateway/http2_upstream_test.go
@@ -44,7 +44,7 @@
 			t.Errorf("unexpected response %+v", g)
 		}
 		time.Sleep(100 * time.Millisecond)
-		if s := bed.arrivedAttempts()[len(bed.arrivedAttempts())-1]; s.End.Sub(s.At) > 310*time.Millisecond || s.Answered {
+		if s := bed.arrivedAttempts()[len(bed.arrivedAttempts())-1]; s.EndedAt.Sub(s.ArrivedAt) > 310*time.Millisecond || s.Responded {
 			t.Errorf("the stream was not reset: %+v", s)
 		}
 	})
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -39,7 +39,7 @@
 	configSource string // source text of the gateway's configuration
 
 	mu       sync.Mutex
-	arrivals []audit.Seen
+	arrivals []audit.AttemptRecord
 }
 
 const testBedConfig = `
@@ -127,7 +127,7 @@
 					{Name: "lookup", Method: "GET", PathPrefix: "/records/", Work: 50 * time.Millisecond},
 					{Name: "loan-change", Method: "POST", PathPrefix: "/loans/", Work: 30 * time.Millisecond, IdempotentWithKey: true},
 					{Name: "note", Method: "POST", PathPrefix: "/notes/", Work: 30 * time.Millisecond}},
-				Record: func(s audit.Seen) {
+				Record: func(s audit.AttemptRecord) {
 					bed.mu.Lock()
 					defer bed.mu.Unlock()
 					bed.arrivals = append(bed.arrivals, s)
@@ -278,7 +278,7 @@
 	return response{res.StatusCode, res.Header, string(b), time.Since(start)}
 }
 
-func (bed *testBed) arrivedAttempts() []audit.Seen {
+func (bed *testBed) arrivedAttempts() []audit.AttemptRecord {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	return bed.arrivals
--- a/lab/hunt/hunt.go
+++ b/lab/hunt/hunt.go
@@ -86,12 +86,12 @@
 		}
 	}
 	for _, m := range o.Near {
-		if m.Rule < len(h.best) && m.Near > h.best[m.Rule]+0.01 {
-			h.best[m.Rule] = m.Near
+		if m.Rule < len(h.best) && m.Used > h.best[m.Rule]+0.01 {
+			h.best[m.Rule] = m.Used
 			news++
 			score += 20
 		}
-		score += 2 * min(m.Near, 1.5)
+		score += 2 * min(m.Used, 1.5)
 	}
 	if news > 0 || len(o.Broken) > 0 {
 		h.corpus = append(h.corpus, entry{day: d, score: score})
--- a/lab/hunt/hunt_test.go
+++ b/lab/hunt/hunt_test.go
@@ -24,7 +24,7 @@
 	for range n {
 		d := h.Next()
 		days = append(days, d)
-		h.Learn(d, Outcome{Features: []string{d.Script.Faults[0].Kind}, Near: []audit.Margin{{Rule: 1, Near: float64(len(d.Script.Faults)) / 20}}})
+		h.Learn(d, Outcome{Features: []string{d.Script.Faults[0].Kind}, Near: []audit.Margin{{Rule: 1, Used: float64(len(d.Script.Faults)) / 20}}})
 	}
 	return days
 }
@@ -126,7 +126,7 @@
 			if got == 4 {
 				return n
 			}
-			h.Learn(d, Outcome{Near: []audit.Margin{{Rule: 2, Near: float64(got) / 4}}})
+			h.Learn(d, Outcome{Near: []audit.Margin{{Rule: 2, Used: float64(got) / 4}}})
 		}
 		return 1500
 	}
--- a/standin/catalogue/catalogue.go
+++ b/standin/catalogue/catalogue.go
@@ -62,8 +62,8 @@
 	ColdOverloadFactor float64       // multiple of the current capacity beyond which a cold server overloads
 	ColdOverloadTime   time.Duration // time over which received work is summed for that
 
-	Record         func(audit.Seen) // called at the end of each request
-	OnColdOverload func(audit.Fell) // called when the server overloads while cold
+	Record         func(audit.AttemptRecord) // called at the end of each request
+	OnColdOverload func(audit.ColdOverload)  // called when the server overloads while cold
 }
 
 // RejectionHeader is the header field that marks a response of status 503 as a rejection: the
@@ -190,7 +190,7 @@
 	if float64(total) > limit && !s.overloaded {
 		s.overloaded, s.hang = true, true
 		if s.options.OnColdOverload != nil {
-			s.options.OnColdOverload(audit.Fell{Server: s.options.Name, At: now})
+			s.options.OnColdOverload(audit.ColdOverload{Server: s.options.Name, At: now})
 		}
 	}
 }
@@ -215,23 +215,23 @@
 		http.NotFound(w, r)
 		return
 	}
-	record := audit.Seen{Trace: r.Header.Get("X-Request-Id"), Server: s.options.Name, Rack: s.options.DedupScope.Name, Class: class.Name,
-		Key: r.Header.Get("Idempotency-Key"), At: time.Now()}
+	record := audit.AttemptRecord{Trace: r.Header.Get("X-Request-Id"), Server: s.options.Name, DedupScope: s.options.DedupScope.Name, Class: class.Name,
+		Key: r.Header.Get("Idempotency-Key"), ArrivedAt: time.Now()}
 	w.Header().Set("X-Request-Id", record.Trace)
 	var cancelledAt atomic.Int64 // Unix time in nanoseconds at which the request was cancelled; 0: it was not
 	stopWatching := context.AfterFunc(r.Context(), func() { cancelledAt.Store(time.Now().UnixNano()) })
 	defer func() {
 		stopWatching()
-		record.End = time.Now()
+		record.EndedAt = time.Now()
 		if at := cancelledAt.Load(); at != 0 {
-			record.End = time.Unix(0, at)
+			record.EndedAt = time.Unix(0, at)
 		}
 		if s.options.Record != nil {
 			s.options.Record(record)
 		}
 	}()
 	s.mu.Lock()
-	s.recordColdWork(record.At, class.Work)
+	s.recordColdWork(record.ArrivedAt, class.Work)
 	hang, halfClose, slowFactor, failingClass, hangEnded, reset, respondsTwice := s.hang, s.halfClose, s.slowFactor, s.failingClass, s.hangEnded, s.reset, s.respondsTwice
 	queueFull := s.inFlight >= s.options.QueueLength+s.options.Cores
 	if !queueFull {
@@ -256,11 +256,11 @@
 		s.resetConnection(w)
 		return
 	case failingClass == class.Name:
-		record.Answered, record.Ran = true, class.IdempotentWithKey && s.options.DedupScope.recordIfNew(record.Key, record.At)
+		record.Responded, record.TookEffect = true, class.IdempotentWithKey && s.options.DedupScope.recordIfNew(record.Key, record.ArrivedAt)
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	case queueFull:
-		record.Away, record.Answered = true, true
+		record.Rejected, record.Responded = true, true
 		w.Header().Set(RejectionHeader, "1")
 		http.Error(w, "rejected: the queue is full", http.StatusServiceUnavailable)
 		return
@@ -272,24 +272,24 @@
 	}
 	defer func() { <-s.coreSlots }()
 	// The dedup window starts when a request is received, not when its work starts.
-	if class.IdempotentWithKey && !s.options.DedupScope.recordIfNew(record.Key, record.At) {
-		record.Dropped = true
+	if class.IdempotentWithKey && !s.options.DedupScope.recordIfNew(record.Key, record.ArrivedAt) {
+		record.Deduplicated = true
 	} else {
 		// Running work continues after its request is cancelled.
-		record.Ran = true
+		record.TookEffect = true
 		time.Sleep(time.Duration(float64(class.Work) * slowFactor / s.warmFraction(time.Now())))
 	}
 	if halfClose {
 		s.halfCloseConnection(w)
 		return
 	}
-	record.Answered = r.Context().Err() == nil
+	record.Responded = r.Context().Err() == nil
 	if respondsTwice && r.ProtoMajor == 1 {
 		s.respondTwice(w, record.Trace)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	fmt.Fprintf(w, "{\"server\":%q,\"class\":%q,\"repeat\":%v}\n", s.options.Name, class.Name, record.Dropped)
+	fmt.Fprintf(w, "{\"server\":%q,\"class\":%q,\"repeat\":%v}\n", s.options.Name, class.Name, record.Deduplicated)
 }
 
 // resetConnection resets the connection of a request.
--- a/standin/catalogue/catalogue_test.go
+++ b/standin/catalogue/catalogue_test.go
@@ -20,10 +20,10 @@
 		m := network.NewMemory(time.Millisecond, 1)
 		host := m.Host("client")
 		scope := &DedupScope{Name: "r", Window: 500 * time.Millisecond}
-		seen := make(chan audit.Seen, 10)
+		seen := make(chan audit.AttemptRecord, 10)
 		var servers []*Server
 		for _, a := range []string{"10.0.0.1:80", "10.0.0.2:80"} {
-			s := New(Options{Name: a, DedupScope: scope, Cores: 1, QueueLength: 5, Record: func(s audit.Seen) { seen <- s },
+			s := New(Options{Name: a, DedupScope: scope, Cores: 1, QueueLength: 5, Record: func(s audit.AttemptRecord) { seen <- s },
 				Classes: []Class{{Name: "loan", Method: "POST", PathPrefix: "/", Work: 400 * time.Millisecond, IdempotentWithKey: true}}})
 			l, err := m.Host(a).Listen(a)
 			if err != nil {
@@ -49,7 +49,7 @@
 		send("10.0.0.2:80", "k")
 		effects := 0
 		for range 4 {
-			if s := <-seen; s.Key == "k" && s.Ran {
+			if s := <-seen; s.Key == "k" && s.TookEffect {
 				effects++
 			}
 		}
--- a/standin/discovery/discovery.go
+++ b/standin/discovery/discovery.go
@@ -41,7 +41,7 @@
 	grpcServer   *grpc.Server
 	cluster      string
 	pushDelay    time.Duration
-	recordUpdate func(audit.Told)
+	recordUpdate func(audit.EndpointUpdate)
 
 	mu          sync.Mutex
 	version     int
@@ -55,7 +55,7 @@
 
 // New returns a server for one cluster. Changes reach the nodes after pushDelay; recordUpdate, if not
 // nil, is called with the state of each endpoint in each update to a node.
-func New(cluster string, pushDelay time.Duration, recordUpdate func(audit.Told)) *Server {
+func New(cluster string, pushDelay time.Duration, recordUpdate func(audit.EndpointUpdate)) *Server {
 	s := &Server{grpcServer: grpc.NewServer(), cluster: cluster, pushDelay: pushDelay, recordUpdate: recordUpdate, changed: make(chan struct{}), streamsCut: make(chan struct{})}
 	edsv3.RegisterEndpointDiscoveryServiceServer(s.grpcServer, s)
 	return s
@@ -206,11 +206,11 @@
 	}
 	now := time.Now()
 	for _, e := range list {
-		s.recordUpdate(audit.Told{Node: node, Server: e.Name, At: now, Down: e.Draining})
+		s.recordUpdate(audit.EndpointUpdate{Node: node, Server: e.Name, At: now, Unavailable: e.Draining})
 	}
 	for _, old := range previous {
 		if !slices.ContainsFunc(list, func(e Endpoint) bool { return e.Name == old.Name }) {
-			s.recordUpdate(audit.Told{Node: node, Server: old.Name, At: now, Down: true})
+			s.recordUpdate(audit.EndpointUpdate{Node: node, Server: old.Name, At: now, Unavailable: true})
 		}
 	}
 }
