--- a/day/env.go
+++ b/day/env.go
@@ -20,41 +20,41 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// Env is where a day is played.
-type Env interface {
+// Environment is where a day is played.
+type Environment interface {
 	// Network is what a stand-in or the clients use.
 	Network(host string) network.Network
-	// Address gives an address that nobody uses yet.
-	Address() (string, error)
-	// Dir is where a node keeps its files.
-	Dir(node int) (string, error)
-	// Start starts a node with a configuration.
-	Start(node int, hcl []byte) (Node, error)
-	// Slop is how late records may be here.
-	Slop() time.Duration
+	// NewAddress gives an address that nobody uses yet.
+	NewAddress() (string, error)
+	// NodeDir is where a node keeps its files.
+	NodeDir(node int) (string, error)
+	// StartNode starts a node with a configuration.
+	StartNode(node int, hcl []byte) (Node, error)
+	// RecordTolerance is how late records may be here.
+	RecordTolerance() time.Duration
 }
 
 // Node is a node under a day's control.
 type Node interface {
-	Kill()              // at once
-	Stop(time.Duration) // holds it up for a time, and returns then
-	End() error         // asks it to drain, and waits
+	Kill()                 // at once
+	Suspend(time.Duration) // holds it up for a time, and returns then
+	Drain() error          // asks it to drain, and waits
 }
 
-// Processes plays a day on loopback sockets, each node a process of its own.
-type Processes struct {
+// ProcessEnvironment plays a day on loopback sockets, each node a process of its own.
+type ProcessEnvironment struct {
 	Program string // this program
-	Temp    string // a directory for configurations, state and logs
+	TempDir string // a directory for configurations, state and logs
 }
 
 // Network is the machine's.
-func (p *Processes) Network(string) network.Network { return network.OS{} }
+func (p *ProcessEnvironment) Network(string) network.Network { return network.OS{} }
 
-// Slop is generous: the machine may be busy.
-func (p *Processes) Slop() time.Duration { return 60 * time.Millisecond }
+// RecordTolerance is generous: the machine may be busy.
+func (p *ProcessEnvironment) RecordTolerance() time.Duration { return 60 * time.Millisecond }
 
-// Address finds a port that is free for TCP and UDP.
-func (p *Processes) Address() (string, error) {
+// NewAddress finds a port that is free for TCP and UDP.
+func (p *ProcessEnvironment) NewAddress() (string, error) {
 	for range 20 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -71,15 +71,15 @@
 	return "", fmt.Errorf("no port is free")
 }
 
-// Dir is a directory below Temp.
-func (p *Processes) Dir(node int) (string, error) {
-	dir := filepath.Join(p.Temp, fmt.Sprint("node-", node))
+// NodeDir is a directory below Temp.
+func (p *ProcessEnvironment) NodeDir(node int) (string, error) {
+	dir := filepath.Join(p.TempDir, fmt.Sprint("node-", node))
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
-// Start runs "serve"; its log goes to a file beside its configuration.
-func (p *Processes) Start(node int, hcl []byte) (Node, error) {
-	dir, err := p.Dir(node)
+// StartNode runs "serve"; its log goes to a file beside its configuration.
+func (p *ProcessEnvironment) StartNode(node int, hcl []byte) (Node, error) {
+	dir, err := p.NodeDir(node)
 	if err != nil {
 		return nil, err
 	}
@@ -107,59 +107,59 @@
 	p.cmd.Wait()
 }
 
-func (p *process) Stop(d time.Duration) {
+func (p *process) Suspend(d time.Duration) {
 	p.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-func (p *process) End() error {
+func (p *process) Drain() error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	return p.cmd.Wait()
 }
 
-// Bubble plays a day in virtual time, in a testing/synctest bubble.
-type Bubble struct {
-	Memory *network.Memory
-	Temp   string
-	Log    io.Writer
-	Seed   uint64
-	hosts  int
-	wall   sync.Map // what a node's wall clock is ahead, by number
+// VirtualEnvironment plays a day in virtual time, in a testing/synctest bubble.
+type VirtualEnvironment struct {
+	Memory  *network.Memory
+	TempDir string
+	Log     io.Writer
+	Seed    uint64
+	hosts   int
+	wall    sync.Map // what a node's wall clock is ahead, by number
 
-	// Defects, to see the audit find them: Edit changes a node's configuration,
+	// Defects, to see the audit find them: EditConfig changes a node's configuration,
 	// Deafen what it hears of the server list, Carry how its attempts are made.
-	Edit   func([]byte) []byte
-	Deafen func([]node.Endpoint) []node.Endpoint
-	Carry  func(node.Upstream) node.Upstream
-	Stall  pause.Settings // zero: the default
+	EditConfig         func([]byte) []byte
+	TransformEndpoints func([]node.Endpoint) []node.Endpoint
+	WrapUpstream       func(node.Upstream) node.Upstream
+	Pause              pause.Settings // zero: the default
 }
 
 // Network is a host of the memory network.
-func (b *Bubble) Network(host string) network.Network { return b.Memory.Host(host) }
+func (b *VirtualEnvironment) Network(host string) network.Network { return b.Memory.Host(host) }
 
-// Slop is what crossing the network takes.
-func (b *Bubble) Slop() time.Duration { return 5 * time.Millisecond }
+// RecordTolerance is what crossing the network takes.
+func (b *VirtualEnvironment) RecordTolerance() time.Duration { return 5 * time.Millisecond }
 
-// Address gives each its own host.
-func (b *Bubble) Address() (string, error) {
+// NewAddress gives each its own host.
+func (b *VirtualEnvironment) NewAddress() (string, error) {
 	b.hosts++
 	return fmt.Sprintf("10.0.%d.%d:80", b.hosts/256, b.hosts%256), nil
 }
 
-// Dir is a directory below Temp.
-func (b *Bubble) Dir(node int) (string, error) {
-	dir := filepath.Join(b.Temp, fmt.Sprint("node-", node))
+// NodeDir is a directory below Temp.
+func (b *VirtualEnvironment) NodeDir(node int) (string, error) {
+	dir := filepath.Join(b.TempDir, fmt.Sprint("node-", node))
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
-// SetWall sets what a node's wall clock is ahead.
-func (b *Bubble) SetWall(node int, ahead time.Duration) { b.wall.Store(node, ahead) }
+// SetWallClock sets what a node's wall clock is ahead.
+func (b *VirtualEnvironment) SetWallClock(node int, ahead time.Duration) { b.wall.Store(node, ahead) }
 
-// Start starts a gateway in this process, on a host of its own.
-func (b *Bubble) Start(number int, hcl []byte) (Node, error) {
-	if b.Edit != nil {
-		hcl = b.Edit(hcl)
+// StartNode starts a gateway in this process, on a host of its own.
+func (b *VirtualEnvironment) StartNode(number int, hcl []byte) (Node, error) {
+	if b.EditConfig != nil {
+		hcl = b.EditConfig(hcl)
 	}
 	cfg, err := config.Parse(hcl, fmt.Sprintf("node-%d.hcl", number))
 	if err != nil {
@@ -168,7 +168,7 @@
 	b.Seed++
 	host := b.Memory.Host(fmt.Sprint("node-", number))
 	log := slog.New(slog.NewTextHandler(b.Log, &slog.HandlerOptions{Level: cfg.LogLevel})).With("node", number)
-	g, err := gateway.Start(cfg, gateway.Options{Network: host, Log: log, Seed: b.Seed, TransformEndpoints: b.Deafen, WrapUpstream: b.Carry, Pause: b.Stall,
+	g, err := gateway.Start(cfg, gateway.Options{Network: host, Log: log, Seed: b.Seed, TransformEndpoints: b.TransformEndpoints, WrapUpstream: b.WrapUpstream, Pause: b.Pause,
 		WallClock: func() time.Time {
 			ahead, _ := b.wall.Load(number)
 			d, _ := ahead.(time.Duration)
@@ -190,13 +190,13 @@
 	n.g.Kill()
 }
 
-func (n *inBubble) Stop(d time.Duration) {
+func (n *inBubble) Suspend(d time.Duration) {
 	n.host.Pause()
 	time.Sleep(d)
 	n.host.Resume()
 }
 
-func (n *inBubble) End() error {
+func (n *inBubble) Drain() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	return n.g.Drain(ctx)
--- a/day/run.go
+++ b/day/run.go
@@ -10,8 +10,8 @@
 
 // Options is what Run takes beside a script.
 type Options struct {
-	Env      Env
-	Progress func(string) // lines to show; nil: none
+	Environment Environment
+	Progress    func(string) // lines to show; nil: none
 }
 
 // Run plays a script and reports.
@@ -46,7 +46,7 @@
 		if n == nil {
 			continue
 		}
-		if err := n.End(); err != nil {
+		if err := n.Drain(); err != nil {
 			d.errs = append(d.errs, fmt.Errorf("node %d at its end: %w", i, err))
 		}
 	}
