--- a/cmd/yardcleat/day.go
+++ b/cmd/yardcleat/day.go
@@ -25,10 +25,10 @@
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if list {
-				fmt.Fprintln(cmd.OutOrStdout(), strings.Join(day.Names(), "\n"))
+				fmt.Fprintln(cmd.OutOrStdout(), strings.Join(day.ScriptNames(), "\n"))
 				return nil
 			}
-			name := day.Default
+			name := day.DefaultScript
 			if len(args) == 1 {
 				name = args[0]
 			}
@@ -37,7 +37,7 @@
 				source, err = os.ReadFile(name)
 			}
 			if err != nil {
-				return fmt.Errorf("no file or built-in script %q; the built-in scripts are %s", name, strings.Join(day.Names(), ", "))
+				return fmt.Errorf("no file or built-in script %q; the built-in scripts are %s", name, strings.Join(day.ScriptNames(), ", "))
 			}
 			if show {
 				_, err := cmd.OutOrStdout().Write(source)
@@ -72,7 +72,7 @@
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	start := time.Now()
-	report, err := day.Run(ctx, script, day.Options{Env: &day.Processes{Program: program, Temp: dir},
+	report, err := day.Run(ctx, script, day.Options{Environment: &day.ProcessEnvironment{Program: program, TempDir: dir},
 		Progress: func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }})
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 		fmt.Fprintln(cmd.OutOrStdout())
 		report.Write(cmd.OutOrStdout())
 	}
-	if !report.Kept() {
+	if !report.Passed() {
 		return errors.New("a rule was violated, or the scenario did not run as scripted")
 	}
 	fmt.Fprintf(cmd.ErrOrStderr(), "no rule violated; %.0f s\n", time.Since(start).Seconds())
--- a/cmd/yardcleat/hunt.go
+++ b/cmd/yardcleat/hunt.go
@@ -101,7 +101,7 @@
 }
 
 func (h *faultSearch) newJob(scenario hunt.Scenario) virtual.Job {
-	return virtual.Job{Source: scenario.Script.Source(), Seed: scenario.Seed, NoStamps: scenario.NoReceiveTimestamps, Defect: h.mutation}
+	return virtual.Job{Source: scenario.Script.Format(), Seed: scenario.Seed, NoStamps: scenario.NoReceiveTimestamps, Defect: h.mutation}
 }
 
 // evaluate returns the outcome of a scenario, and a message about each violation. Errors, and a
@@ -110,7 +110,7 @@
 	if result.Error != "" {
 		return hunt.Outcome{ViolatedRules: []int{0}}, []string{result.Error}
 	}
-	outcome = hunt.Outcome{Features: result.Features, Margins: result.Report.Near, ServedWithinObjective: result.Report.Worth}
+	outcome = hunt.Outcome{Features: result.Features, Margins: result.Report.Margins, ServedWithinObjective: result.Report.ServedWithinObjective}
 	for _, finding := range result.Report.Rules {
 		if len(finding.Broken) > 0 {
 			outcome.ViolatedRules = append(outcome.ViolatedRules, finding.Rule)
@@ -192,7 +192,7 @@
 				// A scenario that hangs is not shrunk: each run would take the whole time limit.
 				name := filepath.Join(h.outputDir, fmt.Sprintf("stacks-%d-%d", h.seed, runs))
 				if err := errors.Join(os.WriteFile(name+".txt", []byte(result.Stacks), 0o644),
-					os.WriteFile(name+".hcl", scenarios[i].Script.Source(), 0o644)); err != nil {
+					os.WriteFile(name+".hcl", scenarios[i].Script.Format(), 0o644)); err != nil {
 					return err
 				}
 				continue
@@ -252,7 +252,7 @@
 		text += "\n# " + strings.ReplaceAll(message, "\n", "\n# ")
 	}
 	name := filepath.Join(h.outputDir, fmt.Sprintf("%s-%d-%d.hcl", key, h.seed, h.violationCounts[key]))
-	return os.WriteFile(name, append([]byte(text+"\n\n"), smallest.Script.Source()...), 0o644)
+	return os.WriteFile(name, append([]byte(text+"\n\n"), smallest.Script.Format()...), 0o644)
 }
 
 // searchRegret searches for scenarios whose faults together cost more served requests than each of
--- a/cmd/yardcleat/stalls.go
+++ b/cmd/yardcleat/stalls.go
@@ -37,7 +37,7 @@
 			fmt.Fprintln(table, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 			for _, length := range lengths {
 				for _, front := range fronts {
-					sums := make([]day.Stops, len(virtual.Ways))
+					sums := make([]day.PauseSummary, len(virtual.Ways))
 					var mu sync.Mutex
 					var wait sync.WaitGroup
 					var failed error
@@ -49,9 +49,9 @@
 									panic(err) // base is a built-in script
 								}
 								s.Nodes, s.Length, s.Seed = 2, (length + 12*time.Second).String(), seed+1
-								s.Clients.Proxied, s.Clients.HTTP2, s.Clients.Retries = front.proxied, front.http2, 0
-								s.Faults = []day.Fault{{Kind: "node-stop", At: "4s", For: length.String()}}
-								result, err := pool.Play(cmd.Context(), virtual.Job{Source: s.Source(), Seed: uint64(seed + 1), Way: way})
+								s.Clients.ProxyShare, s.Clients.HTTP2Share, s.Clients.Retries = front.proxied, front.http2, 0
+								s.Faults = []day.Fault{{Kind: "node-stop", At: "4s", Duration: length.String()}}
+								result, err := pool.Play(cmd.Context(), virtual.Job{Source: s.Format(), Seed: uint64(seed + 1), Way: way})
 								mu.Lock()
 								defer mu.Unlock()
 								if err == nil && result.Error != "" {
@@ -61,9 +61,9 @@
 									failed = err
 									return
 								}
-								if stops := result.Report.Stops; stops != nil {
-									sums[i].Tries, sums[i].Late = sums[i].Tries+stops.Tries, sums[i].Late+stops.Late
-									sums[i].Needless, sums[i].Served = sums[i].Needless+stops.Needless, sums[i].Served+stops.Served
+								if stops := result.Report.Pauses; stops != nil {
+									sums[i].Attempts, sums[i].SentTooLate = sums[i].Attempts+stops.Attempts, sums[i].SentTooLate+stops.SentTooLate
+									sums[i].AvoidableRejections, sums[i].Served = sums[i].AvoidableRejections+stops.AvoidableRejections, sums[i].Served+stops.Served
 								}
 							})
 						}
@@ -74,8 +74,8 @@
 					}
 					for i, way := range virtual.Ways {
 						s := sums[i]
-						fmt.Fprintf(table, "| %v\t| %s\t| %s\t| %d\t| %d\t| %d (%s%%)\t| %d\t|\n", length, front.name, way, s.Tries, s.Late, s.Needless,
-							strconv.FormatFloat(100*float64(s.Needless)/float64(max(1, s.Tries)), 'f', 1, 64), s.Served)
+						fmt.Fprintf(table, "| %v\t| %s\t| %s\t| %d\t| %d\t| %d (%s%%)\t| %d\t|\n", length, front.name, way, s.Attempts, s.SentTooLate, s.AvoidableRejections,
+							strconv.FormatFloat(100*float64(s.AvoidableRejections)/float64(max(1, s.Attempts)), 'f', 1, 64), s.Served)
 					}
 				}
 			}
--- a/day/callers.go
+++ b/day/clients.go
@@ -34,7 +34,7 @@
 	var all []customer
 	for _, c := range s.Customers {
 		for i := range c.Count {
-			all = append(all, customer{fmt.Sprint(c.Name, "-", i), c.Plan, c.Use * rates[c.Plan]})
+			all = append(all, customer{fmt.Sprint(c.Name, "-", i), c.Plan, c.Demand * rates[c.Plan]})
 		}
 	}
 	return all
@@ -55,7 +55,7 @@
 }
 
 func newCallers(d *stage) *callers {
-	o := upstream.Options{Network: d.o.Env.Network("clients"), ConnectTimeout: time.Second, MaxIdlePerServer: 256,
+	o := upstream.Options{Network: d.o.Environment.Network("clients"), ConnectTimeout: time.Second, MaxIdlePerServer: 256,
 		Limits: http1.Limits{MaxLineBytes: 8 << 10, MaxHeaderFields: 100, MaxHeaderBytes: 32 << 10, MaxBodyBytes: 8 << 20}}
 	c := &callers{d: d, counts: map[string]int{}, pool: upstream.New(o)}
 	o.HTTP2 = true
@@ -113,9 +113,9 @@
 		t := audit.Tried{Trace: fmt.Sprintf("try-%d-%d", number, attempt), Node: rng.IntN(int(c.d.asked.Load())), Front: "http",
 			Customer: who.Name, Plan: who.Plan, Class: class.Name, Units: max(1, class.Units), Repeat: attempt > 0}
 		switch at := rng.Float64(); {
-		case at < c.d.s.Clients.Proxied:
+		case at < c.d.s.Clients.ProxyShare:
 			t.Front = "proxy"
-		case at < c.d.s.Clients.Proxied+c.d.s.Clients.HTTP2:
+		case at < c.d.s.Clients.ProxyShare+c.d.s.Clients.HTTP2Share:
 			t.Front = "http2"
 		}
 		c.try(&t, class, key, patience, attempt)
@@ -127,7 +127,7 @@
 		if t.Answer == "served" || !again {
 			return
 		}
-		time.Sleep(time.Duration((0.5 + rng.Float64()) * float64(dur(c.d.s.Clients.Wait))))
+		time.Sleep(time.Duration((0.5 + rng.Float64()) * float64(dur(c.d.s.Clients.RetryDelay))))
 	}
 }
 
@@ -143,7 +143,7 @@
 
 // try makes one try and records what came of it.
 func (c *callers) try(t *audit.Tried, class *Class, key string, patience time.Duration, attempt int) {
-	call := node.HTTPRequest{Method: class.Method, Target: class.Path + t.Trace, Host: "catalogue.example"}
+	call := node.HTTPRequest{Method: class.Method, Target: class.PathPrefix + t.Trace, Host: "catalogue.example"}
 	call.Header.Add("X-Api-Key", "key-of-"+t.Customer)
 	call.Header.Add("X-Request-Id", t.Trace)
 	call.Header.Add("X-Envoy-Expected-Rq-Timeout-Ms", strconv.FormatInt(patience.Milliseconds(), 10))
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -16,7 +16,7 @@
 )
 
 // inBubble plays a script in virtual time.
-func playInBubble(t *testing.T, src []byte, defect func(*Bubble)) *Report {
+func playInBubble(t *testing.T, src []byte, defect func(*VirtualEnvironment)) *Report {
 	t.Helper()
 	s, err := Parse(src, "test.hcl")
 	if err != nil {
@@ -24,11 +24,11 @@
 	}
 	var r *Report
 	synctest.Test(t, func(t *testing.T) {
-		env := &Bubble{Memory: network.NewMemory(time.Millisecond, 1), Temp: t.TempDir(), Log: io.Discard, Seed: 1}
+		env := &VirtualEnvironment{Memory: network.NewMemory(time.Millisecond, 1), TempDir: t.TempDir(), Log: io.Discard, Seed: 1}
 		if defect != nil {
 			defect(env)
 		}
-		if r, err = Run(context.Background(), s, Options{Env: env}); err != nil {
+		if r, err = Run(context.Background(), s, Options{Environment: env}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Minute) // timers of what was closed run out
@@ -38,8 +38,8 @@
 
 // The whole bad day keeps all rules, in virtual time.
 func TestDefaultDay(t *testing.T) {
-	r := playInBubble(t, source(t, Default), nil)
-	if !r.Kept() {
+	r := playInBubble(t, source(t, DefaultScript), nil)
+	if !r.Passed() {
 		r.Write(t.Output())
 		t.Error("a rule was broken")
 	}
@@ -52,8 +52,8 @@
 	for _, row := range r.Plans {
 		served += row.Served
 	}
-	if served < r.Tries/3 {
-		t.Errorf("%d served of %d tries", served, r.Tries)
+	if served < r.ClientAttempts/3 {
+		t.Errorf("%d served of %d tries", served, r.ClientAttempts)
 	}
 }
 
@@ -93,7 +93,7 @@
 }
 
 func TestColdDay(t *testing.T) {
-	if r := playInBubble(t, coldDay, nil); !r.Kept() {
+	if r := playInBubble(t, coldDay, nil); !r.Passed() {
 		r.Write(t.Output())
 		t.Error("a rule was broken")
 	}
@@ -101,9 +101,9 @@
 
 // With one defence taken out of the nodes, the audit finds its rule broken.
 func TestDefects(t *testing.T) {
-	edit := func(old, new string) func(*Bubble) {
-		return func(b *Bubble) {
-			b.Edit = func(cfg []byte) []byte {
+	edit := func(old, new string) func(*VirtualEnvironment) {
+		return func(b *VirtualEnvironment) {
+			b.EditConfig = func(cfg []byte) []byte {
 				out := bytes.ReplaceAll(cfg, []byte(old), []byte(new))
 				if bytes.Equal(out, cfg) {
 					t.Errorf("%q does not stand in the configuration", old)
@@ -115,22 +115,22 @@
 	for _, c := range []struct {
 		rule   int
 		what   string
-		defect func(*Bubble)
+		defect func(*VirtualEnvironment)
 		script []byte
 	}{
 		{1, "the client's patience is not read",
-			edit("clients {", "clients {\n patience_header = \"x-none\""), source(t, Default)},
-		{2, "keyed requests are taken for safe", edit(`effect = "keyed"`, `effect = "safe"`), source(t, Default)},
-		{3, "drains are not heard of", func(b *Bubble) {
-			b.Deafen = func(list []node.Endpoint) []node.Endpoint {
+			edit("clients {", "clients {\n patience_header = \"x-none\""), source(t, DefaultScript)},
+		{2, "keyed requests are taken for safe", edit(`effect = "keyed"`, `effect = "safe"`), source(t, DefaultScript)},
+		{3, "drains are not heard of", func(b *VirtualEnvironment) {
+			b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
 					list[i].State = policy.Running
 				}
 				return list
 			}
-		}, source(t, Default)},
-		{4, "cold servers are taken for warm", func(b *Bubble) {
-			b.Deafen = func(list []node.Endpoint) []node.Endpoint {
+		}, source(t, DefaultScript)},
+		{4, "cold servers are taken for warm", func(b *VirtualEnvironment) {
+			b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
 					list[i].StartTime = time.Time{}
 				}
@@ -138,7 +138,7 @@
 			}
 		}, coldDay},
 		{5, "neither quota nor ceiling is known", edit("rate = 8\n  burst = 16\n  open = 6\n  hard_rate = 14\n  hard_burst = 24",
-			"rate = 100\n  burst = 100\n  open = 0"), source(t, Default)},
+			"rate = 100\n  burst = 100\n  open = 0"), source(t, DefaultScript)},
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			r := playInBubble(t, c.script, c.defect)
@@ -152,13 +152,13 @@
 
 // Each fault of the authoriser: every item ends once, whatever it does.
 func TestAuthoriserDays(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range ScriptNames() {
 		if !strings.HasPrefix(name, "authoriser-") {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
 			r := playInBubble(t, source(t, name), nil)
-			if !r.Kept() {
+			if !r.Passed() {
 				r.Write(t.Output())
 				t.Error("a rule was broken")
 			}
@@ -172,20 +172,20 @@
 // Each fault of the counter: all rules hold, no request waits for it, and the
 // counter ends with all that arrived but what a killed node had not stored.
 func TestCounterDays(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range ScriptNames() {
 		if !strings.HasPrefix(name, "counter-") {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
 			r := playInBubble(t, source(t, name), nil)
-			if !r.Kept() {
+			if !r.Passed() {
 				r.Write(t.Output())
 				t.Error("a rule was broken")
 			}
-			if r.Tally.Below > 0.03*r.Tally.Arrived || r.Tally.Arrived == 0 {
-				t.Errorf("%+v", *r.Tally)
+			if r.CounterTotals.Missing > 0.03*r.CounterTotals.Received || r.CounterTotals.Received == 0 {
+				t.Errorf("%+v", *r.CounterTotals)
 			}
-			t.Logf("%+v", *r.Tally)
+			t.Logf("%+v", *r.CounterTotals)
 		})
 	}
 }
@@ -194,8 +194,8 @@
 // for clients that have left, with the kernel's word on when it came or without.
 func TestStops(t *testing.T) {
 	for _, stamps := range []bool{true, false} {
-		r := playInBubble(t, source(t, "stops"), func(b *Bubble) { b.Memory.NoTimestamps = !stamps })
-		if !r.Kept() {
+		r := playInBubble(t, source(t, "stops"), func(b *VirtualEnvironment) { b.Memory.NoTimestamps = !stamps })
+		if !r.Passed() {
 			r.Write(t.Output())
 			t.Errorf("stamps %v: a rule was broken", stamps)
 		}
@@ -205,8 +205,8 @@
 // A fleet grows, shrinks and grows again under faults, without a restart.
 func TestFleetDay(t *testing.T) {
 	var logs bytes.Buffer
-	r := playInBubble(t, source(t, "fleet"), func(b *Bubble) { b.Log = &logs })
-	if !r.Kept() {
+	r := playInBubble(t, source(t, "fleet"), func(b *VirtualEnvironment) { b.Log = &logs })
+	if !r.Passed() {
 		r.Write(t.Output())
 		t.Error("a rule was broken")
 	}
--- a/day/faults.go
+++ b/day/faults.go
@@ -15,13 +15,13 @@
 
 // play carries out one fault, takes it back after its time, and records what failed.
 func (d *stage) play(ctx context.Context, f Fault) {
-	d.say("%s %d %s", f.Kind, f.Target, f.Arg)
+	d.say("%s %d %s", f.Kind, f.Target, f.Argument)
 	if err := d.playFault(ctx, f); err != nil {
 		d.mu.Lock()
 		d.errs = append(d.errs, fmt.Errorf("fault %s: %w", f.Kind, err))
 		d.mu.Unlock()
 	}
-	d.say("%s %d %s is over", f.Kind, f.Target, f.Arg)
+	d.say("%s %d %s is over", f.Kind, f.Target, f.Argument)
 }
 
 // playFault carries out a fault by the part of the system that it befalls.
@@ -41,7 +41,7 @@
 	case "clock":
 		return d.setClock(ctx, f)
 	case "authoriser":
-		return during(ctx, f, func() error { return d.auth.InjectFault(action, f.Arg) }, func() error { return d.auth.InjectFault("ok", "") })
+		return during(ctx, f, func() error { return d.auth.InjectFault(action, f.Argument) }, func() error { return d.auth.InjectFault("ok", "") })
 	case "counter":
 		return d.playCounterFault(ctx, f, action)
 	default:
@@ -52,14 +52,14 @@
 // during keeps a fault in force for its time.
 func during(ctx context.Context, f Fault, begin, end func() error) error {
 	beginErr := begin()
-	sleep(ctx, dur(f.For))
+	sleep(ctx, dur(f.Duration))
 	return errors.Join(beginErr, end())
 }
 
 func (d *stage) playNodeFault(ctx context.Context, f Fault, action string) error {
 	switch action {
 	case "kill":
-		return d.killNode(ctx, f.Target, dur(f.For))
+		return d.killNode(ctx, f.Target, dur(f.Duration))
 	case "kill-start":
 		return d.killTwice(ctx, f)
 	default: // stop
@@ -67,7 +67,7 @@
 		d.mu.Lock()
 		n := d.nodes[f.Target]
 		d.mu.Unlock()
-		n.Stop(dur(f.For))
+		n.Suspend(dur(f.Duration))
 		d.down(f.Target, from, false)
 		return nil
 	}
@@ -79,7 +79,7 @@
 	d.mu.Unlock()
 	from := time.Now()
 	p.Kill()
-	sleep(ctx, dur(f.For))
+	sleep(ctx, dur(f.Duration))
 	err := d.startProxy(f.Target)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -89,11 +89,11 @@
 
 func (d *stage) playPeerFault(ctx context.Context, f Fault, action string) error {
 	if action == "cut" {
-		to, _ := strconv.Atoi(f.Arg) // the script was checked
+		to, _ := strconv.Atoi(f.Argument) // the script was checked
 		r := d.relays[[2]int{f.Target, to}]
 		return during(ctx, f, func() error { r.lose(1); return nil }, func() error { r.lose(0); return nil })
 	}
-	share, _ := strconv.ParseFloat(f.Arg, 64) // the script was checked
+	share, _ := strconv.ParseFloat(f.Argument, 64) // the script was checked
 	return during(ctx, f, func() error { d.lose(share); return nil }, func() error { d.lose(0); return nil })
 }
 
@@ -106,22 +106,22 @@
 
 // setClock sets a node's wall clock, where that is not the machine's.
 func (d *stage) setClock(ctx context.Context, f Fault) error {
-	clocks, ok := d.o.Env.(interface{ SetWall(int, time.Duration) })
+	clocks, ok := d.o.Environment.(interface{ SetWallClock(int, time.Duration) })
 	if !ok {
 		d.say("clock-set: the machine's clock is not ours to set; left out")
 		return nil
 	}
-	return during(ctx, f, func() error { clocks.SetWall(f.Target, dur(f.Arg)); return nil },
-		func() error { clocks.SetWall(f.Target, 0); return nil })
+	return during(ctx, f, func() error { clocks.SetWallClock(f.Target, dur(f.Argument)); return nil },
+		func() error { clocks.SetWallClock(f.Target, 0); return nil })
 }
 
 func (d *stage) playCounterFault(ctx context.Context, f Fault, action string) error {
 	c := d.counters[f.Target]
 	switch action {
 	case "silent", "refuse", "lose", "slow":
-		return during(ctx, f, func() error { return c.InjectFault(action, f.Arg) }, func() error { return c.InjectFault("ok", "") })
+		return during(ctx, f, func() error { return c.InjectFault(action, f.Argument) }, func() error { return c.InjectFault("ok", "") })
 	default:
-		return c.InjectFault(action, f.Arg)
+		return c.InjectFault(action, f.Argument)
 	}
 }
 
@@ -133,12 +133,12 @@
 	switch action {
 	case "drain":
 		d.delist(b, false)
-		sleep(ctx, dur(f.For))
+		sleep(ctx, dur(f.Duration))
 		server.Kill()
 		d.delist(b, true)
 	case "vanish":
 		server.Kill()
-		sleep(ctx, dur(f.For))
+		sleep(ctx, dur(f.Duration))
 		d.delist(b, true)
 	case "return":
 		err := d.startServer(b, true)
@@ -148,9 +148,9 @@
 		d.discovery.SetEndpoints(list)
 		return err
 	case "flap":
-		d.flap(ctx, b, dur(f.For))
+		d.flap(ctx, b, dur(f.Duration))
 	default:
-		return during(ctx, f, func() error { return server.InjectFault(action, f.Arg) }, func() error { return server.InjectFault("ok", "") })
+		return during(ctx, f, func() error { return server.InjectFault(action, f.Argument) }, func() error { return server.InjectFault("ok", "") })
 	}
 	return nil
 }
@@ -204,11 +204,11 @@
 // killTwice kills a node, starts it again, and kills it while it starts.
 func (d *stage) killTwice(ctx context.Context, f Fault) error {
 	from := time.Now()
-	if err := d.restart(ctx, f.Target, dur(f.For)); err != nil {
+	if err := d.restart(ctx, f.Target, dur(f.Duration)); err != nil {
 		return err
 	}
-	sleep(ctx, dur(f.Arg))
-	err := d.killNode(ctx, f.Target, dur(f.For))
+	sleep(ctx, dur(f.Argument))
+	err := d.killNode(ctx, f.Target, dur(f.Duration))
 	d.down(f.Target, from, true)
 	return err
 }
@@ -230,7 +230,7 @@
 	d.mu.Unlock()
 	n.Kill()
 	sleep(ctx, away)
-	n, err := d.o.Env.Start(i, d.configs[i])
+	n, err := d.o.Environment.StartNode(i, d.configs[i])
 	if err != nil {
 		return err
 	}
--- a/day/fleet_changes.go
+++ b/day/fleet_changes.go
@@ -21,7 +21,7 @@
 	if d.roster == nil {
 		return nil
 	}
-	dir, err := d.o.Env.Dir(i)
+	dir, err := d.o.Environment.NodeDir(i)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 // changeFleet has spares join or leave. The nodes read of it one after the other, in
 // an order drawn from the seed.
 func (d *stage) changeFleet(ctx context.Context, f Fault) error {
-	n, _ := strconv.Atoi(f.Arg)
+	n, _ := strconv.Atoi(f.Argument)
 	d.mu.Lock()
 	old := len(d.roster.Nodes)
 	list := slices.Clone(d.roster.Nodes)
@@ -82,12 +82,12 @@
 	}
 	order := rand.New(rand.NewPCG(uint64(d.s.Seed), r.Epoch)).Perm(max(old, len(list)))
 	for _, i := range order {
-		sleep(ctx, dur(f.For)/time.Duration(len(order)))
+		sleep(ctx, dur(f.Duration)/time.Duration(len(order)))
 		if err := d.writeRoster(i); err != nil {
 			return err
 		}
 		if i >= old {
-			n, err := d.o.Env.Start(i, d.configs[i])
+			n, err := d.o.Environment.StartNode(i, d.configs[i])
 			if err != nil {
 				return err
 			}
@@ -107,7 +107,7 @@
 		n := d.nodes[i]
 		d.nodes[i] = nil
 		d.mu.Unlock()
-		if err := n.End(); err != nil {
+		if err := n.Drain(); err != nil {
 			return err
 		}
 	}
--- a/day/golden_test.go
+++ b/day/golden_test.go
@@ -13,17 +13,17 @@
 
 // The report that `day --json` prints has exactly these fields.
 func TestReportHasGoldenJSON(t *testing.T) {
-	row := Row{Name: "basic", Tries: 5, Served: 2, Refused: map[string]int{"quota": 1}, Failed: map[string]int{"server-late": 1}, None: 1}
+	row := OutcomeCounts{Name: "basic", Attempts: 5, Served: 2, Rejected: map[string]int{"quota": 1}, Failed: map[string]int{"server-late": 1}, NoResponse: 1}
 	for _, c := range []struct {
 		name   string
 		report Report
 		golden string
 	}{
-		{"all fields set", Report{Seconds: 30.5, Tries: 5, Goodput: 1.5, Plans: []Row{row}, Fronts: []Row{{Name: "http1"}},
-			Classes:  []Latency{{Class: "lookup", Served: 2, InAim: 0.5, P50: 1.5, P90: 2.5, P99: 3.5, Longest: 4.5}},
-			Attempts: 4, Tally: &Tally{Arrived: 4, Counted: 5, Below: 1, Above: 2},
-			Rules: []audit.Finding{{Rule: 1, Name: "n", Checked: 7, Broken: []string{"b"}}}, Near: []audit.Margin{{Rule: 1, Near: 0.5}},
-			Open: []audit.Open{{Customer: "c", Most: 3, Cap: 4}}, Worth: 2, Stops: &Stops{Tries: 4, Late: 1, Needless: 2, Served: 3},
+		{"all fields set", Report{Seconds: 30.5, ClientAttempts: 5, Goodput: 1.5, Plans: []OutcomeCounts{row}, Fronts: []OutcomeCounts{{Name: "http1"}},
+			Classes:        []LatencySummary{{Class: "lookup", Served: 2, WithinObjective: 0.5, P50: 1.5, P90: 2.5, P99: 3.5, Max: 4.5}},
+			ServerAttempts: 4, CounterTotals: &CounterComparison{Received: 4, Counted: 5, Missing: 1, Excess: 2},
+			Rules: []audit.Finding{{Rule: 1, Name: "n", Checked: 7, Broken: []string{"b"}}}, Margins: []audit.Margin{{Rule: 1, Near: 0.5}},
+			InFlight: []audit.Open{{Customer: "c", Most: 3, Cap: 4}}, ServedWithinObjective: 2, Pauses: &PauseSummary{Attempts: 4, SentTooLate: 1, AvoidableRejections: 2, Served: 3},
 			Errors: []string{"e"}},
 			`{"seconds":30.5,"tries":5,"goodput":1.5,` +
 				`"plans":[{"name":"basic","tries":5,"served":2,"refused":{"quota":1},"failed":{"server-late":1},"no_answer":1}],` +
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	checkAllSet(t, "script", reflect.ValueOf(*s))
-	if got := string(s.Source()); got != golden {
+	if got := string(s.Format()); got != golden {
 		t.Errorf("written as\n%s\nwant\n%s", got, golden)
 	}
 }
@@ -145,7 +145,7 @@
 // The template of nodes' configurations, which names fields of scripts, makes good
 // ones of every script.
 func TestNodeConfigurationsOfAllScripts(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range ScriptNames() {
 		s, err := Load(name)
 		if err != nil {
 			t.Fatal(err)
--- a/day/node_config.go
+++ b/day/node_config.go
@@ -10,7 +10,7 @@
 
 // config writes a node's configuration.
 func (d *stage) config(i int) ([]byte, error) {
-	dir, err := d.o.Env.Dir(i)
+	dir, err := d.o.Environment.NodeDir(i)
 	if err != nil {
 		return nil, err
 	}
@@ -25,7 +25,7 @@
 	}
 	key := blake3.Sum256([]byte(fmt.Sprint("day ", d.s.Seed)))
 	var b bytes.Buffer
-	err = nodeConfig.Execute(&b, map[string]any{"S": d.s, "Number": i, "Zone": fmt.Sprint("room-", i%d.s.Servers.Racks),
+	err = nodeConfig.Execute(&b, map[string]any{"S": d.s, "Number": i, "Zone": fmt.Sprint("room-", i%d.s.Servers.DedupScopes),
 		"Dir": dir, "HTTP": d.http[i], "HTTP2": d.http2[i], "ExtAuthz": d.extAuthz[i], "Peer": d.peer[i], "Peers": peers, "Key": hex.EncodeToString(key[:]),
 		"Auth": d.authAddr, "EDS": d.edsAddr, "Customers": customers(d.s), "Counters": d.counterAt, "Roster": d.roster != nil})
 	return b.Bytes(), err
--- a/day/relay.go
+++ b/day/relay.go
@@ -44,11 +44,11 @@
 
 // relayTo opens a relay to a node's peer address and returns its own.
 func (d *stage) relayTo(from, to int) (string, error) {
-	address, err := d.o.Env.Address()
+	address, err := d.o.Environment.NewAddress()
 	if err != nil {
 		return "", err
 	}
-	n := d.o.Env.Network("relay")
+	n := d.o.Environment.Network("relay")
 	pc, err := n.ListenPacket(address)
 	if err != nil {
 		return "", err
--- a/day/report.go
+++ b/day/report.go
@@ -18,34 +18,34 @@
 
 // Report is what came of a day.
 type Report struct {
-	Seconds  float64         `json:"seconds"`
-	Tries    int             `json:"tries"`
-	Goodput  float64         `json:"goodput"` // answers within the aim, a second
-	Plans    []Row           `json:"plans"`
-	Fronts   []Row           `json:"fronts"`
-	Classes  []Latency       `json:"classes"`
-	Attempts int             `json:"attempts"` // that reached servers
-	Tally    *Tally          `json:"tally,omitempty"`
-	Rules    []audit.Finding `json:"rules"`
-	Near     []audit.Margin  `json:"near"`  // how near each rule came to being broken
-	Open     []audit.Open    `json:"open"`  // of customers with a cap, the most out at once; the worst first
-	Worth    float64         `json:"worth"` // answers served within their aim
-	Stops    *Stops          `json:"stops,omitempty"`
-	Errors   []string        `json:"errors"` // of the day itself
+	Seconds               float64            `json:"seconds"`
+	ClientAttempts        int                `json:"tries"`
+	Goodput               float64            `json:"goodput"` // answers within the aim, a second
+	Plans                 []OutcomeCounts    `json:"plans"`
+	Fronts                []OutcomeCounts    `json:"fronts"`
+	Classes               []LatencySummary   `json:"classes"`
+	ServerAttempts        int                `json:"attempts"` // that reached servers
+	CounterTotals         *CounterComparison `json:"tally,omitempty"`
+	Rules                 []audit.Finding    `json:"rules"`
+	Margins               []audit.Margin     `json:"near"`  // how near each rule came to being broken
+	InFlight              []audit.Open       `json:"open"`  // of customers with a cap, the most out at once; the worst first
+	ServedWithinObjective float64            `json:"worth"` // answers served within their aim
+	Pauses                *PauseSummary      `json:"stops,omitempty"`
+	Errors                []string           `json:"errors"` // of the day itself
 }
 
-// Stops is what came of tries that a stop of their node met, and of those within
+// PauseSummary is what came of tries that a stop of their node met, and of those within
 // 5 s after it.
-type Stops struct {
-	Tries    int `json:"tries"`
-	Late     int `json:"late"`     // attempts sent after their client had left
-	Needless int `json:"needless"` // refused or failed for want of time, with 200 ms and more left
-	Served   int `json:"served"`
+type PauseSummary struct {
+	Attempts            int `json:"tries"`
+	SentTooLate         int `json:"late"`     // attempts sent after their client had left
+	AvoidableRejections int `json:"needless"` // refused or failed for want of time, with 200 ms and more left
+	Served              int `json:"served"`
 }
 
-func (d *stage) stops() *Stops {
+func (d *stage) stops() *PauseSummary {
 	const after, left = 5 * time.Second, 200 * time.Millisecond
-	out := &Stops{}
+	out := &PauseSummary{}
 	met := map[string]*audit.Tried{}
 	for i := range d.record.Tried {
 		t := &d.record.Tried[i]
@@ -53,13 +53,13 @@
 			if w.Killed || w.Node != t.Node || t.GiveUp.Before(w.From) || t.Sent.After(w.To.Add(after)) || t.GiveUp.Before(w.To) && t.Sent.Before(w.From) {
 				continue
 			}
-			out.Tries++
+			out.Attempts++
 			met[t.Trace] = t
 			switch {
 			case t.Answer == "served":
 				out.Served++
 			case t.Reason == string(node.ReasonNoTime) && t.GiveUp.Sub(t.Answered) > left:
-				out.Needless++
+				out.AvoidableRejections++
 			}
 			break
 		}
@@ -69,7 +69,7 @@
 	}
 	for _, s := range d.record.Seen {
 		if t := met[s.Trace]; t != nil && s.At.Sub(t.GiveUp) > d.record.Slop {
-			out.Late++
+			out.SentTooLate++
 		}
 	}
 	return out
@@ -80,61 +80,61 @@
 func (r *Report) Features() []string {
 	var out []string
 	for _, row := range append(slices.Clone(r.Plans), r.Fronts...) {
-		for reason := range row.Refused {
+		for reason := range row.Rejected {
 			out = append(out, row.Name+" refused "+reason)
 		}
 		for reason := range row.Failed {
 			out = append(out, row.Name+" failed "+reason)
 		}
 	}
-	for _, m := range r.Near {
+	for _, m := range r.Margins {
 		out = append(out, fmt.Sprintf("rule %d at %d tenths", m.Rule, int(min(m.Near, 1.2)*10)))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Tally compares the counter at the end with what servers received: units of
+// CounterComparison compares the counter at the end with what servers received: units of
 // first attempts. What was sent and never arrived counts, too, so the counter may
 // be above.
-type Tally struct {
-	Arrived float64 `json:"arrived"`
-	Counted float64 `json:"counted"`
-	Below   float64 `json:"below"` // units missing, over customers that are below
-	Above   float64 `json:"above"`
+type CounterComparison struct {
+	Received float64 `json:"arrived"`
+	Counted  float64 `json:"counted"`
+	Missing  float64 `json:"below"` // units missing, over customers that are below
+	Excess   float64 `json:"above"`
 }
 
-// Row counts tries by what came of them.
-type Row struct {
-	Name    string         `json:"name"`
-	Tries   int            `json:"tries"`
-	Served  int            `json:"served"`
-	Refused map[string]int `json:"refused"` // by reason
-	Failed  map[string]int `json:"failed"`
-	None    int            `json:"no_answer"` // the node was killed or stopped, or not reached
+// OutcomeCounts counts tries by what came of them.
+type OutcomeCounts struct {
+	Name       string         `json:"name"`
+	Attempts   int            `json:"tries"`
+	Served     int            `json:"served"`
+	Rejected   map[string]int `json:"refused"` // by reason
+	Failed     map[string]int `json:"failed"`
+	NoResponse int            `json:"no_answer"` // the node was killed or stopped, or not reached
 }
 
-// Latency is of the answers served, in milliseconds.
-type Latency struct {
-	Class   string  `json:"class"`
-	Served  int     `json:"served"`
-	InAim   float64 `json:"within_aim"` // share
-	P50     float64 `json:"p50_ms"`
-	P90     float64 `json:"p90_ms"`
-	P99     float64 `json:"p99_ms"`
-	Longest float64 `json:"max_ms"`
+// LatencySummary is of the answers served, in milliseconds.
+type LatencySummary struct {
+	Class           string  `json:"class"`
+	Served          int     `json:"served"`
+	WithinObjective float64 `json:"within_aim"` // share
+	P50             float64 `json:"p50_ms"`
+	P90             float64 `json:"p90_ms"`
+	P99             float64 `json:"p99_ms"`
+	Max             float64 `json:"max_ms"`
 }
 
-// Kept tells whether all rules were kept.
-func (r *Report) Kept() bool {
+// Passed tells whether all rules were kept.
+func (r *Report) Passed() bool {
 	return len(r.Errors) == 0 && !slices.ContainsFunc(r.Rules, func(f audit.Finding) bool { return len(f.Broken) > 0 })
 }
 
 func (d *stage) report() *Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := &Report{Seconds: dur(d.s.Length).Seconds(), Tries: len(d.record.Tried), Attempts: len(d.record.Seen)}
-	plans, fronts := map[string]*Row{}, map[string]*Row{}
+	r := &Report{Seconds: dur(d.s.Length).Seconds(), ClientAttempts: len(d.record.Tried), ServerAttempts: len(d.record.Seen)}
+	plans, fronts := map[string]*OutcomeCounts{}, map[string]*OutcomeCounts{}
 	good := 0
 	for _, c := range d.s.Classes {
 		h := hdrhistogram.New(1, 60_000_000, 3) // microseconds
@@ -145,14 +145,14 @@
 			}
 			took := t.Answered.Sub(t.Sent)
 			h.RecordValue(max(1, took.Microseconds()))
-			if took <= dur(c.Aim) {
+			if took <= dur(c.LatencyObjective) {
 				in++
 			}
 		}
 		good += in
 		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 		n := int(h.TotalCount())
-		r.Classes = append(r.Classes, Latency{c.Name, n, float64(in) / float64(max(1, n)), ms(50), ms(90), ms(99), ms(100)})
+		r.Classes = append(r.Classes, LatencySummary{c.Name, n, float64(in) / float64(max(1, n)), ms(50), ms(90), ms(99), ms(100)})
 	}
 	for i := range d.record.Tried {
 		t := &d.record.Tried[i]
@@ -161,28 +161,28 @@
 	}
 	r.Goodput = float64(good) / r.Seconds
 	r.Plans, r.Fronts = rows(plans), rows(fronts)
-	r.Tally = d.tally()
+	r.CounterTotals = d.tally()
 	r.Rules = audit.Check(&d.record)
-	r.Worth = float64(good)
-	r.Stops = d.stops()
+	r.ServedWithinObjective = float64(good)
+	r.Pauses = d.stops()
 	cold := 0.0
 	for _, n := range d.colds {
 		cold = max(cold, n.PeakColdLoad())
 	}
-	r.Near = audit.Near(&d.record, cold)
+	r.Margins = audit.Near(&d.record, cold)
 	caps := map[string]int{}
 	for _, p := range d.s.Plans {
-		caps[p.Name] = p.Open
+		caps[p.Name] = p.MaxInFlight
 	}
-	r.Open = audit.OpenCaps(&d.record, caps)
-	r.Open = r.Open[:min(5, len(r.Open))]
+	r.InFlight = audit.OpenCaps(&d.record, caps)
+	r.InFlight = r.InFlight[:min(5, len(r.InFlight))]
 	for _, err := range d.errs {
 		r.Errors = append(r.Errors, err.Error())
 	}
 	return r
 }
 
-func (d *stage) tally() *Tally {
+func (d *stage) tally() *CounterComparison {
 	if len(d.counters) == 0 {
 		return nil
 	}
@@ -204,37 +204,37 @@
 			counted[name] += float64(milli) / 1000
 		}
 	}
-	t := &Tally{}
+	t := &CounterComparison{}
 	for _, who := range customers(d.s) {
 		a, c := arrived[who.Name], counted[who.Name]
-		t.Arrived, t.Counted = t.Arrived+a, t.Counted+c
-		t.Below, t.Above = t.Below+max(0, a-c), t.Above+max(0, c-a)
+		t.Received, t.Counted = t.Received+a, t.Counted+c
+		t.Missing, t.Excess = t.Missing+max(0, a-c), t.Excess+max(0, c-a)
 	}
 	return t
 }
 
-func count(rows map[string]*Row, name string, t *audit.Tried) {
+func count(rows map[string]*OutcomeCounts, name string, t *audit.Tried) {
 	row := rows[name]
 	if row == nil {
-		row = &Row{Name: name, Refused: map[string]int{}, Failed: map[string]int{}}
+		row = &OutcomeCounts{Name: name, Rejected: map[string]int{}, Failed: map[string]int{}}
 		rows[name] = row
 	}
-	row.Tries++
+	row.Attempts++
 	reason := cmp.Or(t.Reason, fmt.Sprint("status-", t.Status))
 	switch t.Answer {
 	case "served":
 		row.Served++
 	case "refused":
-		row.Refused[reason]++
+		row.Rejected[reason]++
 	case "failed":
 		row.Failed[reason]++
 	default:
-		row.None++
+		row.NoResponse++
 	}
 }
 
-func rows(m map[string]*Row) []Row {
-	var out []Row
+func rows(m map[string]*OutcomeCounts) []OutcomeCounts {
+	var out []OutcomeCounts
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		out = append(out, *m[name])
 	}
@@ -244,42 +244,42 @@
 // Write prints the report as tables.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d tries in %.0f s, %d attempts at servers, %.1f answers within their aim a second\n\n",
-		r.Tries, r.Seconds, r.Attempts, r.Goodput)
+		r.ClientAttempts, r.Seconds, r.ServerAttempts, r.Goodput)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "plan or front\ttries\tserved\trefused\tfailed\tno answer\treasons")
 	for _, row := range append(slices.Clone(r.Plans), r.Fronts...) {
 		refused, failed, why := 0, 0, ""
-		for _, m := range []map[string]int{row.Refused, row.Failed} {
+		for _, m := range []map[string]int{row.Rejected, row.Failed} {
 			for _, reason := range slices.Sorted(maps.Keys(m)) {
 				why += fmt.Sprintf("%s %d  ", reason, m[reason])
 			}
 		}
-		for _, n := range row.Refused {
+		for _, n := range row.Rejected {
 			refused += n
 		}
 		for _, n := range row.Failed {
 			failed += n
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", row.Name, row.Tries, row.Served, refused, failed, row.None, why)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", row.Name, row.Attempts, row.Served, refused, failed, row.NoResponse, why)
 	}
 	fmt.Fprintln(t)
 	fmt.Fprintln(t, "class\tserved\twithin aim\tp50\tp90\tp99\tmax")
 	for _, l := range r.Classes {
-		fmt.Fprintf(t, "%s\t%d\t%.1f%%\t%s\t%s\t%s\t%s\n", l.Class, l.Served, 100*l.InAim, ms(l.P50), ms(l.P90), ms(l.P99), ms(l.Longest))
+		fmt.Fprintf(t, "%s\t%d\t%.1f%%\t%s\t%s\t%s\t%s\n", l.Class, l.Served, 100*l.WithinObjective, ms(l.P50), ms(l.P90), ms(l.P99), ms(l.Max))
 	}
 	fmt.Fprintln(t)
 	fmt.Fprintln(t, "rule\tchecked\tbroken\tnearest to its edge")
 	for i, f := range r.Rules {
 		near := ""
-		if i < len(r.Near) {
-			near = fmt.Sprintf("%.2f", r.Near[i].Near)
+		if i < len(r.Margins) {
+			near = fmt.Sprintf("%.2f", r.Margins[i].Near)
 		}
 		fmt.Fprintf(t, "%d %s\t%d\t%d\t%s\n", f.Rule, f.Name, f.Checked, len(f.Broken), near)
 	}
 	t.Flush()
-	if r.Tally != nil {
-		fmt.Fprintf(w, "\ncounter: %.0f units, %.0f arrived at servers; %.0f missing, %.0f more (sent, not arrived)\n", r.Tally.Counted,
-			r.Tally.Arrived, r.Tally.Below, r.Tally.Above)
+	if r.CounterTotals != nil {
+		fmt.Fprintf(w, "\ncounter: %.0f units, %.0f arrived at servers; %.0f missing, %.0f more (sent, not arrived)\n", r.CounterTotals.Counted,
+			r.CounterTotals.Received, r.CounterTotals.Missing, r.CounterTotals.Excess)
 	}
 	const most = 10
 	for _, f := range r.Rules {
--- a/day/run.go
+++ b/day/run.go
@@ -10,8 +10,8 @@
 
 // Options is what Run takes beside a script.
 type Options struct {
-	Env      Env
-	Progress func(string) // lines to show; nil: none
+	Environment Environment
+	Progress    func(string) // lines to show; nil: none
 }
 
 // Run plays a script and reports.
@@ -46,7 +46,7 @@
 		if n == nil {
 			continue
 		}
-		if err := n.End(); err != nil {
+		if err := n.Drain(); err != nil {
 			d.errs = append(d.errs, fmt.Errorf("node %d at its end: %w", i, err))
 		}
 	}
@@ -93,13 +93,13 @@
 {{range .S.Classes}}
 class "{{.Name}}" {
   effect = "{{.Effect}}"
-  {{- if .Group}}
-  group = "{{.Group}}"
+  {{- if .DedupScope}}
+  group = "{{.DedupScope}}"
   {{- end}}
-  {{- if .Window}}
-  window = "{{.Window}}"
+  {{- if .DedupWindow}}
+  window = "{{.DedupWindow}}"
   {{- end}}
-  aim = "{{.Aim}}"
+  aim = "{{.LatencyObjective}}"
   deadline = "{{.Deadline}}"
   {{- if .Units}}
   units = {{.Units}}
@@ -109,7 +109,7 @@
   {{- end}}
   route {
     method = "{{.Method}}"
-    path = "{{.Path}}{id}"
+    path = "{{.PathPrefix}}{id}"
   }
 }
 {{end}}
@@ -117,7 +117,7 @@
 plan "{{.Name}}" {
   rate = {{.Rate}}
   burst = {{.Burst}}
-  open = {{.Open}}
+  open = {{.MaxInFlight}}
   hard_rate = {{.HardRate}}
   hard_burst = {{.HardBurst}}
 }
@@ -131,7 +131,7 @@
 peers {
   listen = "{{.Peer}}"
   key = "{{.Key}}"
-  mail_per_second = {{.S.Mail}}
+  mail_per_second = {{.S.PeerMessagesPerSecond}}
   {{- if .Roster}}
   roster = "{{.Dir}}/roster.hcl"
   {{- else}}
@@ -153,15 +153,15 @@
     status = 503
     header = "x-not-run"
   }
-  cold_share = {{.S.Servers.ColdShare}}
-  warm_within = "{{.S.Servers.WarmWithin}}"
-  fall_multiple = {{.S.Servers.FallMultiple}}
-  fall_time = "{{.S.Servers.FallTime}}"
+  cold_share = {{.S.Servers.InitialCapacity}}
+  warm_within = "{{.S.Servers.WarmupTime}}"
+  fall_multiple = {{.S.Servers.ColdOverloadFactor}}
+  fall_time = "{{.S.Servers.ColdOverloadTime}}"
 }
 {{if .Counters}}
 counter {
   addresses = [{{range .Counters}}"{{.}}", {{end}}]
-  calls_per_second = {{.S.Counter.Calls}}
+  calls_per_second = {{.S.Counter.CommandsPerSecond}}
   window = "1h"
   keep = "24h"
 }
--- a/day/stage.go
+++ b/day/scenario.go
@@ -75,7 +75,7 @@
 
 // serve opens an address for a stand-in.
 func (d *stage) serve(host, address string, serve func(net.Listener) error, kill func()) error {
-	l, err := d.o.Env.Network(host).Listen(address)
+	l, err := d.o.Environment.Network(host).Listen(address)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 func (d *stage) open() error {
 	var err error
 	address := func() string {
-		a, e := d.o.Env.Address()
+		a, e := d.o.Environment.NewAddress()
 		if e != nil {
 			err = e
 		}
@@ -102,24 +102,24 @@
 	}
 	s := d.s
 	d.record = audit.Record{Classes: map[string]audit.Class{}, Ceilings: map[string]audit.Ceiling{},
-		Grace: dur(s.Servers.Grace), Slop: d.o.Env.Slop()}
+		Grace: dur(s.Servers.DrainGrace), Slop: d.o.Environment.RecordTolerance()}
 	for _, c := range s.Classes {
-		d.record.Classes[c.Name] = audit.Class{Effect: c.Effect, Window: dur(c.Window), GroupAll: c.Group == "" || c.Group == "all"}
+		d.record.Classes[c.Name] = audit.Class{Effect: c.Effect, Window: dur(c.DedupWindow), GroupAll: c.DedupScope == "" || c.DedupScope == "all"}
 	}
 	for _, p := range s.Plans {
 		if p.HardRate > 0 {
 			d.record.Ceilings[p.Name] = audit.Ceiling{Rate: p.HardRate, Burst: p.HardBurst, Slack: max(1, 0.1*p.HardBurst)}
 		}
 	}
-	for i := range s.Servers.Racks {
+	for i := range s.Servers.DedupScopes {
 		window := time.Duration(0)
 		for _, c := range s.Classes {
-			window = max(window, dur(c.Window))
+			window = max(window, dur(c.DedupWindow))
 		}
 		d.racks = append(d.racks, &catalogue.DedupScope{Name: fmt.Sprint("rack-", i), Window: window})
 	}
 	for i := range s.Servers.Count {
-		b := &box{name: fmt.Sprint("server-", i), address: address(), rack: i % s.Servers.Racks}
+		b := &box{name: fmt.Sprint("server-", i), address: address(), rack: i % s.Servers.DedupScopes}
 		d.servers = append(d.servers, b)
 		if err != nil {
 			return err
@@ -133,7 +133,7 @@
 		return err
 	}
 	if s.Counter != nil {
-		for range s.Counter.Parts {
+		for range s.Counter.Shards {
 			c, a := counter.New(), address()
 			d.counters, d.counterAt = append(d.counters, c), append(d.counterAt, a)
 			if err := d.serve("counter", a, c.Serve, c.Kill); err != nil {
@@ -141,7 +141,7 @@
 			}
 		}
 	}
-	d.discovery = discovery.New("catalogue", dur(s.Servers.Late), func(t audit.Told) {
+	d.discovery = discovery.New("catalogue", dur(s.Servers.UpdateDelay), func(t audit.Told) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.record.Told = append(d.record.Told, t)
@@ -178,7 +178,7 @@
 			if err := d.writeRoster(i); err != nil {
 				return err
 			}
-			if d.nodes[i], err = d.o.Env.Start(i, cfg); err != nil {
+			if d.nodes[i], err = d.o.Environment.StartNode(i, cfg); err != nil {
 				return err
 			}
 		}
@@ -195,7 +195,7 @@
 	for i, a := range d.http[:d.asked.Load()] {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		for {
-			c, err := d.o.Env.Network("clients").Dial(ctx, a)
+			c, err := d.o.Environment.Network("clients").Dial(ctx, a)
 			if err == nil {
 				c.Close()
 				break
@@ -212,7 +212,7 @@
 
 // startProxy starts the proxy before a node.
 func (d *stage) startProxy(i int) error {
-	p, err := proxy.New(proxy.Options{Network: d.o.Env.Network("proxy"), Gateway: d.extAuthz[i], DefaultTimeout: 5 * time.Second})
+	p, err := proxy.New(proxy.Options{Network: d.o.Environment.Network("proxy"), Gateway: d.extAuthz[i], DefaultTimeout: 5 * time.Second})
 	if err != nil {
 		return err
 	}
@@ -228,7 +228,7 @@
 // startServer starts the server of a box, cold or long warm.
 func (d *stage) startServer(b *box, cold bool) error {
 	v := d.s.Servers
-	o := catalogue.Options{Name: b.name, DedupScope: d.racks[b.rack], Cores: v.Cores, QueueLength: v.Queue,
+	o := catalogue.Options{Name: b.name, DedupScope: d.racks[b.rack], Cores: v.Cores, QueueLength: v.QueueLength,
 		Record: func(s audit.Seen) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
@@ -240,10 +240,10 @@
 			d.record.Fell = append(d.record.Fell, f)
 		}}
 	if cold {
-		o.InitialCapacity, o.WarmupTime, o.ColdOverloadFactor, o.ColdOverloadTime = v.ColdShare, dur(v.WarmWithin), v.FallMultiple, dur(v.FallTime)
+		o.InitialCapacity, o.WarmupTime, o.ColdOverloadFactor, o.ColdOverloadTime = v.InitialCapacity, dur(v.WarmupTime), v.ColdOverloadFactor, dur(v.ColdOverloadTime)
 	}
 	for _, c := range d.s.Classes {
-		o.Classes = append(o.Classes, catalogue.Class{Name: c.Name, Method: c.Method, PathPrefix: c.Path, Work: dur(c.Work),
+		o.Classes = append(o.Classes, catalogue.Class{Name: c.Name, Method: c.Method, PathPrefix: c.PathPrefix, Work: dur(c.ServiceTime),
 			IdempotentWithKey: c.Effect == "keyed"})
 	}
 	server := catalogue.New(o)
--- a/day/script.go
+++ b/day/script.go
@@ -18,11 +18,11 @@
 //go:embed scripts
 var scripts embed.FS
 
-// Default names the script that is played where none is given.
-const Default = "default"
+// DefaultScript names the script that is played where none is given.
+const DefaultScript = "default"
 
-// Names lists the scripts that come with the program.
-func Names() []string {
+// ScriptNames lists the scripts that come with the program.
+func ScriptNames() []string {
 	list, err := scripts.ReadDir("scripts")
 	if err != nil {
 		panic(err) // they are in the program
@@ -48,19 +48,19 @@
 
 // Script is a day.
 type Script struct {
-	Extends   string   `hcl:"extends,optional"` // a script of the program, whose blocks and values come first
-	Length    Duration `hcl:"length"`
-	Seed      int      `hcl:"seed,optional"`
-	Nodes     int      `hcl:"nodes"`
-	Spares    int      `hcl:"spares,optional"` // nodes that may join; with any, the fleet is by roster
-	Mail      float64  `hcl:"mail_per_second,optional"`
-	Servers   Servers  `hcl:"servers,block"`
-	Clients   Clients  `hcl:"clients,block"`
-	Counter   *Counter `hcl:"counter,block"`
-	Classes   []Class  `hcl:"class,block"`
-	Plans     []Plan   `hcl:"plan,block"`
-	Customers []Crowd  `hcl:"customers,block"`
-	Faults    []Fault  `hcl:"fault,block"`
+	Extends               string          `hcl:"extends,optional"` // a script of the program, whose blocks and values come first
+	Length                Duration        `hcl:"length"`
+	Seed                  int             `hcl:"seed,optional"`
+	Nodes                 int             `hcl:"nodes"`
+	Spares                int             `hcl:"spares,optional"` // nodes that may join; with any, the fleet is by roster
+	PeerMessagesPerSecond float64         `hcl:"mail_per_second,optional"`
+	Servers               Servers         `hcl:"servers,block"`
+	Clients               Clients         `hcl:"clients,block"`
+	Counter               *Counter        `hcl:"counter,block"`
+	Classes               []Class         `hcl:"class,block"`
+	Plans                 []Plan          `hcl:"plan,block"`
+	Customers             []CustomerGroup `hcl:"customers,block"`
+	Faults                []Fault         `hcl:"fault,block"`
 
 	at map[string][]hcl.Range // of blocks, by type, in order
 }
@@ -70,73 +70,73 @@
 
 // Servers describes the catalogue servers and what discovery tells of them.
 type Servers struct {
-	Count        int      `hcl:"count"`
-	Cores        int      `hcl:"cores"`
-	Queue        int      `hcl:"queue"`
-	Racks        int      `hcl:"racks"`
-	ColdShare    float64  `hcl:"cold_share"`
-	WarmWithin   Duration `hcl:"warm_within"`
-	FallMultiple float64  `hcl:"fall_multiple"`
-	FallTime     Duration `hcl:"fall_time"`
-	Grace        Duration `hcl:"drain_grace"`
-	Late         Duration `hcl:"told_late"`
+	Count              int      `hcl:"count"`
+	Cores              int      `hcl:"cores"`
+	QueueLength        int      `hcl:"queue"`
+	DedupScopes        int      `hcl:"racks"`
+	InitialCapacity    float64  `hcl:"cold_share"`
+	WarmupTime         Duration `hcl:"warm_within"`
+	ColdOverloadFactor float64  `hcl:"fall_multiple"`
+	ColdOverloadTime   Duration `hcl:"fall_time"`
+	DrainGrace         Duration `hcl:"drain_grace"`
+	UpdateDelay        Duration `hcl:"told_late"`
 }
 
 // Counter describes the shared counter.
 type Counter struct {
-	Parts int     `hcl:"parts"`
-	Calls float64 `hcl:"calls_per_second"`
+	Shards            int     `hcl:"parts"`
+	CommandsPerSecond float64 `hcl:"calls_per_second"`
 }
 
 // Clients describes how clients behave.
 type Clients struct {
-	Retries int      `hcl:"retries"`
-	Wait    Duration `hcl:"wait"`           // before a retry
-	Proxied float64  `hcl:"proxied"`        // share of tries that come by the proxies
-	HTTP2   float64  `hcl:"http2,optional"` // share that comes over HTTP/2; the rest over HTTP/1.1
+	Retries    int      `hcl:"retries"`
+	RetryDelay Duration `hcl:"wait"`           // before a retry
+	ProxyShare float64  `hcl:"proxied"`        // share of tries that come by the proxies
+	HTTP2Share float64  `hcl:"http2,optional"` // share that comes over HTTP/2; the rest over HTTP/1.1
 }
 
 // Class is a class of requests with the work it makes.
 type Class struct {
-	Name          string   `hcl:"name,label"`
-	Method        string   `hcl:"method"`
-	Path          string   `hcl:"path"` // a prefix; an id follows
-	Effect        string   `hcl:"effect"`
-	Group         string   `hcl:"group,optional"`
-	Window        Duration `hcl:"window,optional"`
-	Aim           Duration `hcl:"aim"`
-	Deadline      Duration `hcl:"deadline"`
-	Work          Duration `hcl:"work"`
-	Share         float64  `hcl:"share"` // of all requests
-	Units         float64  `hcl:"units,optional"`
-	Authorisation string   `hcl:"authorisation,optional"`
+	Name             string   `hcl:"name,label"`
+	Method           string   `hcl:"method"`
+	PathPrefix       string   `hcl:"path"` // a prefix; an id follows
+	Effect           string   `hcl:"effect"`
+	DedupScope       string   `hcl:"group,optional"`
+	DedupWindow      Duration `hcl:"window,optional"`
+	LatencyObjective Duration `hcl:"aim"`
+	Deadline         Duration `hcl:"deadline"`
+	ServiceTime      Duration `hcl:"work"`
+	Share            float64  `hcl:"share"` // of all requests
+	Units            float64  `hcl:"units,optional"`
+	Authorisation    string   `hcl:"authorisation,optional"`
 }
 
 // Plan is a plan's quotas.
 type Plan struct {
-	Name      string  `hcl:"name,label"`
-	Rate      float64 `hcl:"rate"`
-	Burst     float64 `hcl:"burst"`
-	Open      int     `hcl:"open,optional"`
-	HardRate  float64 `hcl:"hard_rate,optional"`
-	HardBurst float64 `hcl:"hard_burst,optional"`
+	Name        string  `hcl:"name,label"`
+	Rate        float64 `hcl:"rate"`
+	Burst       float64 `hcl:"burst"`
+	MaxInFlight int     `hcl:"open,optional"`
+	HardRate    float64 `hcl:"hard_rate,optional"`
+	HardBurst   float64 `hcl:"hard_burst,optional"`
 }
 
-// Crowd is some customers of one plan that ask alike.
-type Crowd struct {
-	Name  string  `hcl:"name,label"`
-	Plan  string  `hcl:"plan"`
-	Count int     `hcl:"count"`
-	Use   float64 `hcl:"use"` // units asked for, as a multiple of the plan's rate
+// CustomerGroup is some customers of one plan that ask alike.
+type CustomerGroup struct {
+	Name   string  `hcl:"name,label"`
+	Plan   string  `hcl:"plan"`
+	Count  int     `hcl:"count"`
+	Demand float64 `hcl:"use"` // units asked for, as a multiple of the plan's rate
 }
 
 // Fault is one trouble.
 type Fault struct {
-	Kind   string   `hcl:"kind,label"`
-	At     Duration `hcl:"at"`
-	For    Duration `hcl:"for,optional"`
-	Target int      `hcl:"target,optional"` // number of the node or server, from 0
-	Arg    string   `hcl:"arg,optional"`
+	Kind     string   `hcl:"kind,label"`
+	At       Duration `hcl:"at"`
+	Duration Duration `hcl:"for,optional"`
+	Target   int      `hcl:"target,optional"` // number of the node or server, from 0
+	Argument string   `hcl:"arg,optional"`
 }
 
 // kinds of fault, with what their target and argument mean.
@@ -182,7 +182,7 @@
 
 // Parse reads a script; the name is for messages.
 func Parse(src []byte, name string) (*Script, error) {
-	s := &Script{Seed: 1, Mail: 200}
+	s := &Script{Seed: 1, PeerMessagesPerSecond: 200}
 	p := hclparse.NewParser()
 	own, diags := p.ParseHCL(src, name)
 	if diags.HasErrors() {
@@ -197,7 +197,7 @@
 	if head.Extends != "" {
 		base, err := Source(head.Extends)
 		if err != nil {
-			return nil, fmt.Errorf("%s: extends %q; there are %s", name, head.Extends, strings.Join(Names(), ", "))
+			return nil, fmt.Errorf("%s: extends %q; there are %s", name, head.Extends, strings.Join(ScriptNames(), ", "))
 		}
 		f, more := p.ParseHCL(base, head.Extends+".hcl")
 		files, diags = append([]*hcl.File{f}, files...), append(diags, more...)
--- a/day/check.go
+++ b/day/validation.go
@@ -53,14 +53,14 @@
 
 func (s *Script) check(name string) error {
 	c := &checker{s: s, name: name}
-	for what, d := range map[string]Duration{"warm_within": s.Servers.WarmWithin, "fall_time": s.Servers.FallTime,
-		"drain_grace": s.Servers.Grace, "told_late": s.Servers.Late} {
+	for what, d := range map[string]Duration{"warm_within": s.Servers.WarmupTime, "fall_time": s.Servers.ColdOverloadTime,
+		"drain_grace": s.Servers.DrainGrace, "told_late": s.Servers.UpdateDelay} {
 		c.duration("servers", 0, what, d)
 	}
-	c.duration("clients", 0, "wait", s.Clients.Wait)
+	c.duration("clients", 0, "wait", s.Clients.RetryDelay)
 	c.duration("", 0, "length", s.Length)
 	for i, cl := range s.Classes {
-		for what, d := range map[string]Duration{"aim": cl.Aim, "deadline": cl.Deadline, "work": cl.Work, "window": cl.Window} {
+		for what, d := range map[string]Duration{"aim": cl.LatencyObjective, "deadline": cl.Deadline, "work": cl.ServiceTime, "window": cl.DedupWindow} {
 			c.duration("class", i, what, d)
 		}
 	}
@@ -72,7 +72,7 @@
 	if s.Spares < 0 || s.Spares > 1000 {
 		c.wrong("", 0, "spares: %d", s.Spares)
 	}
-	if s.Nodes < 1 || s.Servers.Count < 1 || s.Servers.Racks < 1 || len(s.Classes) == 0 || len(s.Customers) == 0 {
+	if s.Nodes < 1 || s.Servers.Count < 1 || s.Servers.DedupScopes < 1 || len(s.Classes) == 0 || len(s.Customers) == 0 {
 		c.wrong("", 0, "at least one node, server, rack, class and group of customers is needed")
 	}
 	for i, f := range s.Faults {
@@ -96,10 +96,10 @@
 		return
 	}
 	c.duration("fault", i, "at", f.At)
-	c.duration("fault", i, "for", f.For)
+	c.duration("fault", i, "for", f.Duration)
 	parts := 0
 	if s.Counter != nil {
-		parts = s.Counter.Parts
+		parts = s.Counter.Shards
 	}
 	if n := map[string]int{"node": s.Nodes, "server": s.Servers.Count, "part": parts, "": 1}[k.target]; n == 0 {
 		wrong("the script has no counter")
@@ -108,38 +108,38 @@
 	}
 	switch k.arg {
 	case "factor", "share":
-		if v, err := strconv.ParseFloat(f.Arg, 64); err != nil || v < 0 || k.arg == "share" && v > 1 || k.arg == "factor" && v == 0 {
-			wrong("arg %q is not a %s", f.Arg, k.arg)
+		if v, err := strconv.ParseFloat(f.Argument, 64); err != nil || v < 0 || k.arg == "share" && v > 1 || k.arg == "factor" && v == 0 {
+			wrong("arg %q is not a %s", f.Argument, k.arg)
 		}
 	case "duration":
-		if f.Arg == "" {
+		if f.Argument == "" {
 			wrong("arg: a duration is needed")
 		}
-		c.duration("fault", i, "arg", f.Arg)
+		c.duration("fault", i, "arg", f.Argument)
 	case "count":
-		if n, err := strconv.Atoi(f.Arg); err != nil || n < 1 || n > s.Spares {
-			wrong("arg %q is not a number of the %d spares", f.Arg, s.Spares)
+		if n, err := strconv.Atoi(f.Argument); err != nil || n < 1 || n > s.Spares {
+			wrong("arg %q is not a number of the %d spares", f.Argument, s.Spares)
 		}
 	case "node":
-		if n, err := strconv.Atoi(f.Arg); err != nil || n < 0 || n >= s.Nodes || n == f.Target {
-			wrong("arg %q is not the number of another node", f.Arg)
+		if n, err := strconv.Atoi(f.Argument); err != nil || n < 0 || n >= s.Nodes || n == f.Target {
+			wrong("arg %q is not the number of another node", f.Argument)
 		}
 	case "first, second or both":
-		if !slices.Contains([]string{"first", "second", "both"}, f.Arg) {
-			wrong("arg %q is not first, second or both", f.Arg)
+		if !slices.Contains([]string{"first", "second", "both"}, f.Argument) {
+			wrong("arg %q is not first, second or both", f.Argument)
 		}
 	case "class":
-		if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Arg }) {
-			wrong("there is no class %q", f.Arg)
+		if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Argument }) {
+			wrong("there is no class %q", f.Argument)
 		}
 	}
 }
 
-// Restart is what a node may take from its start on until it takes connections.
-const Restart = 500 * time.Millisecond
+// NodeRestartTime is what a node may take from its start on until it takes connections.
+const NodeRestartTime = 500 * time.Millisecond
 
-// ChangeTime is what a change of the fleet may take after all nodes have read it.
-const ChangeTime = 4 * time.Second
+// MembershipChangeTime is what a change of the fleet may take after all nodes have read it.
+const MembershipChangeTime = 4 * time.Second
 
 // order plays the faults through on paper, in order of time: one that can't
 // happen when its turn comes is a mistake.
@@ -159,7 +159,7 @@
 	slices.SortStableFunc(turn, func(a, b int) int { return cmp.Compare(dur(c.s.Faults[a].At), dur(c.s.Faults[b].At)) })
 	for _, i := range turn {
 		f := c.s.Faults[i]
-		at, end := dur(f.At), dur(f.At)+dur(f.For)
+		at, end := dur(f.At), dur(f.At)+dur(f.Duration)
 		k := kinds[f.Kind]
 		now := map[string]map[int]state{"node": nodes, "server": servers}[k.target][f.Target]
 		if f.Kind == "proxy-kill" {
@@ -174,7 +174,7 @@
 			c.wrong("fault", i, "fault %q at %s: %s %d is %s then", f.Kind, f.At, cmp.Or(k.target, "it"), f.Target, now.what)
 			continue
 		}
-		if n, err := strconv.Atoi(f.Arg); strings.HasPrefix(f.Kind, "fleet-") && err == nil {
+		if n, err := strconv.Atoi(f.Argument); strings.HasPrefix(f.Kind, "fleet-") && err == nil {
 			if f.Kind == "fleet-shrink" {
 				n = -n
 			}
@@ -184,13 +184,13 @@
 			if at < changing {
 				c.wrong("fault", i, "fault %q at %s: the last change goes on until %v", f.Kind, f.At, changing)
 			}
-			changing = end + ChangeTime
+			changing = end + MembershipChangeTime
 		}
 		switch f.Kind {
 		case "node-kill":
-			nodes[f.Target] = state{"dead", end + Restart, 0}
+			nodes[f.Target] = state{"dead", end + NodeRestartTime, 0}
 		case "node-kill-start":
-			nodes[f.Target] = state{"dead", end + dur(f.Arg) + dur(f.For) + 2*Restart, 0}
+			nodes[f.Target] = state{"dead", end + dur(f.Argument) + dur(f.Duration) + 2*NodeRestartTime, 0}
 		case "node-stop":
 			nodes[f.Target] = state{"stopped", end, 0}
 		case "proxy-kill":
@@ -216,8 +216,8 @@
 	}
 }
 
-// Source writes a script as a file that Parse reads back.
-func (s *Script) Source() []byte {
+// Format writes a script as a file that Parse reads back.
+func (s *Script) Format() []byte {
 	f := hclwrite.NewEmptyFile()
 	gohcl.EncodeIntoBody(s, f.Body())
 	var out []string
@@ -229,9 +229,9 @@
 	return hclwrite.Format([]byte(strings.Join(out, "\n")))
 }
 
-// Check tells what is wrong with a script that was not read from a file.
-func (s *Script) Check() error { return s.check("the day") }
+// Validate tells what is wrong with a script that was not read from a file.
+func (s *Script) Validate() error { return s.check("the day") }
 
-// TargetOf tells what a kind of fault is aimed at: node, server, part of the
+// TargetKind tells what a kind of fault is aimed at: node, server, part of the
 // counter, or nothing.
-func TargetOf(kind string) string { return kinds[kind].target }
+func TargetKind(kind string) string { return kinds[kind].target }
--- a/day/virtual/defects.go
+++ b/day/virtual/defects.go
@@ -16,21 +16,21 @@
 )
 
 // defects are builds with a defence taken out, to see whether it would be found.
-var defects = map[string]func(*day.Bubble){
+var defects = map[string]func(*day.VirtualEnvironment){
 	// Rule 1.
 	"patience-not-read": edit("clients {", "clients {\n patience_header = \"x-none\""),
-	"stalls-not-seen": func(b *day.Bubble) {
-		b.Stall = ways[Ways[0]].stall
+	"stalls-not-seen": func(b *day.VirtualEnvironment) {
+		b.Pause = ways[Ways[0]].stall
 		// What its client has left is taken back where it is still on its way, which
 		// hides most of it: that defence goes, too.
-		b.Carry = func(u node.Upstream) node.Upstream { return sendsAll{u} }
+		b.WrapUpstream = func(u node.Upstream) node.Upstream { return sendsAll{u} }
 	},
 	// Rule 2.
 	"keyed-taken-for-safe":  edit(`effect = "keyed"`, `effect = "safe"`),
 	"unsafe-taken-for-safe": edit(`effect = "unsafe"`, `effect = "safe"`),
 	"group-too-wide":        edit(`group = "cell"`, `group = "all"`),
-	"window-too-long": func(b *day.Bubble) {
-		b.Edit = func(cfg []byte) []byte { return windows.ReplaceAll(cfg, []byte(`window = "20s"`)) }
+	"window-too-long": func(b *day.VirtualEnvironment) {
+		b.EditConfig = func(cfg []byte) []byte { return windows.ReplaceAll(cfg, []byte(`window = "20s"`)) }
 	},
 	// Rule 3.
 	"drains-not-heard": deafen(func(s *node.Endpoint) { s.State = policy.Running }),
@@ -81,15 +81,15 @@
 // Defects lists them.
 func Defects() []string { return slices.Sorted(maps.Keys(defects)) }
 
-func edit(old, new string) func(*day.Bubble) {
-	return func(b *day.Bubble) {
-		b.Edit = func(cfg []byte) []byte { return bytes.ReplaceAll(cfg, []byte(old), []byte(new)) }
+func edit(old, new string) func(*day.VirtualEnvironment) {
+	return func(b *day.VirtualEnvironment) {
+		b.EditConfig = func(cfg []byte) []byte { return bytes.ReplaceAll(cfg, []byte(old), []byte(new)) }
 	}
 }
 
-func deafen(change func(*node.Endpoint)) func(*day.Bubble) {
-	return func(b *day.Bubble) {
-		b.Deafen = func(list []node.Endpoint) []node.Endpoint {
+func deafen(change func(*node.Endpoint)) func(*day.VirtualEnvironment) {
+	return func(b *day.VirtualEnvironment) {
+		b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 			for i := range list {
 				change(&list[i])
 			}
@@ -98,7 +98,7 @@
 	}
 }
 
-func defect(b *day.Bubble, name string) error {
+func defect(b *day.VirtualEnvironment, name string) error {
 	if name == "" {
 		return nil
 	}
--- a/day/virtual/virtual.go
+++ b/day/virtual/virtual.go
@@ -57,15 +57,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := network.NewMemory(time.Millisecond, j.Seed)
 		m.NoTimestamps = j.NoStamps
-		env := &day.Bubble{Memory: m, Temp: temp, Log: said, Seed: j.Seed}
+		env := &day.VirtualEnvironment{Memory: m, TempDir: temp, Log: said, Seed: j.Seed}
 		if err := defect(env, j.Defect); err != nil {
 			res.Error = err.Error()
 			return
 		}
 		if w, ok := ways[j.Way]; ok {
-			env.Stall, m.NoTimestamps = w.stall, w.noStamps
+			env.Pause, m.NoTimestamps = w.stall, w.noStamps
 		}
-		if res.Report, err = day.Run(context.Background(), s, day.Options{Env: env}); err != nil {
+		if res.Report, err = day.Run(context.Background(), s, day.Options{Environment: env}); err != nil {
 			res.Error = err.Error()
 		}
 		time.Sleep(time.Minute) // timers of what was closed run out
--- a/day/virtual/virtual_test.go
+++ b/day/virtual/virtual_test.go
@@ -22,11 +22,11 @@
 		h := hunt.New(base(t), hunt.DefaultLimits(), 100+seed, false)
 		d := h.Next()
 		d.Script.Nodes = min(d.Script.Nodes, 4)
-		if d.Script.Check() != nil {
+		if d.Script.Validate() != nil {
 			continue // a fault is aimed at a node that is no more
 		}
-		r := Play(t, Job{Source: d.Script.Source(), Seed: d.Seed, NoStamps: d.NoReceiveTimestamps})
-		if r.Error != "" || !r.Report.Kept() {
+		r := Play(t, Job{Source: d.Script.Format(), Seed: d.Seed, NoStamps: d.NoReceiveTimestamps})
+		if r.Error != "" || !r.Report.Passed() {
 			t.Errorf("%s: %s", d.Summary(), r.Error)
 			if r.Report != nil {
 				r.Report.Write(t.Output())
--- a/lab/hunt/generator_test.go
+++ b/lab/hunt/generator_test.go
@@ -42,16 +42,16 @@
 			t.Error("two seeds draw the same days")
 		}
 		for _, d := range days {
-			if err := d.Script.Check(); err != nil {
+			if err := d.Script.Validate(); err != nil {
 				t.Fatalf("%s: %v", d.Summary(), err)
 			}
-			back, err := day.Parse(d.Script.Source(), "back.hcl")
+			back, err := day.Parse(d.Script.Format(), "back.hcl")
 			if err != nil {
-				t.Fatalf("%v\n%s", err, d.Script.Source())
+				t.Fatalf("%v\n%s", err, d.Script.Format())
 			}
 			if !reflect.DeepEqual(back.Faults, d.Script.Faults) || back.Nodes != d.Script.Nodes || !reflect.DeepEqual(back.Servers, d.Script.Servers) ||
 				!reflect.DeepEqual(back.Classes, d.Script.Classes) || back.Clients != d.Script.Clients {
-				t.Fatalf("read back differs:\n%s", d.Script.Source())
+				t.Fatalf("read back differs:\n%s", d.Script.Format())
 			}
 			for _, f := range d.Script.Faults {
 				kinds[f.Kind] = true
--- a/lab/hunt/sampler.go
+++ b/lab/hunt/sampler.go
@@ -152,26 +152,26 @@
 	s.Servers.Count = 4 + g.rng.IntN(7)
 	switch g.rng.IntN(4) {
 	case 0:
-		s.Clients.Proxied, s.Clients.HTTP2 = 0.8, 0.1
+		s.Clients.ProxyShare, s.Clients.HTTP2Share = 0.8, 0.1
 	case 1:
-		s.Clients.Proxied, s.Clients.HTTP2 = 0.1, 0.8
+		s.Clients.ProxyShare, s.Clients.HTTP2Share = 0.1, 0.8
 	case 2:
-		s.Clients.Proxied, s.Clients.HTTP2 = 0.1, 0.1
+		s.Clients.ProxyShare, s.Clients.HTTP2Share = 0.1, 0.1
 	}
-	s.Servers.Cores, s.Servers.Queue, s.Servers.ColdShare, s.Servers.Late = g.base.Servers.Cores, g.base.Servers.Queue,
-		g.base.Servers.ColdShare, g.base.Servers.Late
+	s.Servers.Cores, s.Servers.QueueLength, s.Servers.InitialCapacity, s.Servers.UpdateDelay = g.base.Servers.Cores, g.base.Servers.QueueLength,
+		g.base.Servers.InitialCapacity, g.base.Servers.UpdateDelay
 	if g.rng.IntN(4) == 0 {
 		// Few servers, all busy, and starting very cold.
-		s.Servers.Count, s.Servers.Cores, s.Servers.Queue, s.Servers.ColdShare, s.Servers.Late = 3, 4, 40, 0.05, "50ms"
+		s.Servers.Count, s.Servers.Cores, s.Servers.QueueLength, s.Servers.InitialCapacity, s.Servers.UpdateDelay = 3, 4, 40, 0.05, "50ms"
 	}
 	for i := range s.Classes {
-		if s.Classes[i].Window != "" {
-			s.Classes[i].Window = []string{"2s", "2s", "500ms"}[g.rng.IntN(3)]
+		if s.Classes[i].DedupWindow != "" {
+			s.Classes[i].DedupWindow = []string{"2s", "2s", "500ms"}[g.rng.IntN(3)]
 		}
 	}
 	load := []float64{0.4, 1, 1, 1.6}[g.rng.IntN(4)]
 	for i := range s.Customers {
-		s.Customers[i].Use = math.Round(s.Customers[i].Use*load*100) / 100
+		s.Customers[i].Demand = math.Round(s.Customers[i].Demand*load*100) / 100
 	}
 	s.Clients.Retries = g.rng.IntN(4)
 }
@@ -201,7 +201,7 @@
 	if len(s.Faults) > 0 && g.rng.IntN(3) == 0 {
 		o := s.Faults[g.rng.IntN(len(s.Faults))]
 		near, _ := time.ParseDuration(o.At)
-		last, _ := time.ParseDuration(o.For)
+		last, _ := time.ParseDuration(o.Duration)
 		if g.rng.IntN(2) == 0 {
 			near += last
 		}
@@ -216,30 +216,30 @@
 		for _, o := range s.Faults {
 			if o.Kind == "fleet-grow" { // those that joined leave again
 				at, _ := time.ParseDuration(o.At)
-				last, _ := time.ParseDuration(o.For)
-				f.At, f.Arg = g.time(at+last+day.ChangeTime+g.span(50*time.Millisecond, 4*time.Second)), o.Arg
+				last, _ := time.ParseDuration(o.Duration)
+				f.At, f.Argument = g.time(at+last+day.MembershipChangeTime+g.span(50*time.Millisecond, 4*time.Second)), o.Argument
 			}
 		}
 	}
 	if sh.from > 0 {
-		f.For = g.span(sh.from, sh.to).String()
+		f.Duration = g.span(sh.from, sh.to).String()
 	}
 	if f.Target == 0 || g.rng.IntN(2) == 0 {
 		n := max(s.Nodes, s.Servers.Count)
-		switch day.TargetOf(sh.kind) {
+		switch day.TargetKind(sh.kind) {
 		case "node":
 			n = s.Nodes
 		case "server":
 			n = s.Servers.Count
 		case "part":
-			n = s.Counter.Parts
+			n = s.Counter.Shards
 		case "":
 			n = 1
 		}
 		f.Target = g.rng.IntN(n)
 	}
-	if sh.arg != nil && f.Arg == "" {
-		f.Arg = sh.arg(g, s)
+	if sh.arg != nil && f.Argument == "" {
+		f.Argument = sh.arg(g, s)
 	}
 	return f
 }
@@ -257,7 +257,7 @@
 	}
 	o := gone[g.rng.IntN(len(gone))]
 	at, _ := time.ParseDuration(o.At)
-	last, _ := time.ParseDuration(o.For)
+	last, _ := time.ParseDuration(o.Duration)
 	f.Target, f.At = o.Target, g.time(at+last+g.span(50*time.Millisecond, 4*time.Second))
 }
 
@@ -269,7 +269,7 @@
 func (g *drawer) add(s *day.Script) bool {
 	for range 8 {
 		s.Faults = append(s.Faults, g.fault(s))
-		if s.Check() == nil {
+		if s.Validate() == nil {
 			return true
 		}
 		s.Faults = s.Faults[:len(s.Faults)-1]
@@ -286,7 +286,7 @@
 		for range 1 + g.rng.IntN(3) {
 			g.change(&m, s)
 		}
-		if s.Check() == nil {
+		if s.Validate() == nil {
 			return m
 		}
 	}
@@ -313,10 +313,10 @@
 		f := &s.Faults[i]
 		at, _ := time.ParseDuration(f.At)
 		f.At = g.time(at + time.Duration((g.rng.Float64()-0.5)*float64(2*time.Second)))
-	case what == 6 && s.Faults[i].For != "":
+	case what == 6 && s.Faults[i].Duration != "":
 		f := &s.Faults[i]
-		last, _ := time.ParseDuration(f.For)
-		f.For = g.time(time.Duration(float64(last) * (0.5 + 1.5*g.rng.Float64())))
+		last, _ := time.ParseDuration(f.Duration)
+		f.Duration = g.time(time.Duration(float64(last) * (0.5 + 1.5*g.rng.Float64())))
 	default:
 		s.Faults[i] = g.fault(s)
 	}
@@ -327,8 +327,8 @@
 	out := fmt.Sprintf("%d nodes, %s:", d.Script.Nodes, d.Script.Length)
 	for _, f := range d.Script.Faults {
 		out += fmt.Sprintf(" %s@%s", f.Kind, f.At)
-		if f.For != "" {
-			out += "+" + f.For
+		if f.Duration != "" {
+			out += "+" + f.Duration
 		}
 	}
 	return out
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -64,15 +64,15 @@
 	var last time.Duration
 	for _, f := range d.Script.Faults {
 		at, _ := time.ParseDuration(f.At)
-		span, _ := time.ParseDuration(f.For)
+		span, _ := time.ParseDuration(f.Duration)
 		last = max(last, at+span)
 	}
 	if short := (last + 2*time.Second).Round(time.Second); short < length {
 		change(func(s *day.Script) { s.Length = short.String() })
 	}
 	for i, f := range d.Script.Faults {
-		if span, _ := time.ParseDuration(f.For); span >= 200*time.Millisecond {
-			change(func(s *day.Script) { s.Faults[i].For = (span / 2).Round(10 * time.Millisecond).String() })
+		if span, _ := time.ParseDuration(f.Duration); span >= 200*time.Millisecond {
+			change(func(s *day.Script) { s.Faults[i].Duration = (span / 2).Round(10 * time.Millisecond).String() })
 		}
 	}
 	return out
@@ -84,15 +84,15 @@
 	s.Nodes = nodes
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		if day.TargetOf(f.Kind) != "node" {
+		if day.TargetKind(f.Kind) != "node" {
 			continue
 		}
 		f.Target %= nodes
-		if to, err := strconv.Atoi(f.Arg); err == nil && f.Kind == "peers-cut" {
+		if to, err := strconv.Atoi(f.Argument); err == nil && f.Kind == "peers-cut" {
 			if to %= nodes; to == f.Target {
 				to = (to + 1) % nodes
 			}
-			f.Arg = strconv.Itoa(to)
+			f.Argument = strconv.Itoa(to)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 			break
 		}
 		key := fmt.Sprint(c.Summary(), c.Script.Nodes, c.Script.Faults)
-		if s.tried[key] || c.Script.Check() != nil {
+		if s.tried[key] || c.Script.Validate() != nil {
 			continue
 		}
 		s.tried[key] = true
