--- a/audit/margin.go
+++ b/audit/margin.go
@@ -5,102 +5,104 @@
 	"time"
 )
 
-// Margin is how near a run came to breaking a rule: 0 not at all, 1 to its very
-// edge, above 1 beyond it. A searcher is led by it.
+// Margin states how much of the margin of a rule a run used: 0 is none, 1 is all of it, and more
+// than 1 is a violation. It guides the fault search.
 type Margin struct {
 	Rule int     `json:"rule"`
 	Used float64 `json:"near"`
 }
 
-// Margins measures a run against each rule. cold is the most that a cold server was
-// sent, as a part of what pushes it over.
-func Margins(r *Record, cold float64) []Margin {
+// Margins returns how much of the margin of each rule a run used. peakColdLoad is the highest load
+// that a cold server received, as a fraction of the load that overloads it.
+func Margins(r *Record, peakColdLoad float64) []Margin {
 	c := newChecker(r)
-	near := [5]float64{3: cold}
-	up := func(rule int, v float64) { near[rule-1] = max(near[rule-1], v) }
-	part := func(d, of time.Duration) float64 { return float64(d) / float64(max(of, time.Millisecond)) }
+	used := [5]float64{3: peakColdLoad}
+	raise := func(rule int, v float64) { used[rule-1] = max(used[rule-1], v) }
+	fraction := func(d, of time.Duration) float64 { return float64(d) / float64(max(of, time.Millisecond)) }
 	for i := range r.Requests {
-		t := &r.Requests[i]
-		if !t.RespondedAt.IsZero() {
-			up(1, min(1, part(t.RespondedAt.Sub(t.SentAt), t.TimesOutAt.Sub(t.SentAt))))
+		request := &r.Requests[i]
+		if !request.RespondedAt.IsZero() {
+			raise(1, min(1, fraction(request.RespondedAt.Sub(request.SentAt), request.TimesOutAt.Sub(request.SentAt))))
 		}
 	}
 	for _, trace := range c.traces {
-		t := c.tries[trace]
-		list := c.attempts[trace]
-		class := r.Classes[list[0].Class]
-		for i, s := range list {
-			if t != nil {
-				end := t.TimesOutAt
-				if !t.RespondedAt.IsZero() && t.RespondedAt.Before(end) {
-					end = t.RespondedAt
+		request := c.requests[trace]
+		attempts := c.attempts[trace]
+		class := r.Classes[attempts[0].Class]
+		for i, attempt := range attempts {
+			if request != nil {
+				end := request.TimesOutAt
+				if !request.RespondedAt.IsZero() && request.RespondedAt.Before(end) {
+					end = request.RespondedAt
 				}
-				if late := s.ArrivedAt.Sub(end); late > 0 {
-					up(1, part(late, r.Tolerance))
+				if late := attempt.ArrivedAt.Sub(end); late > 0 {
+					raise(1, fraction(late, r.Tolerance))
 				}
-				if told, down := c.told(t.Node, s.Server, s.ArrivedAt); down {
-					up(3, part(s.ArrivedAt.Sub(told), r.DrainGrace+r.Tolerance))
+				if since, unavailable := c.unavailableSince(request.Node, attempt.Server, attempt.ArrivedAt); unavailable {
+					raise(3, fraction(attempt.ArrivedAt.Sub(since), r.DrainGrace+r.Tolerance))
 				}
 			}
 			if i > 0 {
-				up(2, part(list[i-1].EndedAt.Sub(s.ArrivedAt), r.Tolerance))
-				if class.Effect == "keyed" && !list[i-1].Rejected {
-					up(2, part(s.ArrivedAt.Sub(list[i-1].ArrivedAt), class.DedupWindow+r.Tolerance))
+				raise(2, fraction(attempts[i-1].EndedAt.Sub(attempt.ArrivedAt), r.Tolerance))
+				if class.Effect == "keyed" && !attempts[i-1].Rejected {
+					raise(2, fraction(attempt.ArrivedAt.Sub(attempts[i-1].ArrivedAt), class.DedupWindow+r.Tolerance))
 				}
 			}
 		}
 	}
-	up(5, c.overCeilings(nil))
-	out := make([]Margin, len(near))
-	for i, v := range near {
-		out[i] = Margin{i + 1, v}
+	raise(5, c.replayCeilings(nil))
+	margins := make([]Margin, len(used))
+	for i, v := range used {
+		margins[i] = Margin{i + 1, v}
 	}
-	return out
+	return margins
 }
 
-// InFlightPeak is the most attempts that a customer had out at once, over all servers,
-// against its plan's cap: the caps are kept from reports, and are no hard ceiling.
+// InFlightPeak is the highest number of attempts that a customer had in flight over all servers, and
+// the in-flight cap of its plan. Gateways enforce the caps from load reports, so that a peak may
+// exceed its cap: caps are no hard ceilings.
 type InFlightPeak struct {
 	Customer string `json:"customer"`
 	Peak     int    `json:"most"`
 	Cap      int    `json:"cap"`
 }
 
-// InFlightPeaks returns, of each customer with a cap, the most that were out at once.
+// InFlightPeaks returns the peak of each customer whose plan has an in-flight cap, highest first.
+// caps is by plan.
 func InFlightPeaks(r *Record, caps map[string]int) []InFlightPeak {
-	type edge struct {
-		at time.Time
-		d  int
+	type change struct {
+		at    time.Time
+		delta int
 	}
-	edges := map[string][]edge{}
+	changes := map[string][]change{}
 	capOf := map[string]int{}
-	tries := map[string]*RequestRecord{}
+	requests := map[string]*RequestRecord{}
 	for i := range r.Requests {
-		tries[r.Requests[i].Trace] = &r.Requests[i]
+		requests[r.Requests[i].Trace] = &r.Requests[i]
 	}
-	for _, s := range r.Attempts {
-		t := tries[s.Trace]
-		if t == nil || caps[t.Plan] == 0 {
+	for _, attempt := range r.Attempts {
+		request := requests[attempt.Trace]
+		if request == nil || caps[request.Plan] == 0 {
 			continue
 		}
-		capOf[t.Customer] = caps[t.Plan]
-		edges[t.Customer] = append(edges[t.Customer], edge{s.ArrivedAt, 1}, edge{s.EndedAt, -1})
+		capOf[request.Customer] = caps[request.Plan]
+		changes[request.Customer] = append(changes[request.Customer], change{attempt.ArrivedAt, 1}, change{attempt.EndedAt, -1})
 	}
-	var out []InFlightPeak
-	for who, list := range edges {
-		slices.SortFunc(list, func(a, b edge) int {
+	var peaks []InFlightPeak
+	for customer, list := range changes {
+		slices.SortFunc(list, func(a, b change) int {
 			if c := a.at.Compare(b.at); c != 0 {
 				return c
 			}
-			return a.d - b.d
+			return a.delta - b.delta
 		})
-		now, most := 0, 0
-		for _, e := range list {
-			now += e.d
-			most = max(most, now)
+		inFlight, peak := 0, 0
+		for _, next := range list {
+			inFlight += next.delta
+			peak = max(peak, inFlight)
 		}
-		out = append(out, InFlightPeak{who, most, capOf[who]})
+		peaks = append(peaks, InFlightPeak{customer, peak, capOf[customer]})
 	}
-	slices.SortFunc(out, func(a, b InFlightPeak) int { return b.Peak - a.Peak })
-	return out
+	slices.SortFunc(peaks, func(a, b InFlightPeak) int { return b.Peak - a.Peak })
+	return peaks
 }
--- a/audit/records.go
+++ b/audit/records.go
@@ -1,12 +1,13 @@
-// Package audit checks the five rules from what clients got and servers
-// received, and from nothing a node says of itself. It has no I/O.
+// Package audit checks the five rules on the recorded events of a run: the responses that clients
+// received, and the attempts that servers received. It uses nothing that nodes report about
+// themselves, and does no I/O.
 package audit
 
 import "time"
 
-// RequestRecord is a client's record of one try.
+// RequestRecord is a client's record of one request. A client retry has a record of its own.
 type RequestRecord struct {
-	Trace       string // request id, unique to the try
+	Trace       string // request ID, unique to the record
 	Node        int
 	Frontend    string
 	Customer    string
@@ -14,75 +15,75 @@
 	Class       string
 	Units       float64
 	SentAt      time.Time
-	TimesOutAt  time.Time // the client waits until then
-	RespondedAt time.Time // zero: no answer came
-	Outcome     string    // served, refused, failed; "": none
+	TimesOutAt  time.Time // end of the client timeout
+	RespondedAt time.Time // zero if no response arrived
+	Outcome     string    // served, refused or failed; empty if no response arrived
 	Reason      string
 	Status      int
-	Mismatched  bool // the answer was another request's
-	NotAccepted bool // no connection was made: nobody took the try
-	ClientRetry bool // a client's retry of an earlier try
+	Mismatched  bool // the response belongs to another request
+	NotAccepted bool // certainly not processed: the connection failed, or the HTTP/2 stream was refused
+	ClientRetry bool // the request is a client retry
 }
 
-// AttemptRecord is a server's record of one attempt that arrived whole.
+// AttemptRecord is a server's record of one attempt that it received completely.
 type AttemptRecord struct {
 	Trace        string    `json:"Trace"`
 	Server       string    `json:"Server"`
-	DedupScope   string    `json:"Rack"` // the group that drops repeats
+	DedupScope   string    `json:"Rack"` // name of the dedup scope of the server
 	Class        string    `json:"Class"`
 	Key          string    `json:"Key"`
 	ArrivedAt    time.Time `json:"At"`
-	EndedAt      time.Time `json:"End"`     // answered, or its connection ended
-	Rejected     bool      `json:"Away"`    // turned away: the answer says that nothing ran
-	TookEffect   bool      `json:"Ran"`     // the work took effect
-	Deduplicated bool      `json:"Dropped"` // a repeat that the rack dropped
+	EndedAt      time.Time `json:"End"`     // the response was sent, or the connection was closed
+	Rejected     bool      `json:"Away"`    // the response carries the rejection signal: the attempt was not processed
+	TookEffect   bool      `json:"Ran"`     // the work was done
+	Deduplicated bool      `json:"Dropped"` // a repetition within the dedup scope, whose work was not done again
 	Responded    bool      `json:"Answered"`
 }
 
-// EndpointUpdate is discovery's record of what it told a node of a server.
+// EndpointUpdate is the discovery service's record of a server's state that it sent to a node.
 type EndpointUpdate struct {
 	Node        int       `json:"Node"`
 	Server      string    `json:"Server"`
 	At          time.Time `json:"At"`
-	Unavailable bool      `json:"Down"` // draining or gone; false: running
+	Unavailable bool      `json:"Down"` // draining or removed; false if running
 }
 
-// ColdOverload is the record of a server that was pushed over while cold.
+// ColdOverload is the record of a server that overloaded while cold.
 type ColdOverload struct {
 	Server string    `json:"Server"`
 	At     time.Time `json:"At"`
 }
 
-// Downtime is a time in which a node did not run.
+// Downtime is a period in which a process did not run.
 type Downtime struct {
 	Node     int
 	From, To time.Time
-	Killed   bool // and knew nothing afterwards; else it was only stopped
+	Killed   bool // the process was killed, and lost its state in memory; false if it was paused
 }
 
-// Class is what the rules need to know of a class.
+// Class holds the properties of a class that the rules depend on.
 type Class struct {
-	Effect      string // safe, keyed, unsafe
+	Effect      string // safe, keyed or unsafe
 	DedupWindow time.Duration
-	// GlobalDedup: all servers drop repeats of each other; else those of a rack.
-	GlobalDedup bool
+	GlobalDedup bool // all servers share one dedup scope
 }
 
-// Ceiling is a plan's hard ceiling.
+// Ceiling is the hard ceiling of a plan. Usage may exceed it by Slack units before it counts as a
+// violation.
 type Ceiling struct{ Rate, Burst, Slack float64 }
 
-// Record is all that was recorded of a run.
+// Record holds all recorded events of a run, and the parameters of the rules.
 type Record struct {
 	Requests        []RequestRecord
 	Attempts        []AttemptRecord
 	EndpointUpdates []EndpointUpdate
 	ColdOverloads   []ColdOverload
 	Downtimes       []Downtime
-	// ProxyDowntimes is when the proxy before a node did not run: what it held has no
-	// answer.
+	// ProxyDowntimes are the downtimes of the proxy in front of a node. Requests that a proxy
+	// holds when it is killed get no response.
 	ProxyDowntimes []Downtime
 	Classes        map[string]Class
 	Ceilings       map[string]Ceiling // by plan
-	DrainGrace     time.Duration      // of drains
-	Tolerance      time.Duration      // by which records of one machine may be late
+	DrainGrace     time.Duration      // how long a node may send to a server after the update that made it unavailable
+	Tolerance      time.Duration      // accepted difference between the times of corresponding records
 }
--- a/day/virtual/mutations.go
+++ b/day/virtual/mutations.go
@@ -15,50 +15,50 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// defects are builds with a defence taken out, to see whether it would be found.
-var defects = map[string]func(*day.VirtualEnvironment){
+// mutations are builds with a defence taken out, to see whether it would be found.
+var mutations = map[string]func(*day.VirtualEnvironment){
 	// Rule 1.
-	"patience-not-read": edit("clients {", "clients {\n patience_header = \"x-none\""),
+	"patience-not-read": editConfig("clients {", "clients {\n patience_header = \"x-none\""),
 	"stalls-not-seen": func(b *day.VirtualEnvironment) {
-		b.Pause = ways[PauseStrategies[0]].stall
+		b.Pause = pauseStrategies[PauseStrategies[0]].stall
 		// What its client has left is taken back where it is still on its way, which
 		// hides most of it: that defence goes, too.
-		b.WrapUpstream = func(u node.Upstream) node.Upstream { return sendsAll{u} }
+		b.WrapUpstream = func(u node.Upstream) node.Upstream { return withdrawalIgnoringUpstream{u} }
 	},
 	// Rule 2.
-	"keyed-taken-for-safe":  edit(`effect = "keyed"`, `effect = "safe"`),
-	"unsafe-taken-for-safe": edit(`effect = "unsafe"`, `effect = "safe"`),
-	"group-too-wide":        edit(`group = "cell"`, `group = "all"`),
+	"keyed-taken-for-safe":  editConfig(`effect = "keyed"`, `effect = "safe"`),
+	"unsafe-taken-for-safe": editConfig(`effect = "unsafe"`, `effect = "safe"`),
+	"group-too-wide":        editConfig(`group = "cell"`, `group = "all"`),
 	"window-too-long": func(b *day.VirtualEnvironment) {
-		b.EditConfig = func(cfg []byte) []byte { return windows.ReplaceAll(cfg, []byte(`window = "20s"`)) }
+		b.EditConfig = func(cfg []byte) []byte { return shortDedupWindows.ReplaceAll(cfg, []byte(`window = "20s"`)) }
 	},
 	// Rule 3.
-	"drains-not-heard": deafen(func(s *node.Endpoint) { s.State = policy.Running }),
+	"drains-not-heard": editEndpoints(func(s *node.Endpoint) { s.State = policy.Running }),
 	// Rule 4.
-	"cold-taken-for-warm": deafen(func(s *node.Endpoint) { s.StartTime = time.Time{} }),
+	"cold-taken-for-warm": editEndpoints(func(s *node.Endpoint) { s.StartTime = time.Time{} }),
 	// Rule 5.
 	// (A quota keeps a customer well below its ceiling as long as it holds.)
-	"ceiling-too-high": edit(quotas, "rate = 100\n  burst = 100\n  open = 0\n  hard_rate = 21\n  hard_burst = 36"),
-	"ceiling-unknown":  edit(quotas, "rate = 100\n  burst = 100\n  open = 0"),
+	"ceiling-too-high": editConfig(quotaSettings, "rate = 100\n  burst = 100\n  open = 0\n  hard_rate = 21\n  hard_burst = 36"),
+	"ceiling-unknown":  editConfig(quotaSettings, "rate = 100\n  burst = 100\n  open = 0"),
 }
 
-// sendsAll sends whatever it was given, whoever has left meanwhile.
-type sendsAll struct{ node.Upstream }
+// withdrawalIgnoringUpstream sends whatever it was given, whoever has left meanwhile.
+type withdrawalIgnoringUpstream struct{ node.Upstream }
 
-func (u sendsAll) Start(a node.Attempt, done func(node.Result)) node.OutgoingAttempt {
-	return goesOn{u.Upstream.Start(a, done)}
+func (u withdrawalIgnoringUpstream) Start(a node.Attempt, done func(node.Result)) node.OutgoingAttempt {
+	return withdrawalIgnoringAttempt{u.Upstream.Start(a, done)}
 }
 
-type goesOn struct{ node.OutgoingAttempt }
+type withdrawalIgnoringAttempt struct{ node.OutgoingAttempt }
 
-func (goesOn) Withdraw() bool { return false }
+func (withdrawalIgnoringAttempt) Withdraw() bool { return false }
 
 // PauseStrategies of living through stalls, as weighed: what is read to its end before
 // anything is sent, and from when what was read counts.
 var PauseStrategies = []string{"nothing", "read first", "age by the gap", "age by stamps", "read first, age by the gap",
 	"read first, age by stamps"}
 
-var ways = func() map[string]struct {
+var pauseStrategies = func() map[string]struct {
 	stall    pause.Settings
 	noStamps bool
 } {
@@ -74,20 +74,20 @@
 		PauseStrategies[4]: {both, true}, PauseStrategies[5]: {both, false}}
 }()
 
-const quotas = "rate = 8\n  burst = 16\n  open = 6\n  hard_rate = 14\n  hard_burst = 24"
+const quotaSettings = "rate = 8\n  burst = 16\n  open = 6\n  hard_rate = 14\n  hard_burst = 24"
 
-var windows = regexp.MustCompile(`window = "(2s|500ms)"`)
+var shortDedupWindows = regexp.MustCompile(`window = "(2s|500ms)"`)
 
 // Mutations lists them.
-func Mutations() []string { return slices.Sorted(maps.Keys(defects)) }
+func Mutations() []string { return slices.Sorted(maps.Keys(mutations)) }
 
-func edit(old, new string) func(*day.VirtualEnvironment) {
+func editConfig(old, new string) func(*day.VirtualEnvironment) {
 	return func(b *day.VirtualEnvironment) {
 		b.EditConfig = func(cfg []byte) []byte { return bytes.ReplaceAll(cfg, []byte(old), []byte(new)) }
 	}
 }
 
-func deafen(change func(*node.Endpoint)) func(*day.VirtualEnvironment) {
+func editEndpoints(change func(*node.Endpoint)) func(*day.VirtualEnvironment) {
 	return func(b *day.VirtualEnvironment) {
 		b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 			for i := range list {
@@ -98,11 +98,11 @@
 	}
 }
 
-func defect(b *day.VirtualEnvironment, name string) error {
+func applyMutation(b *day.VirtualEnvironment, name string) error {
 	if name == "" {
 		return nil
 	}
-	take, ok := defects[name]
+	take, ok := mutations[name]
 	if !ok {
 		return fmt.Errorf("there is no defect %q; there are %s", name, strings.Join(Mutations(), ", "))
 	}
--- a/day/virtual/virtual.go
+++ b/day/virtual/virtual.go
@@ -53,16 +53,16 @@
 		return Result{Error: err.Error()}
 	}
 	defer os.RemoveAll(temp)
-	said := &words{seen: map[string]bool{}}
+	said := &logMessages{seen: map[string]bool{}}
 	synctest.Test(t, func(t *testing.T) {
 		m := network.NewMemory(time.Millisecond, j.Seed)
 		m.NoTimestamps = j.NoTimestamps
 		env := &day.VirtualEnvironment{Memory: m, TempDir: temp, Log: said, Seed: j.Seed}
-		if err := defect(env, j.Mutation); err != nil {
+		if err := applyMutation(env, j.Mutation); err != nil {
 			res.Error = err.Error()
 			return
 		}
-		if w, ok := ways[j.PauseStrategy]; ok {
+		if w, ok := pauseStrategies[j.PauseStrategy]; ok {
 			env.Pause, m.NoTimestamps = w.stall, w.noStamps
 		}
 		if res.Report, err = day.Run(context.Background(), s, day.Options{Environment: env}); err != nil {
@@ -85,13 +85,13 @@
 	return ""
 }
 
-// words keeps the different messages that nodes logged.
-type words struct {
+// logMessages keeps the different messages that nodes logged.
+type logMessages struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
-func (w *words) Write(b []byte) (int, error) {
+func (w *logMessages) Write(b []byte) (int, error) {
 	_, rest, ok := bytes.Cut(b, []byte(`msg="`))
 	if !ok {
 		return len(b), nil
@@ -108,7 +108,7 @@
 	return len(b), nil
 }
 
-func (w *words) list() (out []string) {
+func (w *logMessages) list() (out []string) {
 	for m := range w.seen {
 		out = append(out, "log "+m)
 	}
@@ -145,40 +145,40 @@
 	Command func() *exec.Cmd // starts a worker; it must call Worker
 	Timeout time.Duration    // real time after which a day is given up
 
-	mu   sync.Mutex
-	idle []*worker
-	all  map[*worker]bool
+	mu      sync.Mutex
+	idle    []*worker
+	workers map[*worker]bool
 }
 
 type worker struct {
-	cmd *exec.Cmd
-	in  io.WriteCloser
-	out *bufio.Reader
-	err *head
+	cmd    *exec.Cmd
+	stdin  io.WriteCloser
+	stdout *bufio.Reader
+	stderr *truncatedBuffer
 }
 
-// head keeps the beginning of what a worker says on standard error: of a panic it
+// truncatedBuffer keeps the beginning of what a worker says on standard error: of a panic it
 // says most.
-type head struct {
-	mu sync.Mutex
-	b  []byte
+type truncatedBuffer struct {
+	mu      sync.Mutex
+	content []byte
 }
 
-func (h *head) Write(b []byte) (int, error) {
+func (h *truncatedBuffer) Write(b []byte) (int, error) {
 	const most = 1 << 20
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.b = append(h.b, b[:min(len(b), most-len(h.b))]...)
+	h.content = append(h.content, b[:min(len(b), most-len(h.content))]...)
 	return len(b), nil
 }
 
-func (h *head) String() string {
+func (h *truncatedBuffer) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return strings.TrimSpace(string(h.b))
+	return strings.TrimSpace(string(h.content))
 }
 
-func (p *Pool) worker() (*worker, error) {
+func (p *Pool) acquireWorker() (*worker, error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
 		w := p.idle[n-1]
@@ -187,8 +187,8 @@
 		return w, nil
 	}
 	p.mu.Unlock()
-	w := &worker{cmd: p.Command(), err: &head{}}
-	w.cmd.Stderr = w.err
+	w := &worker{cmd: p.Command(), stderr: &truncatedBuffer{}}
+	w.cmd.Stderr = w.stderr
 	in, err := w.cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -197,32 +197,32 @@
 	if err != nil {
 		return nil, err
 	}
-	w.in, w.out = in, bufio.NewReaderSize(out, 1<<20)
+	w.stdin, w.stdout = in, bufio.NewReaderSize(out, 1<<20)
 	if err := w.cmd.Start(); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.all == nil {
-		p.all = map[*worker]bool{}
+	if p.workers == nil {
+		p.workers = map[*worker]bool{}
 	}
-	p.all[w] = true
+	p.workers[w] = true
 	return w, nil
 }
 
-func (p *Pool) end(w *worker) {
-	w.in.Close()
+func (p *Pool) stopWorker(w *worker) {
+	w.stdin.Close()
 	w.cmd.Process.Kill()
 	w.cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.all, w)
+	delete(p.workers, w)
 }
 
 // Run plays a day. A worker that panics, or takes too long, makes an error of it;
 // err is for what has nothing to do with the day.
 func (p *Pool) Run(ctx context.Context, j Job) (Result, error) {
-	w, err := p.worker()
+	w, err := p.acquireWorker()
 	if err != nil {
 		return Result{}, err
 	}
@@ -239,28 +239,28 @@
 		time.AfterFunc(moment, func() { w.cmd.Process.Kill() })
 	})
 	defer stop()
-	if _, err := w.in.Write(append(b, '\n')); err != nil {
-		p.end(w)
-		return Result{}, fmt.Errorf("worker: %w: %s", err, w.err)
+	if _, err := w.stdin.Write(append(b, '\n')); err != nil {
+		p.stopWorker(w)
+		return Result{}, fmt.Errorf("worker: %w: %s", err, w.stderr)
 	}
 	for {
-		line, err := w.out.ReadBytes('\n')
+		line, err := w.stdout.ReadBytes('\n')
 		if err != nil {
-			p.end(w)
+			p.stopWorker(w)
 			switch {
 			case errors.Is(ctx.Err(), context.DeadlineExceeded):
-				return Result{Error: fmt.Sprintf("not over after %v", p.Timeout), Stacks: w.err.String()}, nil
+				return Result{Error: fmt.Sprintf("not over after %v", p.Timeout), Stacks: w.stderr.String()}, nil
 			case ctx.Err() != nil:
 				return Result{}, ctx.Err()
 			}
-			return Result{Error: "panic: " + w.err.String()}, nil
+			return Result{Error: "panic: " + w.stderr.String()}, nil
 		}
 		if line[0] != '{' {
 			continue // the test runner's own words
 		}
 		var r Result
 		if err := json.Unmarshal(line, &r); err != nil {
-			p.end(w)
+			p.stopWorker(w)
 			return Result{}, err
 		}
 		p.mu.Lock()
@@ -273,10 +273,10 @@
 // Close ends the workers.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	all := p.all
-	p.all, p.idle = nil, nil
+	all := p.workers
+	p.workers, p.idle = nil, nil
 	p.mu.Unlock()
 	for w := range all {
-		p.end(w)
+		p.stopWorker(w)
 	}
 }
--- a/day/virtual/virtual_test.go
+++ b/day/virtual/virtual_test.go
@@ -7,7 +7,7 @@
 	"yardcleat.example/yardcleat/lab/hunt"
 )
 
-func base(t *testing.T) *day.Script {
+func loadBaseScenario(t *testing.T) *day.Script {
 	t.Helper()
 	s, err := day.Load("base")
 	if err != nil {
@@ -19,7 +19,7 @@
 // Drawn days keep all rules; lab hunt plays them by the thousand.
 func TestDrawnDays(t *testing.T) {
 	for seed := range uint64(6) {
-		h := hunt.New(base(t), hunt.DefaultLimits(), 100+seed, false)
+		h := hunt.New(loadBaseScenario(t), hunt.DefaultLimits(), 100+seed, false)
 		d := h.Next()
 		d.Script.Nodes = min(d.Script.Nodes, 4)
 		if d.Script.Validate() != nil {
