--- a/day/virtual/golden_test.go
+++ b/day/virtual/golden_test.go
@@ -7,12 +7,12 @@
 	"yardcleat.example/yardcleat/day"
 )
 
-// What goes to a worker and comes back from it has exactly these JSON fields.
-func TestWorkerLinesHaveGoldenJSON(t *testing.T) {
+// The jobs sent to worker processes, and the results that they send, have exactly these JSON fields.
+func TestWorkerMessagesHaveGoldenJSON(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		line   any
-		golden string
+		name    string
+		message any
+		golden  string
 	}{
 		{"job", Job{Source: []byte("x"), Seed: 7, NoTimestamps: true, Mutation: "d", PauseStrategy: "w"},
 			`{"source":"eA==","seed":7,"no_stamps":true,"defect":"d","way":"w"}`},
@@ -22,7 +22,7 @@
 		{"empty job", Job{}, `{"source":null,"seed":0}`},
 		{"empty result", Result{}, `{}`},
 	} {
-		if b, err := json.Marshal(c.line); err != nil || string(b) != c.golden {
+		if b, err := json.Marshal(c.message); err != nil || string(b) != c.golden {
 			t.Errorf("%s: %s, %v; want %s", c.name, b, err, c.golden)
 		}
 	}
--- a/day/virtual/mutations.go
+++ b/day/virtual/mutations.go
@@ -15,14 +15,15 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// mutations are builds with a defence taken out, to see whether it would be found.
+// mutations configure a scenario so that its gateways lack a defence, by name. They show whether the
+// rules detect the missing defence.
 var mutations = map[string]func(*day.VirtualEnvironment){
 	// Rule 1.
 	"patience-not-read": editConfig("clients {", "clients {\n patience_header = \"x-none\""),
 	"stalls-not-seen": func(b *day.VirtualEnvironment) {
-		b.Pause = pauseStrategies[PauseStrategies[0]].stall
-		// What its client has left is taken back where it is still on its way, which
-		// hides most of it: that defence goes, too.
+		b.Pause = pauseStrategies[PauseStrategies[0]].settings
+		// Withdrawing the unsent attempts of disconnected clients would prevent most of the
+		// violations, so that defence is removed as well.
 		b.WrapUpstream = func(u node.Upstream) node.Upstream { return withdrawalIgnoringUpstream{u} }
 	},
 	// Rule 2.
@@ -37,56 +38,63 @@
 	// Rule 4.
 	"cold-taken-for-warm": editEndpoints(func(s *node.Endpoint) { s.StartTime = time.Time{} }),
 	// Rule 5.
-	// (A quota keeps a customer well below its ceiling as long as it holds.)
+	// The quota and the in-flight cap are lifted as well: they would keep usage far below the ceiling.
 	"ceiling-too-high": editConfig(quotaSettings, "rate = 100\n  burst = 100\n  open = 0\n  hard_rate = 21\n  hard_burst = 36"),
 	"ceiling-unknown":  editConfig(quotaSettings, "rate = 100\n  burst = 100\n  open = 0"),
 }
 
-// withdrawalIgnoringUpstream sends whatever it was given, whoever has left meanwhile.
+// withdrawalIgnoringUpstream sends each attempt even if it is withdrawn.
 type withdrawalIgnoringUpstream struct{ node.Upstream }
 
-func (u withdrawalIgnoringUpstream) Start(a node.Attempt, done func(node.Result)) node.OutgoingAttempt {
-	return withdrawalIgnoringAttempt{u.Upstream.Start(a, done)}
+func (u withdrawalIgnoringUpstream) Start(attempt node.Attempt, done func(node.Result)) node.OutgoingAttempt {
+	return withdrawalIgnoringAttempt{u.Upstream.Start(attempt, done)}
 }
 
 type withdrawalIgnoringAttempt struct{ node.OutgoingAttempt }
 
 func (withdrawalIgnoringAttempt) Withdraw() bool { return false }
 
-// PauseStrategies of living through stalls, as weighed: what is read to its end before
-// anything is sent, and from when what was read counts.
+// PauseStrategies lists the compared strategies for the time after a pause of the process. They
+// differ in whether all sockets are drained before anything is sent ("read first"), and in the
+// arrival time assumed for the bytes read: the time of the read, an estimate from the pause ("age by
+// the gap"), or the network's timestamp ("age by stamps"). With "nothing" pauses are not detected.
 var PauseStrategies = []string{"nothing", "read first", "age by the gap", "age by stamps", "read first, age by the gap",
 	"read first, age by stamps"}
 
+// pauseStrategies are the settings of each strategy, and whether the network gives no timestamps.
 var pauseStrategies = func() map[string]struct {
-	stall    pause.Settings
-	noStamps bool
+	settings     pause.Settings
+	noTimestamps bool
 } {
-	type way = struct {
-		stall    pause.Settings
-		noStamps bool
+	type strategy = struct {
+		settings     pause.Settings
+		noTimestamps bool
 	}
 	none, read, age, both := pause.DefaultSettings(), pause.DefaultSettings(), pause.DefaultSettings(), pause.DefaultSettings()
 	none.MinPause, none.IgnoreArrivalTimes = time.Hour, true
 	read.IgnoreArrivalTimes = true
 	age.MaxBarrier = 1
-	return map[string]way{PauseStrategies[0]: {none, true}, PauseStrategies[1]: {read, true}, PauseStrategies[2]: {age, true}, PauseStrategies[3]: {age, false},
+	return map[string]strategy{PauseStrategies[0]: {none, true}, PauseStrategies[1]: {read, true}, PauseStrategies[2]: {age, true}, PauseStrategies[3]: {age, false},
 		PauseStrategies[4]: {both, true}, PauseStrategies[5]: {both, false}}
 }()
 
+// quotaSettings is how the base scenario configures the quota and the hard ceiling of plan basic.
 const quotaSettings = "rate = 8\n  burst = 16\n  open = 6\n  hard_rate = 14\n  hard_burst = 24"
 
+// shortDedupWindows matches dedup windows in the configuration of a node.
 var shortDedupWindows = regexp.MustCompile(`window = "(2s|500ms)"`)
 
-// Mutations lists them.
+// Mutations returns the names of all mutations, sorted.
 func Mutations() []string { return slices.Sorted(maps.Keys(mutations)) }
 
+// editConfig returns a mutation that replaces text in the configuration of each node.
 func editConfig(old, new string) func(*day.VirtualEnvironment) {
 	return func(b *day.VirtualEnvironment) {
 		b.EditConfig = func(cfg []byte) []byte { return bytes.ReplaceAll(cfg, []byte(old), []byte(new)) }
 	}
 }
 
+// editEndpoints returns a mutation that changes each endpoint that a node receives.
 func editEndpoints(change func(*node.Endpoint)) func(*day.VirtualEnvironment) {
 	return func(b *day.VirtualEnvironment) {
 		b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
@@ -98,14 +106,15 @@
 	}
 }
 
+// applyMutation applies the mutation of the given name. An empty name is none.
 func applyMutation(b *day.VirtualEnvironment, name string) error {
 	if name == "" {
 		return nil
 	}
-	take, ok := mutations[name]
+	apply, ok := mutations[name]
 	if !ok {
-		return fmt.Errorf("there is no defect %q; there are %s", name, strings.Join(Mutations(), ", "))
+		return fmt.Errorf("unknown defect %q; the defects are %s", name, strings.Join(Mutations(), ", "))
 	}
-	take(b)
+	apply(b)
 	return nil
 }
--- a/day/virtual/virtual.go
+++ b/day/virtual/virtual.go
@@ -1,6 +1,5 @@
-// Package virtual plays days in virtual time outside of tests: a worker process
-// plays scripts one after the other in testing/synctest bubbles, and a pool of
-// them keeps all cores busy.
+// Package virtual runs scenarios in virtual time outside of tests. A worker process runs scripts one
+// after another in testing/synctest bubbles; a pool of workers uses all cores.
 package virtual
 
 import (
@@ -25,26 +24,26 @@
 	"yardcleat.example/yardcleat/internal/network"
 )
 
-// Job is a day to play.
+// Job is a scenario to run. A worker receives it as JSON.
 type Job struct {
-	Source        []byte `json:"source"` // of the script
-	Seed          uint64 `json:"seed"`   // of the network's and the nodes' chance
-	NoTimestamps  bool   `json:"no_stamps,omitempty"`
-	Mutation      string `json:"defect,omitempty"` // a defence that is taken out; see Defects
-	PauseStrategy string `json:"way,omitempty"`    // of living through stalls; see Ways
+	Source        []byte `json:"source"`              // text of the scenario's script
+	Seed          uint64 `json:"seed"`                // seed of the random numbers of the network and the nodes
+	NoTimestamps  bool   `json:"no_stamps,omitempty"` // the network gives no timestamps
+	Mutation      string `json:"defect,omitempty"`    // optional; one of Mutations
+	PauseStrategy string `json:"way,omitempty"`       // optional; one of PauseStrategies
 }
 
-// Result is what came of a day.
+// Result is the result of a scenario. A worker sends it as JSON.
 type Result struct {
 	Report   *day.Report `json:"report,omitempty"`
-	Features []string    `json:"features,omitempty"` // what the day reached
-	Error    string      `json:"error,omitempty"`    // the script's, or a panic's
-	Stacks   string      `json:"stacks,omitempty"`   // of a day that was not over in time
+	Features []string    `json:"features,omitempty"` // features that the scenario reached; see day.Report.Features
+	Error    string      `json:"error,omitempty"`    // error of the script or the run, or output of a panic
+	Stacks   string      `json:"stacks,omitempty"`   // goroutine stacks of a worker that exceeded the time limit
 }
 
-// Run plays one day in a bubble of a test.
-func Run(t *testing.T, j Job) (res Result) {
-	s, err := day.Parse(j.Source, "day.hcl")
+// Run runs one scenario in a synctest bubble of a test.
+func Run(t *testing.T, job Job) (result Result) {
+	script, err := day.Parse(job.Source, "day.hcl")
 	if err != nil {
 		return Result{Error: err.Error()}
 	}
@@ -53,97 +52,98 @@
 		return Result{Error: err.Error()}
 	}
 	defer os.RemoveAll(temp)
-	said := &logMessages{seen: map[string]bool{}}
+	messages := &logMessages{seen: map[string]bool{}}
 	synctest.Test(t, func(t *testing.T) {
-		m := network.NewMemory(time.Millisecond, j.Seed)
-		m.NoTimestamps = j.NoTimestamps
-		env := &day.VirtualEnvironment{Memory: m, TempDir: temp, Log: said, Seed: j.Seed}
-		if err := applyMutation(env, j.Mutation); err != nil {
-			res.Error = err.Error()
+		memory := network.NewMemory(time.Millisecond, job.Seed)
+		memory.NoTimestamps = job.NoTimestamps
+		env := &day.VirtualEnvironment{Memory: memory, TempDir: temp, Log: messages, Seed: job.Seed}
+		if err := applyMutation(env, job.Mutation); err != nil {
+			result.Error = err.Error()
 			return
 		}
-		if w, ok := pauseStrategies[j.PauseStrategy]; ok {
-			env.Pause, m.NoTimestamps = w.stall, w.noStamps
+		if strategy, ok := pauseStrategies[job.PauseStrategy]; ok {
+			env.Pause, memory.NoTimestamps = strategy.settings, strategy.noTimestamps
 		}
-		if res.Report, err = day.Run(context.Background(), s, day.Options{Environment: env}); err != nil {
-			res.Error = err.Error()
+		if result.Report, err = day.Run(context.Background(), script, day.Options{Environment: env}); err != nil {
+			result.Error = err.Error()
 		}
-		time.Sleep(time.Minute) // timers of what was closed run out
+		time.Sleep(time.Minute) // the remaining timers of closed components expire
 	})
-	if res.Report != nil {
-		res.Features = append(res.Report.Features(), said.list()...)
+	if result.Report != nil {
+		result.Features = append(result.Report.Features(), messages.list()...)
 	}
-	return res
+	return result
 }
 
-// memoryDir is a directory that costs no disk, where there is one.
+// memoryDir returns a directory of a file system in memory, or "" if there is none.
 func memoryDir() string {
 	const shm = "/dev/shm"
-	if st, err := os.Stat(shm); err == nil && st.IsDir() {
+	if info, err := os.Stat(shm); err == nil && info.IsDir() {
 		return shm
 	}
 	return ""
 }
 
-// logMessages keeps the different messages that nodes logged.
+// logMessages collects up to 500 distinct messages that nodes log, each up to its first digit.
 type logMessages struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
-func (w *logMessages) Write(b []byte) (int, error) {
+func (l *logMessages) Write(b []byte) (int, error) {
 	_, rest, ok := bytes.Cut(b, []byte(`msg="`))
 	if !ok {
 		return len(b), nil
 	}
-	msg, _, _ := bytes.Cut(rest, []byte(`"`))
-	if i := bytes.IndexAny(msg, "0123456789"); i >= 0 {
-		msg = msg[:i] // a number that differs makes no other message
+	message, _, _ := bytes.Cut(rest, []byte(`"`))
+	if i := bytes.IndexAny(message, "0123456789"); i >= 0 {
+		message = message[:i] // messages that differ only in a number count as one
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.seen) < 500 && !w.seen[string(msg)] {
-		w.seen[string(msg)] = true
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.seen) < 500 && !l.seen[string(message)] {
+		l.seen[string(message)] = true
 	}
 	return len(b), nil
 }
 
-func (w *logMessages) list() (out []string) {
-	for m := range w.seen {
-		out = append(out, "log "+m)
+// list returns the messages as features, sorted.
+func (l *logMessages) list() (features []string) {
+	for message := range l.seen {
+		features = append(features, "log "+message)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(features)
+	return features
 }
 
-// RunWorker plays the jobs on standard input, a JSON document a line, and answers
-// on standard output. It does not return.
+// RunWorker reads jobs from standard input, one JSON document a line, runs them, and writes their
+// results to standard output in the same form. It does not return: testing.Main exits the process.
 func RunWorker() {
 	test := func(t *testing.T) {
-		in := bufio.NewReaderSize(os.Stdin, 1<<20)
+		jobs := bufio.NewReaderSize(os.Stdin, 1<<20)
 		for {
-			line, err := in.ReadBytes('\n')
+			line, err := jobs.ReadBytes('\n')
 			if err != nil {
 				return
 			}
-			var j Job
-			if err := json.Unmarshal(line, &j); err != nil {
-				panic(err) // the pool wrote it
+			var job Job
+			if err := json.Unmarshal(line, &job); err != nil {
+				panic(err) // the pool writes only valid jobs
 			}
-			b, err := json.Marshal(Run(t, j))
+			response, err := json.Marshal(Run(t, job))
 			if err != nil {
 				panic(err)
 			}
-			os.Stdout.Write(append(b, '\n'))
+			os.Stdout.Write(append(response, '\n'))
 		}
 	}
 	testing.Main(func(string, string) (bool, error) { return true, nil }, []testing.InternalTest{{Name: "days", F: test}}, nil, nil)
 }
 
-// Pool plays days in worker processes.
+// Pool runs scenarios in worker processes. It starts a worker if none is idle.
 type Pool struct {
-	Command func() *exec.Cmd // starts a worker; it must call Worker
-	Timeout time.Duration    // real time after which a day is given up
+	Command func() *exec.Cmd // returns the command of a worker, which must call RunWorker
+	Timeout time.Duration    // real time after which a scenario is aborted
 
 	mu      sync.Mutex
 	idle    []*worker
@@ -157,47 +157,48 @@
 	stderr *truncatedBuffer
 }
 
-// truncatedBuffer keeps the beginning of what a worker says on standard error: of a panic it
-// says most.
+// truncatedBuffer keeps the beginning of the standard error output of a worker. Of a panic the
+// beginning is the most informative part.
 type truncatedBuffer struct {
 	mu      sync.Mutex
 	content []byte
 }
 
-func (h *truncatedBuffer) Write(b []byte) (int, error) {
-	const most = 1 << 20
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.content = append(h.content, b[:min(len(b), most-len(h.content))]...)
+func (t *truncatedBuffer) Write(b []byte) (int, error) {
+	const maxBytes = 1 << 20
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.content = append(t.content, b[:min(len(b), maxBytes-len(t.content))]...)
 	return len(b), nil
 }
 
-func (h *truncatedBuffer) String() string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return strings.TrimSpace(string(h.content))
+func (t *truncatedBuffer) String() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return strings.TrimSpace(string(t.content))
 }
 
+// acquireWorker returns an idle worker, or starts one.
 func (p *Pool) acquireWorker() (*worker, error) {
 	p.mu.Lock()
-	if n := len(p.idle); n > 0 {
-		w := p.idle[n-1]
-		p.idle = p.idle[:n-1]
+	if count := len(p.idle); count > 0 {
+		w := p.idle[count-1]
+		p.idle = p.idle[:count-1]
 		p.mu.Unlock()
 		return w, nil
 	}
 	p.mu.Unlock()
 	w := &worker{cmd: p.Command(), stderr: &truncatedBuffer{}}
 	w.cmd.Stderr = w.stderr
-	in, err := w.cmd.StdinPipe()
+	stdin, err := w.cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, err := w.cmd.StdoutPipe()
+	stdout, err := w.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	w.stdin, w.stdout = in, bufio.NewReaderSize(out, 1<<20)
+	w.stdin, w.stdout = stdin, bufio.NewReaderSize(stdout, 1<<20)
 	if err := w.cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -210,6 +211,7 @@
 	return w, nil
 }
 
+// stopWorker kills a worker, and removes it from the pool.
 func (p *Pool) stopWorker(w *worker) {
 	w.stdin.Close()
 	w.cmd.Process.Kill()
@@ -219,29 +221,29 @@
 	delete(p.workers, w)
 }
 
-// Run plays a day. A worker that panics, or takes too long, makes an error of it;
-// err is for what has nothing to do with the day.
-func (p *Pool) Run(ctx context.Context, j Job) (Result, error) {
+// Run runs one scenario. If the worker panics or exceeds the timeout, the Error of the result says
+// so. The returned error is for failures that are not caused by the scenario.
+func (p *Pool) Run(ctx context.Context, job Job) (Result, error) {
 	w, err := p.acquireWorker()
 	if err != nil {
 		return Result{}, err
 	}
-	b, err := json.Marshal(j)
+	request, err := json.Marshal(job)
 	if err != nil {
 		return Result{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
-		// Where it is not over in time, the worker's stacks say what it waits for.
-		const moment = 5 * time.Second
+		// On SIGQUIT the worker writes its goroutine stacks, which show what it waits for.
+		const stackDumpTime = 5 * time.Second
 		w.cmd.Process.Signal(syscall.SIGQUIT)
-		time.AfterFunc(moment, func() { w.cmd.Process.Kill() })
+		time.AfterFunc(stackDumpTime, func() { w.cmd.Process.Kill() })
 	})
 	defer stop()
-	if _, err := w.stdin.Write(append(b, '\n')); err != nil {
+	if _, err := w.stdin.Write(append(request, '\n')); err != nil {
 		p.stopWorker(w)
-		return Result{}, fmt.Errorf("worker: %w: %s", err, w.stderr)
+		return Result{}, fmt.Errorf("write to worker: %w; its standard error output: %s", err, w.stderr)
 	}
 	for {
 		line, err := w.stdout.ReadBytes('\n')
@@ -249,34 +251,34 @@
 			p.stopWorker(w)
 			switch {
 			case errors.Is(ctx.Err(), context.DeadlineExceeded):
-				return Result{Error: fmt.Sprintf("not over after %v", p.Timeout), Stacks: w.stderr.String()}, nil
+				return Result{Error: fmt.Sprintf("scenario did not end within %v", p.Timeout), Stacks: w.stderr.String()}, nil
 			case ctx.Err() != nil:
 				return Result{}, ctx.Err()
 			}
 			return Result{Error: "panic: " + w.stderr.String()}, nil
 		}
 		if line[0] != '{' {
-			continue // the test runner's own words
+			continue // output of package testing
 		}
-		var r Result
-		if err := json.Unmarshal(line, &r); err != nil {
+		var result Result
+		if err := json.Unmarshal(line, &result); err != nil {
 			p.stopWorker(w)
 			return Result{}, err
 		}
 		p.mu.Lock()
 		p.idle = append(p.idle, w)
 		p.mu.Unlock()
-		return r, nil
+		return result, nil
 	}
 }
 
-// Close ends the workers.
+// Close stops all workers.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	all := p.workers
+	workers := p.workers
 	p.workers, p.idle = nil, nil
 	p.mu.Unlock()
-	for w := range all {
+	for w := range workers {
 		p.stopWorker(w)
 	}
 }
--- a/day/virtual/virtual_test.go
+++ b/day/virtual/virtual_test.go
@@ -9,43 +9,45 @@
 
 func loadBaseScenario(t *testing.T) *day.Script {
 	t.Helper()
-	s, err := day.Load("base")
+	script, err := day.Load("base")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return script
 }
 
-// Drawn days keep all rules; lab hunt plays them by the thousand.
-func TestDrawnDays(t *testing.T) {
+// Generated scenarios violate no rule. A fault in a gateway that violates a rule in many scenarios is
+// found here with a few of them; "lab hunt" runs thousands to find rarer ones.
+func TestGeneratedScenariosKeepAllRules(t *testing.T) {
 	for seed := range uint64(6) {
-		h := hunt.New(loadBaseScenario(t), hunt.DefaultLimits(), 100+seed, false)
-		d := h.Next()
-		d.Script.Nodes = min(d.Script.Nodes, 4)
-		if d.Script.Validate() != nil {
-			continue // a fault is aimed at a node that is no more
+		generator := hunt.New(loadBaseScenario(t), hunt.DefaultLimits(), 100+seed, false)
+		scenario := generator.Next()
+		scenario.Script.Nodes = min(scenario.Script.Nodes, 4)
+		if scenario.Script.Validate() != nil {
+			continue // a fault has a target node beyond the reduced fleet
 		}
-		r := Run(t, Job{Source: d.Script.Format(), Seed: d.Seed, NoTimestamps: d.NoReceiveTimestamps})
-		if r.Error != "" || !r.Report.Passed() {
-			t.Errorf("%s: %s", d.Summary(), r.Error)
-			if r.Report != nil {
-				r.Report.Write(t.Output())
+		result := Run(t, Job{Source: scenario.Script.Format(), Seed: scenario.Seed, NoTimestamps: scenario.NoReceiveTimestamps})
+		if result.Error != "" || !result.Report.Passed() {
+			t.Errorf("a rule was violated or the run failed: %s: %s", scenario.Summary(), result.Error)
+			if result.Report != nil {
+				result.Report.Write(t.Output())
 			}
 		}
 	}
 }
 
-// What the audit would see of a build that can't tell that it stood still.
-func TestStallsAreFound(t *testing.T) {
-	src, err := day.Source("stops")
+// The rules detect gateways that do not notice their own pauses: after a pause such a gateway forwards
+// requests whose clients have timed out or disconnected, which violates rule 1.
+func TestUndetectedPausesViolateRule1(t *testing.T) {
+	source, err := day.Source("stops")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := Run(t, Job{Source: src, Seed: 1, Mutation: "stalls-not-seen"})
-	if r.Error != "" {
-		t.Fatal(r.Error)
+	result := Run(t, Job{Source: source, Seed: 1, Mutation: "stalls-not-seen"})
+	if result.Error != "" {
+		t.Fatal(result.Error)
 	}
-	if len(r.Report.Rules[0].Violations) == 0 {
-		t.Error("rule 1 was not found broken")
+	if len(result.Report.Rules[0].Violations) == 0 {
+		t.Error("no violation of rule 1 was found")
 	}
 }
--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -29,7 +29,7 @@
 //
 //   - the heartbeat of the pause clock: pauseclock.Clock, stopped by its Close;
 //   - connections to servers: pool, stopped by its Close;
-//   - the receiver of datagrams from peers: peer.Bare, stopped by its Close;
+//   - the receiver of datagrams from peers: peer.PlainTransport, stopped by its Close;
 //   - the loop of the node: background.Go, which cancels its context and waits;
 //   - the discovery watch: stopWatch, called by watchDiscovery;
 //   - the accept loop: serving, stopped by closing the listener;
--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -100,68 +100,68 @@
 
 // frontends are clients of all frontends of one fake node.
 type frontends struct {
-	t      *testing.T
-	node   *fakeNode
-	client *http.Client
-	h2     *http.Client
-	auth   authv3.AuthorizationClient
-	logs   alsv3.AccessLogServiceClient
+	t             *testing.T
+	node          *fakeNode
+	http1Client   *http.Client
+	http2Client   *http.Client
+	authorization authv3.AuthorizationClient
+	accessLog     alsv3.AccessLogServiceClient
 }
 
 // withFrontends calls f with all frontends, in virtual time and on a simulated network.
 func withFrontends(t *testing.T, f func(*frontends)) {
 	synctest.Test(t, func(t *testing.T) {
-		mem := network.NewMemory(time.Millisecond, 1)
-		host, clients := mem.Host("node"), mem.Host("client")
+		memory := network.NewMemory(time.Millisecond, 1)
+		host, clients := memory.Host("node"), memory.Host("client")
 		cfg, err := config.Parse([]byte(settings), "test.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
-		in, n, log := intake.New(cfg), &fakeNode{}, slog.New(slog.DiscardHandler)
-		hs := fronthttp.New(fronthttp.Options{Node: n, Mapper: in, Log: log, TracePrefix: "h", MaxConnections: 10,
+		mapper, fake, log := intake.New(cfg), &fakeNode{}, slog.New(slog.DiscardHandler)
+		http1Server := fronthttp.New(fronthttp.Options{Node: fake, Mapper: mapper, Log: log, TracePrefix: "h", MaxConnections: 10,
 			Limits:        http1.Limits{MaxLineBytes: 4096, MaxHeaderFields: 50, MaxHeaderBytes: 8192, MaxBodyBytes: 1000},
 			HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Minute, WriteTimeout: time.Second})
-		gs := extauthz.New(extauthz.Options{Node: n, Mapper: in, Log: log, TracePrefix: "g",
+		checkServer := extauthz.New(extauthz.Options{Node: fake, Mapper: mapper, Log: log, TracePrefix: "g",
 			RejectionSignal: upstream.RejectionSignal{Status: 503, Header: "X-Not-Run"}})
-		listen := func(addr string) net.Listener {
-			l, err := host.Listen(addr)
+		listen := func(address string) net.Listener {
+			listener, err := host.Listen(address)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return l
+			return listener
 		}
-		h2s := fronthttp2.New(fronthttp2.Options{Node: n, Mapper: in, Log: log, TracePrefix: "h", MaxConnections: 10, MaxHeaderBytes: 8192, MaxHeaderFields: 50,
+		http2Server := fronthttp2.New(fronthttp2.Options{Node: fake, Mapper: mapper, Log: log, TracePrefix: "h", MaxConnections: 10, MaxHeaderBytes: 8192, MaxHeaderFields: 50,
 			MaxRequestBody: 1000, MaxBufferedBodyBytes: 4000, MaxConcurrentStreams: 10, FrameBudget: 100, HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: time.Minute, WriteTimeout: time.Second})
-		hl, gl, h2l := listen("10.0.0.1:80"), listen("10.0.0.1:81"), listen("10.0.0.1:82")
-		go h2s.Serve(h2l)
-		go hs.Serve(hl)
-		go gs.Serve(gl)
-		cc, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
+		http1Listener, checkListener, http2Listener := listen("10.0.0.1:80"), listen("10.0.0.1:81"), listen("10.0.0.1:82")
+		go http2Server.Serve(http2Listener)
+		go http1Server.Serve(http1Listener)
+		go checkServer.Serve(checkListener)
+		grpcConnection, err := grpc.NewClient("passthrough:///10.0.0.1:81", grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return clients.Dial(ctx, addr) }))
 		if err != nil {
 			t.Fatal(err)
 		}
-		client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
+		http1Client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return clients.Dial(ctx, addr)
 		}}}
-		h2c := &http.Client{Transport: &http2.Transport{AllowHTTP: true,
+		http2Client := &http.Client{Transport: &http2.Transport{AllowHTTP: true,
 			DialTLSContext: func(ctx context.Context, _, _ string, _ *tls.Config) (net.Conn, error) {
 				return clients.Dial(ctx, "10.0.0.1:82")
 			}}}
-		f(&frontends{t, n, client, h2c, authv3.NewAuthorizationClient(cc), alsv3.NewAccessLogServiceClient(cc)})
-		client.CloseIdleConnections()
-		h2c.CloseIdleConnections()
-		h2l.Close()
-		h2s.Drain(context.Background())
-		cc.Close()
-		hl.Close()
-		hs.Drain(context.Background())
-		gs.Drain(context.Background())
-		time.Sleep(time.Minute)
+		f(&frontends{t, fake, http1Client, http2Client, authv3.NewAuthorizationClient(grpcConnection), alsv3.NewAccessLogServiceClient(grpcConnection)})
+		http1Client.CloseIdleConnections()
+		http2Client.CloseIdleConnections()
+		http2Listener.Close()
+		http2Server.Drain(context.Background())
+		grpcConnection.Close()
+		http1Listener.Close()
+		http1Server.Drain(context.Background())
+		checkServer.Drain(context.Background())
+		time.Sleep(time.Minute) // the remaining timers of closed components expire
 	})
 }
 
-// clientResponse is a response without what depends on the protocol.
+// clientResponse is a response without the header fields that depend on the protocol.
 type clientResponse struct {
 	status int
 	header map[string]string
@@ -173,63 +173,65 @@
 	header       map[string]string
 }
 
-func (f *frontends) viaHTTP1(request clientRequest) clientResponse { return f.via(f.client, request) }
+func (f *frontends) viaHTTP1(request clientRequest) clientResponse {
+	return f.via(f.http1Client, request)
+}
 
 func (f *frontends) via(client *http.Client, request clientRequest) clientResponse {
-	req, err := http.NewRequest(request.method, "http://10.0.0.1:80"+request.path, nil)
+	httpRequest, err := http.NewRequest(request.method, "http://10.0.0.1:80"+request.path, nil)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	req.Header.Set("User-Agent", "test")
-	for k, v := range request.header {
-		req.Header.Del(k)
-		for value := range strings.SplitSeq(v, "|") { // several fields of one name
-			req.Header.Add(k, value)
+	httpRequest.Header.Set("User-Agent", "test")
+	for name, values := range request.header {
+		httpRequest.Header.Del(name)
+		for value := range strings.SplitSeq(values, "|") { // several fields of one name
+			httpRequest.Header.Add(name, value)
 		}
 	}
-	res, err := client.Do(req)
+	httpResponse, err := client.Do(httpRequest)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	defer res.Body.Close()
-	body, err := io.ReadAll(res.Body)
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(httpResponse.Body)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	out := clientResponse{res.StatusCode, map[string]string{}, string(body)}
-	for k := range res.Header {
-		if k != "Content-Length" && k != "Date" {
-			out.header[strings.ToLower(k)] = res.Header.Get(k)
+	response := clientResponse{httpResponse.StatusCode, map[string]string{}, string(body)}
+	for name := range httpResponse.Header {
+		if name != "Content-Length" && name != "Date" {
+			response.header[strings.ToLower(name)] = httpResponse.Header.Get(name)
 		}
 	}
-	return out
+	return response
 }
 
 func (f *frontends) check(request clientRequest) *authv3.CheckResponse {
 	headers := map[string]string{":method": request.method}
-	for k, v := range request.header {
-		headers[strings.ToLower(k)] = strings.ReplaceAll(v, "|", ",") // as a proxy joins them
+	for name, values := range request.header {
+		headers[strings.ToLower(name)] = strings.ReplaceAll(values, "|", ",") // as a proxy joins them
 	}
-	resp, err := f.auth.Check(context.Background(), &authv3.CheckRequest{Attributes: &authv3.AttributeContext{
+	response, err := f.authorization.Check(context.Background(), &authv3.CheckRequest{Attributes: &authv3.AttributeContext{
 		Request: &authv3.AttributeContext_Request{Http: &authv3.AttributeContext_HttpRequest{Method: request.method, Path: request.path,
 			Host: "10.0.0.1:80", Headers: headers}}}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return resp
+	return response
 }
 
 func (f *frontends) viaCheck(request clientRequest) clientResponse {
-	resp := f.check(request)
-	if resp.GetOkResponse() != nil {
+	checkResponse := f.check(request)
+	if checkResponse.GetOkResponse() != nil {
 		return clientResponse{status: 200}
 	}
-	denied := resp.GetDeniedResponse()
-	out := clientResponse{int(denied.GetStatus().GetCode()), map[string]string{}, denied.GetBody()}
-	for _, h := range denied.GetHeaders() {
-		out.header[h.GetHeader().GetKey()] = h.GetHeader().GetValue()
+	denied := checkResponse.GetDeniedResponse()
+	response := clientResponse{int(denied.GetStatus().GetCode()), map[string]string{}, denied.GetBody()}
+	for _, field := range denied.GetHeaders() {
+		response.header[field.GetHeader().GetKey()] = field.GetHeader().GetValue()
 	}
-	return out
+	return response
 }
 
 // If a frontend mapped requests or final responses in its own way, clients would get another
@@ -237,19 +239,21 @@
 func TestSameResponseByAnyProtocol(t *testing.T) {
 	good := clientRequest{"GET", "/records/1", map[string]string{"X-Api-Key": "k", "X-Request-Id": "r1"}}
 	with := func(request clientRequest, method, path string, fields ...string) clientRequest {
-		out := clientRequest{method, path, map[string]string{}}
-		for k, v := range request.header {
-			out.header[k] = v
+		changed := clientRequest{method, path, map[string]string{}}
+		for name, value := range request.header {
+			changed.header[name] = value
 		}
 		for i := 0; i+1 < len(fields); i += 2 {
-			out.header[fields[i]] = fields[i+1]
+			changed.header[fields[i]] = fields[i+1]
 		}
-		return out
+		return changed
 	}
 	rejected := func(reason node.Reason) node.FinalResponse {
 		return node.FinalResponse{Kind: node.Rejected, Reason: reason, RetryAfter: 1500 * time.Millisecond}
 	}
-	failed := func(r node.Reason) node.FinalResponse { return node.FinalResponse{Kind: node.Failed, Reason: r} }
+	failed := func(reason node.Reason) node.FinalResponse {
+		return node.FinalResponse{Kind: node.Failed, Reason: reason}
+	}
 	served := node.FinalResponse{Kind: node.Served, Response: &node.Response{Status: 200}}
 	denied := node.FinalResponse{Kind: node.Rejected, Reason: node.ReasonAuthorizationDenied,
 		Response: &node.Response{Status: 451, Header: http1.Header{{Name: "X-Why", Value: "law"}}, Body: []byte("no")}}
@@ -269,19 +273,19 @@
 		{"no server", good, rejected(node.ReasonNoServer), 503, "no-server", "2"},
 		{"no time", good, rejected(node.ReasonNoTime), 503, "no-time", "2"},
 		{"quota unknown", good, rejected(node.ReasonQuotaUnknown), 503, "quota-unknown", "2"},
-		{"authorisation late", good, rejected(node.ReasonAuthorizationTimeout), 503, "authorisation-late", "2"},
-		{"authoriser unreachable", good, rejected(node.ReasonAuthorizationUnreachable), 503, "authorisation-unreachable", "2"},
+		{"authorization timeout", good, rejected(node.ReasonAuthorizationTimeout), 503, "authorisation-late", "2"},
+		{"authorizer unreachable", good, rejected(node.ReasonAuthorizationUnreachable), 503, "authorisation-unreachable", "2"},
 		{"denied", good, denied, 451, "authorisation-denied", ""},
 		{"overload", good, rejected(node.ReasonOverload), 503, "overload", "2"},
 		{"draining", good, rejected(node.ReasonDraining), 503, "draining", "2"},
-		{"server gone", good, failed(node.ReasonServerGone), 502, "server-gone", ""},
-		{"server late", good, failed(node.ReasonServerTimeout), 504, "server-late", ""},
+		{"server connection lost", good, failed(node.ReasonServerGone), 502, "server-gone", ""},
+		{"server timeout", good, failed(node.ReasonServerTimeout), 504, "server-late", ""},
 		{"server error", good, failed(node.ReasonServerError), 502, "server-error", ""},
 		{"internal", good, failed(node.ReasonInternal), 502, "internal", ""},
 		{"unknown customer key", with(good, "GET", "/records/1", "X-Api-Key", "other"), served, 401, "unknown-key", ""},
 		{"no route", with(good, "GET", "/records"), served, 404, "no-route", ""},
-		{"no route below", with(good, "GET", "/records/1/2"), served, 404, "no-route", ""},
-		{"rest of a path", with(good, "POST", "/loans/1/2/3", "Idempotency-Key", "i"), served, 200, "", ""},
+		{"path longer than a route", with(good, "GET", "/records/1/2"), served, 404, "no-route", ""},
+		{"wildcard at the end of a path", with(good, "POST", "/loans/1/2/3", "Idempotency-Key", "i"), served, 200, "", ""},
 		{"no idempotency key", with(good, "POST", "/loans/1"), served, 400, "bad-request", ""},
 		{"dot segment", with(good, "GET", "/records/%2e."), served, 400, "bad-request", ""},
 		{"malformed client timeout", with(good, "GET", "/records/1", "X-Envoy-Expected-Rq-Timeout-Ms", "-1"), served, 400, "bad-request", ""},
@@ -294,14 +298,14 @@
 				f.node.final = c.final
 				viaHTTP1 := f.viaHTTP1(c.request)
 				http1Request := f.node.request
-				viaHTTP2 := f.via(f.h2, c.request)
+				viaHTTP2 := f.via(f.http2Client, c.request)
 				if viaHTTP2.status != viaHTTP1.status || viaHTTP2.body != viaHTTP1.body || !reflect.DeepEqual(viaHTTP2.header, viaHTTP1.header) {
 					t.Errorf("over HTTP/1.1 %+v\nover HTTP/2 %+v", viaHTTP1, viaHTTP2)
 				}
-				sorted := func(h http1.Header) http1.Header {
-					h = slices.Clone(h)
-					slices.SortFunc(h, func(a, b http1.Field) int { return strings.Compare(a.Name, b.Name) })
-					return h
+				sorted := func(header http1.Header) http1.Header {
+					header = slices.Clone(header)
+					slices.SortFunc(header, func(a, b http1.Field) int { return strings.Compare(a.Name, b.Name) })
+					return header
 				}
 				if http1Request != nil && !reflect.DeepEqual(sorted(f.node.request.HTTP.Header), sorted(http1Request.HTTP.Header)) {
 					t.Errorf("header over HTTP/1.1 %v\nover HTTP/2 %v", http1Request.HTTP.Header, f.node.request.HTTP.Header)
@@ -327,19 +331,19 @@
 				if viaHTTP1.body != viaCheck.body || viaHTTP1.header["x-yardcleat-reason"] != c.reason || viaHTTP1.header["retry-after"] != c.retryAfter {
 					t.Errorf("over HTTP %+v\nby Check %+v", viaHTTP1, viaCheck)
 				}
-				for k, v := range viaHTTP1.header {
-					if viaCheck.header[k] != v {
-						t.Errorf("%s: %q over HTTP, %q by Check", k, v, viaCheck.header[k])
+				for name, value := range viaHTTP1.header {
+					if viaCheck.header[name] != value {
+						t.Errorf("%s: %q over HTTP, %q by Check", name, value, viaCheck.header[name])
 					}
 				}
-				var p struct {
+				var problem struct {
 					Reason string
 					Retry  bool `json:"retry_is_harmless"`
 				}
 				if viaHTTP1.header["content-type"] == "application/problem+json" {
-					if err := json.NewDecoder(bytes.NewReader([]byte(viaHTTP1.body))).Decode(&p); err != nil || p.Reason != c.reason ||
-						p.Retry == (c.final.Kind == node.Failed) {
-						t.Errorf("problem %+v, %v", p, err)
+					if err := json.NewDecoder(bytes.NewReader([]byte(viaHTTP1.body))).Decode(&problem); err != nil || problem.Reason != c.reason ||
+						problem.Retry == (c.final.Kind == node.Failed) {
+						t.Errorf("problem document %+v, %v", problem, err)
 					}
 				}
 			})
@@ -351,15 +355,15 @@
 // status give. Entries of other processes change nothing.
 func TestAccessLogsFinishAttempts(t *testing.T) {
 	entry := func(status uint32, flags *datav3.ResponseFlags, header ...string) *datav3.HTTPAccessLogEntry {
-		e := &datav3.HTTPAccessLogEntry{CommonProperties: &datav3.AccessLogCommon{ResponseFlags: flags},
+		logEntry := &datav3.HTTPAccessLogEntry{CommonProperties: &datav3.AccessLogCommon{ResponseFlags: flags},
 			Response: &datav3.HTTPResponseProperties{ResponseHeaders: map[string]string{}}}
 		if status > 0 {
-			e.Response.ResponseCode = wrapperspb.UInt32(status)
+			logEntry.Response.ResponseCode = wrapperspb.UInt32(status)
 		}
-		for _, h := range header {
-			e.Response.ResponseHeaders[h] = "1"
+		for _, name := range header {
+			logEntry.Response.ResponseHeaders[name] = "1"
 		}
-		return e
+		return logEntry
 	}
 	for _, c := range []struct {
 		name  string
@@ -375,26 +379,26 @@
 		{"DC", entry(0, &datav3.ResponseFlags{DownstreamConnectionTermination: true}), policy.Cancelled},
 		{"neither status nor flag", entry(0, nil), policy.Cancelled},
 	} {
-		for _, by := range []string{"token", "request id"} {
+		for _, by := range []string{"token", "request ID"} {
 			t.Run(c.name+" by "+by, func(t *testing.T) {
 				withFrontends(t, func(f *frontends) {
 					f.node.final = node.FinalResponse{Kind: node.Served}
-					resp := f.check(clientRequest{"GET", "/records/1", map[string]string{"X-Api-Key": "k", "X-Request-Id": "r1"}})
-					set := map[string]string{}
-					for _, h := range resp.GetOkResponse().GetHeaders() {
-						set[h.GetHeader().GetKey()] = h.GetHeader().GetValue()
+					response := f.check(clientRequest{"GET", "/records/1", map[string]string{"X-Api-Key": "k", "X-Request-Id": "r1"}})
+					permit := map[string]string{}
+					for _, field := range response.GetOkResponse().GetHeaders() {
+						permit[field.GetHeader().GetKey()] = field.GetHeader().GetValue()
 					}
-					if set[extauthz.FieldServer] != "10.0.1.1:80" || set[extauthz.FieldTimeout] != "1000" {
-						t.Errorf("header fields of the permit: %v", set)
+					if permit[extauthz.FieldServer] != "10.0.1.1:80" || permit[extauthz.FieldTimeout] != "1000" {
+						t.Errorf("header fields of the permit: %v", permit)
 					}
 					c.entry.Request = &datav3.HTTPRequestProperties{RequestId: "r1"}
 					if by == "token" {
 						c.entry.Request = &datav3.HTTPRequestProperties{RequestHeaders: map[string]string{
-							extauthz.FieldAttempt: set[extauthz.FieldAttempt]}}
+							extauthz.FieldAttempt: permit[extauthz.FieldAttempt]}}
 					}
 					foreign := &datav3.HTTPAccessLogEntry{Request: &datav3.HTTPRequestProperties{RequestId: "r2",
 						RequestHeaders: map[string]string{extauthz.FieldAttempt: "before-restart/7/0"}}}
-					stream, err := f.logs.StreamAccessLogs(context.Background())
+					stream, err := f.accessLog.StreamAccessLogs(context.Background())
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -20,7 +20,7 @@
 	"yardcleat.example/yardcleat/usage"
 )
 
-// storedAt is when an earlier build wrote testdata/stores.
+// storedAt is the time at which an earlier build wrote testdata/stores.
 var storedAt = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
 var storedCustomers = []policy.CustomerSnapshot{
@@ -102,18 +102,18 @@
 node "n3" { address = "10.0.4.3:70" }
 `
 
-// A gateway that starts with the files of an earlier build loads all of them from
-// state_dir, under their names, and leaves no others.
+// A gateway that starts with the state files of an earlier build loads each of them by its name, and
+// creates no other files in state_dir.
 func TestGatewayLoadsStateOfAnEarlierBuild(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir := copyStateOfAnEarlierBuild(t)
-		begun := time.Now()
-		wall := func() time.Time { return storedAt.Add(time.Since(begun)) }
+		startedAt := time.Now()
+		wallClock := func() time.Time { return storedAt.Add(time.Since(startedAt)) }
 		var log bytes.Buffer
 		g, err := Start(parseStateConfig(t, dir), Options{
 			Network:   network.NewMemory(time.Millisecond, 1).Host("node"),
 			Seed:      1,
-			WallClock: wall,
+			WallClock: wallClock,
 			Log:       slog.New(slog.NewTextHandler(&log, nil)),
 		})
 		if err != nil {
@@ -121,10 +121,10 @@
 		}
 		time.Sleep(5 * time.Second)
 		if !membershipChangeComplete(g) {
-			t.Error("the roster's change that was complete is not")
+			t.Error("the membership change was complete in the snapshot, but is not after the start")
 		}
 		g.Kill()
-		time.Sleep(time.Minute) // timers of what was closed run out
+		time.Sleep(time.Minute) // the remaining timers of closed components expire
 		expectAllStateLoaded(t, log.String())
 		if names := fileNames(t, dir); !slices.Equal(names, stateFiles) {
 			t.Errorf("files %q, want %q", names, stateFiles)
@@ -182,18 +182,19 @@
 	return <-complete
 }
 
-// expectAllStateLoaded checks that the log says that files were loaded, and of none that it was not.
+// expectAllStateLoaded checks that the log reports the loading of state files, and no file that was
+// rejected or set aside.
 func expectAllStateLoaded(t *testing.T, log string) {
 	t.Helper()
 	for _, want := range []string{`msg="customer snapshots restored" customers=2`, `msg="cached endpoint list loaded" endpoints=2`} {
 		if !strings.Contains(log, want) {
-			t.Errorf("the log lacks %s", want)
+			t.Errorf("the log does not contain %s", want)
 		}
 	}
 	for _, unused := range []string{"cached endpoint list unusable", "moved aside", "can't be used", "membership snapshot unreadable",
 		"roster rejected", "roster file invalid"} {
 		if strings.Contains(log, unused) {
-			t.Errorf("something was not used: %s", unused)
+			t.Errorf("a state file was not loaded: the log contains %q", unused)
 		}
 	}
 }
@@ -210,49 +211,49 @@
 	return names
 }
 
-// An announcement of a node has exactly these bytes, in both directions.
+// Announcements are encoded to exactly these bytes, and decoded from them.
 func TestAnnouncementHasGoldenBytes(t *testing.T) {
 	for _, c := range []struct {
-		bytes string
-		hello membership.Announcement
+		bytes        string
+		announcement membership.Announcement
 	}{
 		{"4d" + "00" + "00" + "0000000000000001", membership.Announcement{Epoch: 1, Stage: membership.StageReceived, Phase: membership.Starting}},
 		{"4d" + "02" + "01" + "0000000000000029", membership.Announcement{Epoch: 41, Stage: membership.StageMinimumShares, Phase: membership.Serving}},
 		{"4d" + "04" + "02" + "0102030405060708", membership.Announcement{Epoch: 0x0102030405060708, Stage: membership.StageComplete, Phase: membership.Stopped}},
 	} {
-		if got := hex.EncodeToString(encodeAnnouncement(c.hello)); got != c.bytes {
-			t.Errorf("%+v encoded to %s, want %s", c.hello, got, c.bytes)
+		if got := hex.EncodeToString(encodeAnnouncement(c.announcement)); got != c.bytes {
+			t.Errorf("%+v encoded to %s, want %s", c.announcement, got, c.bytes)
 		}
 		b, err := hex.DecodeString(c.bytes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, ok := decodeAnnouncement(b); !ok || got != c.hello {
-			t.Errorf("%s decoded to %+v, %v; want %+v", c.bytes, got, ok, c.hello)
+		if got, ok := decodeAnnouncement(b); !ok || got != c.announcement {
+			t.Errorf("%s decoded to %+v, %v; want %+v", c.bytes, got, ok, c.announcement)
 		}
 	}
 }
 
-// Usage entries sent to a peer have exactly these bytes, in both directions; customers are
-// named by their hash.
+// Counter entries are encoded to exactly these bytes for a peer, and decoded from them; customers are
+// identified by their hash.
 func TestUsageMessagesHaveGoldenBytes(t *testing.T) {
-	const golden = "54" + "0102030405060708" + // mark, incarnation
-		"f41766e6b11eece4" + "000000b1" + "000000000001e240" + // customer, window, thousandths
+	const golden = "54" + "0102030405060708" + // message type, incarnation
+		"f41766e6b11eece4" + "000000b1" + "000000000001e240" + // customer, window, milli-units
 		"c2ddf84d17004149" + "000000b2" + "0000000000000001"
 	writer := usage.WriterID{Node: 3, Incarnation: 0x0102030405060708}
-	list := []usage.CounterEntry{
+	entries := []usage.CounterEntry{
 		{Key: usage.TotalKey{Customer: "bibl-a", Window: 177}, Writer: writer, Units: 123456},
 		{Key: usage.TotalKey{Customer: "bibl-b", Window: 178}, Writer: writer, Units: 1},
 	}
 	codec := newUsageMessageCodec(writer.Incarnation, []config.Customer{{Name: "bibl-a"}, {Name: "bibl-b"}})
-	if got := hex.EncodeToString(codec.encode(list)); got != golden {
+	if got := hex.EncodeToString(codec.encode(entries)); got != golden {
 		t.Errorf("encoded to %s, want %s", got, golden)
 	}
 	b, err := hex.DecodeString(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := codec.decode(writer.Node, b); err != nil || !slices.Equal(got, list) {
-		t.Errorf("decoded to %+v, %v; want %+v", got, err, list)
+	if got, err := codec.decode(writer.Node, b); err != nil || !slices.Equal(got, entries) {
+		t.Errorf("decoded to %+v, %v; want %+v", got, err, entries)
 	}
 }
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -51,23 +51,23 @@
 }
 
 // startListeners opens the configured listeners and serves them.
-func (g *Gateway) startListeners(in *intake.Mapper) error {
+func (g *Gateway) startListeners(mapper *intake.Mapper) error {
 	for _, l := range g.cfg.Listeners {
-		if err := g.listen(l, in); err != nil {
+		if err := g.listen(l, mapper); err != nil {
 			return &ListenerError{Name: l.Name, Err: err}
 		}
 	}
 	return nil
 }
 
-func (g *Gateway) listen(l config.Listener, in *intake.Mapper) error {
+func (g *Gateway) listen(l config.Listener, mapper *intake.Mapper) error {
 	netListener, err := g.options.Network.Listen(l.Address)
 	if err != nil {
 		return err
 	}
 	log := g.options.Log.With("listener", l.Name)
 	log.Info("listening", "kind", string(l.Kind), "address", netListener.Addr().String())
-	server, err := g.newFrontend(l, in, log)
+	server, err := g.newFrontend(l, mapper, log)
 	if err != nil {
 		return errors.Join(err, netListener.Close())
 	}
@@ -80,30 +80,30 @@
 	return nil
 }
 
-func (g *Gateway) newFrontend(l config.Listener, in *intake.Mapper, log *slog.Logger) (frontend, error) {
+func (g *Gateway) newFrontend(l config.Listener, mapper *intake.Mapper, log *slog.Logger) (frontend, error) {
 	switch l.Kind {
 	case config.ExtAuthz:
 		return extauthz.New(extauthz.Options{
 			Node:            g.node,
-			Mapper:          in,
+			Mapper:          mapper,
 			Log:             log,
 			TracePrefix:     g.tracePrefix(l),
 			RejectionSignal: g.rejectionSignal(),
 		}), nil
 	case config.HTTP2:
-		return g.newHTTP2Server(l, in, log), nil
+		return g.newHTTP2Server(l, mapper, log), nil
 	case config.HTTPS:
-		return newTLSListener(l, g.newHTTP1Server(l, in, log), g.newHTTP2Server(l, in, log), log)
+		return newTLSListener(l, g.newHTTP1Server(l, mapper, log), g.newHTTP2Server(l, mapper, log), log)
 	default:
-		return g.newHTTP1Server(l, in, log), nil
+		return g.newHTTP1Server(l, mapper, log), nil
 	}
 }
 
-func (g *Gateway) newHTTP2Server(l config.Listener, in *intake.Mapper, log *slog.Logger) *fronthttp2.Server {
+func (g *Gateway) newHTTP2Server(l config.Listener, mapper *intake.Mapper, log *slog.Logger) *fronthttp2.Server {
 	limits := g.cfg.Limits
 	return fronthttp2.New(fronthttp2.Options{
 		Node:                 g.node,
-		Mapper:               in,
+		Mapper:               mapper,
 		Log:                  log,
 		TracePrefix:          g.tracePrefix(l) + "h2",
 		MaxHeaderBytes:       limits.MaxHeaderBytes,
@@ -120,11 +120,11 @@
 	})
 }
 
-func (g *Gateway) newHTTP1Server(l config.Listener, in *intake.Mapper, log *slog.Logger) *fronthttp.Server {
+func (g *Gateway) newHTTP1Server(l config.Listener, mapper *intake.Mapper, log *slog.Logger) *fronthttp.Server {
 	limits := g.cfg.Limits
 	return fronthttp.New(fronthttp.Options{
 		Node:           g.node,
-		Mapper:         in,
+		Mapper:         mapper,
 		Log:            log,
 		Limits:         g.messageLimits(limits.MaxRequestBody),
 		TracePrefix:    g.tracePrefix(l),
