--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -278,7 +278,7 @@
 		{"denied", good, denied, 451, "authorisation-denied", ""},
 		{"overload", good, rejected(node.ReasonOverload), 503, "overload", "2"},
 		{"draining", good, rejected(node.ReasonDraining), 503, "draining", "2"},
-		{"server connection lost", good, failed(node.ReasonServerGone), 502, "server-gone", ""},
+		{"server connection failed", good, failed(node.ReasonServerGone), 502, "server-gone", ""},
 		{"server timeout", good, failed(node.ReasonServerTimeout), 504, "server-late", ""},
 		{"server error", good, failed(node.ReasonServerError), 502, "server-error", ""},
 		{"internal", good, failed(node.ReasonInternal), 502, "internal", ""},
