--- a/lab/hunt/sampler.go
+++ b/lab/hunt/sampler.go
@@ -35,28 +35,30 @@
 	return Limits{Nodes: [2]int{2, 12}, Faults: [2]int{3, 14}, Length: [2]time.Duration{10 * time.Second, 20 * time.Second}}
 }
 
-// shape is how faults of a kind are drawn.
-type shape struct {
-	kind     string
-	weight   float64
-	from, to time.Duration // how long it lasts
-	arg      func(g *drawer, s *day.Script) string
+// faultTemplate is how faults of a kind are drawn.
+type faultTemplate struct {
+	kind                     string
+	weight                   float64
+	minDuration, maxDuration time.Duration // how long it lasts
+	drawArg                  func(g *sampler, s *day.Script) string
 }
 
-func numbers(list ...string) func(*drawer, *day.Script) string {
-	return func(g *drawer, _ *day.Script) string { return list[g.rng.IntN(len(list))] }
+func oneOf(list ...string) func(*sampler, *day.Script) string {
+	return func(g *sampler, _ *day.Script) string { return list[g.rng.IntN(len(list))] }
 }
 
-func count(g *drawer, s *day.Script) string { return strconv.Itoa(1 + g.rng.IntN(max(1, s.Spares))) }
+func spareCount(g *sampler, s *day.Script) string {
+	return strconv.Itoa(1 + g.rng.IntN(max(1, s.Spares)))
+}
 
-func between(from, to time.Duration) func(*drawer, *day.Script) string {
-	return func(g *drawer, _ *day.Script) string { return g.span(from, to).String() }
+func durationBetween(from, to time.Duration) func(*sampler, *day.Script) string {
+	return func(g *sampler, _ *day.Script) string { return g.logUniform(from, to).String() }
 }
 
 // grammar is what days are drawn from. The weights favour what holds state up.
-var grammar = []shape{
+var grammar = []faultTemplate{
 	{"node-kill", 3, 100 * time.Millisecond, 3 * time.Second, nil},
-	{"node-kill-start", 1, 100 * time.Millisecond, time.Second, between(time.Millisecond, 300*time.Millisecond)},
+	{"node-kill-start", 1, 100 * time.Millisecond, time.Second, durationBetween(time.Millisecond, 300*time.Millisecond)},
 	{"node-stop", 5, 100 * time.Millisecond, 8 * time.Second, nil},
 	{"server-drain", 3, 100 * time.Millisecond, 3 * time.Second, nil},
 	{"server-vanish", 2, 100 * time.Millisecond, 3 * time.Second, nil},
@@ -65,33 +67,33 @@
 	{"server-half-close", 1, 500 * time.Millisecond, 3 * time.Second, nil},
 	{"server-reset", 1, 200 * time.Millisecond, 3 * time.Second, nil},
 	{"server-twice", 1, 200 * time.Millisecond, 3 * time.Second, nil},
-	{"server-fail", 1, 500 * time.Millisecond, 5 * time.Second, func(g *drawer, s *day.Script) string {
+	{"server-fail", 1, 500 * time.Millisecond, 5 * time.Second, func(g *sampler, s *day.Script) string {
 		return s.Classes[g.rng.IntN(len(s.Classes))].Name
 	}},
-	{"server-slow", 2, 500 * time.Millisecond, 6 * time.Second, numbers("2", "4", "10", "40")},
+	{"server-slow", 2, 500 * time.Millisecond, 6 * time.Second, oneOf("2", "4", "10", "40")},
 	{"server-flap", 2, 50 * time.Millisecond, 2 * time.Second, nil},
-	{"peers-lose", 2, 500 * time.Millisecond, 8 * time.Second, numbers("0.1", "0.4", "0.8", "1")},
-	{"peers-cut", 2, 500 * time.Millisecond, 8 * time.Second, func(g *drawer, s *day.Script) string {
+	{"peers-lose", 2, 500 * time.Millisecond, 8 * time.Second, oneOf("0.1", "0.4", "0.8", "1")},
+	{"peers-cut", 2, 500 * time.Millisecond, 8 * time.Second, func(g *sampler, s *day.Script) string {
 		return strconv.Itoa(g.rng.IntN(s.Nodes))
 	}},
 	{"proxy-kill", 1, 100 * time.Millisecond, 2 * time.Second, nil},
 	{"discovery-silent", 1, 500 * time.Millisecond, 4 * time.Second, nil},
 	{"discovery-bad", 1, 0, 0, nil},
 	{"discovery-cut", 1, 0, 0, nil},
-	{"clock-set", 1, 200 * time.Millisecond, 8 * time.Second, numbers("1h", "-1h", "30s", "-30s", "2s", "-2s")},
-	{"fleet-grow", 2, 100 * time.Millisecond, 3 * time.Second, count},
-	{"fleet-shrink", 2, 100 * time.Millisecond, 3 * time.Second, count},
-	{"authoriser-slow", 2, 500 * time.Millisecond, 5 * time.Second, numbers("50ms", "120ms", "190ms", "1s")},
+	{"clock-set", 1, 200 * time.Millisecond, 8 * time.Second, oneOf("1h", "-1h", "30s", "-30s", "2s", "-2s")},
+	{"fleet-grow", 2, 100 * time.Millisecond, 3 * time.Second, spareCount},
+	{"fleet-shrink", 2, 100 * time.Millisecond, 3 * time.Second, spareCount},
+	{"authoriser-slow", 2, 500 * time.Millisecond, 5 * time.Second, oneOf("50ms", "120ms", "190ms", "1s")},
 	{"authoriser-silent", 1, 500 * time.Millisecond, 5 * time.Second, nil},
 	{"counter-silent", 1, 500 * time.Millisecond, 6 * time.Second, nil},
 	{"counter-refuse", 1, 500 * time.Millisecond, 6 * time.Second, nil},
 	{"counter-lose", 1, 500 * time.Millisecond, 6 * time.Second, nil},
-	{"counter-slow", 1, 500 * time.Millisecond, 6 * time.Second, numbers("50ms", "300ms", "2s")},
+	{"counter-slow", 1, 500 * time.Millisecond, 6 * time.Second, oneOf("50ms", "300ms", "2s")},
 	{"counter-empty", 1, 0, 0, nil},
 	{"counter-save", 1, 0, 0, nil},
 	{"counter-restore", 1, 0, 0, nil},
 	{"counter-split", 1, 0, 0, nil},
-	{"counter-heal", 1, 0, 0, numbers("first", "second", "both")},
+	{"counter-heal", 1, 0, 0, oneOf("first", "second", "both")},
 }
 
 // FaultKinds lists the kinds of fault that are drawn.
@@ -102,14 +104,14 @@
 	return out
 }
 
-type drawer struct {
-	rng  *rand.Rand
-	base *day.Script
-	lim  Limits
+type sampler struct {
+	rng    *rand.Rand
+	base   *day.Script
+	limits Limits
 }
 
-// span draws a duration, as often near the lower end as near the upper by ratio.
-func (g *drawer) span(from, to time.Duration) time.Duration {
+// logUniform draws a duration, as often near the lower end as near the upper by ratio.
+func (g *sampler) logUniform(from, to time.Duration) time.Duration {
 	if to <= from {
 		return from
 	}
@@ -117,38 +119,38 @@
 	return time.Duration(d).Round(10 * time.Millisecond)
 }
 
-func (g *drawer) within(r [2]int) int { return r[0] + g.rng.IntN(r[1]-r[0]+1) }
+func (g *sampler) intWithin(r [2]int) int { return r[0] + g.rng.IntN(r[1]-r[0]+1) }
 
-// clone copies a script as far as days differ.
-func clone(s *day.Script) *day.Script {
+// cloneScript copies a script as far as days differ.
+func cloneScript(s *day.Script) *day.Script {
 	c := *s
 	c.Customers, c.Faults, c.Classes = slices.Clone(s.Customers), slices.Clone(s.Faults), slices.Clone(s.Classes)
 	return &c
 }
 
-// day draws a whole day.
-func (g *drawer) day() Scenario {
-	s := clone(g.base)
+// scenario draws a whole scenario.
+func (g *sampler) scenario() Scenario {
+	s := cloneScript(g.base)
 	s.Extends, s.Faults = "", nil
 	s.Seed = 1 + g.rng.IntN(1<<20)
-	s.Length = time.Duration(g.span(g.lim.Length[0], g.lim.Length[1])).Round(time.Second).String()
+	s.Length = time.Duration(g.logUniform(g.limits.Length[0], g.limits.Length[1])).Round(time.Second).String()
 	// Small fleets are cheap to play, and most faults show there.
-	s.Nodes = g.lim.Nodes[0]
-	for s.Nodes < g.lim.Nodes[1] && g.rng.Float64() < 0.6 {
+	s.Nodes = g.limits.Nodes[0]
+	for s.Nodes < g.limits.Nodes[1] && g.rng.Float64() < 0.6 {
 		s.Nodes++
 	}
 	if s.Spares = 0; g.rng.IntN(5) < 2 {
 		s.Spares = 1 + g.rng.IntN(4)
 	}
-	g.mix(s)
-	for n := g.within(g.lim.Faults); n > 0; n-- {
-		g.add(s)
+	g.drawWorkload(s)
+	for n := g.intWithin(g.limits.Faults); n > 0; n-- {
+		g.addFault(s)
 	}
 	return Scenario{Script: s, Seed: 1 + g.rng.Uint64N(1<<32), NoReceiveTimestamps: g.rng.IntN(4) == 0}
 }
 
-// mix draws who asks for what, by which front.
-func (g *drawer) mix(s *day.Script) {
+// drawWorkload draws who asks for what, by which front.
+func (g *sampler) drawWorkload(s *day.Script) {
 	s.Servers.Count = 4 + g.rng.IntN(7)
 	switch g.rng.IntN(4) {
 	case 0:
@@ -176,13 +178,13 @@
 	s.Clients.Retries = g.rng.IntN(4)
 }
 
-// fault draws one; one time in three it comes close upon another, which is where
+// drawFault draws one; one time in three it comes close upon another, which is where
 // states meet.
-func (g *drawer) fault(s *day.Script) day.Fault {
+func (g *sampler) drawFault(s *day.Script) day.Fault {
 	var all float64
-	var shapes []shape
+	var shapes []faultTemplate
 	for _, sh := range grammar {
-		if g.lim.Kinds == nil || slices.Contains(g.lim.Kinds, sh.kind) {
+		if g.limits.Kinds == nil || slices.Contains(g.limits.Kinds, sh.kind) {
 			shapes = append(shapes, sh)
 			all += sh.weight
 		}
@@ -197,7 +199,7 @@
 	}
 	length, _ := time.ParseDuration(s.Length)
 	f := day.Fault{Kind: sh.kind}
-	f.At = g.time(time.Duration((0.03 + 0.85*g.rng.Float64()) * float64(length)))
+	f.At = g.formatTime(time.Duration((0.03 + 0.85*g.rng.Float64()) * float64(length)))
 	if len(s.Faults) > 0 && g.rng.IntN(3) == 0 {
 		o := s.Faults[g.rng.IntN(len(s.Faults))]
 		near, _ := time.ParseDuration(o.At)
@@ -205,11 +207,11 @@
 		if g.rng.IntN(2) == 0 {
 			near += last
 		}
-		f.At = g.time(near + time.Duration(g.rng.Int64N(int64(300*time.Millisecond))) - 100*time.Millisecond)
+		f.At = g.formatTime(near + time.Duration(g.rng.Int64N(int64(300*time.Millisecond))) - 100*time.Millisecond)
 		f.Target = o.Target
 	}
 	if sh.kind == "server-return" && g.rng.IntN(8) > 0 {
-		g.comeBack(s, &f)
+		g.aimReturn(s, &f)
 		return f
 	}
 	if sh.kind == "fleet-shrink" && s.Spares > 0 {
@@ -217,12 +219,12 @@
 			if o.Kind == "fleet-grow" { // those that joined leave again
 				at, _ := time.ParseDuration(o.At)
 				last, _ := time.ParseDuration(o.Duration)
-				f.At, f.Argument = g.time(at+last+day.MembershipChangeTime+g.span(50*time.Millisecond, 4*time.Second)), o.Argument
+				f.At, f.Argument = g.formatTime(at+last+day.MembershipChangeTime+g.logUniform(50*time.Millisecond, 4*time.Second)), o.Argument
 			}
 		}
 	}
-	if sh.from > 0 {
-		f.Duration = g.span(sh.from, sh.to).String()
+	if sh.minDuration > 0 {
+		f.Duration = g.logUniform(sh.minDuration, sh.maxDuration).String()
 	}
 	if f.Target == 0 || g.rng.IntN(2) == 0 {
 		n := max(s.Nodes, s.Servers.Count)
@@ -238,14 +240,14 @@
 		}
 		f.Target = g.rng.IntN(n)
 	}
-	if sh.arg != nil && f.Argument == "" {
-		f.Argument = sh.arg(g, s)
+	if sh.drawArg != nil && f.Argument == "" {
+		f.Argument = sh.drawArg(g, s)
 	}
 	return f
 }
 
-// comeBack aims a return at a server that an earlier fault took away.
-func (g *drawer) comeBack(s *day.Script, f *day.Fault) {
+// aimReturn aims a return at a server that an earlier fault took away.
+func (g *sampler) aimReturn(s *day.Script, f *day.Fault) {
 	var gone []day.Fault
 	for _, o := range s.Faults {
 		if o.Kind == "server-drain" || o.Kind == "server-vanish" {
@@ -258,17 +260,17 @@
 	o := gone[g.rng.IntN(len(gone))]
 	at, _ := time.ParseDuration(o.At)
 	last, _ := time.ParseDuration(o.Duration)
-	f.Target, f.At = o.Target, g.time(at+last+g.span(50*time.Millisecond, 4*time.Second))
+	f.Target, f.At = o.Target, g.formatTime(at+last+g.logUniform(50*time.Millisecond, 4*time.Second))
 }
 
-func (g *drawer) time(d time.Duration) string {
+func (g *sampler) formatTime(d time.Duration) string {
 	return max(0, d).Round(10 * time.Millisecond).String()
 }
 
-// add adds a fault that can happen among the others; it may find none.
-func (g *drawer) add(s *day.Script) bool {
+// addFault adds a fault that can happen among the others; it may find none.
+func (g *sampler) addFault(s *day.Script) bool {
 	for range 8 {
-		s.Faults = append(s.Faults, g.fault(s))
+		s.Faults = append(s.Faults, g.drawFault(s))
 		if s.Validate() == nil {
 			return true
 		}
@@ -278,22 +280,22 @@
 }
 
 // mutate changes a day a little.
-func (g *drawer) mutate(d Scenario) Scenario {
+func (g *sampler) mutate(d Scenario) Scenario {
 	for range 20 {
 		m := d
-		m.Script = clone(d.Script)
+		m.Script = cloneScript(d.Script)
 		s := m.Script
 		for range 1 + g.rng.IntN(3) {
-			g.change(&m, s)
+			g.applyMutation(&m, s)
 		}
 		if s.Validate() == nil {
 			return m
 		}
 	}
-	return g.day()
+	return g.scenario()
 }
 
-func (g *drawer) change(m *Scenario, s *day.Script) {
+func (g *sampler) applyMutation(m *Scenario, s *day.Script) {
 	i := 0
 	if len(s.Faults) > 0 {
 		i = g.rng.IntN(len(s.Faults))
@@ -302,23 +304,23 @@
 	case what == 0:
 		m.Seed = 1 + g.rng.Uint64N(1<<32)
 	case what == 1:
-		g.mix(s)
-	case what == 2 && s.Nodes < g.lim.Nodes[1]:
+		g.drawWorkload(s)
+	case what == 2 && s.Nodes < g.limits.Nodes[1]:
 		s.Nodes++
-	case len(s.Faults) == 0 || what <= 3 && len(s.Faults) < g.lim.Faults[1]:
-		g.add(s)
+	case len(s.Faults) == 0 || what <= 3 && len(s.Faults) < g.limits.Faults[1]:
+		g.addFault(s)
 	case what == 4 && len(s.Faults) > 1:
 		s.Faults = slices.Delete(s.Faults, i, i+1)
 	case what == 5:
 		f := &s.Faults[i]
 		at, _ := time.ParseDuration(f.At)
-		f.At = g.time(at + time.Duration((g.rng.Float64()-0.5)*float64(2*time.Second)))
+		f.At = g.formatTime(at + time.Duration((g.rng.Float64()-0.5)*float64(2*time.Second)))
 	case what == 6 && s.Faults[i].Duration != "":
 		f := &s.Faults[i]
 		last, _ := time.ParseDuration(f.Duration)
-		f.Duration = g.time(time.Duration(float64(last) * (0.5 + 1.5*g.rng.Float64())))
+		f.Duration = g.formatTime(time.Duration(float64(last) * (0.5 + 1.5*g.rng.Float64())))
 	default:
-		s.Faults[i] = g.fault(s)
+		s.Faults[i] = g.drawFault(s)
 	}
 }
 
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -12,24 +12,24 @@
 // Next for a day, play it, and Report whether it broke the rule, until Next has no
 // more.
 type Shrinker struct {
-	best  Scenario
-	tried map[string]bool
-	plays int
-	most  int
-	cand  Scenario
+	best      Scenario
+	tried     map[string]bool
+	runs      int
+	maxRuns   int
+	candidate Scenario
 }
 
 // NewShrinker starts from a day; most bounds the plays.
 func NewShrinker(d Scenario, most int) *Shrinker {
-	return &Shrinker{best: d, tried: map[string]bool{}, most: most}
+	return &Shrinker{best: d, tried: map[string]bool{}, maxRuns: most}
 }
 
 // Best is the smallest day so far.
 func (s *Shrinker) Best() Scenario { return s.best }
 
-// changes lists smaller days, the boldest first: half of the faults gone, one gone,
+// candidates lists smaller days, the boldest first: half of the faults gone, one gone,
 // a smaller fleet, a shorter day, shorter faults.
-func (s *Shrinker) changes() (out []Scenario) {
+func (s *Shrinker) candidates() (out []Scenario) {
 	d := s.best
 	n := len(d.Script.Faults)
 	all := func(keep func(int) bool) []int {
@@ -51,13 +51,13 @@
 	}
 	change := func(f func(*day.Script)) {
 		c := d
-		c.Script = clone(d.Script)
+		c.Script = cloneScript(d.Script)
 		f(c.Script)
 		out = append(out, c)
 	}
 	if d.Script.Nodes > 2 {
 		for _, n := range []int{max(2, d.Script.Nodes/2), d.Script.Nodes - 1} {
-			change(func(s *day.Script) { fewer(s, n) })
+			change(func(s *day.Script) { reduceFleet(s, n) })
 		}
 	}
 	length, _ := time.ParseDuration(d.Script.Length)
@@ -78,9 +78,9 @@
 	return out
 }
 
-// fewer makes a fleet smaller; what was aimed at nodes that are no more is aimed at
+// reduceFleet makes a fleet smaller; what was aimed at nodes that are no more is aimed at
 // others.
-func fewer(s *day.Script, nodes int) {
+func reduceFleet(s *day.Script, nodes int) {
 	s.Nodes = nodes
 	for i := range s.Faults {
 		f := &s.Faults[i]
@@ -100,8 +100,8 @@
 // Next is a smaller day to try; false where there is none left, or the plays are
 // used up.
 func (s *Shrinker) Next() (Scenario, bool) {
-	for _, c := range s.changes() {
-		if s.plays >= s.most {
+	for _, c := range s.candidates() {
+		if s.runs >= s.maxRuns {
 			break
 		}
 		key := fmt.Sprint(c.Summary(), c.Script.Nodes, c.Script.Faults)
@@ -109,8 +109,8 @@
 			continue
 		}
 		s.tried[key] = true
-		s.plays++
-		s.cand = c
+		s.runs++
+		s.candidate = c
 		return c, true
 	}
 	return Scenario{}, false
@@ -119,6 +119,6 @@
 // Report says whether the day that Next gave still broke the rule.
 func (s *Shrinker) Report(broke bool) {
 	if broke {
-		s.best = s.cand
+		s.best = s.candidate
 	}
 }
--- a/lab/quota.go
+++ b/lab/quota.go
@@ -48,9 +48,9 @@
 	FleetDoubledByRestart Fault = "doubled by restarts"
 	FleetHalvedByRestart  Fault = "halved by restarts"
 
-	hearing  = 2 * time.Second        // over which nodes read of a change
-	wording  = 500 * time.Millisecond // within which each then hears that all have,
-	overTime = 3 * time.Second        // and until nothing of it is under way
+	resizeReadTime    = 2 * time.Second        // over which nodes read of a change
+	resizeConfirmTime = 500 * time.Millisecond // within which each then hears that all have,
+	resizeSettleTime  = 3 * time.Second        // and until nothing of it is under way
 )
 
 // Experiment is one run.
@@ -75,18 +75,18 @@
 }
 
 const (
-	length     = 75 * time.Second
-	faultAt    = 30 * time.Second
-	faultFor   = 15 * time.Second
-	mailDelay  = 10 * time.Millisecond
-	callDelay  = 2 * time.Millisecond
-	callLimit  = 80 * time.Millisecond
-	work       = 20 * time.Millisecond
-	mailRate   = 60.0
-	callRate   = 500.0
-	perNode    = 4 // customers that come in through a node, about
-	spread     = 3
-	tallyEvery = 100 * time.Millisecond
+	experimentLength      = 75 * time.Second
+	faultStart            = 30 * time.Second
+	faultDuration         = 15 * time.Second
+	messageDelay          = 10 * time.Millisecond
+	counterCallDelay      = 2 * time.Millisecond
+	counterCallTimeout    = 80 * time.Millisecond
+	serviceTime           = 20 * time.Millisecond
+	messagesPerSecond     = 60.0
+	counterCallsPerSecond = 500.0
+	customersPerNode      = 4 // customers that come in through a node, about
+	gatewaySpread         = 3
+	trackerTickInterval   = 100 * time.Millisecond
 )
 
 // plan is the extended plan of a mid-size customer.
@@ -96,192 +96,192 @@
 type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type events []event
+type eventQueue []event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, k int) bool {
+func (h eventQueue) Len() int { return len(h) }
+func (h eventQueue) Less(i, k int) bool {
 	return h[i].at < h[k].at || h[i].at == h[k].at && h[i].seq < h[k].seq
 }
-func (h events) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
+func (h eventQueue) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
+func (h *eventQueue) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return e
 }
 
-// bucket is a store of units.
-type bucket struct {
-	rate, burst, level float64
-	at                 time.Duration
+// tokenBucket is a store of units.
+type tokenBucket struct {
+	rate, burst, tokens float64
+	updatedAt           time.Duration
 }
 
-func newBucket(rate, burst float64) bucket { return bucket{rate, burst, burst, 0} }
+func newTokenBucket(rate, burst float64) tokenBucket { return tokenBucket{rate, burst, burst, 0} }
 
-func (b *bucket) fill(now time.Duration) {
-	b.level = min(b.burst, b.level+b.rate*(now-b.at).Seconds())
-	b.at = now
+func (b *tokenBucket) refill(now time.Duration) {
+	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
 }
 
-func (b *bucket) take(now time.Duration, units float64) bool {
-	b.fill(now)
-	if b.level < units {
+func (b *tokenBucket) take(now time.Duration, units float64) bool {
+	b.refill(now)
+	if b.tokens < units {
 		return false
 	}
-	b.level -= units
+	b.tokens -= units
 	return true
 }
 
 // customer is one customer with what truly happened to it.
 type customer struct {
-	name        string
-	first       int
-	use         float64
-	weights     []float64
-	quota, hard bucket // driven by what was admitted
-	over, above float64
-	ideal       bucket  // what one counter without faults would let pass
-	inside, got float64 // units from the fault on: by the ideal, and admitted
-	passed      map[usage.WriterID]usage.MilliUnits
+	name                          string
+	firstNode                     int
+	demand                        float64
+	weights                       []float64
+	quota, ceiling                tokenBucket // driven by what was admitted
+	overQuota, overCeiling        float64
+	reference                     tokenBucket // what one counter without faults would let pass
+	referenceUnits, admittedUnits float64     // units from the fault on: by the ideal, and admitted
+	forwarded                     map[usage.WriterID]usage.MilliUnits
 }
 
 type fleet struct {
-	e         Experiment
-	now       time.Duration
-	seq       int
-	queue     events
-	rng       *rand.Rand
-	nodes     []*instance
-	customers []*customer
-	has       map[string]bool // the parts of the fault
-	size      int             // nodes that customers come in through
-	loss      float64
-	counter   *counter
-	admitted  float64
-	nextID    policy.RequestID
+	experiment Experiment
+	now        time.Duration
+	seq        int
+	queue      eventQueue
+	rng        *rand.Rand
+	nodes      []*instance
+	customers  []*customer
+	faults     map[string]bool // the parts of the fault
+	size       int             // nodes that customers come in through
+	lossRate   float64
+	counter    *counter
+	admitted   float64
+	nextID     policy.RequestID
 }
 
 type instance struct {
-	f      *fleet
-	num    int
-	inc    uint64
-	down   bool
-	gw     *policy.Gateway
-	tl     *usage.Tracker
-	size   int // of the fleet, as it was last told
-	tries  map[policy.RequestID]*customer
-	sent   map[policy.RequestID]int
-	parts  map[string]*bucket
-	tokens float64 // of mail
-	mailAt time.Duration
+	fleet           *fleet
+	index           int
+	incarnation     uint64
+	down            bool
+	gateway         *policy.Gateway
+	tracker         *usage.Tracker
+	fleetSize       int // of the fleet, as it was last told
+	requests        map[policy.RequestID]*customer
+	attempts        map[policy.RequestID]int
+	shares          map[string]*tokenBucket
+	messageTokens   float64 // of mail
+	messageTokensAt time.Duration
 }
 
 // counter is the shared one, in two copies while split.
 type counter struct {
-	side   [2]*holds
-	saved  *holds
+	copies [2]*counterState
+	saved  *counterState
 	silent bool
 	epoch  int
 }
 
-type holds struct {
-	epoch string
-	regs  map[usage.TotalKey]map[usage.WriterID]usage.MilliUnits
-	level map[string]usage.Level
-	quota map[string]*bucket // for those that ask it for each request
-	hard  map[string]*bucket
+type counterState struct {
+	epoch          string
+	entries        map[usage.TotalKey]map[usage.WriterID]usage.MilliUnits
+	levels         map[string]usage.Level
+	quotaBuckets   map[string]*tokenBucket // for those that ask it for each request
+	ceilingBuckets map[string]*tokenBucket
 }
 
-func newHolds(epoch int) *holds {
-	return &holds{fmt.Sprint(epoch), map[usage.TotalKey]map[usage.WriterID]usage.MilliUnits{}, map[string]usage.Level{},
-		map[string]*bucket{}, map[string]*bucket{}}
+func newCounterState(epoch int) *counterState {
+	return &counterState{fmt.Sprint(epoch), map[usage.TotalKey]map[usage.WriterID]usage.MilliUnits{}, map[string]usage.Level{},
+		map[string]*tokenBucket{}, map[string]*tokenBucket{}}
 }
 
-func (h *holds) clone() *holds {
-	c := newHolds(0)
+func (h *counterState) clone() *counterState {
+	c := newCounterState(0)
 	c.epoch = h.epoch
-	for k, m := range h.regs {
-		c.regs[k] = map[usage.WriterID]usage.MilliUnits{}
+	for k, m := range h.entries {
+		c.entries[k] = map[usage.WriterID]usage.MilliUnits{}
 		for o, u := range m {
-			c.regs[k][o] = u
+			c.entries[k][o] = u
 		}
 	}
-	for k, v := range h.level {
-		c.level[k] = v
+	for k, v := range h.levels {
+		c.levels[k] = v
 	}
-	for k, v := range h.quota {
+	for k, v := range h.quotaBuckets {
 		b := *v
-		c.quota[k] = &b
+		c.quotaBuckets[k] = &b
 	}
-	for k, v := range h.hard {
+	for k, v := range h.ceilingBuckets {
 		b := *v
-		c.hard[k] = &b
+		c.ceilingBuckets[k] = &b
 	}
 	return c
 }
 
-var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (f *fleet) wall() time.Time { return epoch.Add(f.now) }
+func (f *fleet) wall() time.Time { return startTime.Add(f.now) }
 
-func (f *fleet) after(d time.Duration, do func()) {
+func (f *fleet) schedule(d time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.queue, event{f.now + d, f.seq, do})
 }
 
 // RunQuota runs an experiment.
 func RunQuota(e Experiment) (Result, error) {
-	f := &fleet{e: e, size: e.Nodes, rng: rand.New(rand.NewPCG(e.Seed, 7)), has: map[string]bool{}, counter: &counter{epoch: 1}}
+	f := &fleet{experiment: e, size: e.Nodes, rng: rand.New(rand.NewPCG(e.Seed, 7)), faults: map[string]bool{}, counter: &counter{epoch: 1}}
 	for _, part := range strings.Split(string(e.Fault), " + ") {
-		f.has[part] = true
+		f.faults[part] = true
 	}
-	f.counter.side[0] = newHolds(1)
-	f.counter.side[1] = f.counter.side[0]
+	f.counter.copies[0] = newCounterState(1)
+	f.counter.copies[1] = f.counter.copies[0]
 	for i := range e.Nodes {
-		n := &instance{f: f, num: i, size: e.Nodes}
+		n := &instance{fleet: f, index: i, fleetSize: e.Nodes}
 		f.nodes = append(f.nodes, n)
 		if err := n.start(); err != nil {
 			return Result{}, err
 		}
 	}
-	width := min(spread, e.Nodes)
-	for i := range max(6, e.Nodes*perNode/width) {
-		c := &customer{name: fmt.Sprint("library-", i), first: i % e.Nodes, weights: make([]float64, width),
-			quota: newBucket(plan.Rate, plan.Burst), ideal: newBucket(plan.Rate, plan.Burst), hard: newBucket(plan.HardRate, plan.HardBurst), passed: map[usage.WriterID]usage.MilliUnits{}}
-		c.use = []float64{0.5, 0.5, 0.5, 0.9, 0.9, 3}[i%6]
+	width := min(gatewaySpread, e.Nodes)
+	for i := range max(6, e.Nodes*customersPerNode/width) {
+		c := &customer{name: fmt.Sprint("library-", i), firstNode: i % e.Nodes, weights: make([]float64, width),
+			quota: newTokenBucket(plan.Rate, plan.Burst), reference: newTokenBucket(plan.Rate, plan.Burst), ceiling: newTokenBucket(plan.HardRate, plan.HardBurst), forwarded: map[usage.WriterID]usage.MilliUnits{}}
+		c.demand = []float64{0.5, 0.5, 0.5, 0.9, 0.9, 3}[i%6]
 		f.customers = append(f.customers, c)
-		f.shift(c)
-		f.arrivals(c)
+		f.redrawWeights(c)
+		f.scheduleArrivals(c)
 	}
-	f.after(faultAt, f.fault)
-	for len(f.queue) > 0 && f.queue[0].at <= length {
+	f.schedule(faultStart, f.startFault)
+	for len(f.queue) > 0 && f.queue[0].at <= experimentLength {
 		ev := heap.Pop(&f.queue).(event)
 		f.now = ev.at
-		ev.do()
+		ev.run()
 	}
 	return f.result(), nil
 }
 
-// shift draws anew which of its nodes a customer comes in through most.
-func (f *fleet) shift(c *customer) {
+// redrawWeights draws anew which of its nodes a customer comes in through most.
+func (f *fleet) redrawWeights(c *customer) {
 	for i := range c.weights {
 		c.weights[i] = 0.1 + f.rng.Float64()
 	}
-	f.after(time.Duration((6+18*f.rng.Float64())*float64(time.Second)), func() { f.shift(c) })
+	f.schedule(time.Duration((6+18*f.rng.Float64())*float64(time.Second)), func() { f.redrawWeights(c) })
 }
 
-func (f *fleet) arrivals(c *customer) {
-	f.after(time.Duration(f.rng.ExpFloat64()/(c.use*plan.Rate)*float64(time.Second)), func() {
-		f.arrive(c)
-		f.arrivals(c)
+func (f *fleet) scheduleArrivals(c *customer) {
+	f.schedule(time.Duration(f.rng.ExpFloat64()/(c.demand*plan.Rate)*float64(time.Second)), func() {
+		f.handleArrival(c)
+		f.scheduleArrivals(c)
 	})
 }
 
-func (f *fleet) arrive(c *customer) {
+func (f *fleet) handleArrival(c *customer) {
 	sum := 0.0
 	for _, w := range c.weights {
 		sum += w
@@ -290,163 +290,163 @@
 	for at -= c.weights[0]; at >= 0 && k < len(c.weights)-1; at -= c.weights[k] {
 		k++
 	}
-	n := f.nodes[(c.first+k)%f.size]
+	n := f.nodes[(c.firstNode+k)%f.size]
 	if n.down {
 		return // its client comes again elsewhere: another try
 	}
-	if c.ideal.take(f.now, 1) && f.now >= faultAt {
-		c.inside++
+	if c.reference.take(f.now, 1) && f.now >= faultStart {
+		c.referenceUnits++
 	}
-	n.request(c)
+	n.handleRequest(c)
 }
 
 // admit notes that a request was let pass, refuse that it was not.
 func (f *fleet) admit(n *instance, c *customer) {
-	c.quota.fill(f.now)
-	c.hard.fill(f.now)
-	if f.now >= faultAt {
+	c.quota.refill(f.now)
+	c.ceiling.refill(f.now)
+	if f.now >= faultStart {
 		f.admitted++
-		c.got++
-		c.over += max(0, 1-max(0, c.quota.level))
-		c.above += max(0, 1-max(0, c.hard.level))
+		c.admittedUnits++
+		c.overQuota += max(0, 1-max(0, c.quota.tokens))
+		c.overCeiling += max(0, 1-max(0, c.ceiling.tokens))
 	}
-	c.quota.level, c.hard.level = max(0, c.quota.level-1), max(0, c.hard.level-1)
-	if n.tl != nil {
-		c.passed[usage.WriterID{Node: n.num, Incarnation: n.inc}] += 1000
-		n.tl.RecordForwarded(f.wall(), c.name, plan.Name, n.peers(c), 1)
+	c.quota.tokens, c.ceiling.tokens = max(0, c.quota.tokens-1), max(0, c.ceiling.tokens-1)
+	if n.tracker != nil {
+		c.forwarded[usage.WriterID{Node: n.index, Incarnation: n.incarnation}] += 1000
+		n.tracker.RecordForwarded(f.wall(), c.name, plan.Name, n.nodesOf(c), 1)
 	}
 }
 
-func (n *instance) peers(c *customer) []int {
+func (n *instance) nodesOf(c *customer) []int {
 	var all []int
 	for i := range c.weights {
-		all = append(all, (c.first+i)%n.size)
+		all = append(all, (c.firstNode+i)%n.fleetSize)
 	}
 	return all
 }
 
 func (n *instance) start() error {
-	n.inc++
-	n.tries, n.sent, n.parts, n.tl = map[policy.RequestID]*customer{}, map[policy.RequestID]int{}, map[string]*bucket{}, nil
-	n.tokens, n.mailAt = mailRate/2, n.f.now
+	n.incarnation++
+	n.requests, n.attempts, n.shares, n.tracker = map[policy.RequestID]*customer{}, map[policy.RequestID]int{}, map[string]*tokenBucket{}, nil
+	n.messageTokens, n.messageTokensAt = messagesPerSecond/2, n.fleet.now
 	var err error
-	n.gw, err = policy.New(policy.Settings{SelfIndex: n.num, Gateways: n.size, Resolution: time.Millisecond, MaxAttempts: 2,
-		CanCancel: true, CanMessagePeers: n.size > 1, PeerMessagesPerSecond: mailRate, MaxRequestUnits: 1, Plans: []policy.Plan{plan},
-		Classes: []policy.Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second}}}, n.f.e.Seed*1000+uint64(n.num)+n.inc<<32)
+	n.gateway, err = policy.New(policy.Settings{SelfIndex: n.index, Gateways: n.fleetSize, Resolution: time.Millisecond, MaxAttempts: 2,
+		CanCancel: true, CanMessagePeers: n.fleetSize > 1, PeerMessagesPerSecond: messagesPerSecond, MaxRequestUnits: 1, Plans: []policy.Plan{plan},
+		Classes: []policy.Class{{Name: "lookup", LatencyObjective: 800 * time.Millisecond, Deadline: 3 * time.Second}}}, n.fleet.experiment.Seed*1000+uint64(n.index)+n.incarnation<<32)
 	if err != nil {
 		return err
 	}
 	list := policy.EndpointUpdate{Kind: policy.SnapshotUpdate}
-	for i := range 20 * n.f.e.Nodes {
+	for i := range 20 * n.fleet.experiment.Nodes {
 		list.Servers = append(list.Servers, policy.Server{ID: policy.ServerID(i), Weight: 1})
 		if i == 100 {
 			break
 		}
 	}
-	n.feed(list)
-	if n.f.e.Method == ReportsAndTracker {
-		n.tl = usage.New(usage.Settings{Self: usage.WriterID{Node: n.num, Incarnation: n.inc}, Shards: 1, Window: time.Hour, RetainedWindows: 24,
-			CommandsPerSecond: callRate / float64(n.size), PeerMessagesPerSecond: mailRate * 0.05,
+	n.handleEvent(list)
+	if n.fleet.experiment.Method == ReportsAndTracker {
+		n.tracker = usage.New(usage.Settings{Self: usage.WriterID{Node: n.index, Incarnation: n.incarnation}, Shards: 1, Window: time.Hour, RetainedWindows: 24,
+			CommandsPerSecond: counterCallsPerSecond / float64(n.fleetSize), PeerMessagesPerSecond: messagesPerSecond * 0.05,
 			Plans: map[string]usage.Plan{plan.Name: {Rate: plan.Rate, Burst: plan.Burst}}})
-		n.tick(n.inc)
+		n.tick(n.incarnation)
 	}
 	return nil
 }
 
 func (n *instance) tick(inc uint64) {
-	if n.down || n.inc != inc {
+	if n.down || n.incarnation != inc {
 		return
 	}
-	n.carry(n.tl.Tick(n.f.wall()))
-	n.f.after(tallyEvery, func() { n.tick(inc) })
+	n.executeTrackerActions(n.tracker.Tick(n.fleet.wall()))
+	n.fleet.schedule(trackerTickInterval, func() { n.tick(inc) })
 }
 
-func (n *instance) request(c *customer) {
-	f := n.f
-	switch f.e.Method {
+func (n *instance) handleRequest(c *customer) {
+	f := n.fleet
+	switch f.experiment.Method {
 	case EvenShares:
 		k := float64(len(c.weights))
-		if n.part(c.name+" q", plan.Rate/k, plan.Burst/k).take(f.now, 1) && n.part(c.name+" h", plan.HardRate/k, plan.HardBurst/k).take(f.now, 1) {
+		if n.shareBucket(c.name+" q", plan.Rate/k, plan.Burst/k).take(f.now, 1) && n.shareBucket(c.name+" h", plan.HardRate/k, plan.HardBurst/k).take(f.now, 1) {
 			f.admit(n, c)
 		}
 	case CounterFailOpen, CounterFailClosed:
 		if f.counter.silent {
-			if f.e.Method == CounterFailOpen {
+			if f.experiment.Method == CounterFailOpen {
 				f.admit(n, c)
 			}
 			return
 		}
-		h := f.counter.side[n.num%2]
-		if h.quota[c.name] == nil {
-			q, hard := newBucket(plan.Rate, plan.Burst), newBucket(plan.HardRate, plan.HardBurst)
-			q.at, hard.at = f.now, f.now
-			h.quota[c.name], h.hard[c.name] = &q, &hard
+		h := f.counter.copies[n.index%2]
+		if h.quotaBuckets[c.name] == nil {
+			q, hard := newTokenBucket(plan.Rate, plan.Burst), newTokenBucket(plan.HardRate, plan.HardBurst)
+			q.updatedAt, hard.updatedAt = f.now, f.now
+			h.quotaBuckets[c.name], h.ceilingBuckets[c.name] = &q, &hard
 		}
-		if h.quota[c.name].take(f.now, 1) && h.hard[c.name].take(f.now, 1) {
+		if h.quotaBuckets[c.name].take(f.now, 1) && h.ceilingBuckets[c.name].take(f.now, 1) {
 			f.admit(n, c)
 		}
 	default:
-		if n.tl != nil {
-			n.carry(n.tl.RecordRequest(f.wall(), c.name, plan.Name, n.peers(c)))
+		if n.tracker != nil {
+			n.executeTrackerActions(n.tracker.RecordRequest(f.wall(), c.name, plan.Name, n.nodesOf(c)))
 		}
 		f.nextID++
-		n.tries[f.nextID] = c
-		n.feed(policy.Request{ID: f.nextID, Customer: c.name, Plan: plan.Name, Class: "lookup", Units: 1,
-			Remaining: 2 * time.Second, FirstGateway: c.first, GatewaySpread: len(c.weights)})
+		n.requests[f.nextID] = c
+		n.handleEvent(policy.Request{ID: f.nextID, Customer: c.name, Plan: plan.Name, Class: "lookup", Units: 1,
+			Remaining: 2 * time.Second, FirstGateway: c.firstNode, GatewaySpread: len(c.weights)})
 	}
 }
 
-func (n *instance) part(name string, rate, burst float64) *bucket {
-	b := n.parts[name]
+func (n *instance) shareBucket(name string, rate, burst float64) *tokenBucket {
+	b := n.shares[name]
 	if b == nil {
-		v := newBucket(rate, burst)
-		v.at = n.f.now
+		v := newTokenBucket(rate, burst)
+		v.updatedAt = n.fleet.now
 		b = &v
-		n.parts[name] = b
+		n.shares[name] = b
 	}
 	return b
 }
 
-// feed gives the module an event and carries out what it says.
-func (n *instance) feed(ev policy.Event) {
-	f, inc := n.f, n.inc
+// handleEvent gives the module an event and carries out what it says.
+func (n *instance) handleEvent(ev policy.Event) {
+	f, inc := n.fleet, n.incarnation
 	later := func(d time.Duration, ev policy.Event) {
-		f.after(d, func() {
-			if !n.down && n.inc == inc {
-				n.feed(ev)
+		f.schedule(d, func() {
+			if !n.down && n.incarnation == inc {
+				n.handleEvent(ev)
 			}
 		})
 	}
-	for _, a := range n.gw.Handle(f.now, ev, nil) {
+	for _, a := range n.gateway.Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case policy.StartAttempt:
-			c := n.tries[a.ID]
-			if n.sent[a.ID]++; n.sent[a.ID] == 1 && c != nil {
+			c := n.requests[a.ID]
+			if n.attempts[a.ID]++; n.attempts[a.ID] == 1 && c != nil {
 				f.admit(n, c)
 			}
-			later(work, policy.AttemptResult{ID: a.ID, Attempt: n.sent[a.ID] - 1, Server: a.Server, Code: policy.OK, Latency: work, Answered: true})
+			later(serviceTime, policy.AttemptResult{ID: a.ID, Attempt: n.attempts[a.ID] - 1, Server: a.Server, Code: policy.OK, Latency: serviceTime, Answered: true})
 		case policy.SetTimer:
 			later(a.After, policy.TimerFired{Token: a.Token})
 		case policy.SendPeerMessage:
 			if a.To >= 0 {
-				f.mail(n, a.To, func(to *instance) { to.feed(policy.PeerMessage{From: n.num, Data: a.Data}) })
+				f.sendMessage(n, a.To, func(to *instance) { to.handleEvent(policy.PeerMessage{From: n.index, Data: a.Data}) })
 				break
 			}
-			for i := range n.size {
-				if i != n.num && i < len(f.nodes) {
-					f.mail(n, i, func(to *instance) { to.feed(policy.PeerMessage{From: n.num, Data: a.Data}) })
+			for i := range n.fleetSize {
+				if i != n.index && i < len(f.nodes) {
+					f.sendMessage(n, i, func(to *instance) { to.handleEvent(policy.PeerMessage{From: n.index, Data: a.Data}) })
 				}
 			}
 		}
 	}
 }
 
-// mail carries a message, or loses it; a node takes in so many a second.
-func (f *fleet) mail(from *instance, to int, take func(*instance)) {
-	if f.rng.Float64() < f.loss {
+// sendMessage carries a message, or loses it; a node takes in so many a second.
+func (f *fleet) sendMessage(from *instance, to int, take func(*instance)) {
+	if f.rng.Float64() < f.lossRate {
 		return
 	}
-	f.after(mailDelay, func() {
+	f.schedule(messageDelay, func() {
 		if to >= len(f.nodes) {
 			return
 		}
@@ -454,53 +454,53 @@
 		if n.down {
 			return
 		}
-		n.tokens = min(mailRate/2, n.tokens+mailRate*(f.now-n.mailAt).Seconds())
-		n.mailAt = f.now
-		if n.tokens < 1 {
+		n.messageTokens = min(messagesPerSecond/2, n.messageTokens+messagesPerSecond*(f.now-n.messageTokensAt).Seconds())
+		n.messageTokensAt = f.now
+		if n.messageTokens < 1 {
 			return
 		}
-		n.tokens--
+		n.messageTokens--
 		take(n)
 	})
 }
 
-// carry carries out what a tally says.
-func (n *instance) carry(acts []usage.Action) {
-	f, inc := n.f, n.inc
+// executeTrackerActions carries out what a tally says.
+func (n *instance) executeTrackerActions(acts []usage.Action) {
+	f, inc := n.fleet, n.incarnation
 	for _, a := range acts {
 		switch a := a.(type) {
 		case usage.CounterCall:
-			ans, wait := usage.CounterResponse{Failed: true}, callLimit
+			ans, wait := usage.CounterResponse{Failed: true}, counterCallTimeout
 			if !f.counter.silent {
-				ans, wait = f.counter.do(n.num, a), callDelay
+				ans, wait = f.counter.handleCall(n.index, a), counterCallDelay
 			}
-			f.after(wait, func() {
-				if !n.down && n.inc == inc {
-					n.carry(n.tl.HandleResponse(f.wall(), a.ID, ans))
+			f.schedule(wait, func() {
+				if !n.down && n.incarnation == inc {
+					n.executeTrackerActions(n.tracker.HandleResponse(f.wall(), a.ID, ans))
 				}
 			})
 		case usage.PeerMessage:
-			f.mail(n, a.To, func(to *instance) {
-				if to.tl != nil {
-					to.tl.MergeFromPeer(f.wall(), n.num, a.Entries)
+			f.sendMessage(n, a.To, func(to *instance) {
+				if to.tracker != nil {
+					to.tracker.MergeFromPeer(f.wall(), n.index, a.Entries)
 				}
 			})
 		case usage.RestoreLevel:
-			n.feed(policy.UsageLevel{Customer: a.Customer, Units: a.Units})
+			n.handleEvent(policy.UsageLevel{Customer: a.Customer, Units: a.Units})
 		}
 	}
 }
 
-func (c *counter) do(node int, call usage.CounterCall) usage.CounterResponse {
-	h := c.side[node%2]
-	ans := usage.CounterResponse{Level: h.level[call.Key.Customer]}
+func (c *counter) handleCall(node int, call usage.CounterCall) usage.CounterResponse {
+	h := c.copies[node%2]
+	ans := usage.CounterResponse{Level: h.levels[call.Key.Customer]}
 	if call.ReadEpoch {
 		ans.Epoch = h.epoch
 	}
-	m := h.regs[call.Key]
+	m := h.entries[call.Key]
 	if m == nil {
 		m = map[usage.WriterID]usage.MilliUnits{}
-		h.regs[call.Key] = m
+		h.entries[call.Key] = m
 	}
 	for o, u := range m {
 		ans.Entries = append(ans.Entries, usage.CounterEntry{Key: call.Key, Writer: o, Units: u})
@@ -520,26 +520,26 @@
 		}
 	}
 	if !call.Level.At.IsZero() {
-		h.level[call.Key.Customer] = call.Level
+		h.levels[call.Key.Customer] = call.Level
 	}
 	return ans
 }
 
-// fault begins what the experiment is about, and ends it after its time.
-func (f *fleet) fault() {
+// startFault begins what the experiment is about, and ends it after its time.
+func (f *fleet) startFault() {
 	c := f.counter
 	empty := func() {
 		c.epoch++
-		c.side[0] = newHolds(c.epoch)
-		c.side[1] = c.side[0]
+		c.copies[0] = newCounterState(c.epoch)
+		c.copies[1] = c.copies[0]
 	}
-	for part := range f.has {
+	for part := range f.faults {
 		switch part {
 		case string(FleetDoubled), string(FleetHalved), string(FleetDoubledByRestart), string(FleetHalvedByRestart):
 			f.resize(Fault(part))
 		case "silent", "silent, back empty":
 			c.silent = true
-			f.after(faultFor, func() {
+			f.schedule(faultDuration, func() {
 				c.silent = false
 				if part != "silent" {
 					empty()
@@ -548,29 +548,29 @@
 		case "emptied":
 			empty()
 		case "old copy":
-			old := c.side[0].clone()
-			f.after(faultFor, func() { c.side[0], c.side[1] = old, old })
+			old := c.copies[0].clone()
+			f.schedule(faultDuration, func() { c.copies[0], c.copies[1] = old, old })
 		case "flapping":
 			for i := range 60 {
-				f.after(time.Duration(i)*time.Second/2, func() { c.silent = i%2 == 0 })
+				f.schedule(time.Duration(i)*time.Second/2, func() { c.silent = i%2 == 0 })
 			}
 		case "split, first wins", "split, second wins", "split, both merged":
-			c.side[1] = c.side[0].clone()
-			f.after(2*faultFor, func() { c.heal(part) })
+			c.copies[1] = c.copies[0].clone()
+			f.schedule(2*faultDuration, func() { c.heal(part) })
 		case "mail 8% lost", "mail lost":
-			f.loss = 1
+			f.lossRate = 1
 			if part != "mail lost" {
-				f.loss = 0.08
+				f.lossRate = 0.08
 			}
-			f.after(faultFor, func() { f.loss = 0 })
+			f.schedule(faultDuration, func() { f.lossRate = 0 })
 		case "restarts":
 			for i, n := range f.nodes {
 				if i%5 != 0 {
 					continue
 				}
-				f.after(time.Duration(i)*time.Millisecond, func() {
+				f.schedule(time.Duration(i)*time.Millisecond, func() {
 					n.down = true
-					f.after(time.Second, func() {
+					f.schedule(time.Second, func() {
 						n.down = false
 						if err := n.start(); err != nil {
 							panic(err) // it started before
@@ -585,105 +585,105 @@
 // resize changes the fleet's size. Customers come in through the new nodes once all
 // have heard, and no more through those that leave before any has.
 func (f *fleet) resize(how Fault) {
-	old := f.e.Nodes
+	old := f.experiment.Nodes
 	size := 2 * old
 	if how == FleetHalved || how == FleetHalvedByRestart {
 		size = max(1, old/2)
 		f.size = size
 	}
 	for i := old; i < size; i++ {
-		f.nodes = append(f.nodes, &instance{f: f, num: i, size: size, down: true})
+		f.nodes = append(f.nodes, &instance{fleet: f, index: i, fleetSize: size, down: true})
 	}
 	for i, n := range f.nodes {
-		f.after(time.Duration(f.rng.Int64N(int64(hearing))), func() {
+		f.schedule(time.Duration(f.rng.Int64N(int64(resizeReadTime))), func() {
 			switch {
 			case how == FleetDoubledByRestart || how == FleetHalvedByRestart:
 				n.down = true
 				if i < size {
-					f.after(time.Second, func() { n.up(size) })
+					f.schedule(time.Second, func() { n.startWithSize(size) })
 				}
 			case i >= old:
-				n.up(size)
-				n.feed(policy.FleetResized{Gateways: size, PreviousSize: -1})
+				n.startWithSize(size)
+				n.handleEvent(policy.FleetResized{Gateways: size, PreviousSize: -1})
 			}
 		})
-		word := func() time.Duration { return time.Duration(f.rng.Int64N(int64(wording))) }
+		word := func() time.Duration { return time.Duration(f.rng.Int64N(int64(resizeConfirmTime))) }
 		if how == FleetDoubled || how == FleetHalved {
 			if i < old {
-				f.after(hearing+word(), func() { n.resized(size, old) })
+				f.schedule(resizeReadTime+word(), func() { n.notifyResized(size, old) })
 			}
-			f.after(hearing+wording+word(), func() { n.resized(size, 0) })
+			f.schedule(resizeReadTime+resizeConfirmTime+word(), func() { n.notifyResized(size, 0) })
 		}
-		f.after(hearing+overTime, func() { n.down = n.down || i >= size })
+		f.schedule(resizeReadTime+resizeSettleTime, func() { n.down = n.down || i >= size })
 	}
-	f.after(hearing+overTime, func() { f.size = size })
+	f.schedule(resizeReadTime+resizeSettleTime, func() { f.size = size })
 }
 
-// up starts a node in a fleet of a size.
-func (n *instance) up(size int) {
-	n.size, n.down = size, false
+// startWithSize starts a node in a fleet of a size.
+func (n *instance) startWithSize(size int) {
+	n.fleetSize, n.down = size, false
 	if err := n.start(); err != nil {
 		panic(err) // the settings are those of the others
 	}
 }
 
-// resized tells a running node of the fleet's size.
-func (n *instance) resized(size, was int) {
-	n.size = size
-	n.feed(policy.FleetResized{Gateways: size, PreviousSize: was})
-	if n.tl != nil {
-		n.tl.SetCommandsPerSecond(callRate / float64(size))
+// notifyResized tells a running node of the fleet's size.
+func (n *instance) notifyResized(size, was int) {
+	n.fleetSize = size
+	n.handleEvent(policy.FleetResized{Gateways: size, PreviousSize: was})
+	if n.tracker != nil {
+		n.tracker.SetCommandsPerSecond(counterCallsPerSecond / float64(size))
 	}
 }
 
 func (c *counter) heal(how string) {
 	switch how {
 	case "split, first wins":
-		c.side[1] = c.side[0]
+		c.copies[1] = c.copies[0]
 	case "split, second wins":
-		c.side[0] = c.side[1]
+		c.copies[0] = c.copies[1]
 	default:
-		for k, m := range c.side[1].regs {
-			if c.side[0].regs[k] == nil {
-				c.side[0].regs[k] = map[usage.WriterID]usage.MilliUnits{}
+		for k, m := range c.copies[1].entries {
+			if c.copies[0].entries[k] == nil {
+				c.copies[0].entries[k] = map[usage.WriterID]usage.MilliUnits{}
 			}
 			for o, u := range m {
-				c.side[0].regs[k][o] = max(c.side[0].regs[k][o], u)
+				c.copies[0].entries[k][o] = max(c.copies[0].entries[k][o], u)
 			}
 		}
-		c.side[1] = c.side[0]
+		c.copies[1] = c.copies[0]
 	}
 }
 
 func (f *fleet) result() Result {
-	r := Result{Experiment: f.e, Admitted: f.admitted, CounterError: -1}
-	span := (length - faultAt).Seconds()
+	r := Result{Experiment: f.experiment, Admitted: f.admitted, CounterError: -1}
+	span := (experimentLength - faultStart).Seconds()
 	ceiling := plan.HardRate*span + plan.HardBurst
 	inside, under := 0.0, 0.0
 	for _, c := range f.customers {
-		r.OverQuota += c.over / ceiling / float64(len(f.customers))
-		r.OverCeiling += c.above / ceiling / float64(len(f.customers))
-		r.WorstOverQuota, r.WorstOverCeiling = max(r.WorstOverQuota, c.over/ceiling), max(r.WorstOverCeiling, c.above/ceiling)
-		inside, under = inside+c.inside, under+max(0, c.inside-c.got)
+		r.OverQuota += c.overQuota / ceiling / float64(len(f.customers))
+		r.OverCeiling += c.overCeiling / ceiling / float64(len(f.customers))
+		r.WorstOverQuota, r.WorstOverCeiling = max(r.WorstOverQuota, c.overQuota/ceiling), max(r.WorstOverCeiling, c.overCeiling/ceiling)
+		inside, under = inside+c.referenceUnits, under+max(0, c.referenceUnits-c.admittedUnits)
 	}
 	r.Shortfall = under / max(1, inside)
-	if f.e.Method == ReportsAndTracker {
-		r.CounterError = f.tallyError()
+	if f.experiment.Method == ReportsAndTracker {
+		r.CounterError = f.counterError()
 	}
 	return r
 }
 
-// tallyError compares the counter with the truth for processes that still run,
+// counterError compares the counter with the truth for processes that still run,
 // as a share of what they passed.
-func (f *fleet) tallyError() float64 {
+func (f *fleet) counterError() float64 {
 	wrong, sum := 0.0, 0.0
 	for _, c := range f.customers {
-		for o, u := range c.passed {
-			if f.nodes[o.Node].inc != o.Incarnation {
+		for o, u := range c.forwarded {
+			if f.nodes[o.Node].incarnation != o.Incarnation {
 				continue
 			}
 			var have usage.MilliUnits
-			for k, m := range f.counter.side[0].regs {
+			for k, m := range f.counter.copies[0].entries {
 				if k.Customer == c.name {
 					have += m[o]
 				}
