--- a/lab/hunt/generator.go
+++ b/lab/hunt/generator.go
@@ -8,133 +8,131 @@
 	"yardcleat.example/yardcleat/day"
 )
 
-// Outcome is what came of a day.
+// Outcome is the outcome of a scenario.
 type Outcome struct {
-	Features              []string // reasons, states and messages that it reached
+	Features              []string // reasons, states and messages that the scenario reached
 	Margins               []audit.Margin
-	ViolatedRules         []int // rules; 0 stands for a day that did not go to its end
-	ServedWithinObjective float64
+	ViolatedRules         []int   // 0 stands for errors, or a scenario that did not run to its end
+	ServedWithinObjective float64 // requests served within their latency objective
 }
 
-// Generator draws the next days from what came of the earlier ones.
+// Generator generates scenarios, guided by the outcomes of earlier ones.
 type Generator struct {
-	sampler       sampler
-	guided        bool
-	featureCounts map[string]int // features, and on how many days
-	corpus        []corpusEntry
-	maxMargins    [6]float64 // nearest to each rule's edge so far
+	sampler sampler
+	guided  bool
+	seen    map[string]int // features and pairs, with the number of scenarios that reached them
+	corpus  []corpusEntry
+	margins [6]float64 // highest margin of each rule so far; 1 is the limit of the rule
 }
 
-// corpusEntry is a day worth going on from.
+// corpusEntry is a scenario from which variants are made.
 type corpusEntry struct {
 	scenario Scenario
 	score    float64
 	picks    int
 }
 
-// New returns a Hunter. Without being led each day is drawn alone. Equal seeds and
-// outcomes give equal days.
-func New(base *day.Script, lim Limits, seed uint64, led bool) *Generator {
-	return &Generator{sampler: sampler{rng: rand.New(rand.NewPCG(seed, 0x6875_6e74)), base: base, limits: lim}, guided: led, featureCounts: map[string]int{}}
+// New returns a Generator. If it is not guided, it generates each scenario independently
+// of the earlier ones. Equal seeds and outcomes give equal scenarios.
+func New(base *day.Script, limits Limits, seed uint64, guided bool) *Generator {
+	return &Generator{sampler: sampler{rng: rand.New(rand.NewPCG(seed, 0x6875_6e74)), base: base, limits: limits}, guided: guided, seen: map[string]int{}}
 }
 
-// freshShare is the share of days that are drawn anew all the same.
+// freshShare is the fraction of new scenarios, rather than variants, in a guided search.
 const freshShare = 0.35
 
-// Next is a day to play.
-func (h *Generator) Next() Scenario {
-	if !h.guided || len(h.corpus) == 0 || h.sampler.rng.Float64() < freshShare {
-		return h.sampler.scenario()
+// Next returns the next scenario to run.
+func (g *Generator) Next() Scenario {
+	if !g.guided || len(g.corpus) == 0 || g.sampler.rng.Float64() < freshShare {
+		return g.sampler.scenario()
 	}
-	var all float64
-	weight := func(e *corpusEntry) float64 { return e.score / float64(1+e.picks) }
-	for i := range h.corpus {
-		all += weight(&h.corpus[i])
+	var totalWeight float64
+	weight := func(entry *corpusEntry) float64 { return entry.score / float64(1+entry.picks) }
+	for i := range g.corpus {
+		totalWeight += weight(&g.corpus[i])
 	}
-	at := h.sampler.rng.Float64() * all
-	pick := &h.corpus[len(h.corpus)-1]
-	for i := range h.corpus {
-		if at -= weight(&h.corpus[i]); at < 0 {
-			pick = &h.corpus[i]
+	draw := g.sampler.rng.Float64() * totalWeight
+	picked := &g.corpus[len(g.corpus)-1]
+	for i := range g.corpus {
+		if draw -= weight(&g.corpus[i]); draw < 0 {
+			picked = &g.corpus[i]
 			break
 		}
 	}
-	pick.picks++
-	return h.sampler.mutate(pick.scenario)
+	picked.picks++
+	return g.sampler.vary(picked.scenario)
 }
 
 const maxCorpusSize = 200
 
-// Learn takes in what came of a day, and returns how much of it was new: features,
-// pairs of them, and steps nearer to a rule's edge.
-func (h *Generator) Learn(d Scenario, o Outcome) (news int) {
+// Learn records the outcome of a scenario. It returns the number of new features, new
+// pairs of a fault kind and a feature, and margins that rose.
+func (g *Generator) Learn(scenario Scenario, outcome Outcome) (novelty int) {
 	score := 0.0
-	note := func(f string) {
-		if h.featureCounts[f]++; h.featureCounts[f] == 1 {
-			news++
+	record := func(feature string) {
+		if g.seen[feature]++; g.seen[feature] == 1 {
+			novelty++
 			score++
 		}
 	}
 	kinds := map[string]bool{}
-	for _, f := range d.Script.Faults {
-		kinds[f.Kind] = true
+	for _, fault := range scenario.Script.Faults {
+		kinds[fault.Kind] = true
 	}
-	for _, f := range o.Features {
-		note(f)
-		for k := range kinds {
-			note(k + " with " + f)
+	for _, feature := range outcome.Features {
+		record(feature)
+		for kind := range kinds {
+			record(kind + " with " + feature)
 		}
 	}
-	for _, m := range o.Margins {
-		if m.Rule < len(h.maxMargins) && m.Used > h.maxMargins[m.Rule]+0.01 {
-			h.maxMargins[m.Rule] = m.Used
-			news++
+	for _, margin := range outcome.Margins {
+		if margin.Rule < len(g.margins) && margin.Used > g.margins[margin.Rule]+0.01 {
+			g.margins[margin.Rule] = margin.Used
+			novelty++
 			score += 20
 		}
-		score += 2 * min(m.Used, 1.5)
+		score += 2 * min(margin.Used, 1.5)
 	}
-	if news > 0 || len(o.ViolatedRules) > 0 {
-		h.corpus = append(h.corpus, corpusEntry{scenario: d, score: score})
-		if len(h.corpus) > maxCorpusSize {
-			least := 0
-			for i := range h.corpus {
-				if h.corpus[i].score/float64(1+h.corpus[i].picks) < h.corpus[least].score/float64(1+h.corpus[least].picks) {
-					least = i
+	if novelty > 0 || len(outcome.ViolatedRules) > 0 {
+		g.corpus = append(g.corpus, corpusEntry{scenario: scenario, score: score})
+		if len(g.corpus) > maxCorpusSize {
+			lowest := 0
+			for i := range g.corpus {
+				if g.corpus[i].score/float64(1+g.corpus[i].picks) < g.corpus[lowest].score/float64(1+g.corpus[lowest].picks) {
+					lowest = i
 				}
 			}
-			h.corpus = slices.Delete(h.corpus, least, least+1)
+			g.corpus = slices.Delete(g.corpus, lowest, lowest+1)
 		}
 	}
-	return news
+	return novelty
 }
 
-// Coverage is how many different features and pairs were seen, and how near the
-// days came to each rule's edge, from rule 1 on.
-func (h *Generator) Coverage() (features int, near []float64) {
-	return len(h.featureCounts), h.maxMargins[1:]
-}
+// Coverage returns the number of distinct features and pairs reached, and the highest
+// margin of each rule, from rule 1 on.
+func (g *Generator) Coverage() (features int, margins []float64) { return len(g.seen), g.margins[1:] }
 
-// InteractionCost is how much less a day of several faults was worth than its faults, one
-// at a time, cost together: as a part of the day without any. Above 0 the faults
-// are worse together.
+// InteractionCost compares the value of a scenario with all its faults to the value expected
+// if the costs of the single faults add up. It returns the difference as a fraction of the
+// value without faults. Above 0, the faults cost more together than one at a time.
 func InteractionCost(none float64, alone []float64, all float64) float64 {
 	if none <= 0 {
 		return 0
 	}
-	want := none
-	for _, v := range alone {
-		want -= max(0, none-v)
+	expected := none
+	for _, value := range alone {
+		expected -= max(0, none-value)
 	}
-	return (max(0, want) - all) / none
+	return (max(0, expected) - all) / none
 }
 
-// WithFaults is a day with the faults whose numbers are given.
-func (d Scenario) WithFaults(faults ...int) Scenario {
-	s := cloneScript(d.Script)
-	s.Faults = nil
-	for _, i := range faults {
-		s.Faults = append(s.Faults, d.Script.Faults[i])
+// WithFaults returns the scenario with only the faults of the given indices.
+func (scenario Scenario) WithFaults(indices ...int) Scenario {
+	script := cloneScript(scenario.Script)
+	script.Faults = nil
+	for _, i := range indices {
+		script.Faults = append(script.Faults, scenario.Script.Faults[i])
 	}
-	d.Script = s
-	return d
+	scenario.Script = script
+	return scenario
 }
--- a/lab/hunt/generator_test.go
+++ b/lab/hunt/generator_test.go
@@ -9,138 +9,140 @@
 	"yardcleat.example/yardcleat/day"
 )
 
-func base(t *testing.T) *day.Script {
+func baseScript(t *testing.T) *day.Script {
 	t.Helper()
-	s, err := day.Load("base")
+	script, err := day.Load("base")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return script
 }
 
-// drawn plays a hunt on paper: a day "breaks" what the test says.
-func drawn(t *testing.T, seed uint64, led bool, n int) (days []Scenario) {
-	h := New(base(t), DefaultLimits(), seed, led)
+// generate runs a search in which the outcome of each scenario follows from its faults,
+// without running the scenarios.
+func generate(t *testing.T, seed uint64, guided bool, n int) (scenarios []Scenario) {
+	generator := New(baseScript(t), DefaultLimits(), seed, guided)
 	for range n {
-		d := h.Next()
-		days = append(days, d)
-		h.Learn(d, Outcome{Features: []string{d.Script.Faults[0].Kind}, Margins: []audit.Margin{{Rule: 1, Used: float64(len(d.Script.Faults)) / 20}}})
+		scenario := generator.Next()
+		scenarios = append(scenarios, scenario)
+		generator.Learn(scenario, Outcome{Features: []string{scenario.Script.Faults[0].Kind}, Margins: []audit.Margin{{Rule: 1, Used: float64(len(scenario.Script.Faults)) / 20}}})
 	}
-	return days
+	return scenarios
 }
 
-// Every day drawn can happen, is written as a script that reads back the same, and
-// follows from the seed alone.
-func TestDays(t *testing.T) {
+// Every generated scenario passes the script check, is unchanged after its script was written
+// and parsed, and depends on the seed alone. All kinds of fault are generated.
+func TestScenarios(t *testing.T) {
 	kinds := map[string]bool{}
-	for _, led := range []bool{false, true} {
-		days := drawn(t, 5, led, 150)
-		if again := drawn(t, 5, led, 150); !reflect.DeepEqual(words(days), words(again)) {
-			t.Error("one seed draws different days")
+	for _, guided := range []bool{false, true} {
+		scenarios := generate(t, 5, guided, 150)
+		if again := generate(t, 5, guided, 150); !reflect.DeepEqual(summaries(scenarios), summaries(again)) {
+			t.Error("equal seeds generate different scenarios")
 		}
-		if other := drawn(t, 6, led, 150); reflect.DeepEqual(words(days), words(other)) {
-			t.Error("two seeds draw the same days")
+		if other := generate(t, 6, guided, 150); reflect.DeepEqual(summaries(scenarios), summaries(other)) {
+			t.Error("different seeds generate equal scenarios")
 		}
-		for _, d := range days {
-			if err := d.Script.Validate(); err != nil {
-				t.Fatalf("%s: %v", d.Summary(), err)
+		for _, scenario := range scenarios {
+			if err := scenario.Script.Validate(); err != nil {
+				t.Fatalf("%s: %v", scenario.Summary(), err)
 			}
-			back, err := day.Parse(d.Script.Format(), "back.hcl")
+			parsed, err := day.Parse(scenario.Script.Format(), "parsed.hcl")
 			if err != nil {
-				t.Fatalf("%v\n%s", err, d.Script.Format())
+				t.Fatalf("%v\n%s", err, scenario.Script.Format())
 			}
-			if !reflect.DeepEqual(back.Faults, d.Script.Faults) || back.Nodes != d.Script.Nodes || !reflect.DeepEqual(back.Servers, d.Script.Servers) ||
-				!reflect.DeepEqual(back.Classes, d.Script.Classes) || back.Clients != d.Script.Clients {
-				t.Fatalf("read back differs:\n%s", d.Script.Format())
+			if !reflect.DeepEqual(parsed.Faults, scenario.Script.Faults) || parsed.Nodes != scenario.Script.Nodes || !reflect.DeepEqual(parsed.Servers, scenario.Script.Servers) ||
+				!reflect.DeepEqual(parsed.Classes, scenario.Script.Classes) || parsed.Clients != scenario.Script.Clients {
+				t.Fatalf("the parsed script differs from the written one:\n%s", scenario.Script.Format())
 			}
-			for _, f := range d.Script.Faults {
-				kinds[f.Kind] = true
+			for _, fault := range scenario.Script.Faults {
+				kinds[fault.Kind] = true
 			}
 		}
 	}
-	for _, k := range FaultKinds() {
-		if !kinds[k] {
-			t.Errorf("%s was never drawn", k)
+	for _, kind := range FaultKinds() {
+		if !kinds[kind] {
+			t.Errorf("%s was never generated", kind)
 		}
 	}
 }
 
-func words(days []Scenario) (out []string) {
-	for _, d := range days {
-		out = append(out, d.Summary())
+func summaries(scenarios []Scenario) (lines []string) {
+	for _, scenario := range scenarios {
+		lines = append(lines, scenario.Summary())
 	}
-	return out
+	return lines
 }
 
-// A day is shrunk to the faults that matter, and no further.
+// A scenario is shrunk to exactly the faults that the violation needs, and to the smallest fleet.
 func TestShrink(t *testing.T) {
-	for _, d := range drawn(t, 9, false, 40) {
+	for _, scenario := range generate(t, 9, false, 40) {
 		kinds := map[string]bool{}
-		for _, f := range d.Script.Faults {
-			kinds[f.Kind] = true
+		for _, fault := range scenario.Script.Faults {
+			kinds[fault.Kind] = true
 		}
 		if len(kinds) < 2 {
 			continue
 		}
-		a, b := d.Script.Faults[0].Kind, ""
-		for _, f := range d.Script.Faults {
-			if f.Kind != a && f.Kind != "server-return" {
-				b = f.Kind
+		first, second := scenario.Script.Faults[0].Kind, ""
+		for _, fault := range scenario.Script.Faults {
+			if fault.Kind != first && fault.Kind != "server-return" {
+				second = fault.Kind
 			}
 		}
-		if a == "server-return" || b == "" {
+		if first == "server-return" || second == "" {
 			continue
 		}
-		breaks := func(d Scenario) bool {
-			has := func(k string) bool {
-				return slices.ContainsFunc(d.Script.Faults, func(f day.Fault) bool { return f.Kind == k })
+		violates := func(scenario Scenario) bool {
+			has := func(kind string) bool {
+				return slices.ContainsFunc(scenario.Script.Faults, func(fault day.Fault) bool { return fault.Kind == kind })
 			}
-			return has(a) && has(b)
+			return has(first) && has(second)
 		}
-		s := NewShrinker(d, 400)
+		shrinker := NewShrinker(scenario, 400)
 		for {
-			c, ok := s.Next()
+			candidate, ok := shrinker.Next()
 			if !ok {
 				break
 			}
-			s.Report(breaks(c))
+			shrinker.Report(violates(candidate))
 		}
-		if best := s.Best(); !breaks(best) || len(best.Script.Faults) != 2 || best.Script.Nodes != 2 {
-			t.Errorf("%s and %s: %s", a, b, best.Summary())
+		if best := shrinker.Best(); !violates(best) || len(best.Script.Faults) != 2 || best.Script.Nodes != 2 {
+			t.Errorf("%s and %s: %s", first, second, best.Summary())
 		}
 	}
 }
 
-// Being led pays: what needs three kinds together is found sooner.
-func TestLed(t *testing.T) {
-	find := func(seed uint64, led bool) int {
-		h := New(base(t), DefaultLimits(), seed, led)
+// A guided search finds a combination of four kinds of fault after fewer scenarios than an
+// unguided one, since margins rise with each kind.
+func TestGuidance(t *testing.T) {
+	find := func(seed uint64, guided bool) int {
+		generator := New(baseScript(t), DefaultLimits(), seed, guided)
 		for n := 1; n <= 1500; n++ {
-			d := h.Next()
-			got := 0
-			for _, k := range []string{"proxy-kill", "clock-set", "discovery-cut", "node-kill-start"} {
-				if slices.ContainsFunc(d.Script.Faults, func(f day.Fault) bool { return f.Kind == k }) {
-					got++
+			scenario := generator.Next()
+			matched := 0
+			for _, kind := range []string{"proxy-kill", "clock-set", "discovery-cut", "node-kill-start"} {
+				if slices.ContainsFunc(scenario.Script.Faults, func(fault day.Fault) bool { return fault.Kind == kind }) {
+					matched++
 				}
 			}
-			if got == 4 {
+			if matched == 4 {
 				return n
 			}
-			h.Learn(d, Outcome{Margins: []audit.Margin{{Rule: 2, Used: float64(got) / 4}}})
+			generator.Learn(scenario, Outcome{Margins: []audit.Margin{{Rule: 2, Used: float64(matched) / 4}}})
 		}
 		return 1500
 	}
-	led, alone := 0, 0
+	guided, unguided := 0, 0
 	for seed := range uint64(8) {
-		led, alone = led+find(seed, true), alone+find(seed, false)
+		guided, unguided = guided+find(seed, true), unguided+find(seed, false)
 	}
-	t.Logf("days to the find, of 8 hunts: %d led, %d each alone", led, alone)
-	if led >= alone {
-		t.Error("being led does not pay")
+	t.Logf("scenarios until found, total of 8 searches: %d guided, %d unguided", guided, unguided)
+	if guided >= unguided {
+		t.Error("the guided searches needed no fewer scenarios than the unguided ones")
 	}
 }
 
-func TestRegret(t *testing.T) {
+func TestInteractionCost(t *testing.T) {
 	for _, c := range []struct {
 		none  float64
 		alone []float64
--- a/lab/hunt/sampler.go
+++ b/lab/hunt/sampler.go
@@ -1,7 +1,7 @@
-// Package hunt searches for days of trouble that break a rule. It draws days from
-// a grammar of faults, is led by what days reached, and shrinks a day that breaks
-// a rule to the least that still does. It has no I/O: whoever plays the days tells
-// what came of them.
+// Package hunt searches for fault scenarios that violate a rule. It generates scenarios
+// from a grammar of faults, guided by the features that earlier scenarios reached, and
+// shrinks a scenario that violates a rule while it still does. It has no I/O: the caller
+// runs the scenarios and passes their outcomes in.
 package hunt
 
 import (
@@ -15,47 +15,46 @@
 	"yardcleat.example/yardcleat/day"
 )
 
-// Scenario is a day to play.
+// Scenario is a script to run, with the conditions of the run.
 type Scenario struct {
 	Script              *day.Script
-	Seed                uint64 // of the network's and the nodes' chance
-	NoReceiveTimestamps bool   // the kernel does not say when bytes came in
+	Seed                uint64 // of the random numbers of the network and the nodes
+	NoReceiveTimestamps bool   // the kernel gives no receive timestamps
 }
 
-// Limits bounds what is drawn.
+// Limits bounds the scenarios that are generated.
 type Limits struct {
-	Nodes  [2]int // from and to
+	Nodes  [2]int // lowest and highest number
 	Faults [2]int
 	Length [2]time.Duration
-	Kinds  []string // of faults; nil: all
+	Kinds  []string // kinds of fault; nil: all
 }
 
-// DefaultLimits draws fleets of 2 to 12 nodes with 3 to 14 faults.
+// DefaultLimits returns limits of 2 to 12 nodes and 3 to 14 faults.
 func DefaultLimits() Limits {
 	return Limits{Nodes: [2]int{2, 12}, Faults: [2]int{3, 14}, Length: [2]time.Duration{10 * time.Second, 20 * time.Second}}
 }
 
-// faultTemplate is how faults of a kind are drawn.
+// faultTemplate describes how faults of a kind are drawn.
 type faultTemplate struct {
 	kind                     string
 	weight                   float64
-	minDuration, maxDuration time.Duration // how long it lasts
-	drawArg                  func(g *sampler, s *day.Script) string
+	minDuration, maxDuration time.Duration // 0: the fault has no duration
+	drawArg                  func(s *sampler, script *day.Script) string
 }
 
-func oneOf(list ...string) func(*sampler, *day.Script) string {
-	return func(g *sampler, _ *day.Script) string { return list[g.rng.IntN(len(list))] }
+func oneOf(values ...string) func(*sampler, *day.Script) string {
+	return func(s *sampler, _ *day.Script) string { return values[s.rng.IntN(len(values))] }
 }
 
-func spareCount(g *sampler, s *day.Script) string {
-	return strconv.Itoa(1 + g.rng.IntN(max(1, s.Spares)))
-}
+// spares draws a number of spare nodes.
+func spares(s *sampler, d *day.Script) string { return strconv.Itoa(1 + s.rng.IntN(max(1, d.Spares))) }
 
-func durationBetween(from, to time.Duration) func(*sampler, *day.Script) string {
-	return func(g *sampler, _ *day.Script) string { return g.logUniform(from, to).String() }
+func durationBetween(shortest, longest time.Duration) func(*sampler, *day.Script) string {
+	return func(s *sampler, _ *day.Script) string { return s.logUniform(shortest, longest).String() }
 }
 
-// grammar is what days are drawn from. The weights favour what holds state up.
+// grammar lists the faults that scenarios are drawn from. The weights favour faults that delay state.
 var grammar = []faultTemplate{
 	{"node-kill", 3, 100 * time.Millisecond, 3 * time.Second, nil},
 	{"node-kill-start", 1, 100 * time.Millisecond, time.Second, durationBetween(time.Millisecond, 300*time.Millisecond)},
@@ -67,22 +66,22 @@
 	{"server-half-close", 1, 500 * time.Millisecond, 3 * time.Second, nil},
 	{"server-reset", 1, 200 * time.Millisecond, 3 * time.Second, nil},
 	{"server-twice", 1, 200 * time.Millisecond, 3 * time.Second, nil},
-	{"server-fail", 1, 500 * time.Millisecond, 5 * time.Second, func(g *sampler, s *day.Script) string {
-		return s.Classes[g.rng.IntN(len(s.Classes))].Name
+	{"server-fail", 1, 500 * time.Millisecond, 5 * time.Second, func(s *sampler, script *day.Script) string {
+		return script.Classes[s.rng.IntN(len(script.Classes))].Name
 	}},
 	{"server-slow", 2, 500 * time.Millisecond, 6 * time.Second, oneOf("2", "4", "10", "40")},
 	{"server-flap", 2, 50 * time.Millisecond, 2 * time.Second, nil},
 	{"peers-lose", 2, 500 * time.Millisecond, 8 * time.Second, oneOf("0.1", "0.4", "0.8", "1")},
-	{"peers-cut", 2, 500 * time.Millisecond, 8 * time.Second, func(g *sampler, s *day.Script) string {
-		return strconv.Itoa(g.rng.IntN(s.Nodes))
+	{"peers-cut", 2, 500 * time.Millisecond, 8 * time.Second, func(s *sampler, script *day.Script) string {
+		return strconv.Itoa(s.rng.IntN(script.Nodes))
 	}},
 	{"proxy-kill", 1, 100 * time.Millisecond, 2 * time.Second, nil},
 	{"discovery-silent", 1, 500 * time.Millisecond, 4 * time.Second, nil},
 	{"discovery-bad", 1, 0, 0, nil},
 	{"discovery-cut", 1, 0, 0, nil},
 	{"clock-set", 1, 200 * time.Millisecond, 8 * time.Second, oneOf("1h", "-1h", "30s", "-30s", "2s", "-2s")},
-	{"fleet-grow", 2, 100 * time.Millisecond, 3 * time.Second, spareCount},
-	{"fleet-shrink", 2, 100 * time.Millisecond, 3 * time.Second, spareCount},
+	{"fleet-grow", 2, 100 * time.Millisecond, 3 * time.Second, spares},
+	{"fleet-shrink", 2, 100 * time.Millisecond, 3 * time.Second, spares},
 	{"authoriser-slow", 2, 500 * time.Millisecond, 5 * time.Second, oneOf("50ms", "120ms", "190ms", "1s")},
 	{"authoriser-silent", 1, 500 * time.Millisecond, 5 * time.Second, nil},
 	{"counter-silent", 1, 500 * time.Millisecond, 6 * time.Second, nil},
@@ -96,12 +95,12 @@
 	{"counter-heal", 1, 0, 0, oneOf("first", "second", "both")},
 }
 
-// FaultKinds lists the kinds of fault that are drawn.
-func FaultKinds() (out []string) {
-	for _, s := range grammar {
-		out = append(out, s.kind)
+// FaultKinds lists the kinds of fault that are generated.
+func FaultKinds() (kinds []string) {
+	for _, template := range grammar {
+		kinds = append(kinds, template.kind)
 	}
-	return out
+	return kinds
 }
 
 type sampler struct {
@@ -110,228 +109,228 @@
 	limits Limits
 }
 
-// logUniform draws a duration, as often near the lower end as near the upper by ratio.
-func (g *sampler) logUniform(from, to time.Duration) time.Duration {
-	if to <= from {
-		return from
+// logUniform draws a duration from a log-uniform distribution.
+func (s *sampler) logUniform(shortest, longest time.Duration) time.Duration {
+	if longest <= shortest {
+		return shortest
 	}
-	d := float64(from) * math.Pow(float64(to)/float64(from), g.rng.Float64())
-	return time.Duration(d).Round(10 * time.Millisecond)
+	duration := float64(shortest) * math.Pow(float64(longest)/float64(shortest), s.rng.Float64())
+	return time.Duration(duration).Round(10 * time.Millisecond)
 }
 
-func (g *sampler) intWithin(r [2]int) int { return r[0] + g.rng.IntN(r[1]-r[0]+1) }
+func (s *sampler) intWithin(bounds [2]int) int { return bounds[0] + s.rng.IntN(bounds[1]-bounds[0]+1) }
 
-// cloneScript copies a script as far as days differ.
-func cloneScript(s *day.Script) *day.Script {
-	c := *s
-	c.Customers, c.Faults, c.Classes = slices.Clone(s.Customers), slices.Clone(s.Faults), slices.Clone(s.Classes)
-	return &c
+// cloneScript copies a script, and those of its parts that scenarios change.
+func cloneScript(script *day.Script) *day.Script {
+	copied := *script
+	copied.Customers, copied.Faults, copied.Classes = slices.Clone(script.Customers), slices.Clone(script.Faults), slices.Clone(script.Classes)
+	return &copied
 }
 
-// scenario draws a whole scenario.
-func (g *sampler) scenario() Scenario {
-	s := cloneScript(g.base)
-	s.Extends, s.Faults = "", nil
-	s.Seed = 1 + g.rng.IntN(1<<20)
-	s.Length = time.Duration(g.logUniform(g.limits.Length[0], g.limits.Length[1])).Round(time.Second).String()
-	// Small fleets are cheap to play, and most faults show there.
-	s.Nodes = g.limits.Nodes[0]
-	for s.Nodes < g.limits.Nodes[1] && g.rng.Float64() < 0.6 {
-		s.Nodes++
+// scenario draws a new scenario.
+func (s *sampler) scenario() Scenario {
+	script := cloneScript(s.base)
+	script.Extends, script.Faults = "", nil
+	script.Seed = 1 + s.rng.IntN(1<<20)
+	script.Length = time.Duration(s.logUniform(s.limits.Length[0], s.limits.Length[1])).Round(time.Second).String()
+	// Small fleets are cheap to run, and reveal most defects.
+	script.Nodes = s.limits.Nodes[0]
+	for script.Nodes < s.limits.Nodes[1] && s.rng.Float64() < 0.6 {
+		script.Nodes++
 	}
-	if s.Spares = 0; g.rng.IntN(5) < 2 {
-		s.Spares = 1 + g.rng.IntN(4)
+	if script.Spares = 0; s.rng.IntN(5) < 2 {
+		script.Spares = 1 + s.rng.IntN(4)
 	}
-	g.drawWorkload(s)
-	for n := g.intWithin(g.limits.Faults); n > 0; n-- {
-		g.addFault(s)
+	s.drawWorkload(script)
+	for remaining := s.intWithin(s.limits.Faults); remaining > 0; remaining-- {
+		s.addFault(script)
 	}
-	return Scenario{Script: s, Seed: 1 + g.rng.Uint64N(1<<32), NoReceiveTimestamps: g.rng.IntN(4) == 0}
+	return Scenario{Script: script, Seed: 1 + s.rng.Uint64N(1<<32), NoReceiveTimestamps: s.rng.IntN(4) == 0}
 }
 
-// drawWorkload draws who asks for what, by which front.
-func (g *sampler) drawWorkload(s *day.Script) {
-	s.Servers.Count = 4 + g.rng.IntN(7)
-	switch g.rng.IntN(4) {
+// drawWorkload draws the servers, the listener protocols, the load and the client retries.
+func (s *sampler) drawWorkload(script *day.Script) {
+	script.Servers.Count = 4 + s.rng.IntN(7)
+	switch s.rng.IntN(4) {
 	case 0:
-		s.Clients.ProxyShare, s.Clients.HTTP2Share = 0.8, 0.1
+		script.Clients.ProxyShare, script.Clients.HTTP2Share = 0.8, 0.1
 	case 1:
-		s.Clients.ProxyShare, s.Clients.HTTP2Share = 0.1, 0.8
+		script.Clients.ProxyShare, script.Clients.HTTP2Share = 0.1, 0.8
 	case 2:
-		s.Clients.ProxyShare, s.Clients.HTTP2Share = 0.1, 0.1
+		script.Clients.ProxyShare, script.Clients.HTTP2Share = 0.1, 0.1
 	}
-	s.Servers.Cores, s.Servers.QueueLength, s.Servers.InitialCapacity, s.Servers.UpdateDelay = g.base.Servers.Cores, g.base.Servers.QueueLength,
-		g.base.Servers.InitialCapacity, g.base.Servers.UpdateDelay
-	if g.rng.IntN(4) == 0 {
-		// Few servers, all busy, and starting very cold.
-		s.Servers.Count, s.Servers.Cores, s.Servers.QueueLength, s.Servers.InitialCapacity, s.Servers.UpdateDelay = 3, 4, 40, 0.05, "50ms"
+	script.Servers.Cores, script.Servers.QueueLength, script.Servers.InitialCapacity, script.Servers.UpdateDelay = s.base.Servers.Cores, s.base.Servers.QueueLength,
+		s.base.Servers.InitialCapacity, s.base.Servers.UpdateDelay
+	if s.rng.IntN(4) == 0 {
+		// Few servers, all busy, with a low initial share in slow start.
+		script.Servers.Count, script.Servers.Cores, script.Servers.QueueLength, script.Servers.InitialCapacity, script.Servers.UpdateDelay = 3, 4, 40, 0.05, "50ms"
 	}
-	for i := range s.Classes {
-		if s.Classes[i].DedupWindow != "" {
-			s.Classes[i].DedupWindow = []string{"2s", "2s", "500ms"}[g.rng.IntN(3)]
+	for i := range script.Classes {
+		if script.Classes[i].DedupWindow != "" {
+			script.Classes[i].DedupWindow = []string{"2s", "2s", "500ms"}[s.rng.IntN(3)]
 		}
 	}
-	load := []float64{0.4, 1, 1, 1.6}[g.rng.IntN(4)]
-	for i := range s.Customers {
-		s.Customers[i].Demand = math.Round(s.Customers[i].Demand*load*100) / 100
+	load := []float64{0.4, 1, 1, 1.6}[s.rng.IntN(4)]
+	for i := range script.Customers {
+		script.Customers[i].Demand = math.Round(script.Customers[i].Demand*load*100) / 100
 	}
-	s.Clients.Retries = g.rng.IntN(4)
+	script.Clients.Retries = s.rng.IntN(4)
 }
 
-// drawFault draws one; one time in three it comes close upon another, which is where
-// states meet.
-func (g *sampler) drawFault(s *day.Script) day.Fault {
-	var all float64
-	var shapes []faultTemplate
-	for _, sh := range grammar {
-		if g.limits.Kinds == nil || slices.Contains(g.limits.Kinds, sh.kind) {
-			shapes = append(shapes, sh)
-			all += sh.weight
+// drawFault draws a fault. One in three starts close to the start or end of an earlier
+// fault, since state transitions interact there.
+func (s *sampler) drawFault(script *day.Script) day.Fault {
+	var totalWeight float64
+	var templates []faultTemplate
+	for _, template := range grammar {
+		if s.limits.Kinds == nil || slices.Contains(s.limits.Kinds, template.kind) {
+			templates = append(templates, template)
+			totalWeight += template.weight
 		}
 	}
-	at := g.rng.Float64() * all
-	sh := shapes[len(shapes)-1]
-	for _, one := range shapes {
-		if at -= one.weight; at < 0 {
-			sh = one
+	draw := s.rng.Float64() * totalWeight
+	template := templates[len(templates)-1]
+	for _, candidate := range templates {
+		if draw -= candidate.weight; draw < 0 {
+			template = candidate
 			break
 		}
 	}
-	length, _ := time.ParseDuration(s.Length)
-	f := day.Fault{Kind: sh.kind}
-	f.At = g.formatTime(time.Duration((0.03 + 0.85*g.rng.Float64()) * float64(length)))
-	if len(s.Faults) > 0 && g.rng.IntN(3) == 0 {
-		o := s.Faults[g.rng.IntN(len(s.Faults))]
-		near, _ := time.ParseDuration(o.At)
-		last, _ := time.ParseDuration(o.Duration)
-		if g.rng.IntN(2) == 0 {
-			near += last
+	length, _ := time.ParseDuration(script.Length)
+	fault := day.Fault{Kind: template.kind}
+	fault.At = s.formatTime(time.Duration((0.03 + 0.85*s.rng.Float64()) * float64(length)))
+	if len(script.Faults) > 0 && s.rng.IntN(3) == 0 {
+		earlier := script.Faults[s.rng.IntN(len(script.Faults))]
+		start, _ := time.ParseDuration(earlier.At)
+		duration, _ := time.ParseDuration(earlier.Duration)
+		if s.rng.IntN(2) == 0 {
+			start += duration
 		}
-		f.At = g.formatTime(near + time.Duration(g.rng.Int64N(int64(300*time.Millisecond))) - 100*time.Millisecond)
-		f.Target = o.Target
+		fault.At = s.formatTime(start + time.Duration(s.rng.Int64N(int64(300*time.Millisecond))) - 100*time.Millisecond)
+		fault.Target = earlier.Target
 	}
-	if sh.kind == "server-return" && g.rng.IntN(8) > 0 {
-		g.aimReturn(s, &f)
-		return f
+	if template.kind == "server-return" && s.rng.IntN(8) > 0 {
+		s.aimReturn(script, &fault)
+		return fault
 	}
-	if sh.kind == "fleet-shrink" && s.Spares > 0 {
-		for _, o := range s.Faults {
-			if o.Kind == "fleet-grow" { // those that joined leave again
-				at, _ := time.ParseDuration(o.At)
-				last, _ := time.ParseDuration(o.Duration)
-				f.At, f.Argument = g.formatTime(at+last+day.MembershipChangeTime+g.logUniform(50*time.Millisecond, 4*time.Second)), o.Argument
+	if template.kind == "fleet-shrink" && script.Spares > 0 {
+		for _, earlier := range script.Faults {
+			if earlier.Kind == "fleet-grow" { // removes the nodes that joined
+				at, _ := time.ParseDuration(earlier.At)
+				duration, _ := time.ParseDuration(earlier.Duration)
+				fault.At, fault.Argument = s.formatTime(at+duration+day.MembershipChangeTime+s.logUniform(50*time.Millisecond, 4*time.Second)), earlier.Argument
 			}
 		}
 	}
-	if sh.minDuration > 0 {
-		f.Duration = g.logUniform(sh.minDuration, sh.maxDuration).String()
+	if template.minDuration > 0 {
+		fault.Duration = s.logUniform(template.minDuration, template.maxDuration).String()
 	}
-	if f.Target == 0 || g.rng.IntN(2) == 0 {
-		n := max(s.Nodes, s.Servers.Count)
-		switch day.TargetKind(sh.kind) {
+	if fault.Target == 0 || s.rng.IntN(2) == 0 {
+		targets := max(script.Nodes, script.Servers.Count)
+		switch day.TargetKind(template.kind) {
 		case "node":
-			n = s.Nodes
+			targets = script.Nodes
 		case "server":
-			n = s.Servers.Count
+			targets = script.Servers.Count
 		case "part":
-			n = s.Counter.Shards
+			targets = script.Counter.Shards
 		case "":
-			n = 1
+			targets = 1
 		}
-		f.Target = g.rng.IntN(n)
+		fault.Target = s.rng.IntN(targets)
 	}
-	if sh.drawArg != nil && f.Argument == "" {
-		f.Argument = sh.drawArg(g, s)
+	if template.drawArg != nil && fault.Argument == "" {
+		fault.Argument = template.drawArg(s, script)
 	}
-	return f
+	return fault
 }
 
-// aimReturn aims a return at a server that an earlier fault took away.
-func (g *sampler) aimReturn(s *day.Script, f *day.Fault) {
-	var gone []day.Fault
-	for _, o := range s.Faults {
-		if o.Kind == "server-drain" || o.Kind == "server-vanish" {
-			gone = append(gone, o)
+// aimReturn aims a server-return fault at a server that an earlier fault removed.
+func (s *sampler) aimReturn(script *day.Script, fault *day.Fault) {
+	var removals []day.Fault
+	for _, removal := range script.Faults {
+		if removal.Kind == "server-drain" || removal.Kind == "server-vanish" {
+			removals = append(removals, removal)
 		}
 	}
-	if len(gone) == 0 {
-		return // it will not do, and another is drawn
+	if len(removals) == 0 {
+		return // the script check rejects this fault, and another is drawn
 	}
-	o := gone[g.rng.IntN(len(gone))]
-	at, _ := time.ParseDuration(o.At)
-	last, _ := time.ParseDuration(o.Duration)
-	f.Target, f.At = o.Target, g.formatTime(at+last+g.logUniform(50*time.Millisecond, 4*time.Second))
+	removal := removals[s.rng.IntN(len(removals))]
+	at, _ := time.ParseDuration(removal.At)
+	duration, _ := time.ParseDuration(removal.Duration)
+	fault.Target, fault.At = removal.Target, s.formatTime(at+duration+s.logUniform(50*time.Millisecond, 4*time.Second))
 }
 
-func (g *sampler) formatTime(d time.Duration) string {
-	return max(0, d).Round(10 * time.Millisecond).String()
+func (s *sampler) formatTime(offset time.Duration) string {
+	return max(0, offset).Round(10 * time.Millisecond).String()
 }
 
-// addFault adds a fault that can happen among the others; it may find none.
-func (g *sampler) addFault(s *day.Script) bool {
+// addFault adds a fault that the script check accepts. It returns false if it found none.
+func (s *sampler) addFault(script *day.Script) bool {
 	for range 8 {
-		s.Faults = append(s.Faults, g.drawFault(s))
-		if s.Validate() == nil {
+		script.Faults = append(script.Faults, s.drawFault(script))
+		if script.Validate() == nil {
 			return true
 		}
-		s.Faults = s.Faults[:len(s.Faults)-1]
+		script.Faults = script.Faults[:len(script.Faults)-1]
 	}
 	return false
 }
 
-// mutate changes a day a little.
-func (g *sampler) mutate(d Scenario) Scenario {
+// vary returns a copy of a scenario with one to three changes.
+func (s *sampler) vary(scenario Scenario) Scenario {
 	for range 20 {
-		m := d
-		m.Script = cloneScript(d.Script)
-		s := m.Script
-		for range 1 + g.rng.IntN(3) {
-			g.applyMutation(&m, s)
+		variant := scenario
+		variant.Script = cloneScript(scenario.Script)
+		script := variant.Script
+		for range 1 + s.rng.IntN(3) {
+			s.applyChange(&variant, script)
 		}
-		if s.Validate() == nil {
-			return m
+		if script.Validate() == nil {
+			return variant
 		}
 	}
-	return g.scenario()
+	return s.scenario()
 }
 
-func (g *sampler) applyMutation(m *Scenario, s *day.Script) {
+func (s *sampler) applyChange(scenario *Scenario, script *day.Script) {
 	i := 0
-	if len(s.Faults) > 0 {
-		i = g.rng.IntN(len(s.Faults))
+	if len(script.Faults) > 0 {
+		i = s.rng.IntN(len(script.Faults))
 	}
-	switch what := g.rng.IntN(8); {
-	case what == 0:
-		m.Seed = 1 + g.rng.Uint64N(1<<32)
-	case what == 1:
-		g.drawWorkload(s)
-	case what == 2 && s.Nodes < g.limits.Nodes[1]:
-		s.Nodes++
-	case len(s.Faults) == 0 || what <= 3 && len(s.Faults) < g.limits.Faults[1]:
-		g.addFault(s)
-	case what == 4 && len(s.Faults) > 1:
-		s.Faults = slices.Delete(s.Faults, i, i+1)
-	case what == 5:
-		f := &s.Faults[i]
-		at, _ := time.ParseDuration(f.At)
-		f.At = g.formatTime(at + time.Duration((g.rng.Float64()-0.5)*float64(2*time.Second)))
-	case what == 6 && s.Faults[i].Duration != "":
-		f := &s.Faults[i]
-		last, _ := time.ParseDuration(f.Duration)
-		f.Duration = g.formatTime(time.Duration(float64(last) * (0.5 + 1.5*g.rng.Float64())))
+	switch change := s.rng.IntN(8); {
+	case change == 0:
+		scenario.Seed = 1 + s.rng.Uint64N(1<<32)
+	case change == 1:
+		s.drawWorkload(script)
+	case change == 2 && script.Nodes < s.limits.Nodes[1]:
+		script.Nodes++
+	case len(script.Faults) == 0 || change <= 3 && len(script.Faults) < s.limits.Faults[1]:
+		s.addFault(script)
+	case change == 4 && len(script.Faults) > 1:
+		script.Faults = slices.Delete(script.Faults, i, i+1)
+	case change == 5:
+		fault := &script.Faults[i]
+		at, _ := time.ParseDuration(fault.At)
+		fault.At = s.formatTime(at + time.Duration((s.rng.Float64()-0.5)*float64(2*time.Second)))
+	case change == 6 && script.Faults[i].Duration != "":
+		fault := &script.Faults[i]
+		duration, _ := time.ParseDuration(fault.Duration)
+		fault.Duration = s.formatTime(time.Duration(float64(duration) * (0.5 + 1.5*s.rng.Float64())))
 	default:
-		s.Faults[i] = g.drawFault(s)
+		script.Faults[i] = s.drawFault(script)
 	}
 }
 
-// Summary is a line that names a day's faults.
-func (d Scenario) Summary() string {
-	out := fmt.Sprintf("%d nodes, %s:", d.Script.Nodes, d.Script.Length)
-	for _, f := range d.Script.Faults {
-		out += fmt.Sprintf(" %s@%s", f.Kind, f.At)
-		if f.Duration != "" {
-			out += "+" + f.Duration
+// Summary returns one line with the size, the length and the faults of a scenario.
+func (scenario Scenario) Summary() string {
+	summary := fmt.Sprintf("%d nodes, %s:", scenario.Script.Nodes, scenario.Script.Length)
+	for _, fault := range scenario.Script.Faults {
+		summary += fmt.Sprintf(" %s@%s", fault.Kind, fault.At)
+		if fault.Duration != "" {
+			summary += "+" + fault.Duration
 		}
 	}
-	return out
+	return summary
 }
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -8,9 +8,9 @@
 	"yardcleat.example/yardcleat/day"
 )
 
-// Shrinker makes a day that breaks a rule smaller as long as it still does. Ask
-// Next for a day, play it, and Report whether it broke the rule, until Next has no
-// more.
+// Shrinker makes a scenario that violates a rule smaller while it still does. The caller
+// runs the scenario that Next returns, and passes to Report whether it violated the rule,
+// until Next returns false.
 type Shrinker struct {
 	best      Scenario
 	tried     map[string]bool
@@ -19,106 +19,108 @@
 	candidate Scenario
 }
 
-// NewShrinker starts from a day; most bounds the plays.
-func NewShrinker(d Scenario, most int) *Shrinker {
-	return &Shrinker{best: d, tried: map[string]bool{}, maxRuns: most}
+// NewShrinker returns a Shrinker that starts with a scenario and does at most maxRuns runs.
+func NewShrinker(scenario Scenario, maxRuns int) *Shrinker {
+	return &Shrinker{best: scenario, tried: map[string]bool{}, maxRuns: maxRuns}
 }
 
-// Best is the smallest day so far.
+// Best returns the smallest scenario so far that violates the rule.
 func (s *Shrinker) Best() Scenario { return s.best }
 
-// candidates lists smaller days, the boldest first: half of the faults gone, one gone,
-// a smaller fleet, a shorter day, shorter faults.
-func (s *Shrinker) candidates() (out []Scenario) {
-	d := s.best
-	n := len(d.Script.Faults)
-	all := func(keep func(int) bool) []int {
-		var list []int
+// candidates lists smaller scenarios, those with the largest reduction first: without half of
+// the faults and smaller parts of them, without one fault, with a smaller fleet, a shorter
+// scenario, shorter faults.
+func (s *Shrinker) candidates() (smaller []Scenario) {
+	best := s.best
+	n := len(best.Script.Faults)
+	selectFaults := func(keep func(int) bool) []int {
+		var indices []int
 		for i := range n {
 			if keep(i) {
-				list = append(list, i)
+				indices = append(indices, i)
 			}
 		}
-		return list
+		return indices
 	}
 	for parts := 2; parts < n; parts *= 2 {
-		for p := range parts {
-			out = append(out, d.WithFaults(all(func(i int) bool { return i*parts/n != p })...))
+		for part := range parts {
+			smaller = append(smaller, best.WithFaults(selectFaults(func(i int) bool { return i*parts/n != part })...))
 		}
 	}
 	for i := range n {
-		out = append(out, d.WithFaults(all(func(k int) bool { return k != i })...))
+		smaller = append(smaller, best.WithFaults(selectFaults(func(k int) bool { return k != i })...))
 	}
-	change := func(f func(*day.Script)) {
-		c := d
-		c.Script = cloneScript(d.Script)
-		f(c.Script)
-		out = append(out, c)
+	change := func(apply func(*day.Script)) {
+		copied := best
+		copied.Script = cloneScript(best.Script)
+		apply(copied.Script)
+		smaller = append(smaller, copied)
 	}
-	if d.Script.Nodes > 2 {
-		for _, n := range []int{max(2, d.Script.Nodes/2), d.Script.Nodes - 1} {
-			change(func(s *day.Script) { reduceFleet(s, n) })
+	if best.Script.Nodes > 2 {
+		for _, n := range []int{max(2, best.Script.Nodes/2), best.Script.Nodes - 1} {
+			change(func(script *day.Script) { reduceFleet(script, n) })
 		}
 	}
-	length, _ := time.ParseDuration(d.Script.Length)
-	var last time.Duration
-	for _, f := range d.Script.Faults {
-		at, _ := time.ParseDuration(f.At)
-		span, _ := time.ParseDuration(f.Duration)
-		last = max(last, at+span)
+	length, _ := time.ParseDuration(best.Script.Length)
+	var end time.Duration
+	for _, fault := range best.Script.Faults {
+		at, _ := time.ParseDuration(fault.At)
+		duration, _ := time.ParseDuration(fault.Duration)
+		end = max(end, at+duration)
 	}
-	if short := (last + 2*time.Second).Round(time.Second); short < length {
-		change(func(s *day.Script) { s.Length = short.String() })
+	if short := (end + 2*time.Second).Round(time.Second); short < length {
+		change(func(script *day.Script) { script.Length = short.String() })
 	}
-	for i, f := range d.Script.Faults {
-		if span, _ := time.ParseDuration(f.Duration); span >= 200*time.Millisecond {
-			change(func(s *day.Script) { s.Faults[i].Duration = (span / 2).Round(10 * time.Millisecond).String() })
+	for i, fault := range best.Script.Faults {
+		if duration, _ := time.ParseDuration(fault.Duration); duration >= 200*time.Millisecond {
+			change(func(script *day.Script) {
+				script.Faults[i].Duration = (duration / 2).Round(10 * time.Millisecond).String()
+			})
 		}
 	}
-	return out
+	return smaller
 }
 
-// reduceFleet makes a fleet smaller; what was aimed at nodes that are no more is aimed at
-// others.
-func reduceFleet(s *day.Script, nodes int) {
-	s.Nodes = nodes
-	for i := range s.Faults {
-		f := &s.Faults[i]
-		if day.TargetKind(f.Kind) != "node" {
+// reduceFleet makes a fleet smaller, and aims faults of removed nodes at remaining ones.
+func reduceFleet(script *day.Script, nodes int) {
+	script.Nodes = nodes
+	for i := range script.Faults {
+		fault := &script.Faults[i]
+		if day.TargetKind(fault.Kind) != "node" {
 			continue
 		}
-		f.Target %= nodes
-		if to, err := strconv.Atoi(f.Argument); err == nil && f.Kind == "peers-cut" {
-			if to %= nodes; to == f.Target {
-				to = (to + 1) % nodes
+		fault.Target %= nodes
+		if peer, err := strconv.Atoi(fault.Argument); err == nil && fault.Kind == "peers-cut" {
+			if peer %= nodes; peer == fault.Target {
+				peer = (peer + 1) % nodes
 			}
-			f.Argument = strconv.Itoa(to)
+			fault.Argument = strconv.Itoa(peer)
 		}
 	}
 }
 
-// Next is a smaller day to try; false where there is none left, or the plays are
-// used up.
+// Next returns a smaller scenario to run, or false if none is left or the maximum number
+// of runs is reached.
 func (s *Shrinker) Next() (Scenario, bool) {
-	for _, c := range s.candidates() {
+	for _, candidate := range s.candidates() {
 		if s.runs >= s.maxRuns {
 			break
 		}
-		key := fmt.Sprint(c.Summary(), c.Script.Nodes, c.Script.Faults)
-		if s.tried[key] || c.Script.Validate() != nil {
+		key := fmt.Sprint(candidate.Summary(), candidate.Script.Nodes, candidate.Script.Faults)
+		if s.tried[key] || candidate.Script.Validate() != nil {
 			continue
 		}
 		s.tried[key] = true
 		s.runs++
-		s.candidate = c
-		return c, true
+		s.candidate = candidate
+		return candidate, true
 	}
 	return Scenario{}, false
 }
 
-// Report says whether the day that Next gave still broke the rule.
-func (s *Shrinker) Report(broke bool) {
-	if broke {
+// Report records whether the scenario that Next returned violated the rule.
+func (s *Shrinker) Report(violated bool) {
+	if violated {
 		s.best = s.candidate
 	}
 }
