--- a/cmd/yardcleat/hunt.go
+++ b/cmd/yardcleat/hunt.go
@@ -40,21 +40,21 @@
 
 // faultSearch is a running fault search.
 type faultSearch struct {
-	cmd             *cobra.Command
-	pool            *virtual.Pool
-	base            *day.Script
-	limits          hunt.Limits
-	seed            uint64
-	budget          int
-	workers         int
-	unguided        bool
-	searchesRegret  bool
-	mutation        string
-	outputDir       string
-	stopAtFirst     bool
-	shrinkBudget    int
-	maxScenarioTime time.Duration
-	violationCounts map[string]int // by rule
+	cmd                  *cobra.Command
+	pool                 *virtual.Pool
+	base                 *day.Script
+	limits               hunt.Limits
+	seed                 uint64
+	budget               int
+	workers              int
+	unguided             bool
+	searchesInteractions bool
+	mutation             string
+	outputDir            string
+	stopAtFirst          bool
+	shrinkBudget         int
+	maxScenarioTime      time.Duration
+	violationCounts      map[string]int // by rule
 }
 
 func huntCommand() *cobra.Command {
@@ -85,7 +85,7 @@
 	c.Flags().StringVar(&h.outputDir, "keep", "", "directory for scripts of scenarios that violated a rule, with the violations")
 	c.Flags().IntVar(&h.workers, "workers", runtime.NumCPU(), "number of scenarios run at a time")
 	c.Flags().BoolVar(&h.unguided, "unled", false, "generate each scenario independently of the earlier ones")
-	c.Flags().BoolVar(&h.searchesRegret, "worth", false, "search for scenarios whose faults together cost more served requests than each of them alone in total")
+	c.Flags().BoolVar(&h.searchesInteractions, "worth", false, "search for scenarios whose faults together cost more served requests than each of them alone in total")
 	c.Flags().StringVar(&h.mutation, "defect", "", "run with a mutation, a defence removed on purpose: "+strings.Join(virtual.Mutations(), ", "))
 	c.Flags().BoolVar(&h.stopAtFirst, "first", false, "stop at the first violation, and shrink nothing")
 	c.Flags().IntVar(&h.shrinkBudget, "shrink", 80, "maximum number of runs to shrink one scenario")
@@ -158,8 +158,8 @@
 			return err
 		}
 	}
-	if h.searchesRegret {
-		return h.searchRegret(ctx)
+	if h.searchesInteractions {
+		return h.searchInteractions(ctx)
 	}
 	generator := hunt.New(h.base, h.limits, h.seed, !h.unguided)
 	startedAt, runs, violating := time.Now(), 0, 0
@@ -201,10 +201,10 @@
 				return err
 			}
 		}
-		features, near := generator.Coverage()
+		features, margins := generator.Coverage()
 		elapsed := time.Since(startedAt)
 		h.logf("%d of %d scenarios, %.0f per minute; %d violated a rule; %d features reached; nearest to the limits of the rules %.2f", runs, h.budget,
-			float64(runs)/elapsed.Minutes(), violating, features, near)
+			float64(runs)/elapsed.Minutes(), violating, features, margins)
 	}
 	fmt.Fprintf(h.cmd.OutOrStdout(), "%d scenarios run, %d violated a rule\n", runs, violating)
 	if violating > 0 {
@@ -255,14 +255,14 @@
 	return os.WriteFile(name, append([]byte(text+"\n\n"), smallest.Script.Format()...), 0o644)
 }
 
-// searchRegret searches for scenarios whose faults together cost more served requests than each of
-// them alone in total.
-func (h *faultSearch) searchRegret(ctx context.Context) error {
+// searchInteractions searches for scenarios whose faults together cost more served requests than
+// each of them alone in total.
+func (h *faultSearch) searchInteractions(ctx context.Context) error {
 	h.limits.Faults = [2]int{2, 4}
 	generator := hunt.New(h.base, h.limits, h.seed, false)
 	type rankedScenario struct {
-		regret      float64
-		description string
+		interactionCost float64
+		description     string
 	}
 	var worst []rankedScenario
 	for runs := 0; runs < h.budget; {
@@ -276,22 +276,22 @@
 			return err
 		}
 		runs += len(scenarios)
-		var worth []float64
+		var served []float64
 		for _, result := range results {
 			outcome, messages := evaluate(result)
 			if len(outcome.ViolatedRules) > 0 {
 				h.logf("%s\n  %s", scenario.Summary(), strings.Join(messages, "\n  "))
 			}
-			worth = append(worth, outcome.ServedWithinObjective)
+			served = append(served, outcome.ServedWithinObjective)
 		}
-		regret := hunt.InteractionCost(worth[1], worth[2:], worth[0])
-		worst = append(worst, rankedScenario{regret, fmt.Sprintf("%.0f of %.0f; alone %.0f; %s", worth[0], worth[1], worth[2:], scenario.Summary())})
-		slices.SortFunc(worst, func(a, b rankedScenario) int { return int(1e6 * (b.regret - a.regret)) })
+		interactionCost := hunt.InteractionCost(served[1], served[2:], served[0])
+		worst = append(worst, rankedScenario{interactionCost, fmt.Sprintf("%.0f of %.0f; alone %.0f; %s", served[0], served[1], served[2:], scenario.Summary())})
+		slices.SortFunc(worst, func(a, b rankedScenario) int { return int(1e6 * (b.interactionCost - a.interactionCost)) })
 		worst = worst[:min(10, len(worst))]
-		h.logf("%d of %d runs; the highest regret is %.3f", runs, h.budget, worst[0].regret)
+		h.logf("%d of %d runs; the highest interaction cost is %.3f", runs, h.budget, worst[0].interactionCost)
 	}
 	for _, entry := range worst {
-		fmt.Fprintf(h.cmd.OutOrStdout(), "%.3f  %s\n", entry.regret, entry.description)
+		fmt.Fprintf(h.cmd.OutOrStdout(), "%.3f  %s\n", entry.interactionCost, entry.description)
 	}
 	return nil
 }
