--- a/lab/hunt/sampler.go
+++ b/lab/hunt/sampler.go
@@ -109,7 +109,7 @@
 	limits Limits
 }
 
-// logUniform draws a duration from a log-uniform distribution.
+// logUniform draws a duration from a log-uniform distribution, rounded to 10 ms.
 func (s *sampler) logUniform(shortest, longest time.Duration) time.Duration {
 	if longest <= shortest {
 		return shortest
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -27,9 +27,9 @@
 // Best returns the smallest scenario so far that violates the rule.
 func (s *Shrinker) Best() Scenario { return s.best }
 
-// candidates lists smaller scenarios, those with the largest reduction first: without half of
-// the faults and smaller parts of them, without one fault, with a smaller fleet, a shorter
-// scenario, shorter faults.
+// candidates lists smaller scenarios, starting with the largest reduction: without a half, a
+// quarter and so on of the faults, without one fault, with a smaller fleet, with a shorter
+// length, with a shorter fault.
 func (s *Shrinker) candidates() (smaller []Scenario) {
 	best := s.best
 	n := len(best.Script.Faults)
