--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -103,7 +103,7 @@
 `
 
 // A gateway that starts with the state files of an earlier build loads each of them by its name, and
-// creates no other files in state_dir.
+// leaves only files with the known names in state_dir.
 func TestGatewayLoadsStateOfAnEarlierBuild(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir := copyStateOfAnEarlierBuild(t)
