--- a/front/fronts_test.go
+++ b/front/fronts_test.go
@@ -102,8 +102,8 @@
 type frontends struct {
 	t             *testing.T
 	node          *fakeNode
-	http1         *http.Client
-	http2         *http.Client
+	client        *http.Client // over HTTP/1.1
+	http2Client   *http.Client
 	authorization authv3.AuthorizationClient
 	accessLog     alsv3.AccessLogServiceClient
 }
@@ -173,7 +173,7 @@
 	header       map[string]string
 }
 
-func (f *frontends) viaHTTP1(request clientRequest) clientResponse { return f.via(f.http1, request) }
+func (f *frontends) viaHTTP1(request clientRequest) clientResponse { return f.via(f.client, request) }
 
 func (f *frontends) via(client *http.Client, request clientRequest) clientResponse {
 	httpRequest, err := http.NewRequest(request.method, "http://10.0.0.1:80"+request.path, nil)
@@ -294,7 +294,7 @@
 				f.node.final = c.final
 				viaHTTP1 := f.viaHTTP1(c.request)
 				http1Request := f.node.request
-				viaHTTP2 := f.via(f.http2, c.request)
+				viaHTTP2 := f.via(f.http2Client, c.request)
 				if viaHTTP2.status != viaHTTP1.status || viaHTTP2.body != viaHTTP1.body || !reflect.DeepEqual(viaHTTP2.header, viaHTTP1.header) {
 					t.Errorf("over HTTP/1.1 %+v\nover HTTP/2 %+v", viaHTTP1, viaHTTP2)
 				}
