--- a/authz/circuit_breaker.go
+++ b/authz/circuit_breaker.go
@@ -77,7 +77,8 @@
 	return opened
 }
 
-// recordResult records a check with a result, and reports whether it closed the breaker.
+// recordResult records a check with a result, and reports whether it closed the breaker. Until the breaker
+// is closed, the result of a check that was sent before it opened counts as a successful probe, too.
 func (b *circuitBreaker) recordResult(now time.Time) (closed bool) {
 	b.failures = 0
 	b.lastResultAt = now
--- a/config/config.go
+++ b/config/config.go
@@ -109,7 +109,7 @@
 	MaxMessageAge     time.Duration  // older messages are dropped; 100 ms to 1 h, default 10 s
 }
 
-// Server is one entry of a static server list.
+// Server is one entry of a static endpoint list.
 type Server struct {
 	Name    string
 	Address string  // host:port
@@ -118,7 +118,7 @@
 	Weight  float64 // capacity relative to other servers; 0.001 to 1e6, default 1
 }
 
-// Servers configures the source of the server list and the properties that all servers share.
+// Servers configures the source of the endpoint list and the properties that all servers share.
 type Servers struct {
 	Static     []Server // empty if EDS is the source
 	EDSAddress string   // host:port of an xDS management server; "": Static is the source
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -210,7 +210,7 @@
 		case membership.PhaseChanged:
 			l.gateway.options.Log.Info("membership phase changed", "phase", a.Phase.String())
 		case membership.LogEvent:
-			l.logNote(ctx, a)
+			l.writeLogEvent(ctx, a)
 		}
 	}
 }
@@ -245,17 +245,17 @@
 	}
 }
 
-// logNote writes a note to the log, as a warning if an operator has to act.
-func (l *membershipLoop) logNote(ctx context.Context, n membership.LogEvent) {
+// writeLogEvent writes a log event to the log, as a warning if an operator has to act.
+func (l *membershipLoop) writeLogEvent(ctx context.Context, event membership.LogEvent) {
 	level := slog.LevelInfo
-	if n.NeedsAction {
+	if event.NeedsAction {
 		level = slog.LevelWarn
 	}
-	attributes := make([]slog.Attr, 0, len(n.Attributes))
-	for _, a := range n.Attributes {
+	attributes := make([]slog.Attr, 0, len(event.Attributes))
+	for _, a := range event.Attributes {
 		attributes = append(attributes, slog.Any(a.Key, a.Value))
 	}
-	l.gateway.options.Log.LogAttrs(ctx, level, n.Message, attributes...)
+	l.gateway.options.Log.LogAttrs(ctx, level, event.Message, attributes...)
 }
 
 // membershipSnapshotFile is the name of a file in the state directory, fixed by the stored format.
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -28,7 +28,7 @@
 type testBed struct {
 	t            *testing.T
 	network      *network.Memory
-	rack         *catalogue.DedupScope
+	dedupScope   *catalogue.DedupScope
 	servers      []*catalogue.Server
 	authorizer   *authoriser.Server
 	gateway      *Gateway
@@ -120,9 +120,9 @@
 func runInTestBedWith(t *testing.T, src string, f func(bed *testBed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		bed := &testBed{t: t, network: network.NewMemory(time.Millisecond, 1), rack: &catalogue.DedupScope{Name: "r", Window: 2 * time.Second}}
+		bed := &testBed{t: t, network: network.NewMemory(time.Millisecond, 1), dedupScope: &catalogue.DedupScope{Name: "r", Window: 2 * time.Second}}
 		for i := 1; i <= 2; i++ {
-			s := catalogue.New(catalogue.Options{Name: fmt.Sprint("s", i), DedupScope: bed.rack, Cores: 2, QueueLength: 8,
+			s := catalogue.New(catalogue.Options{Name: fmt.Sprint("s", i), DedupScope: bed.dedupScope, Cores: 2, QueueLength: 8,
 				Classes: []catalogue.Class{
 					{Name: "lookup", Method: "GET", PathPrefix: "/records/", Work: 50 * time.Millisecond},
 					{Name: "loan-change", Method: "POST", PathPrefix: "/loans/", Work: 30 * time.Millisecond, IdempotentWithKey: true},
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -188,13 +188,13 @@
 	})
 }
 
-func (r *usageRecorder) logShardState(note usage.ShardStateChanged) {
+func (r *usageRecorder) logShardState(change usage.ShardStateChanged) {
 	log := r.gateway.options.Log.Warn
-	if note.State == usage.Healthy {
+	if change.State == usage.Healthy {
 		log = r.gateway.options.Log.Info
 	}
 	log("counter shard state changed",
-		"shard", note.Shard, "state", note.State.String(), "evidence", note.Evidence.String())
+		"shard", change.Shard, "state", change.State.String(), "evidence", change.Evidence.String())
 }
 
 // receivePeerMessage handles a message from a peer and reports whether it is a usage message. It may
--- a/internal/background/closers_test.go
+++ b/internal/background/closers_test.go
@@ -46,7 +46,7 @@
 	stop()
 	stop()
 	if early != nil {
-		t.Errorf("cancelling the caller's context cancelled the goroutine's: %v", early)
+		t.Errorf("canceling the caller's context canceled the goroutine's: %v", early)
 	}
 	if value != "value" {
 		t.Errorf("context has value %v", value)
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -46,7 +46,8 @@
 	// ReasonNoServer means that no server had capacity in time.
 	ReasonNoServer
 
-	// ReasonNoTime means that too little time was left when the request arrived.
+	// ReasonNoTime means that too little time was left when the request arrived, or that its deadline passed
+	// while it waited for a lease.
 	ReasonNoTime
 
 	// ReasonNoQuotaLeader means that the quota leaders of the customer did not respond, and that the request
@@ -85,7 +86,7 @@
 	Data []byte
 }
 
-// WatchEndpoints requests the server list, and all later changes of it, as EndpointUpdate events.
+// WatchEndpoints requests the endpoint list, and all later changes of it, as EndpointUpdate events.
 type WatchEndpoints struct{}
 
 // Log writes a log line for the operators.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// mustShedClientRetry reports whether a client's retry is shed in favour of first attempts, which prevents
+// mustShedClientRetry reports whether a client's retry is shed in favor of first attempts, which prevents
 // retry storms: the bucket is low or, for a local request, no server had capacity recently.
 func (g *Gateway) mustShedClientRetry(r *request) bool {
 	plan := r.customer.plan
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -27,7 +27,7 @@
 }
 
 // A client retry is rejected, with advice to retry later, while the servers are saturated.
-func TestClientRetriesYieldDuringServerShortage(t *testing.T) {
+func TestClientRetriesAreShedDuringServerShortage(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(1))
 	for range 50 {
 		h.request("safe", "free", "c", 1)
@@ -41,7 +41,7 @@
 }
 
 // Client retries are rejected when the bucket is low, so that its tokens are left to first attempts.
-func TestClientRetriesYieldWhenTokensAreLow(t *testing.T) {
+func TestClientRetriesAreShedWhenTokensAreLow(t *testing.T) {
 	for spent, want := range map[int]int{0: 1, 8: 0} {
 		h := newHarness(t, baseSettings(), testServers(8))
 		h.receiveReport(1, 1)
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -6,7 +6,7 @@
 )
 
 // attemptTimeoutNumerator over attemptTimeoutDenominator is the shortest timeout of an attempt, as a share of
-// the latency objective, if attempts cannot be cancelled.
+// the latency objective, if attempts cannot be canceled.
 const (
 	attemptTimeoutNumerator   = 3
 	attemptTimeoutDenominator = 5
@@ -38,7 +38,7 @@
 }
 
 // attemptTimeout returns the timeout of an attempt; 0 means no limit but the request's deadline. It is
-// above 0 only if a stalled attempt cannot be cancelled but may be retried: the request is idempotent, and
+// above 0 only if a stalled attempt cannot be canceled but may be retried: the request is idempotent, and
 // its response is not a stream, which a timeout could cut off. (mayCancel needs no such exception for
 // streams, since an attempt whose response has started never counts as stalled.)
 func (g *Gateway) attemptTimeout(r *request) time.Duration {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -133,9 +133,9 @@
 	t.list = append(t.list, c)
 }
 
-// forgetIdle removes the customers that are not in use and have made no request for customerIdleTimeout, or
+// evictIdle removes the customers that are not in use and have made no request for customerIdleTimeout, or
 // for the time in which their buckets fill up if that is longer.
-func (t *customerTable) forgetIdle(now time.Duration) {
+func (t *customerTable) evictIdle(now time.Duration) {
 	t.list = slices.DeleteFunc(t.list, func(c *customer) bool {
 		inUse := c.inFlight.count > 0 || len(c.queued) > 0 || c.active
 		if inUse || now-c.lastRequestAt <= max(customerIdleTimeout, c.plan.fillTime()) {
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -41,7 +41,7 @@
 	return uint32(id) * multiplier >> (32 - serverHashBits)
 }
 
-// requestEndpoints requests the server list if Settings.MustWatchEndpoints is set, and repeats the request
+// requestEndpoints requests the endpoint list if Settings.MustWatchEndpoints is set, and repeats the request
 // only after it has failed.
 func (g *Gateway) requestEndpoints() {
 	if g.settings.MustWatchEndpoints && !g.endpoints.watching {
@@ -50,7 +50,7 @@
 	}
 }
 
-// handleEndpointUpdate applies the server list or changes to it.
+// handleEndpointUpdate applies the endpoint list or changes to it.
 func (g *Gateway) handleEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == WatchFailed {
 		g.endpoints.watching = false // requestEndpoints repeats the request within about a second
@@ -67,7 +67,8 @@
 	slices.SortFunc(g.endpoints.list, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// updateServer applies one entry of the server list. The statistics of a server that was restarted are reset.
+// updateServer applies one entry of the endpoint list. The statistics of a server that was restarted are
+// reset.
 func (g *Gateway) updateServer(listed Server) {
 	s := g.endpoints.byID[listed.ID]
 	switch {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// With MustWatchEndpoints a gateway requests the server list at its start, and again after a failure.
-func TestWatchesEndpointsWhereRequired(t *testing.T) {
+// With MustWatchEndpoints a gateway requests the endpoint list at its start, and again after a failure.
+func TestWatchesEndpointsIfRequired(t *testing.T) {
 	s := baseSettings()
 	s.MustWatchEndpoints = true
 	g, _ := New(s, 1)
--- a/policy/events.go
+++ b/policy/events.go
@@ -32,7 +32,7 @@
 }
 
 // ResponseStarted reports that the response to a request of a streaming class has started. From then on the
-// attempt is not cancelled.
+// attempt is not canceled.
 type ResponseStarted struct {
 	ID      RequestID
 	Attempt int // attempts of a request count from 0
@@ -102,17 +102,17 @@
 	Data []byte
 }
 
-// ServerState is the state of a server in the server list.
+// ServerState is the state of a server in the endpoint list.
 type ServerState int
 
 // The states of a server.
 const (
 	Running  ServerState = iota
 	Draining             // finishes its attempts and gets no more
-	Removed              // no longer in the fleet of servers
+	Removed              // no longer available; deleted once its attempts have ended
 )
 
-// Server is one entry of the server list.
+// Server is one entry of the endpoint list.
 type Server struct {
 	ID           ServerID
 	Zone         string
@@ -134,7 +134,7 @@
 	WatchFailed                              // WatchEndpoints failed: it is requested again
 )
 
-// EndpointUpdate delivers the server list or changes to it.
+// EndpointUpdate delivers the endpoint list or changes to it.
 type EndpointUpdate struct {
 	Kind    EndpointUpdateKind
 	Servers []Server
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -161,7 +161,7 @@
 	g.emit(SetTimer{Token: tickTimer, After: g.tick.interval})
 	if g.tick.everySecond() {
 		g.requestEndpoints()
-		g.customers.forgetIdle(g.now)
+		g.customers.evictIdle(g.now)
 	}
 	g.decayWarmSendRate(elapsed)
 	g.sumPeerLoads()
--- a/policy/golden_scenarios_test.go
+++ b/policy/golden_scenarios_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// simulatedCustomer sends its requests through gatewaySpread gateways from firstGateway on, where gateway 0
-// follows the last one.
+// simulatedCustomer sends its requests through gatewaySpread gateways, starting with firstGateway and continuing with
+// gateway 0 after the last one.
 type simulatedCustomer struct {
 	name, plan                  string
 	firstGateway, gatewaySpread int
--- a/policy/golden_simulation_test.go
+++ b/policy/golden_simulation_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// answerWatch sends the gateway the server list, or in one of four cases a failure of the watch.
+// answerWatch sends the gateway the endpoint list, or in one of four cases a failure of the watch.
 func (s *simulation) answerWatch(to *process) {
 	if s.chance(0.25) {
 		s.deliverAfter(50*time.Millisecond, to, policy.EndpointUpdate{Kind: policy.WatchFailed})
@@ -177,7 +177,7 @@
 
 // Gateways.
 
-// startProcess starts a process of a gateway with a cached server list, which is up to date.
+// startProcess starts a process of a gateway with a cached endpoint list, which is up to date.
 func (s *simulation) startProcess(number, gateways int) *process {
 	s.startedProcesses++
 	gateway, err := policy.New(gatewaySettings(s.scenario, number, gateways), s.scenario.seed<<32+s.startedProcesses)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -88,14 +88,14 @@
 	return actions
 }
 
-// request hands the gateway a request and returns the resulting actions.
+// request passes the gateway a request and returns the resulting actions.
 func (h *harness) request(class, plan, customer string, units float64) []Action {
 	h.lastID++
 	return h.handle(Request{ID: h.lastID, Customer: customer, Plan: plan, Class: class, Units: units,
 		Remaining: 2 * time.Second, GatewaySpread: 2})
 }
 
-// startAttempt hands the gateway a request of one unit, which must lead to exactly one attempt at once.
+// startAttempt passes the gateway a request of one unit, which must lead to exactly one attempt at once.
 func (h *harness) startAttempt(class, plan string) StartAttempt {
 	h.t.Helper()
 	actions := h.request(class, plan, testCustomer, 1)
@@ -106,13 +106,13 @@
 	return attempts[0]
 }
 
-// finishAttempt hands the gateway the result of an attempt, with a latency of 50 ms.
+// finishAttempt passes the gateway the result of an attempt, with a latency of 50 ms.
 func (h *harness) finishAttempt(s StartAttempt, attempt int, code ResultCode) []Action {
 	return h.handle(AttemptResult{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
 		Answered: code == OK})
 }
 
-// admitUnits hands the gateway n requests of one unit, finishes their attempts and returns the number admitted.
+// admitUnits passes the gateway n requests of one unit, finishes their attempts and returns the number admitted.
 func (h *harness) admitUnits(n int, plan string) int {
 	admitted := 0
 	for range n {
@@ -125,7 +125,7 @@
 	return admitted
 }
 
-// receiveReport hands the gateway a complete load report of testPeer.
+// receiveReport passes the gateway a complete load report of testPeer.
 func (h *harness) receiveReport(incarnation, sequence uint32, customers ...reportedCustomer) {
 	report := loadReport{incarnation: incarnation, sequence: sequence, complete: true, customers: customers}
 	h.handle(PeerMessage{From: testPeer, Data: report.encode()})
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -122,7 +122,7 @@
 	return (g.now-sentAt).Seconds()/expected >= stallFactor
 }
 
-// mayCancel reports whether a stalled attempt is cancelled: only if another attempt may follow it.
+// mayCancel reports whether a stalled attempt is canceled: only if another attempt may follow it.
 func (g *Gateway) mayCancel(r *request) bool {
 	mayFollow := r.class.Idempotency == Idempotent && !g.attemptsExhausted(r)
 	return g.settings.CanCancel && mayFollow && g.retryBudget >= 1
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -60,10 +60,10 @@
 	}
 }
 
-// Attempts at a server that never responds are cancelled and retried elsewhere, and the server gets few new ones.
+// Attempts at a server that never responds are canceled and retried elsewhere, and the server gets few new ones.
 func TestHungServerIsAvoided(t *testing.T) {
 	h := newHarness(t, baseSettings(), testServers(6))
-	cancelled, lateAttempts := 0, 0
+	canceled, lateAttempts := 0, 0
 	for i := range 300 {
 		s := h.startAttempt("safe", "free")
 		if s.Server != 1 {
@@ -73,15 +73,15 @@
 		}
 		for _, a := range h.advance(25 * ms) {
 			if c, ok := a.(CancelAttempt); ok {
-				cancelled++
+				canceled++
 				for _, s := range actionsOf[StartAttempt](h.handle(AttemptResult{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})) {
 					h.finishAttempt(s, c.Attempt+1, OK)
 				}
 			}
 		}
 	}
-	if cancelled == 0 || lateAttempts > 6 {
-		t.Fatalf("%d attempts cancelled, want some; %d later attempts at the server, want at most 6", cancelled, lateAttempts)
+	if canceled == 0 || lateAttempts > 6 {
+		t.Fatalf("%d attempts canceled, want some; %d later attempts at the server, want at most 6", canceled, lateAttempts)
 	}
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -137,7 +137,7 @@
 	// 0: none is advised.
 	MaxRetryAfter time.Duration
 
-	// MustWatchEndpoints makes the Gateway request the server list by WatchEndpoints. Without it the caller
+	// MustWatchEndpoints makes the Gateway request the endpoint list by WatchEndpoints. Without it the caller
 	// sends EndpointUpdate events without a request.
 	MustWatchEndpoints bool
 
--- a/storage/open.go
+++ b/storage/open.go
@@ -134,7 +134,7 @@
 		return nil, err
 	}
 	if info.Size() < tx.Size() {
-		return nil, damagedError(errors.New("file is cut short"))
+		return nil, damagedError(errors.New("file is truncated"))
 	}
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -102,7 +102,7 @@
 
 // Guards against using part of a truncated file: whatever its length, the file must be read in full or
 // moved aside as damaged.
-func TestDatabaseCutShortIsMovedAside(t *testing.T) {
+func TestTruncatedDatabaseIsMovedAside(t *testing.T) {
 	content, err := os.ReadFile(newDatabase(t))
 	if err != nil {
 		t.Fatal(err)
--- a/usage/evidence.go
+++ b/usage/evidence.go
@@ -39,7 +39,7 @@
 }
 
 func (u UnconfirmedClaims) String() string {
-	return fmt.Sprintf("customer %s, window %d: entries that %d peers said they wrote are missing",
+	return fmt.Sprintf("customer %s, window %d: entries that %d peers reported as written are missing",
 		u.Key.Customer, u.Key.Window, u.Count)
 }
 
