--- a/cmd/yardcleat/serve.go
+++ b/cmd/yardcleat/serve.go
@@ -64,17 +64,17 @@
 	return err
 }
 
-// process is a node that signals control. Only the goroutine of handleSignals uses it.
+// process is a node controlled by signals. Only the goroutine of handleSignals uses it.
 type process struct {
 	gateway      *gateway.Gateway
 	log          *slog.Logger
 	drainTimeout time.Duration
 	interrupted  bool               // a SIGINT was received
 	endDrain     context.CancelFunc // ends the drain early; nil until it begins
-	drained      chan error         // nil until the drain begins; then receives its result
+	drained      chan error         // receives the result of the drain; nil until it begins
 }
 
-// handleSignals returns when the drain is complete, with its result.
+// handleSignals handles signals until the drain is complete, and returns its result.
 func (p *process) handleSignals(ctx context.Context, signals <-chan os.Signal) error {
 	ended := ctx.Done()
 	for {
--- a/cmd/yardcleat/soak_clients_test.go
+++ b/cmd/yardcleat/soak_clients_test.go
@@ -98,7 +98,7 @@
 	ignoresConnectionClose bool          // reuses a connection until the node closes it
 }
 
-// start starts a client, after behave has set its behaviour.
+// start starts a client, after behave has set its behavior.
 func (p *clientPopulation) start(number int, behave func(*client)) {
 	c := &client{clientPopulation: p, random: rand.New(rand.NewPCG(p.seed, uint64(number)))}
 	c.ignoresConnectionClose = c.random.IntN(2) == 0
--- a/fleet/eds.go
+++ b/fleet/eds.go
@@ -32,7 +32,7 @@
 // reconnectDelay is the time between the end of a stream and the next attempt to open one.
 const reconnectDelay = 500 * time.Millisecond
 
-// Options is what Watch needs. All fields but CachePath are required.
+// Options configures Watch. All fields but CachePath are required.
 type Options struct {
 	// Network is used to dial the management server.
 	Network network.Network
@@ -53,9 +53,9 @@
 }
 
 // Watch delivers the cached list, then every list that the management server sends, until the
-// context ends. It answers an invalid list with a NACK and keeps the current one. It opens a stream
-// that has ended again after reconnectDelay. It returns an error if the client of the server can't
-// be created or closed.
+// context ends. It answers an invalid list with a NACK and keeps the current one. After a stream
+// has ended, it waits for reconnectDelay and opens a new one. It returns an error if the client of
+// the server can't be created or closed.
 func Watch(ctx context.Context, o Options) error {
 	o.deliverCached()
 	conn, err := o.dial()
--- a/front/extauthz/attempt_outcome.go
+++ b/front/extauthz/attempt_outcome.go
@@ -11,9 +11,9 @@
 
 // responseFlagOutcomes maps the response flags of an access log entry to the outcome of the
 // attempt. The first flag that is set counts. The proxy has already responded to the client, so
-// no outcome causes a retry; the policy only learns about the server from it. If the proxy did
-// not forward the request for a reason of its own, the code is TooLate, which says nothing about
-// the server.
+// no outcome causes a retry; the policy only uses it to judge the server. If the proxy did not
+// forward the request for a reason of its own, the code is TooLate, which does not count for or
+// against the server.
 var responseFlagOutcomes = []struct {
 	set    func(*datav3.ResponseFlags) bool
 	code   policy.ResultCode
--- a/front/http1/connection_eviction.go
+++ b/front/http1/connection_eviction.go
@@ -10,7 +10,7 @@
 // a new one. The server's lock guards it.
 type connectionEvictor struct {
 	maxConnections  int
-	minIdleTime     time.Duration // how long an idle connection is normally kept before it may be evicted; 0: none is ever evicted
+	minIdleTime     time.Duration // how long an idle connection is normally kept before it may be evicted for a new one; 0: none is
 	maxIdle         int           // connections in idle; 0: any number
 	connections     int
 	awaitingRequest list.List        // connections without a complete request since they were accepted, or since the next one began; oldest first
@@ -32,7 +32,7 @@
 // reads and discards until the client closes too (RFC 9112, 9.6), within these bounds.
 const (
 	lingerTimeout  = 500 * time.Millisecond // far above a round trip
-	maxLingerBytes = 128 << 10              // above one whole request
+	maxLingerBytes = 128 << 10              // above the size of one request with the limits of an edge node
 )
 
 const (
--- a/front/http1/server.go
+++ b/front/http1/server.go
@@ -27,7 +27,7 @@
 }
 
 // Mapper maps HTTP requests to requests of the node, and final responses to HTTP responses;
-// an *intake.Mapper implements it. Admit may return a final response at once.
+// an *intake.Mapper implements it. If Admit returns a final response, the request is answered with it.
 type Mapper interface {
 	Admit(call node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse)
 	Render(request *node.Request, final node.FinalResponse) *node.Response
@@ -42,12 +42,12 @@
 	Limits      http1.Limits
 
 	FirstRequestTimeout     time.Duration // from accepting a connection to its first complete request; 0: only the timeouts of every request apply
-	HeaderTimeout           time.Duration // from a request's first byte to its whole header
-	BodyTimeout             time.Duration // from a request's header to its whole body
+	HeaderTimeout           time.Duration // from a request's first byte to the end of its header
+	BodyTimeout             time.Duration // from the end of a request's header to the end of its body
 	IdleTimeout             time.Duration // after which a connection without a request is closed
 	WriteTimeout            time.Duration // for a client to receive a response
 	MaxConnections          int
-	MaxIdleConnections      int           // idle between requests; beyond it the longest idle one is closed; 0: any number
+	MaxIdleConnections      int           // idle between requests; beyond it the longest idle one is evicted; 0: any number
 	MaxLingeringConnections int           // evicted and still lingering; beyond it the oldest is closed; 0: any number
 	MinIdleBeforeEviction   time.Duration // at MaxConnections, a connection idle for this long is evicted for a new one; 0: none is evicted
 }
--- a/front/http2/server.go
+++ b/front/http2/server.go
@@ -26,7 +26,8 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// Handler handles requests. *node.Node implements it.
+// Handler handles requests; a *node.Node implements it. The caller of Submit calls
+// disconnected if the client disconnects before the reply.
 type Handler interface {
 	Submit(request *node.Request, reply func(node.FinalResponse)) (disconnected func())
 }
@@ -55,12 +56,12 @@
 
 // Server serves HTTP/2 connections.
 type Server struct {
-	options    Options
-	mu         sync.Mutex
-	conns      map[*conn]bool
-	draining   bool
-	serving    sync.WaitGroup
-	traceCount atomic.Uint64
+	options      Options
+	mu           sync.Mutex
+	conns        map[*conn]bool
+	draining     bool
+	serving      sync.WaitGroup
+	traceCounter atomic.Uint64
 }
 
 // New returns a Server.
@@ -75,7 +76,7 @@
 func (s *Server) ServeConn(nc net.Conn) {
 	defer nc.Close()
 	c := &conn{server: s, netConn: nc, streams: map[uint32]*stream{},
-		sendWindow: initialWindow, peerInitialWindow: initialWindow, peerMaxFrameSize: h2.DefaultMaxFrameSize,
+		sendWindow: initialWindow, initialSendWindow: initialWindow, maxSendFrameSize: h2.DefaultMaxFrameSize,
 		frameBudget: float64(s.options.FrameBudget), budgetUpdatedAt: time.Now()}
 	c.changed, c.writeLock = sync.NewCond(&c.mu), h2.NewLock()
 	s.mu.Lock()
@@ -142,8 +143,8 @@
 	goingAway          bool    // no stream above lastStreamID is accepted
 	ended              bool    // no more frames are read, or a connection error was sent
 	sendWindow         int64   // bytes that may be sent on all streams together
-	peerInitialWindow  int64   // bytes that may be sent on a new stream
-	peerMaxFrameSize   int     // payload bytes that may be sent in one frame
+	initialSendWindow  int64   // bytes that may be sent on a new stream
+	maxSendFrameSize   int     // payload bytes that may be sent in one frame
 	bufferedBodyBytes  int64   // request body bytes in memory
 	unreturnedWindow   int64   // bytes received but not yet returned to the connection's window
 	windowUpdateCredit int64   // body bytes sent, less those used up by WINDOW_UPDATE frames
@@ -344,8 +345,8 @@
 		defer c.mu.Unlock()
 		switch s.ID {
 		case http2.SettingInitialWindowSize:
-			delta := int64(s.Val) - c.peerInitialWindow
-			c.peerInitialWindow = int64(s.Val)
+			delta := int64(s.Val) - c.initialSendWindow
+			c.initialSendWindow = int64(s.Val)
 			for _, st := range c.streams {
 				if st.sendWindow += delta; st.sendWindow > 1<<31-1 {
 					return http2.ConnectionError(http2.ErrCodeFlowControl)
@@ -353,7 +354,7 @@
 			}
 			c.changed.Broadcast()
 		case http2.SettingMaxFrameSize:
-			c.peerMaxFrameSize = min(int(s.Val), 64<<10)
+			c.maxSendFrameSize = min(int(s.Val), 64<<10)
 		}
 		return nil
 	})
@@ -435,7 +436,7 @@
 		return http2.StreamError{StreamID: id, Code: http2.ErrCodeProtocol}
 	}
 	c.mu.Lock()
-	st.sendWindow = c.peerInitialWindow
+	st.sendWindow = c.initialSendWindow
 	c.streams[id] = st
 	c.netConn.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
@@ -698,29 +699,29 @@
 // handleRequest submits a request to the node and writes the final response.
 func (c *conn) handleRequest(st *stream) {
 	o := &c.server.options
-	request, immediate := o.Mapper.Admit(st.request, o.TracePrefix+"-"+strconv.FormatUint(c.server.traceCount.Add(1), 36))
-	var response node.FinalResponse
-	if immediate != nil {
-		response = *immediate
-		o.Log.Info("answer", "answer", response.Kind.String(), "trace", request.Trace, "class", request.Class, "customer", request.Customer,
-			"reason", string(response.Reason), "detail", response.Detail)
+	request, early := o.Mapper.Admit(st.request, o.TracePrefix+"-"+strconv.FormatUint(c.server.traceCounter.Add(1), 36))
+	var final node.FinalResponse
+	if early != nil {
+		final = *early
+		o.Log.Info("answer", "answer", final.Kind.String(), "trace", request.Trace, "class", request.Class, "customer", request.Customer,
+			"reason", string(final.Reason), "detail", final.Detail)
 	} else {
 		request.ClientAddress, request.LocalAddress = c.netConn.RemoteAddr().String(), c.netConn.LocalAddr().String()
 		request.Arrived = st.arrivedAt
-		responses := make(chan node.FinalResponse, 1)
-		disconnected := o.Node.Submit(request, func(r node.FinalResponse) { responses <- r })
+		finalResponses := make(chan node.FinalResponse, 1)
+		disconnected := o.Node.Submit(request, func(final node.FinalResponse) { finalResponses <- final })
 		select {
-		case response = <-responses:
+		case final = <-finalResponses:
 		case <-st.abortSignal:
 			disconnected()
-			<-responses // the node always replies
+			<-finalResponses // the node always replies
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.removeLocked(st)
 			return
 		}
 	}
-	c.respond(st, o.Mapper.Render(request, response))
+	c.respond(st, o.Mapper.Render(request, final))
 }
 
 // reject responds to a request that is not submitted to the node.
@@ -798,7 +799,7 @@
 			c.mu.Unlock()
 			return
 		}
-		n := int(min(int64(len(body)), st.sendWindow, c.sendWindow, int64(c.peerMaxFrameSize)))
+		n := int(min(int64(len(body)), st.sendWindow, c.sendWindow, int64(c.maxSendFrameSize)))
 		st.sendWindow, c.sendWindow = st.sendWindow-int64(n), c.sendWindow-int64(n)
 		c.windowUpdateCredit += int64(n)
 		c.mu.Unlock()
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -120,9 +120,9 @@
 	return &node.FinalResponse{Kind: node.Rejected, Reason: reason, Detail: fmt.Sprintf(detail, args...)}
 }
 
-// Admit maps an HTTP request whose header holds end-to-end fields only to a request of the node.
-// If the final response is not nil, it is already decided. trace is the request's trace ID if the
-// client sent none.
+// Admit maps an HTTP request whose header holds only end-to-end fields to a request of the node. If
+// the final response is not nil, the HTTP request is answered with it and does not reach the node.
+// trace is the request's trace ID if the client sent none.
 func (m *Mapper) Admit(call node.HTTPRequest, trace string) (*node.Request, *node.FinalResponse) {
 	request := &node.Request{Trace: trace}
 	if id := call.Header.Get(headerRequestID); id != "" {
@@ -180,8 +180,8 @@
 }
 
 // hasConflictingValues reports whether a header field that may occur once occurs with different
-// values: a proxy in front of the gateway may have used another one of them. mayBeJoined says
-// that the values may be joined with commas, as proxies do before a Check by ext_authz.
+// values: a proxy in front of the gateway may have used another one of them. If mayBeJoined is set,
+// values joined with commas are compared too, because proxies join them before a Check by ext_authz.
 func hasConflictingValues(h http1.Header, name string, mayBeJoined bool) bool {
 	first, found := "", false
 	for _, f := range h {
--- a/internal/h2/header_block.go
+++ b/internal/h2/header_block.go
@@ -3,7 +3,7 @@
 
 import "golang.org/x/net/http2"
 
-// DefaultMaxFrameSize is the maximum number of payload bytes of a frame unless the peer
+// DefaultMaxFrameSize is the maximum number of payload bytes of a frame unless the receiver
 // allows more (RFC 9113, 6.5.2).
 const DefaultMaxFrameSize = 16384
 
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -155,8 +155,8 @@
 	return minor >= 1 || h.HasToken("Connection", "keep-alive")
 }
 
-// Error says that a message violates the protocol or a limit. The connection cannot be used any
-// longer.
+// Error is the error for a message that violates the protocol or a limit. The connection cannot be
+// used any longer.
 type Error struct {
 	Status int // HTTP status with which a server responds
 	Text   string
--- a/internal/http1/read.go
+++ b/internal/http1/read.go
@@ -34,11 +34,11 @@
 func (r *Reader) Buffered() int { return r.br.Buffered() }
 
 // ErrPipelineTooLong is returned by Await if more bytes are buffered than one message may have.
-var ErrPipelineTooLong = errors.New("http1: more sent ahead than is held")
+var ErrPipelineTooLong = errors.New("http1: pipelined requests exceed the read buffer")
 
-// Await blocks until more bytes arrive than are buffered, or the connection ends. The buffer
-// grows with what arrives, up to the size of the largest message: the end of the connection can
-// only be detected by reading up to it.
+// Await blocks until a byte arrives in addition to those buffered, or the connection ends. The
+// buffer grows as needed, up to the size of the largest message: the end of the connection can only
+// be detected by reading all bytes before it.
 func (r *Reader) Await() error {
 	for {
 		_, err := r.br.Peek(r.br.Buffered() + 1)
--- a/internal/network/memory.go
+++ b/internal/network/memory.go
@@ -109,8 +109,8 @@
 	delete(h.open, c)
 }
 
-// Kill resets the host's connections and closes the rest that it has open, as the kernel does
-// for a killed process. The host can't open anything afterwards.
+// Kill resets the host's connections and closes its listeners and packet connections, as the
+// kernel does for a killed process. The host can't open anything afterwards.
 func (h *Host) Kill() {
 	h.Resume() // operations that the pause blocks must return
 	h.mu.Lock()
@@ -443,7 +443,7 @@
 	return nil
 }
 
-// Close closes the connection. If it holds unread bytes the peer sees a reset, as in TCP.
+// Close closes the connection. If it holds unread bytes the other end gets a reset, as in TCP.
 func (c *memConn) Close() error {
 	c.rx.mu.Lock()
 	unread := c.rx.size > 0
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -174,7 +174,7 @@
 	"refused":    policy.WatchFailed,
 }
 
-// resultCodes maps the result codes of VERDICT and PROBE_RESULT lines.
+// resultCodes maps the result codes of VERDICT, PROBE_RESULT and LEDGER_REPLY lines.
 var resultCodes = map[string]policy.ResultCode{
 	"OK":                 policy.OK,
 	"INTERNAL":           policy.Error,
--- a/peer/authenticated_transport.go
+++ b/peer/authenticated_transport.go
@@ -44,7 +44,7 @@
 	socket     net.PacketConn
 	mu         sync.Mutex
 	addresses  map[int]net.Addr
-	nodes      int // one more than the highest number that SetAddress gave an address
+	nodes      int // one more than the highest number for which SetAddress has set an address
 	queue      chan outgoingMessage
 	done       chan struct{}
 	goroutines sync.WaitGroup
@@ -80,8 +80,8 @@
 	return t, nil
 }
 
-// SetAddress sets the address of the peer with a number from now on. "": the peer has none, and
-// messages to it are dropped.
+// SetAddress sets the address of the peer with the given number. "": the peer has none, and
+// messages to it are dropped. An address that can't be resolved is logged and changes nothing.
 func (t *AuthenticatedTransport) SetAddress(number int, address string) {
 	var a net.Addr
 	if address != "" {
@@ -188,10 +188,10 @@
 	}
 }
 
-// Incarnation returns the incarnation of a process: its start in nanoseconds of Unix time, but
-// higher than the last one stored in a directory, where it is then stored itself. "": nothing is
-// stored. The incarnation can be used even if there is an error, which says that reading or
-// storing failed.
+// Incarnation returns the incarnation of a process: its start in nanoseconds of Unix time, or one
+// more than the last incarnation stored in dir if that is higher. The result is then stored in dir.
+// If dir is "", nothing is read or stored. An error means that reading or storing failed; the
+// incarnation can be used nevertheless.
 func Incarnation(dir string, now time.Time) (uint64, error) {
 	inc := uint64(now.UnixNano())
 	if dir == "" {
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -73,7 +73,7 @@
 	Accepted             PacketStatus = iota
 	Misaddressed                      // not for this node, from a number outside the fleet, or not authentic
 	Stale                             // sent too long ago, or the clocks differ by more than the freshness
-	Replayed                          // received before, or too old for the replay window to tell
+	Replayed                          // received before, or older than the replay window
 	FromOlderIncarnation              // from an earlier process of the peer
 	RateLimited                       // beyond the rate at which a node accepts messages
 	DuplicateNumber                   // two processes use the sender's number
@@ -90,7 +90,7 @@
 // window and rate. It does no I/O and reads no clock. It is not safe for concurrent use.
 //
 // It requires that the clocks of the fleet agree to within the freshness: a node that has just
-// started knows no sequence numbers, so only the send time excludes replayed packets at first.
+// started has no sequence numbers yet, so only the send time excludes replayed packets at first.
 type PacketFilter struct {
 	selfIndex   uint16
 	incarnation uint64
@@ -164,8 +164,8 @@
 	return Accepted
 }
 
-// markSeen records a sequence number. It returns false if the number was recorded before or is
-// too old for the replay window to tell.
+// markSeen records a sequence number. It returns false if the number is 0, was recorded before or
+// is older than the replay window.
 func (s *senderState) markSeen(seq uint64) bool {
 	switch {
 	case seq == 0:
--- a/standin/authoriser/authoriser.go
+++ b/standin/authoriser/authoriser.go
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// Check handles one authorization check. An unresponsive server returns only when the caller
-// has given up.
+// Check handles one authorization check. An unresponsive server returns only when the context of
+// the call ends.
 func (s *Server) Check(ctx context.Context, req *authv3.CheckRequest) (*authv3.CheckResponse, error) {
 	customer := req.GetAttributes().GetContextExtensions()["customer"]
 	s.mu.Lock()
--- a/standin/catalogue/catalogue.go
+++ b/standin/catalogue/catalogue.go
@@ -218,12 +218,12 @@
 	record := audit.AttemptRecord{Trace: r.Header.Get("X-Request-Id"), Server: s.options.Name, DedupScope: s.options.DedupScope.Name, Class: class.Name,
 		Key: r.Header.Get("Idempotency-Key"), ArrivedAt: time.Now()}
 	w.Header().Set("X-Request-Id", record.Trace)
-	var cancelledAt atomic.Int64 // Unix time in nanoseconds at which the request was cancelled; 0: it was not
-	stopWatching := context.AfterFunc(r.Context(), func() { cancelledAt.Store(time.Now().UnixNano()) })
+	var canceledAt atomic.Int64 // Unix time in nanoseconds at which the request was canceled; 0: it was not
+	stopWatching := context.AfterFunc(r.Context(), func() { canceledAt.Store(time.Now().UnixNano()) })
 	defer func() {
 		stopWatching()
 		record.EndedAt = time.Now()
-		if at := cancelledAt.Load(); at != 0 {
+		if at := canceledAt.Load(); at != 0 {
 			record.EndedAt = time.Unix(0, at)
 		}
 		if s.options.Record != nil {
@@ -268,14 +268,14 @@
 	select {
 	case s.coreSlots <- struct{}{}:
 	case <-r.Context().Done():
-		panic(http.ErrAbortHandler) // a request that is cancelled while queued is not executed
+		panic(http.ErrAbortHandler) // a request that is canceled while queued is not executed
 	}
 	defer func() { <-s.coreSlots }()
 	// The dedup window starts when a request is received, not when its work starts.
 	if class.IdempotentWithKey && !s.options.DedupScope.recordIfNew(record.Key, record.ArrivedAt) {
 		record.Deduplicated = true
 	} else {
-		// Running work continues after its request is cancelled.
+		// Running work continues after its request is canceled.
 		record.TookEffect = true
 		time.Sleep(time.Duration(float64(class.Work) * slowFactor / s.warmFraction(time.Now())))
 	}
--- a/upstream/http2.go
+++ b/upstream/http2.go
@@ -25,7 +25,7 @@
 
 const (
 	receiveWindow     = 1 << 20 // flow-control window in bytes, of each stream and of each connection
-	defaultWindow     = 65535   // initial window by RFC 9113, section 6.9.2
+	initialWindow     = 65535   // flow-control window before SETTINGS (RFC 9113, 6.9.2)
 	defaultMaxStreams = 100     // per connection, until the server states its own limit
 	h2WriteTimeout    = 5 * time.Second
 )
@@ -40,12 +40,12 @@
 	netConn net.Conn
 	framer  *http2.Framer
 
-	writeLock     h2.Lock // serializes writes; also protects headerBlock and headerEncoder
-	headerBlock   bytes.Buffer
+	writeLock     h2.Lock // serializes writes; also protects headerBuffer and headerEncoder
+	headerBuffer  bytes.Buffer
 	headerEncoder *hpack.Encoder
 
 	mu                sync.Mutex
-	cond              *sync.Cond
+	changed           *sync.Cond           // a send window, or the state of a stream, has changed
 	streams           map[uint32]*h2Stream // by stream ID, or by placeholder ID until the request is sent
 	nextStreamID      uint32
 	maxStreams        int       // maximum number of concurrent streams
@@ -108,9 +108,9 @@
 		return nil, nil, err
 	}
 	c := &h2Conn{pool: p, address: t.Address, netConn: netConn, framer: http2.NewFramer(netConn, netConn), streams: map[uint32]*h2Stream{}, nextStreamID: 1,
-		maxStreams: defaultMaxStreams, sendWindow: defaultWindow, initialSendWindow: defaultWindow}
-	c.cond, c.writeLock = sync.NewCond(&c.mu), h2.NewLock()
-	c.headerEncoder = hpack.NewEncoder(&c.headerBlock)
+		maxStreams: defaultMaxStreams, sendWindow: initialWindow, initialSendWindow: initialWindow}
+	c.changed, c.writeLock = sync.NewCond(&c.mu), h2.NewLock()
+	c.headerEncoder = hpack.NewEncoder(&c.headerBuffer)
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	c.framer.MaxHeaderListSize = uint32(p.options.Limits.MaxHeaderBytes)
 	err = c.write(func() error {
@@ -121,7 +121,7 @@
 			http2.Setting{ID: http2.SettingInitialWindowSize, Val: receiveWindow}); err != nil {
 			return err
 		}
-		return c.framer.WriteWindowUpdate(0, receiveWindow-defaultWindow)
+		return c.framer.WriteWindowUpdate(0, receiveWindow-initialWindow)
 	})
 	if err != nil {
 		netConn.Close()
@@ -188,7 +188,7 @@
 		c.mu.Lock()
 		if c.noNewStreams || s.ended {
 			c.mu.Unlock()
-			return nil // whoever ended it reports the result
+			return nil // the goroutine that ended the stream reports the result
 		}
 		for id, other := range c.streams {
 			if other == s {
@@ -199,7 +199,7 @@
 		c.nextStreamID += 2
 		c.streams[s.id] = s
 		c.mu.Unlock()
-		c.headerBlock.Reset()
+		c.headerBuffer.Reset()
 		put := func(name, value string) { c.headerEncoder.WriteField(hpack.HeaderField{Name: name, Value: value}) }
 		put(":method", call.Method)
 		put(":scheme", "http")
@@ -213,7 +213,7 @@
 		if len(call.Body) > 0 {
 			put("content-length", strconv.Itoa(len(call.Body)))
 		}
-		return h2.WriteHeaderBlock(c.framer, s.id, c.headerBlock.Bytes(), len(call.Body) == 0)
+		return h2.WriteHeaderBlock(c.framer, s.id, c.headerBuffer.Bytes(), len(call.Body) == 0)
 	})
 	if late {
 		return errTooLate // nothing was written, so the connection can still be used
@@ -222,7 +222,7 @@
 	for err == nil && len(body) > 0 {
 		c.mu.Lock()
 		for !s.ended && (s.sendWindow <= 0 || c.sendWindow <= 0) {
-			c.cond.Wait()
+			c.changed.Wait()
 		}
 		n := int(min(int64(len(body)), s.sendWindow, c.sendWindow, h2.DefaultMaxFrameSize))
 		if s.ended {
@@ -251,7 +251,7 @@
 			delete(c.streams, id)
 		}
 	}
-	c.cond.Broadcast()
+	c.changed.Broadcast()
 	return true
 }
 
@@ -387,7 +387,7 @@
 		} else if f.StreamID == 0 {
 			c.sendWindow += int64(f.Increment)
 		}
-		c.cond.Broadcast()
+		c.changed.Broadcast()
 	case *http2.PushPromiseFrame:
 		return http2.ConnectionError(http2.ErrCodeProtocol)
 	}
@@ -411,7 +411,7 @@
 				stream.sendWindow += int64(setting.Val) - c.initialSendWindow
 			}
 			c.initialSendWindow = int64(setting.Val)
-			c.cond.Broadcast()
+			c.changed.Broadcast()
 		case http2.SettingMaxConcurrentStreams:
 			c.maxStreams = int(min(setting.Val, 1000))
 		}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -384,7 +384,8 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// CloseIdle closes the idle connections to a server, which has been removed from the endpoint list.
+// CloseIdle closes the idle connections to a server, for example after it was removed from the
+// endpoint list. key is its connection key.
 func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -430,8 +431,8 @@
 	p.readers.Wait()
 }
 
-// conn is one HTTP/1.1 connection. A goroutine reads from it even while it is idle, so that the
-// pool notices that the server has closed it before a request is written to it.
+// conn is one HTTP/1.1 connection. A goroutine reads from it even while it is idle, so that a close
+// by the server is detected before a request is written to the connection.
 type conn struct {
 	pool         *Pool
 	key          string // of its server; see attempt.connectionKey
@@ -442,7 +443,7 @@
 	stallTimeout time.Duration // maximum duration of one read; 0: no limit. Used only by readLoop
 
 	mu           sync.Mutex
-	attempt      *attempt // that awaits a response
+	attempt      *attempt // the attempt that awaits a response; nil: none
 	writeStarted bool     // its request is being written, so data received from now on may be the response
 	broken       bool     // the connection has ended
 }
