--- a/peer/keyring.go
+++ b/peer/keyring.go
@@ -62,11 +62,11 @@
 		keys, err = config.ParseKeys(string(b))
 	}
 	if err != nil {
-		k.log.Error("the fleet's new keys can't be used; the last ones are kept", "error", err)
+		k.log.Error("reloading the peer keys failed; keeping the current ones", "error", err)
 		return k.keys
 	}
 	k.keys = keys
-	k.log.Info("the fleet's keys were replaced", "keys", fmt.Sprint(len(keys)))
+	k.log.Info("peer keys reloaded", "keys", fmt.Sprint(len(keys)))
 	return k.keys
 }
 
