--- a/day/scripts/authoriser-flap.hcl
+++ b/day/scripts/authoriser-flap.hcl
@@ -1,4 +1,4 @@
-# The authoriser comes and goes.
+# The authorizer stops responding for 700 ms every 2 s, ten times.
 
 extends = "base"
 
--- a/day/scripts/authoriser-silent.hcl
+++ b/day/scripts/authoriser-silent.hcl
@@ -1,4 +1,4 @@
-# The authoriser is silent, then slow; a node is killed with Checks out.
+# The authorizer does not respond, later responds slowly; a node is killed while authorization checks are in flight.
 
 extends = "base"
 
--- a/day/scripts/authoriser-term.hcl
+++ b/day/scripts/authoriser-term.hcl
@@ -1,4 +1,4 @@
-# Term opens: the authoriser takes 2 s for a Check, for 15 s.
+# The authorizer is overloaded, as at the start of a term: for 15 s, it takes 2 s for each check.
 
 extends = "base"
 
--- a/day/scripts/base.hcl
+++ b/day/scripts/base.hcl
@@ -1,4 +1,4 @@
-# Three nodes, ten catalogue servers in two racks, no trouble. Other scripts extend it.
+# Three nodes and ten catalogue servers in two racks, without faults. Other scripts extend it.
 
 length          = "30s"
 nodes           = 3
@@ -88,7 +88,7 @@
   use   = 0.8
 }
 
-# Asks for far more than its quota, and more than its hard ceiling.
+# Demands far more than its quota, and more than its hard ceiling.
 customers "flood" {
   plan  = "extended"
   count = 1
--- a/day/scripts/counter-empty.hcl
+++ b/day/scripts/counter-empty.hcl
@@ -1,4 +1,4 @@
-# An empty replacement at the peak, with nodes restarting at the same moment.
+# Both shards of the counter are replaced by empty ones under full load, while nodes restart at the same moment.
 
 extends = "base"
 
--- a/day/scripts/counter-flap.hcl
+++ b/day/scripts/counter-flap.hcl
@@ -1,4 +1,4 @@
-# A part comes and goes.
+# A shard of the counter refuses connections and commands for 500 ms every second, 16 times.
 
 extends = "base"
 
--- a/day/scripts/counter-lose.hcl
+++ b/day/scripts/counter-lose.hcl
@@ -1,4 +1,4 @@
-# Adds are done and their answers lost; then a node is killed.
+# The counter applies additions but its responses are lost; then a node is killed.
 
 extends = "base"
 
--- a/day/scripts/counter-mail.hcl
+++ b/day/scripts/counter-mail.hcl
@@ -1,4 +1,4 @@
-# The counter silent and all messages between nodes lost.
+# The counter does not respond, and all peer messages are lost.
 
 extends = "base"
 
--- a/day/scripts/counter-restore.hcl
+++ b/day/scripts/counter-restore.hcl
@@ -1,4 +1,4 @@
-# A part comes back with an old copy.
+# A shard of the counter is restored from an old copy.
 
 extends = "base"
 
--- a/day/scripts/counter-silent.hcl
+++ b/day/scripts/counter-silent.hcl
@@ -1,4 +1,4 @@
-# Both parts silent for 15 s, back empty.
+# Both shards of the counter do not respond for 15 s, and are empty afterwards.
 
 extends = "base"
 
--- a/day/scripts/counter-split-both.hcl
+++ b/day/scripts/counter-split-both.hcl
@@ -1,4 +1,4 @@
-# The counter split for 15 s, even nodes on one side, odd ones on the other; healed: both.
+# The counter is partitioned for 15 s: even nodes use one side, odd nodes the other. After it, the larger value of each field is kept.
 
 extends = "base"
 
--- a/day/scripts/counter-split-first.hcl
+++ b/day/scripts/counter-split-first.hcl
@@ -1,4 +1,4 @@
-# The counter split for 15 s, even nodes on one side, odd ones on the other; healed: first.
+# The counter is partitioned for 15 s: even nodes use one side, odd nodes the other. After it, the data of the first side is kept.
 
 extends = "base"
 
--- a/day/scripts/default.hcl
+++ b/day/scripts/default.hcl
@@ -1,4 +1,4 @@
-# Half a minute of trouble.
+# 30 s with faults of nodes, servers, peer messages, the authorizer and the counter.
 
 extends = "base"
 
--- a/day/scripts/fleet.hcl
+++ b/day/scripts/fleet.hcl
@@ -1,5 +1,5 @@
-# A fleet of three grows to six and shrinks to four, under faults, with a customer
-# that asks for far more than its ceiling on all nodes.
+# A fleet of three nodes grows to six, shrinks to four and grows to six again, under faults, with a
+# customer that demands far more than its hard ceiling on all nodes.
 
 extends = "base"
 spares  = 3
--- a/day/scripts/stops.hcl
+++ b/day/scripts/stops.hcl
@@ -1,4 +1,4 @@
-# Nodes stopped for 0.2 to 8 s, one and all at once, among other trouble.
+# Nodes are suspended for 0.2 to 8 s, one at a time and all at once, among other faults.
 
 extends = "base"
 
