--- a/day/clients.go
+++ b/day/clients.go
@@ -17,13 +17,15 @@
 	"yardcleat.example/yardcleat/upstream"
 )
 
-func packetAddr(n network.Network, addr string) (net.Addr, error) { return network.Resolve(n, addr) }
+func resolvePacketAddr(n network.Network, addr string) (net.Addr, error) {
+	return network.Resolve(n, addr)
+}
 
 // customer is one customer of a crowd.
 type customer struct {
-	Name string
-	Plan string
-	Use  float64 // units a second
+	Name        string
+	Plan        string
+	RequestRate float64 // units a second
 }
 
 func customers(s *Script) []customer {
@@ -40,109 +42,109 @@
 	return all
 }
 
-// callers are the clients. Each customer asks at random times; what is refused
+// clients are the clients. Each customer asks at random times; what is refused
 // is tried again, with the same key, by another node.
-type callers struct {
-	d     *stage
-	pool  *upstream.Pool
-	h2    *upstream.Pool // over HTTP/2
-	tries sync.WaitGroup
+type clients struct {
+	scenario  *scenarioRun
+	http1Pool *upstream.Pool
+	http2Pool *upstream.Pool // over HTTP/2
+	pending   sync.WaitGroup
 
-	mu     sync.Mutex
-	next   int
-	counts map[string]int
-	tried  []audit.RequestRecord
+	mu          sync.Mutex
+	lastRequest int
+	outcomes    map[string]int
+	records     []audit.RequestRecord
 }
 
-func newCallers(d *stage) *callers {
-	o := upstream.Options{Network: d.o.Environment.Network("clients"), ConnectTimeout: time.Second, MaxIdlePerServer: 256,
+func newClients(d *scenarioRun) *clients {
+	o := upstream.Options{Network: d.options.Environment.Network("clients"), ConnectTimeout: time.Second, MaxIdlePerServer: 256,
 		Limits: http1.Limits{MaxLineBytes: 8 << 10, MaxHeaderFields: 100, MaxHeaderBytes: 32 << 10, MaxBodyBytes: 8 << 20}}
-	c := &callers{d: d, counts: map[string]int{}, pool: upstream.New(o)}
+	c := &clients{scenario: d, outcomes: map[string]int{}, http1Pool: upstream.New(o)}
 	o.HTTP2 = true
-	c.h2 = upstream.New(o)
+	c.http2Pool = upstream.New(o)
 	return c
 }
 
-func (c *callers) close() {
-	c.pool.Close()
-	c.h2.Close()
+func (c *clients) close() {
+	c.http1Pool.Close()
+	c.http2Pool.Close()
 }
 
-func (c *callers) count() map[string]int {
+func (c *clients) outcomeCounts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]int{}
-	for k, v := range c.counts {
+	for k, v := range c.outcomes {
 		out[k] = v
 	}
 	return out
 }
 
 // run asks for a time and waits for the last answers.
-func (c *callers) run(ctx context.Context, length time.Duration) {
+func (c *clients) run(ctx context.Context, length time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	var asking sync.WaitGroup
-	for i, who := range customers(c.d.s) {
+	for i, who := range customers(c.scenario.script) {
 		asking.Go(func() {
-			rng := rand.New(rand.NewPCG(uint64(c.d.s.Seed), uint64(i)))
-			for sleep(ctx, time.Duration(rng.ExpFloat64()/who.Use*float64(time.Second))) {
+			rng := rand.New(rand.NewPCG(uint64(c.scenario.script.Seed), uint64(i)))
+			for sleep(ctx, time.Duration(rng.ExpFloat64()/who.RequestRate*float64(time.Second))) {
 				seed := rng.Uint64()
-				c.tries.Go(func() { c.request(who, rand.New(rand.NewPCG(seed, 0))) })
+				c.pending.Go(func() { c.sendWithRetries(who, rand.New(rand.NewPCG(seed, 0))) })
 			}
 		})
 	}
 	asking.Wait()
-	c.tries.Wait()
+	c.pending.Wait()
 }
 
-// request is one request of a customer with its retries.
-func (c *callers) request(who customer, rng *rand.Rand) {
-	class := c.class(rng)
+// sendWithRetries is one sendWithRetries of a customer with its retries.
+func (c *clients) sendWithRetries(who customer, rng *rand.Rand) {
+	class := c.drawClass(rng)
 	c.mu.Lock()
-	c.next++
-	number := c.next
+	c.lastRequest++
+	number := c.lastRequest
 	c.mu.Unlock()
 	key := fmt.Sprint("key-", number)
-	deadline := time.Now().Add(dur(class.Deadline))
-	for attempt := range c.d.s.Clients.Retries + 1 {
-		patience := min(time.Duration((0.5+0.5*rng.Float64())*float64(dur(class.Deadline))), time.Until(deadline))
+	deadline := time.Now().Add(parseDuration(class.Deadline))
+	for attempt := range c.scenario.script.Clients.Retries + 1 {
+		patience := min(time.Duration((0.5+0.5*rng.Float64())*float64(parseDuration(class.Deadline))), time.Until(deadline))
 		if patience < 10*time.Millisecond {
 			return
 		}
-		t := audit.RequestRecord{Trace: fmt.Sprintf("try-%d-%d", number, attempt), Node: rng.IntN(int(c.d.asked.Load())), Frontend: "http",
+		t := audit.RequestRecord{Trace: fmt.Sprintf("try-%d-%d", number, attempt), Node: rng.IntN(int(c.scenario.clientNodes.Load())), Frontend: "http",
 			Customer: who.Name, Plan: who.Plan, Class: class.Name, Units: max(1, class.Units), ClientRetry: attempt > 0}
 		switch at := rng.Float64(); {
-		case at < c.d.s.Clients.ProxyShare:
+		case at < c.scenario.script.Clients.ProxyShare:
 			t.Frontend = "proxy"
-		case at < c.d.s.Clients.ProxyShare+c.d.s.Clients.HTTP2Share:
+		case at < c.scenario.script.Clients.ProxyShare+c.scenario.script.Clients.HTTP2Share:
 			t.Frontend = "http2"
 		}
-		c.try(&t, class, key, patience, attempt)
+		c.sendAttempt(&t, class, key, patience, attempt)
 		c.mu.Lock()
-		c.tried = append(c.tried, t)
-		c.counts[t.Outcome]++
+		c.records = append(c.records, t)
+		c.outcomes[t.Outcome]++
 		c.mu.Unlock()
 		again := t.Outcome == "refused" || t.NotAccepted || class.Effect == "safe"
 		if t.Outcome == "served" || !again {
 			return
 		}
-		time.Sleep(time.Duration((0.5 + rng.Float64()) * float64(dur(c.d.s.Clients.RetryDelay))))
+		time.Sleep(time.Duration((0.5 + rng.Float64()) * float64(parseDuration(c.scenario.script.Clients.RetryDelay))))
 	}
 }
 
-func (c *callers) class(rng *rand.Rand) *Class {
+func (c *clients) drawClass(rng *rand.Rand) *Class {
 	at := rng.Float64()
-	for i := range c.d.s.Classes {
-		if at -= c.d.s.Classes[i].Share; at < 0 {
-			return &c.d.s.Classes[i]
+	for i := range c.scenario.script.Classes {
+		if at -= c.scenario.script.Classes[i].Share; at < 0 {
+			return &c.scenario.script.Classes[i]
 		}
 	}
-	return &c.d.s.Classes[0]
+	return &c.scenario.script.Classes[0]
 }
 
-// try makes one try and records what came of it.
-func (c *callers) try(t *audit.RequestRecord, class *Class, key string, patience time.Duration, attempt int) {
+// sendAttempt makes one sendAttempt and records what came of it.
+func (c *clients) sendAttempt(t *audit.RequestRecord, class *Class, key string, patience time.Duration, attempt int) {
 	call := node.HTTPRequest{Method: class.Method, Target: class.PathPrefix + t.Trace, Host: "catalogue.example"}
 	call.Header.Add("X-Api-Key", "key-of-"+t.Customer)
 	call.Header.Add("X-Request-Id", t.Trace)
@@ -151,12 +153,12 @@
 	if class.Effect == "keyed" {
 		call.Header.Add("Idempotency-Key", key)
 	}
-	address, pool := c.d.http[t.Node], c.pool
+	address, pool := c.scenario.httpAddresses[t.Node], c.http1Pool
 	switch t.Frontend {
 	case "proxy":
-		address = c.d.proxies[t.Node]
+		address = c.scenario.proxyAddresses[t.Node]
 	case "http2":
-		address, pool = c.d.http2[t.Node], c.h2
+		address, pool = c.scenario.http2Addresses[t.Node], c.http2Pool
 	}
 	t.SentAt = time.Now()
 	t.TimesOutAt = t.SentAt.Add(patience)
@@ -166,14 +168,14 @@
 	defer timer.Stop()
 	select {
 	case r := <-ended:
-		answer(t, r)
+		recordResponse(t, r)
 	case <-timer.C:
 		sending.Cancel()
 	}
 }
 
-// answer reads what a client was told.
-func answer(t *audit.RequestRecord, r node.Result) {
+// recordResponse reads what a client was told.
+func recordResponse(t *audit.RequestRecord, r node.Result) {
 	if r.Response == nil {
 		t.NotAccepted = r.Code.NeverRan() // not connected, or the stream was not taken
 		return
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -16,7 +16,7 @@
 )
 
 // inBubble plays a script in virtual time.
-func playInBubble(t *testing.T, src []byte, defect func(*VirtualEnvironment)) *Report {
+func runVirtual(t *testing.T, src []byte, defect func(*VirtualEnvironment)) *Report {
 	t.Helper()
 	s, err := Parse(src, "test.hcl")
 	if err != nil {
@@ -37,8 +37,8 @@
 }
 
 // The whole bad day keeps all rules, in virtual time.
-func TestDefaultDay(t *testing.T) {
-	r := playInBubble(t, source(t, DefaultScript), nil)
+func TestDefaultScenario(t *testing.T) {
+	r := runVirtual(t, scriptSource(t, DefaultScript), nil)
 	if !r.Passed() {
 		r.Write(t.Output())
 		t.Error("a rule was broken")
@@ -57,8 +57,8 @@
 	}
 }
 
-// coldDay has few servers, all busy, one of which returns very cold.
-var coldDay = func() []byte {
+// coldServerScript has few servers, all busy, one of which returns very cold.
+var coldServerScript = func() []byte {
 	b, err := Source("base")
 	if err != nil {
 		panic(err)
@@ -83,7 +83,7 @@
 `)...)
 }()
 
-func source(t *testing.T, name string) []byte {
+func scriptSource(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := Source(name)
 	if err != nil {
@@ -92,15 +92,15 @@
 	return b
 }
 
-func TestColdDay(t *testing.T) {
-	if r := playInBubble(t, coldDay, nil); !r.Passed() {
+func TestColdServer(t *testing.T) {
+	if r := runVirtual(t, coldServerScript, nil); !r.Passed() {
 		r.Write(t.Output())
 		t.Error("a rule was broken")
 	}
 }
 
 // With one defence taken out of the nodes, the audit finds its rule broken.
-func TestDefects(t *testing.T) {
+func TestMutations(t *testing.T) {
 	edit := func(old, new string) func(*VirtualEnvironment) {
 		return func(b *VirtualEnvironment) {
 			b.EditConfig = func(cfg []byte) []byte {
@@ -119,8 +119,8 @@
 		script []byte
 	}{
 		{1, "the client's patience is not read",
-			edit("clients {", "clients {\n patience_header = \"x-none\""), source(t, DefaultScript)},
-		{2, "keyed requests are taken for safe", edit(`effect = "keyed"`, `effect = "safe"`), source(t, DefaultScript)},
+			edit("clients {", "clients {\n patience_header = \"x-none\""), scriptSource(t, DefaultScript)},
+		{2, "keyed requests are taken for safe", edit(`effect = "keyed"`, `effect = "safe"`), scriptSource(t, DefaultScript)},
 		{3, "drains are not heard of", func(b *VirtualEnvironment) {
 			b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
@@ -128,7 +128,7 @@
 				}
 				return list
 			}
-		}, source(t, DefaultScript)},
+		}, scriptSource(t, DefaultScript)},
 		{4, "cold servers are taken for warm", func(b *VirtualEnvironment) {
 			b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
@@ -136,12 +136,12 @@
 				}
 				return list
 			}
-		}, coldDay},
+		}, coldServerScript},
 		{5, "neither quota nor ceiling is known", edit("rate = 8\n  burst = 16\n  open = 6\n  hard_rate = 14\n  hard_burst = 24",
-			"rate = 100\n  burst = 100\n  open = 0"), source(t, DefaultScript)},
+			"rate = 100\n  burst = 100\n  open = 0"), scriptSource(t, DefaultScript)},
 	} {
 		t.Run(c.what, func(t *testing.T) {
-			r := playInBubble(t, c.script, c.defect)
+			r := runVirtual(t, c.script, c.defect)
 			if len(r.Rules[c.rule-1].Violations) == 0 {
 				r.Write(t.Output())
 				t.Errorf("rule %d was not found broken", c.rule)
@@ -151,13 +151,13 @@
 }
 
 // Each fault of the authoriser: every item ends once, whatever it does.
-func TestAuthoriserDays(t *testing.T) {
+func TestAuthorizerFaults(t *testing.T) {
 	for _, name := range ScriptNames() {
 		if !strings.HasPrefix(name, "authoriser-") {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
-			r := playInBubble(t, source(t, name), nil)
+			r := runVirtual(t, scriptSource(t, name), nil)
 			if !r.Passed() {
 				r.Write(t.Output())
 				t.Error("a rule was broken")
@@ -171,13 +171,13 @@
 
 // Each fault of the counter: all rules hold, no request waits for it, and the
 // counter ends with all that arrived but what a killed node had not stored.
-func TestCounterDays(t *testing.T) {
+func TestCounterFaults(t *testing.T) {
 	for _, name := range ScriptNames() {
 		if !strings.HasPrefix(name, "counter-") {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
-			r := playInBubble(t, source(t, name), nil)
+			r := runVirtual(t, scriptSource(t, name), nil)
 			if !r.Passed() {
 				r.Write(t.Output())
 				t.Error("a rule was broken")
@@ -192,9 +192,9 @@
 
 // Nodes stopped over each other: what came while they stood still is not sent on
 // for clients that have left, with the kernel's word on when it came or without.
-func TestStops(t *testing.T) {
+func TestNodePauses(t *testing.T) {
 	for _, stamps := range []bool{true, false} {
-		r := playInBubble(t, source(t, "stops"), func(b *VirtualEnvironment) { b.Memory.NoTimestamps = !stamps })
+		r := runVirtual(t, scriptSource(t, "stops"), func(b *VirtualEnvironment) { b.Memory.NoTimestamps = !stamps })
 		if !r.Passed() {
 			r.Write(t.Output())
 			t.Errorf("stamps %v: a rule was broken", stamps)
@@ -203,9 +203,9 @@
 }
 
 // A fleet grows, shrinks and grows again under faults, without a restart.
-func TestFleetDay(t *testing.T) {
+func TestMembershipChanges(t *testing.T) {
 	var logs bytes.Buffer
-	r := playInBubble(t, source(t, "fleet"), func(b *VirtualEnvironment) { b.Log = &logs })
+	r := runVirtual(t, scriptSource(t, "fleet"), func(b *VirtualEnvironment) { b.Log = &logs })
 	if !r.Passed() {
 		r.Write(t.Output())
 		t.Error("a rule was broken")
--- a/day/environment.go
+++ b/day/environment.go
@@ -120,12 +120,12 @@
 
 // VirtualEnvironment plays a day in virtual time, in a testing/synctest bubble.
 type VirtualEnvironment struct {
-	Memory  *network.Memory
-	TempDir string
-	Log     io.Writer
-	Seed    uint64
-	hosts   int
-	wall    sync.Map // what a node's wall clock is ahead, by number
+	Memory           *network.Memory
+	TempDir          string
+	Log              io.Writer
+	Seed             uint64
+	hostCount        int
+	wallClockOffsets sync.Map // what a node's wall clock is ahead, by number
 
 	// Defects, to see the audit find them: EditConfig changes a node's configuration,
 	// Deafen what it hears of the server list, Carry how its attempts are made.
@@ -143,8 +143,8 @@
 
 // NewAddress gives each its own host.
 func (b *VirtualEnvironment) NewAddress() (string, error) {
-	b.hosts++
-	return fmt.Sprintf("10.0.%d.%d:80", b.hosts/256, b.hosts%256), nil
+	b.hostCount++
+	return fmt.Sprintf("10.0.%d.%d:80", b.hostCount/256, b.hostCount%256), nil
 }
 
 // NodeDir is a directory below Temp.
@@ -154,7 +154,9 @@
 }
 
 // SetWallClock sets what a node's wall clock is ahead.
-func (b *VirtualEnvironment) SetWallClock(node int, ahead time.Duration) { b.wall.Store(node, ahead) }
+func (b *VirtualEnvironment) SetWallClock(node int, ahead time.Duration) {
+	b.wallClockOffsets.Store(node, ahead)
+}
 
 // StartNode starts a gateway in this process, on a host of its own.
 func (b *VirtualEnvironment) StartNode(number int, hcl []byte) (Node, error) {
@@ -170,34 +172,34 @@
 	log := slog.New(slog.NewTextHandler(b.Log, &slog.HandlerOptions{Level: cfg.LogLevel})).With("node", number)
 	g, err := gateway.Start(cfg, gateway.Options{Network: host, Log: log, Seed: b.Seed, TransformEndpoints: b.TransformEndpoints, WrapUpstream: b.WrapUpstream, Pause: b.Pause,
 		WallClock: func() time.Time {
-			ahead, _ := b.wall.Load(number)
+			ahead, _ := b.wallClockOffsets.Load(number)
 			d, _ := ahead.(time.Duration)
 			return time.Now().Add(d)
 		}})
 	if err != nil {
 		return nil, err
 	}
-	return &inBubble{g, host}, nil
+	return &virtualNode{g, host}, nil
 }
 
-type inBubble struct {
-	g    *gateway.Gateway
-	host *network.Host
+type virtualNode struct {
+	gateway *gateway.Gateway
+	host    *network.Host
 }
 
-func (n *inBubble) Kill() {
+func (n *virtualNode) Kill() {
 	n.host.Kill()
-	n.g.Kill()
+	n.gateway.Kill()
 }
 
-func (n *inBubble) Suspend(d time.Duration) {
+func (n *virtualNode) Suspend(d time.Duration) {
 	n.host.Pause()
 	time.Sleep(d)
 	n.host.Resume()
 }
 
-func (n *inBubble) Drain() error {
+func (n *virtualNode) Drain() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	return n.g.Drain(ctx)
+	return n.gateway.Drain(ctx)
 }
--- a/day/fleet_changes.go
+++ b/day/fleet_changes.go
@@ -17,11 +17,11 @@
 func nodeName(i int) string { return fmt.Sprint("node-", i) }
 
 // writeRoster gives a node the roster as it reaches the others: each by its own relay.
-func (d *stage) writeRoster(i int) error {
+func (d *scenarioRun) writeRoster(i int) error {
 	if d.roster == nil {
 		return nil
 	}
-	dir, err := d.o.Environment.NodeDir(i)
+	dir, err := d.options.Environment.NodeDir(i)
 	if err != nil {
 		return err
 	}
@@ -30,7 +30,7 @@
 	d.mu.Unlock()
 	at := func(k int) string {
 		if k == i {
-			return d.peer[i]
+			return d.peerAddresses[i]
 		}
 		return d.relays[[2]int{i, k}].address
 	}
@@ -50,7 +50,7 @@
 
 // changeFleet has spares join or leave. The nodes read of it one after the other, in
 // an order drawn from the seed.
-func (d *stage) changeFleet(ctx context.Context, f Fault) error {
+func (d *scenarioRun) changeFleet(ctx context.Context, f Fault) error {
 	n, _ := strconv.Atoi(f.Argument)
 	d.mu.Lock()
 	old := len(d.roster.Nodes)
@@ -78,16 +78,16 @@
 		return err
 	}
 	if len(list) < old {
-		d.asked.Store(int64(len(list))) // their addresses are withdrawn first
+		d.clientNodes.Store(int64(len(list))) // their addresses are withdrawn first
 	}
-	order := rand.New(rand.NewPCG(uint64(d.s.Seed), r.Epoch)).Perm(max(old, len(list)))
+	order := rand.New(rand.NewPCG(uint64(d.script.Seed), r.Epoch)).Perm(max(old, len(list)))
 	for _, i := range order {
-		sleep(ctx, dur(f.Duration)/time.Duration(len(order)))
+		sleep(ctx, parseDuration(f.Duration)/time.Duration(len(order)))
 		if err := d.writeRoster(i); err != nil {
 			return err
 		}
 		if i >= old {
-			n, err := d.o.Environment.StartNode(i, d.configs[i])
+			n, err := d.options.Environment.StartNode(i, d.nodeConfigs[i])
 			if err != nil {
 				return err
 			}
@@ -98,8 +98,8 @@
 	}
 	if len(list) > old {
 		sleep(ctx, time.Second)
-		d.asked.Store(int64(len(list)))
-		return d.ready()
+		d.clientNodes.Store(int64(len(list)))
+		return d.waitUntilReady()
 	}
 	sleep(ctx, 2*time.Second)
 	for i := len(list); i < old; i++ {
--- a/day/golden_test.go
+++ b/day/golden_test.go
@@ -151,7 +151,7 @@
 			t.Fatal(err)
 		}
 		var b bytes.Buffer
-		err = nodeConfig.Execute(&b, map[string]any{"S": s, "Number": 0, "Zone": "room-0", "Dir": "/d", "HTTP": "10.0.0.1:80",
+		err = nodeConfigTemplate.Execute(&b, map[string]any{"S": s, "Number": 0, "Zone": "room-0", "Dir": "/d", "HTTP": "10.0.0.1:80",
 			"HTTP2": "10.0.0.1:82", "ExtAuthz": "10.0.0.1:81", "Peer": "10.0.0.1:70", "Peers": map[int]string{1: "10.0.0.2:70"},
 			"Key": strings.Repeat("ab", 32), "Auth": "10.0.0.9:80", "EDS": "10.0.0.8:80", "Customers": customers(s),
 			"Counters": []string{"10.0.0.7:80"}, "Roster": false})
--- a/day/node_config.go
+++ b/day/node_config.go
@@ -8,25 +8,25 @@
 	"github.com/zeebo/blake3"
 )
 
-// config writes a node's configuration.
-func (d *stage) config(i int) ([]byte, error) {
-	dir, err := d.o.Environment.NodeDir(i)
+// renderNodeConfig writes a node's configuration.
+func (d *scenarioRun) renderNodeConfig(i int) ([]byte, error) {
+	dir, err := d.options.Environment.NodeDir(i)
 	if err != nil {
 		return nil, err
 	}
 	peers := map[int]string{}
-	for k := range d.s.Nodes + d.s.Spares {
+	for k := range d.script.Nodes + d.script.Spares {
 		if k == i {
 			continue
 		}
-		if peers[k], err = d.relayTo(i, k); err != nil {
+		if peers[k], err = d.openRelay(i, k); err != nil {
 			return nil, err
 		}
 	}
-	key := blake3.Sum256([]byte(fmt.Sprint("day ", d.s.Seed)))
+	key := blake3.Sum256([]byte(fmt.Sprint("day ", d.script.Seed)))
 	var b bytes.Buffer
-	err = nodeConfig.Execute(&b, map[string]any{"S": d.s, "Number": i, "Zone": fmt.Sprint("room-", i%d.s.Servers.DedupScopes),
-		"Dir": dir, "HTTP": d.http[i], "HTTP2": d.http2[i], "ExtAuthz": d.extAuthz[i], "Peer": d.peer[i], "Peers": peers, "Key": hex.EncodeToString(key[:]),
-		"Auth": d.authAddr, "EDS": d.edsAddr, "Customers": customers(d.s), "Counters": d.counterAt, "Roster": d.roster != nil})
+	err = nodeConfigTemplate.Execute(&b, map[string]any{"S": d.script, "Number": i, "Zone": fmt.Sprint("room-", i%d.script.Servers.DedupScopes),
+		"Dir": dir, "HTTP": d.httpAddresses[i], "HTTP2": d.http2Addresses[i], "ExtAuthz": d.extAuthzAddresses[i], "Peer": d.peerAddresses[i], "Peers": peers, "Key": hex.EncodeToString(key[:]),
+		"Auth": d.authorizerAddress, "EDS": d.discoveryAddress, "Customers": customers(d.script), "Counters": d.counterAddresses, "Roster": d.roster != nil})
 	return b.Bytes(), err
 }
--- a/day/relay.go
+++ b/day/relay.go
@@ -9,24 +9,24 @@
 
 // relay stands between a node and a peer, and loses what passes by chance.
 type relay struct {
-	address string
-	pc      net.PacketConn
-	to      net.Addr
-	mu      sync.Mutex
-	share   float64
-	rng     *rand.Rand
+	address     string
+	conn        net.PacketConn
+	destination net.Addr
+	mu          sync.Mutex
+	lossRate    float64
+	rng         *rand.Rand
 }
 
-func (r *relay) lose(share float64) {
+func (r *relay) setLossRate(share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.share = share
+	r.lossRate = share
 }
 
-func (r *relay) run() {
+func (r *relay) forward() {
 	b := make([]byte, 2048)
 	for {
-		n, _, err := r.pc.ReadFrom(b)
+		n, _, err := r.conn.ReadFrom(b)
 		if err != nil {
 			if strings.Contains(err.Error(), "closed") {
 				return
@@ -34,36 +34,36 @@
 			continue
 		}
 		r.mu.Lock()
-		lost := r.rng.Float64() < r.share
+		lost := r.rng.Float64() < r.lossRate
 		r.mu.Unlock()
 		if !lost {
-			r.pc.WriteTo(b[:n], r.to)
+			r.conn.WriteTo(b[:n], r.destination)
 		}
 	}
 }
 
-// relayTo opens a relay to a node's peer address and returns its own.
-func (d *stage) relayTo(from, to int) (string, error) {
-	address, err := d.o.Environment.NewAddress()
+// openRelay opens a relay to a node's peer address and returns its own.
+func (d *scenarioRun) openRelay(from, to int) (string, error) {
+	address, err := d.options.Environment.NewAddress()
 	if err != nil {
 		return "", err
 	}
-	n := d.o.Environment.Network("relay")
+	n := d.options.Environment.Network("relay")
 	pc, err := n.ListenPacket(address)
 	if err != nil {
 		return "", err
 	}
-	dest, err := packetAddr(n, d.peer[to])
+	dest, err := resolvePacketAddr(n, d.peerAddresses[to])
 	if err != nil {
 		return "", err
 	}
-	r := &relay{address: address, pc: pc, to: dest, rng: rand.New(rand.NewPCG(uint64(d.s.Seed), uint64(from*1000+to)))}
+	r := &relay{address: address, conn: pc, destination: dest, rng: rand.New(rand.NewPCG(uint64(d.script.Seed), uint64(from*1000+to)))}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.run()
+		r.forward()
 	}()
-	d.closes = append(d.closes, func() {
+	d.closers = append(d.closers, func() {
 		pc.Close()
 		<-done
 	})
@@ -71,8 +71,8 @@
 	return address, nil
 }
 
-func (d *stage) lose(share float64) {
+func (d *scenarioRun) setPeerLossRate(share float64) {
 	for _, r := range d.relays {
-		r.lose(share)
+		r.setLossRate(share)
 	}
 }
--- a/day/report.go
+++ b/day/report.go
@@ -43,7 +43,7 @@
 	Served              int `json:"served"`
 }
 
-func (d *stage) stops() *PauseSummary {
+func (d *scenarioRun) summarizePauses() *PauseSummary {
 	const after, left = 5 * time.Second, 200 * time.Millisecond
 	out := &PauseSummary{}
 	met := map[string]*audit.RequestRecord{}
@@ -130,13 +130,13 @@
 	return len(r.Errors) == 0 && !slices.ContainsFunc(r.Rules, func(f audit.RuleResult) bool { return len(f.Violations) > 0 })
 }
 
-func (d *stage) report() *Report {
+func (d *scenarioRun) newReport() *Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := &Report{Seconds: dur(d.s.Length).Seconds(), ClientAttempts: len(d.record.Requests), ServerAttempts: len(d.record.Attempts)}
+	r := &Report{Seconds: parseDuration(d.script.Length).Seconds(), ClientAttempts: len(d.record.Requests), ServerAttempts: len(d.record.Attempts)}
 	plans, fronts := map[string]*OutcomeCounts{}, map[string]*OutcomeCounts{}
 	good := 0
-	for _, c := range d.s.Classes {
+	for _, c := range d.script.Classes {
 		h := hdrhistogram.New(1, 60_000_000, 3) // microseconds
 		in := 0
 		for _, t := range d.record.Requests {
@@ -145,7 +145,7 @@
 			}
 			took := t.RespondedAt.Sub(t.SentAt)
 			h.RecordValue(max(1, took.Microseconds()))
-			if took <= dur(c.LatencyObjective) {
+			if took <= parseDuration(c.LatencyObjective) {
 				in++
 			}
 		}
@@ -156,22 +156,22 @@
 	}
 	for i := range d.record.Requests {
 		t := &d.record.Requests[i]
-		count(plans, t.Plan, t)
-		count(fronts, t.Frontend, t)
+		countOutcome(plans, t.Plan, t)
+		countOutcome(fronts, t.Frontend, t)
 	}
 	r.Goodput = float64(good) / r.Seconds
-	r.Plans, r.Fronts = rows(plans), rows(fronts)
-	r.CounterTotals = d.tally()
+	r.Plans, r.Fronts = sortedOutcomeCounts(plans), sortedOutcomeCounts(fronts)
+	r.CounterTotals = d.compareCounter()
 	r.Rules = audit.Check(&d.record)
 	r.ServedWithinObjective = float64(good)
-	r.Pauses = d.stops()
+	r.Pauses = d.summarizePauses()
 	cold := 0.0
-	for _, n := range d.colds {
+	for _, n := range d.coldServers {
 		cold = max(cold, n.PeakColdLoad())
 	}
 	r.Margins = audit.Margins(&d.record, cold)
 	caps := map[string]int{}
-	for _, p := range d.s.Plans {
+	for _, p := range d.script.Plans {
 		caps[p.Name] = p.MaxInFlight
 	}
 	r.InFlight = audit.InFlightPeaks(&d.record, caps)
@@ -182,7 +182,7 @@
 	return r
 }
 
-func (d *stage) tally() *CounterComparison {
+func (d *scenarioRun) compareCounter() *CounterComparison {
 	if len(d.counters) == 0 {
 		return nil
 	}
@@ -205,7 +205,7 @@
 		}
 	}
 	t := &CounterComparison{}
-	for _, who := range customers(d.s) {
+	for _, who := range customers(d.script) {
 		a, c := arrived[who.Name], counted[who.Name]
 		t.Received, t.Counted = t.Received+a, t.Counted+c
 		t.Missing, t.Excess = t.Missing+max(0, a-c), t.Excess+max(0, c-a)
@@ -213,7 +213,7 @@
 	return t
 }
 
-func count(rows map[string]*OutcomeCounts, name string, t *audit.RequestRecord) {
+func countOutcome(rows map[string]*OutcomeCounts, name string, t *audit.RequestRecord) {
 	row := rows[name]
 	if row == nil {
 		row = &OutcomeCounts{Name: name, Rejected: map[string]int{}, Failed: map[string]int{}}
@@ -233,7 +233,7 @@
 	}
 }
 
-func rows(m map[string]*OutcomeCounts) []OutcomeCounts {
+func sortedOutcomeCounts(m map[string]*OutcomeCounts) []OutcomeCounts {
 	var out []OutcomeCounts
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		out = append(out, *m[name])
@@ -265,7 +265,7 @@
 	fmt.Fprintln(t)
 	fmt.Fprintln(t, "class\tserved\twithin aim\tp50\tp90\tp99\tmax")
 	for _, l := range r.Classes {
-		fmt.Fprintf(t, "%s\t%d\t%.1f%%\t%s\t%s\t%s\t%s\n", l.Class, l.Served, 100*l.WithinObjective, ms(l.P50), ms(l.P90), ms(l.P99), ms(l.Max))
+		fmt.Fprintf(t, "%s\t%d\t%.1f%%\t%s\t%s\t%s\t%s\n", l.Class, l.Served, 100*l.WithinObjective, formatMilliseconds(l.P50), formatMilliseconds(l.P90), formatMilliseconds(l.P99), formatMilliseconds(l.Max))
 	}
 	fmt.Fprintln(t)
 	fmt.Fprintln(t, "rule\tchecked\tbroken\tnearest to its edge")
@@ -296,6 +296,6 @@
 	}
 }
 
-func ms(v float64) string {
+func formatMilliseconds(v float64) string {
 	return time.Duration(v * float64(time.Millisecond)).Round(100 * time.Microsecond).String()
 }
--- a/day/run.go
+++ b/day/run.go
@@ -19,25 +19,25 @@
 	if o.Progress == nil {
 		o.Progress = func(string) {}
 	}
-	d := &stage{s: s, o: o, begun: time.Now(), relays: map[[2]int]*relay{}}
+	d := &scenarioRun{script: s, options: o, startedAt: time.Now(), relays: map[[2]int]*relay{}}
 	defer d.close()
-	if err := d.open(); err != nil {
+	if err := d.start(); err != nil {
 		return nil, err
 	}
 	// Nodes need a moment to hear of each other.
 	sleep(ctx, time.Second)
-	d.begun = time.Now()
-	callers := newCallers(d)
+	d.startedAt = time.Now()
+	callers := newClients(d)
 	var playing sync.WaitGroup
 	for _, f := range s.Faults {
 		playing.Go(func() {
-			if sleep(ctx, dur(f.At)) {
-				d.play(ctx, f)
+			if sleep(ctx, parseDuration(f.At)) {
+				d.runFault(ctx, f)
 			}
 		})
 	}
-	playing.Go(func() { d.progress(ctx, callers) })
-	callers.run(ctx, dur(s.Length))
+	playing.Go(func() { d.logOutcomeCounts(ctx, callers) })
+	callers.run(ctx, parseDuration(s.Length))
 	playing.Wait()
 	if len(d.counters) > 0 {
 		sleep(ctx, 5*time.Second) // the last totals are added
@@ -53,12 +53,12 @@
 	d.nodes = nil
 	callers.close()
 	d.mu.Lock()
-	d.record.Requests = callers.tried
+	d.record.Requests = callers.records
 	d.mu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return d.report(), nil
+	return d.newReport(), nil
 }
 
 // sleep waits; false where the context ends first.
@@ -73,7 +73,7 @@
 	}
 }
 
-var nodeConfig = template.Must(template.New("node").Parse(`# Written by "yardcleat day".
+var nodeConfigTemplate = template.Must(template.New("node").Parse(`# Written by "yardcleat day".
 node {
   {{- if .Roster}}
   name      = "node-{{.Number}}"
--- a/day/script.go
+++ b/day/script.go
@@ -62,7 +62,7 @@
 	Customers             []CustomerGroup `hcl:"customers,block"`
 	Faults                []Fault         `hcl:"fault,block"`
 
-	at map[string][]hcl.Range // of blocks, by type, in order
+	blockRanges map[string][]hcl.Range // of blocks, by type, in order
 }
 
 // Duration is a text such as "250ms".
@@ -139,8 +139,8 @@
 	Argument string   `hcl:"arg,optional"`
 }
 
-// kinds of fault, with what their target and argument mean.
-var kinds = map[string]struct {
+// faultKinds of fault, with what their target and argument mean.
+var faultKinds = map[string]struct {
 	target string // node, server or ""
 	arg    string
 }{
@@ -205,12 +205,12 @@
 	if diags = append(diags, gohcl.DecodeBody(hcl.MergeFiles(files), nil, s)...); diags.HasErrors() {
 		return nil, errors.Join(diags.Errs()...)
 	}
-	s.at = positions(files)
-	return s, s.check(name)
+	s.blockRanges = blockRanges(files)
+	return s, s.validate(name)
 }
 
-// dur reads a duration that was checked; "" is 0.
-func dur(d Duration) time.Duration {
+// parseDuration reads a duration that was checked; "" is 0.
+func parseDuration(d Duration) time.Duration {
 	v, _ := time.ParseDuration(d)
 	return v
 }
--- a/day/validation.go
+++ b/day/validation.go
@@ -15,9 +15,9 @@
 	"github.com/hashicorp/hcl/v2/hclwrite"
 )
 
-// positions notes where the blocks of a script stand, by type, in the order in
+// blockRanges notes where the blocks of a script stand, by type, in the order in
 // which they are decoded.
-func positions(files []*hcl.File) map[string][]hcl.Range {
+func blockRanges(files []*hcl.File) map[string][]hcl.Range {
 	at := map[string][]hcl.Range{}
 	for _, f := range files {
 		if body, ok := f.Body.(*hclsyntax.Body); ok {
@@ -29,74 +29,74 @@
 	return at
 }
 
-// checker collects a script's mistakes, each with its place.
-type checker struct {
-	s    *Script
-	name string
-	errs []error
+// validator collects a script's mistakes, each with its place.
+type validator struct {
+	script *Script
+	name   string
+	errs   []error
 }
 
-func (c *checker) wrong(block string, i int, format string, args ...any) {
+func (c *validator) addError(block string, i int, format string, args ...any) {
 	place := c.name
-	if list := c.s.at[block]; i < len(list) {
+	if list := c.script.blockRanges[block]; i < len(list) {
 		place = fmt.Sprintf("%s:%d", list[i].Filename, list[i].Start.Line)
 	}
 	c.errs = append(c.errs, fmt.Errorf("%s: %s", place, fmt.Sprintf(format, args...)))
 }
 
-// duration checks one; "" stands for none.
-func (c *checker) duration(block string, i int, what string, d Duration) {
+// checkDuration checks one; "" stands for none.
+func (c *validator) checkDuration(block string, i int, what string, d Duration) {
 	if v, err := time.ParseDuration(d); d != "" && (err != nil || v < 0 && what != "arg") {
-		c.wrong(block, i, "%s: %q is not a duration such as \"250ms\"", what, d)
+		c.addError(block, i, "%s: %q is not a duration such as \"250ms\"", what, d)
 	}
 }
 
-func (s *Script) check(name string) error {
-	c := &checker{s: s, name: name}
+func (s *Script) validate(name string) error {
+	c := &validator{script: s, name: name}
 	for what, d := range map[string]Duration{"warm_within": s.Servers.WarmupTime, "fall_time": s.Servers.ColdOverloadTime,
 		"drain_grace": s.Servers.DrainGrace, "told_late": s.Servers.UpdateDelay} {
-		c.duration("servers", 0, what, d)
+		c.checkDuration("servers", 0, what, d)
 	}
-	c.duration("clients", 0, "wait", s.Clients.RetryDelay)
-	c.duration("", 0, "length", s.Length)
+	c.checkDuration("clients", 0, "wait", s.Clients.RetryDelay)
+	c.checkDuration("", 0, "length", s.Length)
 	for i, cl := range s.Classes {
 		for what, d := range map[string]Duration{"aim": cl.LatencyObjective, "deadline": cl.Deadline, "work": cl.ServiceTime, "window": cl.DedupWindow} {
-			c.duration("class", i, what, d)
+			c.checkDuration("class", i, what, d)
 		}
 	}
 	for i, cu := range s.Customers {
 		if !slices.ContainsFunc(s.Plans, func(p Plan) bool { return p.Name == cu.Plan }) {
-			c.wrong("customers", i, "customers %q: there is no plan %q", cu.Name, cu.Plan)
+			c.addError("customers", i, "customers %q: there is no plan %q", cu.Name, cu.Plan)
 		}
 	}
 	if s.Spares < 0 || s.Spares > 1000 {
-		c.wrong("", 0, "spares: %d", s.Spares)
+		c.addError("", 0, "spares: %d", s.Spares)
 	}
 	if s.Nodes < 1 || s.Servers.Count < 1 || s.Servers.DedupScopes < 1 || len(s.Classes) == 0 || len(s.Customers) == 0 {
-		c.wrong("", 0, "at least one node, server, rack, class and group of customers is needed")
+		c.addError("", 0, "at least one node, server, rack, class and group of customers is needed")
 	}
 	for i, f := range s.Faults {
-		c.fault(i, f)
+		c.checkFault(i, f)
 	}
 	if len(c.errs) == 0 {
-		c.order()
+		c.checkOrder()
 	}
 	return errors.Join(c.errs...)
 }
 
-// fault checks one fault by itself.
-func (c *checker) fault(i int, f Fault) {
-	s := c.s
+// checkFault checks one checkFault by itself.
+func (c *validator) checkFault(i int, f Fault) {
+	s := c.script
 	wrong := func(format string, args ...any) {
-		c.wrong("fault", i, "fault %q: "+format, append([]any{f.Kind}, args...)...)
+		c.addError("fault", i, "fault %q: "+format, append([]any{f.Kind}, args...)...)
 	}
-	k, known := kinds[f.Kind]
+	k, known := faultKinds[f.Kind]
 	if !known {
 		wrong("there is no such kind")
 		return
 	}
-	c.duration("fault", i, "at", f.At)
-	c.duration("fault", i, "for", f.Duration)
+	c.checkDuration("fault", i, "at", f.At)
+	c.checkDuration("fault", i, "for", f.Duration)
 	parts := 0
 	if s.Counter != nil {
 		parts = s.Counter.Shards
@@ -115,7 +115,7 @@
 		if f.Argument == "" {
 			wrong("arg: a duration is needed")
 		}
-		c.duration("fault", i, "arg", f.Argument)
+		c.checkDuration("fault", i, "arg", f.Argument)
 	case "count":
 		if n, err := strconv.Atoi(f.Argument); err != nil || n < 1 || n > s.Spares {
 			wrong("arg %q is not a number of the %d spares", f.Argument, s.Spares)
@@ -141,9 +141,9 @@
 // MembershipChangeTime is what a change of the fleet may take after all nodes have read it.
 const MembershipChangeTime = 4 * time.Second
 
-// order plays the faults through on paper, in order of time: one that can't
+// checkOrder plays the faults through on paper, in checkOrder of time: one that can't
 // happen when its turn comes is a mistake.
-func (c *checker) order() {
+func (c *validator) checkOrder() {
 	type state struct {
 		what  string        // it is, where it is not simply running
 		until time.Duration // for so long; after that it runs
@@ -152,15 +152,17 @@
 	const ever = 1 << 62
 	joined, changing := 0, time.Duration(0)
 	nodes, servers, proxies := map[int]state{}, map[int]state{}, map[int]state{}
-	turn := make([]int, len(c.s.Faults))
+	turn := make([]int, len(c.script.Faults))
 	for i := range turn {
 		turn[i] = i
 	}
-	slices.SortStableFunc(turn, func(a, b int) int { return cmp.Compare(dur(c.s.Faults[a].At), dur(c.s.Faults[b].At)) })
+	slices.SortStableFunc(turn, func(a, b int) int {
+		return cmp.Compare(parseDuration(c.script.Faults[a].At), parseDuration(c.script.Faults[b].At))
+	})
 	for _, i := range turn {
-		f := c.s.Faults[i]
-		at, end := dur(f.At), dur(f.At)+dur(f.Duration)
-		k := kinds[f.Kind]
+		f := c.script.Faults[i]
+		at, end := parseDuration(f.At), parseDuration(f.At)+parseDuration(f.Duration)
+		k := faultKinds[f.Kind]
 		now := map[string]map[int]state{"node": nodes, "server": servers}[k.target][f.Target]
 		if f.Kind == "proxy-kill" {
 			now = proxies[f.Target]
@@ -171,18 +173,18 @@
 		// A stopped node may be killed; all else needs what runs.
 		if now.what != "" && f.Kind != "server-return" && !(strings.HasPrefix(f.Kind, "node-kill") && now.what == "stopped") &&
 			f.Kind != "peers-cut" && f.Kind != "clock-set" {
-			c.wrong("fault", i, "fault %q at %s: %s %d is %s then", f.Kind, f.At, cmp.Or(k.target, "it"), f.Target, now.what)
+			c.addError("fault", i, "fault %q at %s: %s %d is %s then", f.Kind, f.At, cmp.Or(k.target, "it"), f.Target, now.what)
 			continue
 		}
 		if n, err := strconv.Atoi(f.Argument); strings.HasPrefix(f.Kind, "fleet-") && err == nil {
 			if f.Kind == "fleet-shrink" {
 				n = -n
 			}
-			if joined += n; joined < 0 || joined > c.s.Spares {
-				c.wrong("fault", i, "fault %q at %s: of %d spares %d would have joined", f.Kind, f.At, c.s.Spares, joined)
+			if joined += n; joined < 0 || joined > c.script.Spares {
+				c.addError("fault", i, "fault %q at %s: of %d spares %d would have joined", f.Kind, f.At, c.script.Spares, joined)
 			}
 			if at < changing {
-				c.wrong("fault", i, "fault %q at %s: the last change goes on until %v", f.Kind, f.At, changing)
+				c.addError("fault", i, "fault %q at %s: the last change goes on until %v", f.Kind, f.At, changing)
 			}
 			changing = end + MembershipChangeTime
 		}
@@ -190,7 +192,7 @@
 		case "node-kill":
 			nodes[f.Target] = state{"dead", end + NodeRestartTime, 0}
 		case "node-kill-start":
-			nodes[f.Target] = state{"dead", end + dur(f.Argument) + dur(f.Duration) + 2*NodeRestartTime, 0}
+			nodes[f.Target] = state{"dead", end + parseDuration(f.Argument) + parseDuration(f.Duration) + 2*NodeRestartTime, 0}
 		case "node-stop":
 			nodes[f.Target] = state{"stopped", end, 0}
 		case "proxy-kill":
@@ -206,9 +208,9 @@
 		case "server-return":
 			switch {
 			case now.what == "":
-				c.wrong("fault", i, "fault %q at %s: server %d runs then", f.Kind, f.At, f.Target)
+				c.addError("fault", i, "fault %q at %s: server %d runs then", f.Kind, f.At, f.Target)
 			case at <= now.back:
-				c.wrong("fault", i, "fault %q at %s: server %d is not gone from the list before %v", f.Kind, f.At, f.Target, now.back)
+				c.addError("fault", i, "fault %q at %s: server %d is not gone from the list before %v", f.Kind, f.At, f.Target, now.back)
 			default:
 				delete(servers, f.Target)
 			}
@@ -230,8 +232,8 @@
 }
 
 // Validate tells what is wrong with a script that was not read from a file.
-func (s *Script) Validate() error { return s.check("the day") }
+func (s *Script) Validate() error { return s.validate("the day") }
 
 // TargetKind tells what a kind of fault is aimed at: node, server, part of the
 // counter, or nothing.
-func TargetKind(kind string) string { return kinds[kind].target }
+func TargetKind(kind string) string { return faultKinds[kind].target }
--- a/day/validation_test.go
+++ b/day/validation_test.go
@@ -6,7 +6,7 @@
 )
 
 // A fault that can't happen is a mistake that names its file and line.
-func TestScriptMistakes(t *testing.T) {
+func TestInvalidScripts(t *testing.T) {
 	for _, c := range []struct{ faults, want string }{
 		{`fault "server-return" {
   at     = "2s"
