--- a/day/clients.go
+++ b/day/clients.go
@@ -17,37 +17,35 @@
 	"yardcleat.example/yardcleat/upstream"
 )
 
-func resolvePacketAddr(n network.Network, addr string) (net.Addr, error) {
-	return network.Resolve(n, addr)
-}
+func packetAddr(n network.Network, addr string) (net.Addr, error) { return network.Resolve(n, addr) }
 
-// customer is one customer of a crowd.
+// customer is one customer of a customer group.
 type customer struct {
 	Name        string
 	Plan        string
-	RequestRate float64 // units a second
+	RequestRate float64 // per second, taking each request for one unit
 }
 
 func customers(s *Script) []customer {
 	rates := map[string]float64{}
-	for _, p := range s.Plans {
-		rates[p.Name] = p.Rate
+	for _, plan := range s.Plans {
+		rates[plan.Name] = plan.Rate
 	}
-	var all []customer
-	for _, c := range s.Customers {
-		for i := range c.Count {
-			all = append(all, customer{fmt.Sprint(c.Name, "-", i), c.Plan, c.Demand * rates[c.Plan]})
+	var list []customer
+	for _, group := range s.Customers {
+		for i := range group.Count {
+			list = append(list, customer{fmt.Sprint(group.Name, "-", i), group.Plan, group.Demand * rates[group.Plan]})
 		}
 	}
-	return all
+	return list
 }
 
-// clients are the clients. Each customer asks at random times; what is refused
-// is tried again, with the same key, by another node.
+// clients simulates the clients. Each customer sends requests at random times. A rejected request is
+// retried with the same idempotency key, at a node that is drawn again.
 type clients struct {
 	scenario  *scenarioRun
 	http1Pool *upstream.Pool
-	http2Pool *upstream.Pool // over HTTP/2
+	http2Pool *upstream.Pool
 	pending   sync.WaitGroup
 
 	mu          sync.Mutex
@@ -56,12 +54,12 @@
 	records     []audit.RequestRecord
 }
 
-func newClients(d *scenarioRun) *clients {
-	o := upstream.Options{Network: d.options.Environment.Network("clients"), ConnectTimeout: time.Second, MaxIdlePerServer: 256,
+func newClients(scenario *scenarioRun) *clients {
+	options := upstream.Options{Network: scenario.options.Environment.Network("clients"), ConnectTimeout: time.Second, MaxIdlePerServer: 256,
 		Limits: http1.Limits{MaxLineBytes: 8 << 10, MaxHeaderFields: 100, MaxHeaderBytes: 32 << 10, MaxBodyBytes: 8 << 20}}
-	c := &clients{scenario: d, outcomes: map[string]int{}, http1Pool: upstream.New(o)}
-	o.HTTP2 = true
-	c.http2Pool = upstream.New(o)
+	c := &clients{scenario: scenario, outcomes: map[string]int{}, http1Pool: upstream.New(options)}
+	options.HTTP2 = true
+	c.http2Pool = upstream.New(options)
 	return c
 }
 
@@ -73,125 +71,125 @@
 func (c *clients) outcomeCounts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := map[string]int{}
+	counts := map[string]int{}
 	for k, v := range c.outcomes {
-		out[k] = v
+		counts[k] = v
 	}
-	return out
+	return counts
 }
 
-// run asks for a time and waits for the last answers.
+// run sends requests for the given time, and waits for the last responses.
 func (c *clients) run(ctx context.Context, length time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	var asking sync.WaitGroup
-	for i, who := range customers(c.scenario.script) {
-		asking.Go(func() {
+	var senders sync.WaitGroup
+	for i, sender := range customers(c.scenario.script) {
+		senders.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(c.scenario.script.Seed), uint64(i)))
-			for sleep(ctx, time.Duration(rng.ExpFloat64()/who.RequestRate*float64(time.Second))) {
+			for sleep(ctx, time.Duration(rng.ExpFloat64()/sender.RequestRate*float64(time.Second))) {
 				seed := rng.Uint64()
-				c.pending.Go(func() { c.sendWithRetries(who, rand.New(rand.NewPCG(seed, 0))) })
+				c.pending.Go(func() { c.sendWithRetries(sender, rand.New(rand.NewPCG(seed, 0))) })
 			}
 		})
 	}
-	asking.Wait()
+	senders.Wait()
 	c.pending.Wait()
 }
 
-// sendWithRetries is one sendWithRetries of a customer with its retries.
-func (c *clients) sendWithRetries(who customer, rng *rand.Rand) {
+// sendWithRetries sends one request of a customer, and its retries.
+func (c *clients) sendWithRetries(sender customer, rng *rand.Rand) {
 	class := c.drawClass(rng)
 	c.mu.Lock()
 	c.lastRequest++
 	number := c.lastRequest
 	c.mu.Unlock()
 	key := fmt.Sprint("key-", number)
-	deadline := time.Now().Add(parseDuration(class.Deadline))
+	deadline := time.Now().Add(toDuration(class.Deadline))
 	for attempt := range c.scenario.script.Clients.Retries + 1 {
-		patience := min(time.Duration((0.5+0.5*rng.Float64())*float64(parseDuration(class.Deadline))), time.Until(deadline))
-		if patience < 10*time.Millisecond {
+		timeout := min(time.Duration((0.5+0.5*rng.Float64())*float64(toDuration(class.Deadline))), time.Until(deadline))
+		if timeout < 10*time.Millisecond {
 			return
 		}
-		t := audit.RequestRecord{Trace: fmt.Sprintf("try-%d-%d", number, attempt), Node: rng.IntN(int(c.scenario.clientNodes.Load())), Frontend: "http",
-			Customer: who.Name, Plan: who.Plan, Class: class.Name, Units: max(1, class.Units), ClientRetry: attempt > 0}
-		switch at := rng.Float64(); {
-		case at < c.scenario.script.Clients.ProxyShare:
-			t.Frontend = "proxy"
-		case at < c.scenario.script.Clients.ProxyShare+c.scenario.script.Clients.HTTP2Share:
-			t.Frontend = "http2"
+		record := audit.RequestRecord{Trace: fmt.Sprintf("try-%d-%d", number, attempt), Node: rng.IntN(int(c.scenario.clientNodes.Load())), Frontend: "http",
+			Customer: sender.Name, Plan: sender.Plan, Class: class.Name, Units: max(1, class.Units), ClientRetry: attempt > 0}
+		switch draw := rng.Float64(); {
+		case draw < c.scenario.script.Clients.ProxyShare:
+			record.Frontend = "proxy"
+		case draw < c.scenario.script.Clients.ProxyShare+c.scenario.script.Clients.HTTP2Share:
+			record.Frontend = "http2"
 		}
-		c.sendAttempt(&t, class, key, patience, attempt)
+		c.sendAttempt(&record, class, key, timeout, attempt)
 		c.mu.Lock()
-		c.records = append(c.records, t)
-		c.outcomes[t.Outcome]++
+		c.records = append(c.records, record)
+		c.outcomes[record.Outcome]++
 		c.mu.Unlock()
-		again := t.Outcome == "refused" || t.NotAccepted || class.Effect == "safe"
-		if t.Outcome == "served" || !again {
+		retry := record.Outcome == "refused" || record.NotAccepted || class.Effect == "safe"
+		if record.Outcome == "served" || !retry {
 			return
 		}
-		time.Sleep(time.Duration((0.5 + rng.Float64()) * float64(parseDuration(c.scenario.script.Clients.RetryDelay))))
+		time.Sleep(time.Duration((0.5 + rng.Float64()) * float64(toDuration(c.scenario.script.Clients.RetryDelay))))
 	}
 }
 
 func (c *clients) drawClass(rng *rand.Rand) *Class {
-	at := rng.Float64()
+	draw := rng.Float64()
 	for i := range c.scenario.script.Classes {
-		if at -= c.scenario.script.Classes[i].Share; at < 0 {
+		if draw -= c.scenario.script.Classes[i].Share; draw < 0 {
 			return &c.scenario.script.Classes[i]
 		}
 	}
 	return &c.scenario.script.Classes[0]
 }
 
-// sendAttempt makes one sendAttempt and records what came of it.
-func (c *clients) sendAttempt(t *audit.RequestRecord, class *Class, key string, patience time.Duration, attempt int) {
-	call := node.HTTPRequest{Method: class.Method, Target: class.PathPrefix + t.Trace, Host: "catalogue.example"}
-	call.Header.Add("X-Api-Key", "key-of-"+t.Customer)
-	call.Header.Add("X-Request-Id", t.Trace)
-	call.Header.Add("X-Envoy-Expected-Rq-Timeout-Ms", strconv.FormatInt(patience.Milliseconds(), 10))
-	call.Header.Add("X-Envoy-Attempt-Count", strconv.Itoa(attempt+1))
+// sendAttempt sends one request, or a retry of it, and records its outcome.
+func (c *clients) sendAttempt(record *audit.RequestRecord, class *Class, key string, timeout time.Duration, attempt int) {
+	request := node.HTTPRequest{Method: class.Method, Target: class.PathPrefix + record.Trace, Host: "catalogue.example"}
+	request.Header.Add("X-Api-Key", "key-of-"+record.Customer)
+	request.Header.Add("X-Request-Id", record.Trace)
+	request.Header.Add("X-Envoy-Expected-Rq-Timeout-Ms", strconv.FormatInt(timeout.Milliseconds(), 10))
+	request.Header.Add("X-Envoy-Attempt-Count", strconv.Itoa(attempt+1))
 	if class.Effect == "keyed" {
-		call.Header.Add("Idempotency-Key", key)
+		request.Header.Add("Idempotency-Key", key)
 	}
-	address, pool := c.scenario.httpAddresses[t.Node], c.http1Pool
-	switch t.Frontend {
+	address, pool := c.scenario.httpAddresses[record.Node], c.http1Pool
+	switch record.Frontend {
 	case "proxy":
-		address = c.scenario.proxyAddresses[t.Node]
+		address = c.scenario.proxyAddresses[record.Node]
 	case "http2":
-		address, pool = c.scenario.http2Addresses[t.Node], c.http2Pool
+		address, pool = c.scenario.http2Addresses[record.Node], c.http2Pool
 	}
-	t.SentAt = time.Now()
-	t.TimesOutAt = t.SentAt.Add(patience)
-	ended := make(chan node.Result, 1)
-	sending := pool.Start(node.Attempt{Address: address, Request: &node.Request{HTTP: call}}, func(r node.Result) { ended <- r })
-	timer := time.NewTimer(patience)
+	record.SentAt = time.Now()
+	record.TimesOutAt = record.SentAt.Add(timeout)
+	results := make(chan node.Result, 1)
+	outgoing := pool.Start(node.Attempt{Address: address, Request: &node.Request{HTTP: request}}, func(result node.Result) { results <- result })
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case r := <-ended:
-		recordResponse(t, r)
+	case result := <-results:
+		recordResponse(record, result)
 	case <-timer.C:
-		sending.Cancel()
+		outgoing.Cancel()
 	}
 }
 
-// recordResponse reads what a client was told.
-func recordResponse(t *audit.RequestRecord, r node.Result) {
-	if r.Response == nil {
-		t.NotAccepted = r.Code.NeverRan() // not connected, or the stream was not taken
+// recordResponse records the result of a request.
+func recordResponse(record *audit.RequestRecord, result node.Result) {
+	if result.Response == nil {
+		record.NotAccepted = result.Code.NeverRan() // the connection failed, or the HTTP/2 stream was refused
 		return
 	}
-	t.RespondedAt, t.Status = time.Now(), r.Response.Status
-	t.Reason = r.Response.Header.Get("X-Yardcleat-Reason")
-	id := r.Response.Header.Get("X-Request-Id")
-	t.Mismatched = id != "" && id != t.Trace
+	record.RespondedAt, record.Status = time.Now(), result.Response.Status
+	record.Reason = result.Response.Header.Get("X-Yardcleat-Reason")
+	requestID := result.Response.Header.Get("X-Request-Id")
+	record.Mismatched = requestID != "" && requestID != record.Trace
 	switch {
-	case t.Status == 502 || t.Status == 504 || t.Status == 500:
-		t.Outcome = "failed"
-	case t.Reason != "" || r.Response.Header.Has(catalogue.RejectionHeader):
-		t.Outcome = "refused"
-	case t.Status >= 400:
-		t.Outcome = "failed" // the proxy's own word: it promises nothing
+	case record.Status == 502 || record.Status == 504 || record.Status == 500:
+		record.Outcome = "failed"
+	case record.Reason != "" || result.Response.Header.Has(catalogue.RejectionHeader):
+		record.Outcome = "refused"
+	case record.Status >= 400:
+		record.Outcome = "failed" // a response of the proxy itself, which does not say whether the request was processed
 	default:
-		t.Outcome = "served"
+		record.Outcome = "served"
 	}
 }
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -15,8 +15,8 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// inBubble plays a script in virtual time.
-func runVirtual(t *testing.T, src []byte, defect func(*VirtualEnvironment)) *Report {
+// runVirtual runs a scenario in virtual time.
+func runVirtual(t *testing.T, src []byte, mutate func(*VirtualEnvironment)) *Report {
 	t.Helper()
 	s, err := Parse(src, "test.hcl")
 	if err != nil {
@@ -25,23 +25,23 @@
 	var r *Report
 	synctest.Test(t, func(t *testing.T) {
 		env := &VirtualEnvironment{Memory: network.NewMemory(time.Millisecond, 1), TempDir: t.TempDir(), Log: io.Discard, Seed: 1}
-		if defect != nil {
-			defect(env)
+		if mutate != nil {
+			mutate(env)
 		}
 		if r, err = Run(context.Background(), s, Options{Environment: env}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Minute) // timers of what was closed run out
+		time.Sleep(time.Minute) // lets the timers of closed components expire
 	})
 	return r
 }
 
-// The whole bad day keeps all rules, in virtual time.
+// The default scenario violates no rule, checks each rule, and serves at least a third of the requests.
 func TestDefaultScenario(t *testing.T) {
 	r := runVirtual(t, scriptSource(t, DefaultScript), nil)
 	if !r.Passed() {
 		r.Write(t.Output())
-		t.Error("a rule was broken")
+		t.Error("a rule was violated")
 	}
 	for _, f := range r.Rules {
 		if f.Checked == 0 {
@@ -57,7 +57,8 @@
 	}
 }
 
-// coldServerScript has few servers, all busy, one of which returns very cold.
+// coldServerScript has few servers, all busy, one of which is started again with a very low initial
+// capacity.
 var coldServerScript = func() []byte {
 	b, err := Source("base")
 	if err != nil {
@@ -67,7 +68,7 @@
 		{`told_late     = "400ms"`, `told_late     = "50ms"`},
 		{"cores         = 2", "cores         = 4"}, {"count = 5\n  use   = 0.8\n}\n\ncounter", "count = 9\n  use   = 0.8\n}\n\ncounter"}, {"queue         = 16", "queue         = 40"}} {
 		if !bytes.Contains(b, []byte(e[0])) {
-			panic(e[0] + " does not stand in the default script")
+			panic(e[0] + " is not in the base script")
 		}
 		b = bytes.Replace(b, []byte(e[0]), []byte(e[1]), 1)
 	}
@@ -95,18 +96,18 @@
 func TestColdServer(t *testing.T) {
 	if r := runVirtual(t, coldServerScript, nil); !r.Passed() {
 		r.Write(t.Output())
-		t.Error("a rule was broken")
+		t.Error("a rule was violated")
 	}
 }
 
-// With one defence taken out of the nodes, the audit finds its rule broken.
+// Each mutation removes one defence from the nodes. The audit must detect violations of its rule.
 func TestMutations(t *testing.T) {
 	edit := func(old, new string) func(*VirtualEnvironment) {
 		return func(b *VirtualEnvironment) {
 			b.EditConfig = func(cfg []byte) []byte {
 				out := bytes.ReplaceAll(cfg, []byte(old), []byte(new))
 				if bytes.Equal(out, cfg) {
-					t.Errorf("%q does not stand in the configuration", old)
+					t.Errorf("%q is not in the configuration", old)
 				}
 				return out
 			}
@@ -118,10 +119,10 @@
 		defect func(*VirtualEnvironment)
 		script []byte
 	}{
-		{1, "the client's patience is not read",
+		{1, "the client timeout is not read",
 			edit("clients {", "clients {\n patience_header = \"x-none\""), scriptSource(t, DefaultScript)},
-		{2, "keyed requests are taken for safe", edit(`effect = "keyed"`, `effect = "safe"`), scriptSource(t, DefaultScript)},
-		{3, "drains are not heard of", func(b *VirtualEnvironment) {
+		{2, "requests that are idempotent with a key are treated as idempotent", edit(`effect = "keyed"`, `effect = "safe"`), scriptSource(t, DefaultScript)},
+		{3, "draining servers are treated as running", func(b *VirtualEnvironment) {
 			b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
 					list[i].State = policy.Running
@@ -129,7 +130,7 @@
 				return list
 			}
 		}, scriptSource(t, DefaultScript)},
-		{4, "cold servers are taken for warm", func(b *VirtualEnvironment) {
+		{4, "cold servers are treated as warm", func(b *VirtualEnvironment) {
 			b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
 					list[i].StartTime = time.Time{}
@@ -137,20 +138,21 @@
 				return list
 			}
 		}, coldServerScript},
-		{5, "neither quota nor ceiling is known", edit("rate = 8\n  burst = 16\n  open = 6\n  hard_rate = 14\n  hard_burst = 24",
+		{5, "quotas are far higher, and there is no hard ceiling", edit("rate = 8\n  burst = 16\n  open = 6\n  hard_rate = 14\n  hard_burst = 24",
 			"rate = 100\n  burst = 100\n  open = 0"), scriptSource(t, DefaultScript)},
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			r := runVirtual(t, c.script, c.defect)
 			if len(r.Rules[c.rule-1].Violations) == 0 {
 				r.Write(t.Output())
-				t.Errorf("rule %d was not found broken", c.rule)
+				t.Errorf("no violation of rule %d was found", c.rule)
 			}
 		})
 	}
 }
 
-// Each fault of the authoriser: every item ends once, whatever it does.
+// With each fault of the authorizer, no rule is violated: each request is completed once, whatever the
+// authorizer does.
 func TestAuthorizerFaults(t *testing.T) {
 	for _, name := range ScriptNames() {
 		if !strings.HasPrefix(name, "authoriser-") {
@@ -160,7 +162,7 @@
 			r := runVirtual(t, scriptSource(t, name), nil)
 			if !r.Passed() {
 				r.Write(t.Output())
-				t.Error("a rule was broken")
+				t.Error("a rule was violated")
 			}
 			for _, c := range r.Classes {
 				t.Logf("%s: %d served, p99 %.0f ms", c.Class, c.Served, c.P99)
@@ -169,8 +171,8 @@
 	}
 }
 
-// Each fault of the counter: all rules hold, no request waits for it, and the
-// counter ends with all that arrived but what a killed node had not stored.
+// With each fault of the counter, no rule is violated, no request waits for the counter, and its final
+// totals contain all that arrived at servers, except for what a killed node had not stored.
 func TestCounterFaults(t *testing.T) {
 	for _, name := range ScriptNames() {
 		if !strings.HasPrefix(name, "counter-") {
@@ -180,7 +182,7 @@
 			r := runVirtual(t, scriptSource(t, name), nil)
 			if !r.Passed() {
 				r.Write(t.Output())
-				t.Error("a rule was broken")
+				t.Error("a rule was violated")
 			}
 			if r.CounterTotals.Missing > 0.03*r.CounterTotals.Received || r.CounterTotals.Received == 0 {
 				t.Errorf("%+v", *r.CounterTotals)
@@ -190,30 +192,31 @@
 	}
 }
 
-// Nodes stopped over each other: what came while they stood still is not sent on
-// for clients that have left, with the kernel's word on when it came or without.
+// Nodes are suspended at overlapping times. Requests that arrived during a suspension are not forwarded
+// for clients that have left, both with and without receive timestamps of the kernel.
 func TestNodePauses(t *testing.T) {
-	for _, stamps := range []bool{true, false} {
-		r := runVirtual(t, scriptSource(t, "stops"), func(b *VirtualEnvironment) { b.Memory.NoTimestamps = !stamps })
+	for _, timestamps := range []bool{true, false} {
+		r := runVirtual(t, scriptSource(t, "stops"), func(b *VirtualEnvironment) { b.Memory.NoTimestamps = !timestamps })
 		if !r.Passed() {
 			r.Write(t.Output())
-			t.Errorf("stamps %v: a rule was broken", stamps)
+			t.Errorf("receive timestamps %v: a rule was violated", timestamps)
 		}
 	}
 }
 
-// A fleet grows, shrinks and grows again under faults, without a restart.
+// A fleet grows, shrinks and grows again under faults, without a restart of the whole fleet. At least
+// three nodes complete each membership change.
 func TestMembershipChanges(t *testing.T) {
 	var logs bytes.Buffer
 	r := runVirtual(t, scriptSource(t, "fleet"), func(b *VirtualEnvironment) { b.Log = &logs })
 	if !r.Passed() {
 		r.Write(t.Output())
-		t.Error("a rule was broken")
+		t.Error("a rule was violated")
 	}
 	for _, epoch := range []string{"2", "3", "4"} {
 		completed := regexp.MustCompile(`msg="membership change completed" node=\d+ epoch=` + epoch + " ")
 		if n := len(completed.FindAll(logs.Bytes(), -1)); n < 3 {
-			t.Errorf("%d nodes say that the change to epoch %s is complete", n, epoch)
+			t.Errorf("%d nodes completed the membership change to epoch %s, want at least 3", n, epoch)
 		}
 	}
 }
--- a/day/environment.go
+++ b/day/environment.go
@@ -20,64 +20,64 @@
 	"yardcleat.example/yardcleat/pause"
 )
 
-// Environment is where a day is played.
+// Environment provides the network, files and nodes of a scenario run.
 type Environment interface {
-	// Network is what a stand-in or the clients use.
+	// Network returns the network that a host uses: a fake, a relay, or the clients.
 	Network(host string) network.Network
-	// NewAddress gives an address that nobody uses yet.
+	// NewAddress returns an unused address.
 	NewAddress() (string, error)
-	// NodeDir is where a node keeps its files.
+	// NodeDir returns the directory for a node's files.
 	NodeDir(node int) (string, error)
-	// StartNode starts a node with a configuration.
+	// StartNode starts a node with the given configuration.
 	StartNode(node int, hcl []byte) (Node, error)
-	// RecordTolerance is how late records may be here.
+	// RecordTolerance returns the accepted difference between the times of corresponding records.
 	RecordTolerance() time.Duration
 }
 
-// Node is a node under a day's control.
+// Node is a node that the scenario run controls.
 type Node interface {
-	Kill()                 // at once
-	Suspend(time.Duration) // holds it up for a time, and returns then
-	Drain() error          // asks it to drain, and waits
+	Kill()                 // ends the node immediately
+	Suspend(time.Duration) // suspends the node for the given time, and returns after it
+	Drain() error          // asks the node to drain, and waits until it has ended
 }
 
-// ProcessEnvironment plays a day on loopback sockets, each node a process of its own.
+// ProcessEnvironment runs scenarios on loopback sockets, with a process for each node.
 type ProcessEnvironment struct {
-	Program string // this program
+	Program string // path of the yardcleat program
 	TempDir string // a directory for configurations, state and logs
 }
 
-// Network is the machine's.
+// Network returns the network of the operating system.
 func (p *ProcessEnvironment) Network(string) network.Network { return network.OS{} }
 
-// RecordTolerance is generous: the machine may be busy.
+// RecordTolerance returns a large tolerance, because the machine may be busy.
 func (p *ProcessEnvironment) RecordTolerance() time.Duration { return 60 * time.Millisecond }
 
-// NewAddress finds a port that is free for TCP and UDP.
+// NewAddress returns a loopback address whose port is free for TCP and UDP.
 func (p *ProcessEnvironment) NewAddress() (string, error) {
 	for range 20 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return "", err
 		}
-		pc, err := net.ListenPacket("udp", l.Addr().String())
-		l.Close()
+		packetConn, err := net.ListenPacket("udp", listener.Addr().String())
+		listener.Close()
 		if err != nil {
 			continue
 		}
-		pc.Close()
-		return l.Addr().String(), nil
+		packetConn.Close()
+		return listener.Addr().String(), nil
 	}
-	return "", fmt.Errorf("no port is free")
+	return "", fmt.Errorf("no loopback port is free for both TCP and UDP")
 }
 
-// NodeDir is a directory below Temp.
+// NodeDir creates and returns a directory below TempDir.
 func (p *ProcessEnvironment) NodeDir(node int) (string, error) {
 	dir := filepath.Join(p.TempDir, fmt.Sprint("node-", node))
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
-// StartNode runs "serve"; its log goes to a file beside its configuration.
+// StartNode runs "yardcleat serve", and writes its log to a file next to its configuration.
 func (p *ProcessEnvironment) StartNode(node int, hcl []byte) (Node, error) {
 	dir, err := p.NodeDir(node)
 	if err != nil {
@@ -87,13 +87,13 @@
 	if err := os.WriteFile(path, hcl, 0o600); err != nil {
 		return nil, err
 	}
-	logs, err := os.OpenFile(filepath.Join(dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer logs.Close()
+	defer logFile.Close()
 	cmd := exec.Command(p.Program, "serve", "-c", path)
-	cmd.Stderr = logs
+	cmd.Stderr = logFile
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -118,45 +118,44 @@
 	return p.cmd.Wait()
 }
 
-// VirtualEnvironment plays a day in virtual time, in a testing/synctest bubble.
+// VirtualEnvironment runs scenarios in virtual time, in a testing/synctest bubble.
 type VirtualEnvironment struct {
-	Memory           *network.Memory
-	TempDir          string
-	Log              io.Writer
-	Seed             uint64
-	hostCount        int
-	wallClockOffsets sync.Map // what a node's wall clock is ahead, by number
-
-	// Defects, to see the audit find them: EditConfig changes a node's configuration,
-	// Deafen what it hears of the server list, Carry how its attempts are made.
+	Memory    *network.Memory
+	TempDir   string
+	Log       io.Writer
+	Seed      uint64
+	hostCount int
+	ahead     sync.Map // time.Duration by node number: how far the wall clock is ahead
+
+	// Mutations, to check that the audit detects them: EditConfig changes the configuration of a
+	// node, TransformEndpoints the endpoint list that it uses, and WrapUpstream how it sends
+	// attempts.
 	EditConfig         func([]byte) []byte
 	TransformEndpoints func([]node.Endpoint) []node.Endpoint
 	WrapUpstream       func(node.Upstream) node.Upstream
-	Pause              pause.Settings // zero: the default
+	Pause              pause.Settings // zero value: the defaults
 }
 
-// Network is a host of the memory network.
+// Network returns a host of the in-memory network.
 func (b *VirtualEnvironment) Network(host string) network.Network { return b.Memory.Host(host) }
 
-// RecordTolerance is what crossing the network takes.
+// RecordTolerance returns a tolerance that covers the latency of the in-memory network.
 func (b *VirtualEnvironment) RecordTolerance() time.Duration { return 5 * time.Millisecond }
 
-// NewAddress gives each its own host.
+// NewAddress returns an address on a host of its own.
 func (b *VirtualEnvironment) NewAddress() (string, error) {
 	b.hostCount++
 	return fmt.Sprintf("10.0.%d.%d:80", b.hostCount/256, b.hostCount%256), nil
 }
 
-// NodeDir is a directory below Temp.
+// NodeDir creates and returns a directory below TempDir.
 func (b *VirtualEnvironment) NodeDir(node int) (string, error) {
 	dir := filepath.Join(b.TempDir, fmt.Sprint("node-", node))
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
-// SetWallClock sets what a node's wall clock is ahead.
-func (b *VirtualEnvironment) SetWallClock(node int, ahead time.Duration) {
-	b.wallClockOffsets.Store(node, ahead)
-}
+// SetWallClock sets how far a node's wall clock is ahead.
+func (b *VirtualEnvironment) SetWallClock(node int, ahead time.Duration) { b.ahead.Store(node, ahead) }
 
 // StartNode starts a gateway in this process, on a host of its own.
 func (b *VirtualEnvironment) StartNode(number int, hcl []byte) (Node, error) {
@@ -172,9 +171,9 @@
 	log := slog.New(slog.NewTextHandler(b.Log, &slog.HandlerOptions{Level: cfg.LogLevel})).With("node", number)
 	g, err := gateway.Start(cfg, gateway.Options{Network: host, Log: log, Seed: b.Seed, TransformEndpoints: b.TransformEndpoints, WrapUpstream: b.WrapUpstream, Pause: b.Pause,
 		WallClock: func() time.Time {
-			ahead, _ := b.wallClockOffsets.Load(number)
-			d, _ := ahead.(time.Duration)
-			return time.Now().Add(d)
+			stored, _ := b.ahead.Load(number)
+			offset, _ := stored.(time.Duration)
+			return time.Now().Add(offset)
 		}})
 	if err != nil {
 		return nil, err
--- a/day/faults.go
+++ b/day/faults.go
@@ -13,110 +13,111 @@
 	"yardcleat.example/yardcleat/standin/discovery"
 )
 
-// runFault carries out one fault, takes it back after its time, and records what failed.
-func (d *scenarioRun) runFault(ctx context.Context, f Fault) {
-	d.logf("%s %d %s", f.Kind, f.Target, f.Argument)
-	if err := d.injectFault(ctx, f); err != nil {
-		d.mu.Lock()
-		d.errs = append(d.errs, fmt.Errorf("fault %s: %w", f.Kind, err))
-		d.mu.Unlock()
+// runFault injects a fault, ends it after its duration, and records errors.
+func (run *scenarioRun) runFault(ctx context.Context, f Fault) {
+	run.logf("%s %d %s", f.Kind, f.Target, f.Argument)
+	if err := run.injectFault(ctx, f); err != nil {
+		run.mu.Lock()
+		run.errs = append(run.errs, fmt.Errorf("fault %s: %w", f.Kind, err))
+		run.mu.Unlock()
 	}
-	d.logf("%s %d %s is over", f.Kind, f.Target, f.Argument)
+	run.logf("%s %d %s is over", f.Kind, f.Target, f.Argument)
 }
 
-// injectFault carries out a fault by the part of the system that it befalls.
-func (d *scenarioRun) injectFault(ctx context.Context, f Fault) error {
-	part, action, _ := strings.Cut(f.Kind, "-")
-	switch part {
+// injectFault injects a fault into the component that the kind of the fault begins with.
+func (run *scenarioRun) injectFault(ctx context.Context, f Fault) error {
+	component, action, _ := strings.Cut(f.Kind, "-")
+	switch component {
 	case "node":
-		return d.injectNodeFault(ctx, f, action)
+		return run.injectNodeFault(ctx, f, action)
 	case "fleet":
-		return d.changeFleet(ctx, f)
+		return run.changeFleet(ctx, f)
 	case "proxy":
-		return d.killProxy(ctx, f)
+		return run.killProxy(ctx, f)
 	case "peers":
-		return d.injectPeerFault(ctx, f, action)
+		return run.injectPeerFault(ctx, f, action)
 	case "discovery":
-		return d.injectDiscoveryFault(ctx, f, action)
+		return run.injectDiscoveryFault(ctx, f, action)
 	case "clock":
-		return d.setWallClock(ctx, f)
+		return run.setWallClock(ctx, f)
 	case "authoriser":
-		return holdFault(ctx, f, func() error { return d.authorizer.InjectFault(action, f.Argument) }, func() error { return d.authorizer.InjectFault("ok", "") })
+		return holdFault(ctx, f, func() error { return run.authorizer.InjectFault(action, f.Argument) }, func() error { return run.authorizer.InjectFault("ok", "") })
 	case "counter":
-		return d.injectCounterFault(ctx, f, action)
+		return run.injectCounterFault(ctx, f, action)
 	default:
-		return d.injectServerFault(ctx, f, action)
+		return run.injectServerFault(ctx, f, action)
 	}
 }
 
-// holdFault keeps a fault in force for its time.
+// holdFault begins a fault, and ends it after its duration.
 func holdFault(ctx context.Context, f Fault, begin, end func() error) error {
 	beginErr := begin()
-	sleep(ctx, parseDuration(f.Duration))
+	sleep(ctx, toDuration(f.Duration))
 	return errors.Join(beginErr, end())
 }
 
-func (d *scenarioRun) injectNodeFault(ctx context.Context, f Fault, action string) error {
+func (run *scenarioRun) injectNodeFault(ctx context.Context, f Fault, action string) error {
 	switch action {
 	case "kill":
-		return d.killNode(ctx, f.Target, parseDuration(f.Duration))
+		return run.killNode(ctx, f.Target, toDuration(f.Duration))
 	case "kill-start":
-		return d.killDuringStart(ctx, f)
+		return run.killDuringStart(ctx, f)
 	default: // stop
 		from := time.Now()
-		d.mu.Lock()
-		n := d.nodes[f.Target]
-		d.mu.Unlock()
-		n.Suspend(parseDuration(f.Duration))
-		d.recordDowntime(f.Target, from, false)
+		run.mu.Lock()
+		n := run.nodes[f.Target]
+		run.mu.Unlock()
+		n.Suspend(toDuration(f.Duration))
+		run.recordDowntime(f.Target, from, false)
 		return nil
 	}
 }
 
-func (d *scenarioRun) killProxy(ctx context.Context, f Fault) error {
-	d.mu.Lock()
-	p := d.proxies[f.Target]
-	d.mu.Unlock()
+func (run *scenarioRun) killProxy(ctx context.Context, f Fault) error {
+	run.mu.Lock()
+	p := run.proxies[f.Target]
+	run.mu.Unlock()
 	from := time.Now()
 	p.Kill()
-	sleep(ctx, parseDuration(f.Duration))
-	err := d.startProxy(f.Target)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.record.ProxyDowntimes = append(d.record.ProxyDowntimes, audit.Downtime{Node: f.Target, From: from, To: time.Now()})
+	sleep(ctx, toDuration(f.Duration))
+	err := run.startProxy(f.Target)
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.record.ProxyDowntimes = append(run.record.ProxyDowntimes, audit.Downtime{Node: f.Target, From: from, To: time.Now()})
 	return err
 }
 
-func (d *scenarioRun) injectPeerFault(ctx context.Context, f Fault, action string) error {
+func (run *scenarioRun) injectPeerFault(ctx context.Context, f Fault, action string) error {
 	if action == "cut" {
-		to, _ := strconv.Atoi(f.Argument) // the script was checked
-		r := d.relays[[2]int{f.Target, to}]
-		return holdFault(ctx, f, func() error { r.setLossRate(1); return nil }, func() error { r.setLossRate(0); return nil })
+		to, _ := strconv.Atoi(f.Argument) // the script is valid
+		link := run.relays[[2]int{f.Target, to}]
+		return holdFault(ctx, f, func() error { link.setLossRate(1); return nil }, func() error { link.setLossRate(0); return nil })
 	}
-	share, _ := strconv.ParseFloat(f.Argument, 64) // the script was checked
-	return holdFault(ctx, f, func() error { d.setPeerLossRate(share); return nil }, func() error { d.setPeerLossRate(0); return nil })
+	lossRate, _ := strconv.ParseFloat(f.Argument, 64) // the script is valid
+	return holdFault(ctx, f, func() error { run.setPeerLossRate(lossRate); return nil }, func() error { run.setPeerLossRate(0); return nil })
 }
 
-func (d *scenarioRun) injectDiscoveryFault(ctx context.Context, f Fault, action string) error {
+func (run *scenarioRun) injectDiscoveryFault(ctx context.Context, f Fault, action string) error {
 	if action == "silent" {
-		return holdFault(ctx, f, func() error { return d.discovery.InjectFault(action) }, func() error { return d.discovery.InjectFault("ok") })
+		return holdFault(ctx, f, func() error { return run.discovery.InjectFault(action) }, func() error { return run.discovery.InjectFault("ok") })
 	}
-	return d.discovery.InjectFault(action)
+	return run.discovery.InjectFault(action)
 }
 
-// setWallClock sets a node's wall clock, where that is not the machine's.
-func (d *scenarioRun) setWallClock(ctx context.Context, f Fault) error {
-	clocks, ok := d.options.Environment.(interface{ SetWallClock(int, time.Duration) })
+// setWallClock sets a node's wall clock for the duration of the fault. It does nothing if the
+// environment cannot set it, because the nodes use the clock of the machine.
+func (run *scenarioRun) setWallClock(ctx context.Context, f Fault) error {
+	clocks, ok := run.options.Environment.(interface{ SetWallClock(int, time.Duration) })
 	if !ok {
-		d.logf("clock-set: the machine's clock is not ours to set; left out")
+		run.logf("clock-set: skipped, because the nodes use the clock of the machine")
 		return nil
 	}
-	return holdFault(ctx, f, func() error { clocks.SetWallClock(f.Target, parseDuration(f.Argument)); return nil },
+	return holdFault(ctx, f, func() error { clocks.SetWallClock(f.Target, toDuration(f.Argument)); return nil },
 		func() error { clocks.SetWallClock(f.Target, 0); return nil })
 }
 
-func (d *scenarioRun) injectCounterFault(ctx context.Context, f Fault, action string) error {
-	c := d.counters[f.Target]
+func (run *scenarioRun) injectCounterFault(ctx context.Context, f Fault, action string) error {
+	c := run.counters[f.Target]
 	switch action {
 	case "silent", "refuse", "lose", "slow":
 		return holdFault(ctx, f, func() error { return c.InjectFault(action, f.Argument) }, func() error { return c.InjectFault("ok", "") })
@@ -125,117 +126,117 @@
 	}
 }
 
-func (d *scenarioRun) injectServerFault(ctx context.Context, f Fault, action string) error {
-	d.mu.Lock()
-	b := d.servers[f.Target%len(d.servers)]
-	server := b.server
-	d.mu.Unlock()
+func (run *scenarioRun) injectServerFault(ctx context.Context, f Fault, action string) error {
+	run.mu.Lock()
+	slot := run.servers[f.Target%len(run.servers)]
+	server := slot.server
+	run.mu.Unlock()
 	switch action {
 	case "drain":
-		d.withdrawServer(b, false)
-		sleep(ctx, parseDuration(f.Duration))
+		run.withdrawServer(slot, false)
+		sleep(ctx, toDuration(f.Duration))
 		server.Kill()
-		d.withdrawServer(b, true)
+		run.withdrawServer(slot, true)
 	case "vanish":
 		server.Kill()
-		sleep(ctx, parseDuration(f.Duration))
-		d.withdrawServer(b, true)
+		sleep(ctx, toDuration(f.Duration))
+		run.withdrawServer(slot, true)
 	case "return":
-		err := d.startServer(b, true)
-		d.mu.Lock()
-		list := d.endpoints
-		d.mu.Unlock()
-		d.discovery.SetEndpoints(list)
+		err := run.startServer(slot, true)
+		run.mu.Lock()
+		list := run.endpoints
+		run.mu.Unlock()
+		run.discovery.SetEndpoints(list)
 		return err
 	case "flap":
-		d.flapServer(ctx, b, parseDuration(f.Duration))
+		run.flapServer(ctx, slot, toDuration(f.Duration))
 	default:
 		return holdFault(ctx, f, func() error { return server.InjectFault(action, f.Argument) }, func() error { return server.InjectFault("ok", "") })
 	}
 	return nil
 }
 
-// flapServer takes a server out of discovery's list and puts it back.
-func (d *scenarioRun) flapServer(ctx context.Context, b *serverSlot, away time.Duration) {
-	d.mu.Lock()
-	var kept, off []discovery.Endpoint
-	for _, e := range d.endpoints {
-		if e.Name == b.name {
-			off = append(off, e)
+// flapServer removes a server from the endpoint list, and adds it again after the downtime.
+func (run *scenarioRun) flapServer(ctx context.Context, slot *serverSlot, downtime time.Duration) {
+	run.mu.Lock()
+	var remaining, removed []discovery.Endpoint
+	for _, e := range run.endpoints {
+		if e.Name == slot.name {
+			removed = append(removed, e)
 		} else {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	d.endpoints = kept
-	d.mu.Unlock()
-	d.discovery.SetEndpoints(kept)
-	sleep(ctx, away)
-	d.mu.Lock()
-	d.endpoints = append(slices.Clone(d.endpoints), off...)
-	list := d.endpoints
-	d.mu.Unlock()
-	d.discovery.SetEndpoints(list)
-}
-
-// withdrawServer changes discovery's list: a server drains, or is gone.
-func (d *scenarioRun) withdrawServer(b *serverSlot, gone bool) {
-	d.mu.Lock()
+	run.endpoints = remaining
+	run.mu.Unlock()
+	run.discovery.SetEndpoints(remaining)
+	sleep(ctx, downtime)
+	run.mu.Lock()
+	run.endpoints = append(slices.Clone(run.endpoints), removed...)
+	list := run.endpoints
+	run.mu.Unlock()
+	run.discovery.SetEndpoints(list)
+}
+
+// withdrawServer marks a server as draining in the endpoint list, or removes it if remove is set.
+func (run *scenarioRun) withdrawServer(slot *serverSlot, remove bool) {
+	run.mu.Lock()
 	var list []discovery.Endpoint
-	for _, e := range d.endpoints {
-		if e.Name == b.name {
-			if gone {
+	for _, e := range run.endpoints {
+		if e.Name == slot.name {
+			if remove {
 				continue
 			}
 			e.Draining = true
 		}
 		list = append(list, e)
 	}
-	d.endpoints = list
-	d.mu.Unlock()
-	d.discovery.SetEndpoints(list)
+	run.endpoints = list
+	run.mu.Unlock()
+	run.discovery.SetEndpoints(list)
 }
 
-func (d *scenarioRun) recordDowntime(node int, from time.Time, killed bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.record.Downtimes = append(d.record.Downtimes, audit.Downtime{Node: node, From: from, To: time.Now(), Killed: killed})
+func (run *scenarioRun) recordDowntime(node int, from time.Time, killed bool) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.record.Downtimes = append(run.record.Downtimes, audit.Downtime{Node: node, From: from, To: time.Now(), Killed: killed})
 }
 
-// killDuringStart kills a node, starts it again, and kills it while it starts.
-func (d *scenarioRun) killDuringStart(ctx context.Context, f Fault) error {
+// killDuringStart kills a node, starts it again, and kills it once more while it starts.
+func (run *scenarioRun) killDuringStart(ctx context.Context, f Fault) error {
 	from := time.Now()
-	if err := d.restartNode(ctx, f.Target, parseDuration(f.Duration)); err != nil {
+	if err := run.restartNode(ctx, f.Target, toDuration(f.Duration)); err != nil {
 		return err
 	}
-	sleep(ctx, parseDuration(f.Argument))
-	err := d.killNode(ctx, f.Target, parseDuration(f.Duration))
-	d.recordDowntime(f.Target, from, true)
+	sleep(ctx, toDuration(f.Argument))
+	err := run.killNode(ctx, f.Target, toDuration(f.Duration))
+	run.recordDowntime(f.Target, from, true)
 	return err
 }
 
-func (d *scenarioRun) killNode(ctx context.Context, i int, away time.Duration) error {
+func (run *scenarioRun) killNode(ctx context.Context, i int, downtime time.Duration) error {
 	from := time.Now()
-	if err := d.restartNode(ctx, i, away); err != nil {
+	if err := run.restartNode(ctx, i, downtime); err != nil {
 		return err
 	}
-	err := d.waitUntilReady()
-	d.recordDowntime(i, from, true)
+	err := run.waitUntilReady()
+	run.recordDowntime(i, from, true)
 	return err
 }
 
-// restartNode kills a node and starts it again after a time.
-func (d *scenarioRun) restartNode(ctx context.Context, i int, away time.Duration) error {
-	d.mu.Lock()
-	n := d.nodes[i]
-	d.mu.Unlock()
+// restartNode kills a node, and starts it again after the downtime.
+func (run *scenarioRun) restartNode(ctx context.Context, i int, downtime time.Duration) error {
+	run.mu.Lock()
+	n := run.nodes[i]
+	run.mu.Unlock()
 	n.Kill()
-	sleep(ctx, away)
-	n, err := d.options.Environment.StartNode(i, d.nodeConfigs[i])
+	sleep(ctx, downtime)
+	n, err := run.options.Environment.StartNode(i, run.nodeConfigs[i])
 	if err != nil {
 		return err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.nodes[i] = n
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.nodes[i] = n
 	return nil
 }
--- a/day/fleet_changes.go
+++ b/day/fleet_changes.go
@@ -16,30 +16,31 @@
 
 func nodeName(i int) string { return fmt.Sprint("node-", i) }
 
-// writeRoster gives a node the roster as it reaches the others: each by its own relay.
-func (d *scenarioRun) writeRoster(i int) error {
-	if d.roster == nil {
+// writeRoster writes the roster file of a node, with the addresses of the relays through which the
+// node reaches its peers.
+func (run *scenarioRun) writeRoster(i int) error {
+	if run.roster == nil {
 		return nil
 	}
-	dir, err := d.options.Environment.NodeDir(i)
+	dir, err := run.options.Environment.NodeDir(i)
 	if err != nil {
 		return err
 	}
-	d.mu.Lock()
-	r := *d.roster
-	d.mu.Unlock()
-	at := func(k int) string {
+	run.mu.Lock()
+	r := *run.roster
+	run.mu.Unlock()
+	addressOf := func(k int) string {
 		if k == i {
-			return d.peerAddresses[i]
+			return run.peerAddresses[i]
 		}
-		return d.relays[[2]int{i, k}].address
+		return run.relays[[2]int{i, k}].address
 	}
 	r.Nodes, r.Leaving = slices.Clone(r.Nodes), slices.Clone(r.Leaving)
 	for k := range r.Nodes {
-		r.Nodes[k].Address = at(k)
+		r.Nodes[k].Address = addressOf(k)
 	}
 	for k := range r.Leaving {
-		r.Leaving[k].Address = at(r.Leaving[k].Number)
+		r.Leaving[k].Address = addressOf(r.Leaving[k].Number)
 	}
 	path := filepath.Join(dir, "roster.hcl")
 	if err := os.WriteFile(path+".new", config.FormatRoster(&r), 0o600); err != nil {
@@ -48,65 +49,65 @@
 	return os.Rename(path+".new", path)
 }
 
-// changeFleet has spares join or leave. The nodes read of it one after the other, in
-// an order drawn from the seed.
-func (d *scenarioRun) changeFleet(ctx context.Context, f Fault) error {
+// changeFleet adds spare nodes to the fleet, or removes nodes from it. The nodes get the new roster
+// one after another, in an order drawn from the seed.
+func (run *scenarioRun) changeFleet(ctx context.Context, f Fault) error {
 	n, _ := strconv.Atoi(f.Argument)
-	d.mu.Lock()
-	old := len(d.roster.Nodes)
-	list := slices.Clone(d.roster.Nodes)
+	run.mu.Lock()
+	oldSize := len(run.roster.Nodes)
+	members := slices.Clone(run.roster.Nodes)
 	if f.Kind == "fleet-shrink" {
-		list = list[:old-n]
+		members = members[:oldSize-n]
 	} else {
 		for i := range n {
-			list = append(list, membership.Node{Name: nodeName(old + i), Address: nodeName(old+i) + ":1"})
+			members = append(members, membership.Node{Name: nodeName(oldSize + i), Address: nodeName(oldSize+i) + ":1"})
 		}
 	}
-	// Who left by an earlier change has ended since: the day vouches for it.
-	var gone []string
-	for _, l := range d.roster.Leaving {
-		if d.nodes[l.Number] == nil {
-			gone = append(gone, l.Name)
+	// Nodes that left in an earlier change, and have ended since, are removed from the roster.
+	var ended []string
+	for _, l := range run.roster.Leaving {
+		if run.nodes[l.Number] == nil {
+			ended = append(ended, l.Name)
 		}
 	}
-	r, err := d.roster.Next(list, gone)
+	r, err := run.roster.Next(members, ended)
 	if err == nil {
-		*d.roster = r
+		*run.roster = r
 	}
-	d.mu.Unlock()
+	run.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	if len(list) < old {
-		d.clientNodes.Store(int64(len(list))) // their addresses are withdrawn first
+	if len(members) < oldSize {
+		run.clientNodes.Store(int64(len(members))) // clients stop using the nodes before they leave
 	}
-	order := rand.New(rand.NewPCG(uint64(d.script.Seed), r.Epoch)).Perm(max(old, len(list)))
+	order := rand.New(rand.NewPCG(uint64(run.script.Seed), r.Epoch)).Perm(max(oldSize, len(members)))
 	for _, i := range order {
-		sleep(ctx, parseDuration(f.Duration)/time.Duration(len(order)))
-		if err := d.writeRoster(i); err != nil {
+		sleep(ctx, toDuration(f.Duration)/time.Duration(len(order)))
+		if err := run.writeRoster(i); err != nil {
 			return err
 		}
-		if i >= old {
-			n, err := d.options.Environment.StartNode(i, d.nodeConfigs[i])
+		if i >= oldSize {
+			n, err := run.options.Environment.StartNode(i, run.nodeConfigs[i])
 			if err != nil {
 				return err
 			}
-			d.mu.Lock()
-			d.nodes[i] = n
-			d.mu.Unlock()
+			run.mu.Lock()
+			run.nodes[i] = n
+			run.mu.Unlock()
 		}
 	}
-	if len(list) > old {
+	if len(members) > oldSize {
 		sleep(ctx, time.Second)
-		d.clientNodes.Store(int64(len(list)))
-		return d.waitUntilReady()
+		run.clientNodes.Store(int64(len(members)))
+		return run.waitUntilReady()
 	}
 	sleep(ctx, 2*time.Second)
-	for i := len(list); i < old; i++ {
-		d.mu.Lock()
-		n := d.nodes[i]
-		d.nodes[i] = nil
-		d.mu.Unlock()
+	for i := len(members); i < oldSize; i++ {
+		run.mu.Lock()
+		n := run.nodes[i]
+		run.nodes[i] = nil
+		run.mu.Unlock()
 		if err := n.Drain(); err != nil {
 			return err
 		}
--- a/day/golden_test.go
+++ b/day/golden_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// A script with all fields set is read from, and written as, exactly this text.
+// A script with all fields set is parsed from, and formatted as, exactly this text.
 func TestScriptHasGoldenText(t *testing.T) {
 	const golden = `length          = "30s"
 seed            = 7
@@ -115,12 +115,12 @@
 	}
 	checkAllSet(t, "script", reflect.ValueOf(*s))
 	if got := string(s.Format()); got != golden {
-		t.Errorf("written as\n%s\nwant\n%s", got, golden)
+		t.Errorf("formatted as\n%s\nwant\n%s", got, golden)
 	}
 }
 
-// checkAllSet tells of exported fields that hold nothing, but for Extends: what it
-// names is taken in as the script is read.
+// checkAllSet reports exported fields that have their zero value. It skips Extends, which the
+// golden script does not set.
 func checkAllSet(t *testing.T, path string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -142,8 +142,8 @@
 	}
 }
 
-// The template of nodes' configurations, which names fields of scripts, makes good
-// ones of every script.
+// The template of the node configuration refers to the fields of scripts by their names. It must give
+// a valid configuration for each built-in script.
 func TestNodeConfigurationsOfAllScripts(t *testing.T) {
 	for _, name := range ScriptNames() {
 		s, err := Load(name)
--- a/day/node_config.go
+++ b/day/node_config.go
@@ -8,25 +8,25 @@
 	"github.com/zeebo/blake3"
 )
 
-// renderNodeConfig writes a node's configuration.
-func (d *scenarioRun) renderNodeConfig(i int) ([]byte, error) {
-	dir, err := d.options.Environment.NodeDir(i)
+// renderNodeConfig returns the configuration of a node. It opens the relays to the peers of the node.
+func (run *scenarioRun) renderNodeConfig(i int) ([]byte, error) {
+	dir, err := run.options.Environment.NodeDir(i)
 	if err != nil {
 		return nil, err
 	}
 	peers := map[int]string{}
-	for k := range d.script.Nodes + d.script.Spares {
+	for k := range run.script.Nodes + run.script.Spares {
 		if k == i {
 			continue
 		}
-		if peers[k], err = d.openRelay(i, k); err != nil {
+		if peers[k], err = run.openRelay(i, k); err != nil {
 			return nil, err
 		}
 	}
-	key := blake3.Sum256([]byte(fmt.Sprint("day ", d.script.Seed)))
-	var b bytes.Buffer
-	err = nodeConfigTemplate.Execute(&b, map[string]any{"S": d.script, "Number": i, "Zone": fmt.Sprint("room-", i%d.script.Servers.DedupScopes),
-		"Dir": dir, "HTTP": d.httpAddresses[i], "HTTP2": d.http2Addresses[i], "ExtAuthz": d.extAuthzAddresses[i], "Peer": d.peerAddresses[i], "Peers": peers, "Key": hex.EncodeToString(key[:]),
-		"Auth": d.authorizerAddress, "EDS": d.discoveryAddress, "Customers": customers(d.script), "Counters": d.counterAddresses, "Roster": d.roster != nil})
-	return b.Bytes(), err
+	key := blake3.Sum256([]byte(fmt.Sprint("day ", run.script.Seed)))
+	var buffer bytes.Buffer
+	err = nodeConfigTemplate.Execute(&buffer, map[string]any{"S": run.script, "Number": i, "Zone": fmt.Sprint("room-", i%run.script.Servers.DedupScopes),
+		"Dir": dir, "HTTP": run.httpAddresses[i], "HTTP2": run.http2Addresses[i], "ExtAuthz": run.extAuthzAddresses[i], "Peer": run.peerAddresses[i], "Peers": peers, "Key": hex.EncodeToString(key[:]),
+		"Auth": run.authorizerAddress, "EDS": run.discoveryAddress, "Customers": customers(run.script), "Counters": run.counterAddresses, "Roster": run.roster != nil})
+	return buffer.Bytes(), err
 }
--- a/day/relay.go
+++ b/day/relay.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// relay stands between a node and a peer, and loses what passes by chance.
+// relay forwards the peer messages from one node to another, and drops a random fraction of them.
 type relay struct {
 	address     string
 	conn        net.PacketConn
@@ -17,16 +17,16 @@
 	rng         *rand.Rand
 }
 
-func (r *relay) setLossRate(share float64) {
+func (r *relay) setLossRate(rate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lossRate = share
+	r.lossRate = rate
 }
 
 func (r *relay) forward() {
-	b := make([]byte, 2048)
+	buffer := make([]byte, 2048)
 	for {
-		n, _, err := r.conn.ReadFrom(b)
+		n, _, err := r.conn.ReadFrom(buffer)
 		if err != nil {
 			if strings.Contains(err.Error(), "closed") {
 				return
@@ -34,45 +34,46 @@
 			continue
 		}
 		r.mu.Lock()
-		lost := r.rng.Float64() < r.lossRate
+		drop := r.rng.Float64() < r.lossRate
 		r.mu.Unlock()
-		if !lost {
-			r.conn.WriteTo(b[:n], r.destination)
+		if !drop {
+			r.conn.WriteTo(buffer[:n], r.destination)
 		}
 	}
 }
 
-// openRelay opens a relay to a node's peer address and returns its own.
-func (d *scenarioRun) openRelay(from, to int) (string, error) {
-	address, err := d.options.Environment.NewAddress()
+// openRelay opens a relay from one node to the peer address of another, and returns the address of
+// the relay.
+func (run *scenarioRun) openRelay(from, to int) (string, error) {
+	address, err := run.options.Environment.NewAddress()
 	if err != nil {
 		return "", err
 	}
-	n := d.options.Environment.Network("relay")
-	pc, err := n.ListenPacket(address)
+	network := run.options.Environment.Network("relay")
+	conn, err := network.ListenPacket(address)
 	if err != nil {
 		return "", err
 	}
-	dest, err := resolvePacketAddr(n, d.peerAddresses[to])
+	destination, err := packetAddr(network, run.peerAddresses[to])
 	if err != nil {
 		return "", err
 	}
-	r := &relay{address: address, conn: pc, destination: dest, rng: rand.New(rand.NewPCG(uint64(d.script.Seed), uint64(from*1000+to)))}
+	r := &relay{address: address, conn: conn, destination: destination, rng: rand.New(rand.NewPCG(uint64(run.script.Seed), uint64(from*1000+to)))}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		r.forward()
 	}()
-	d.closers = append(d.closers, func() {
-		pc.Close()
+	run.closers = append(run.closers, func() {
+		conn.Close()
 		<-done
 	})
-	d.relays[[2]int{from, to}] = r
+	run.relays[[2]int{from, to}] = r
 	return address, nil
 }
 
-func (d *scenarioRun) setPeerLossRate(share float64) {
-	for _, r := range d.relays {
-		r.setLossRate(share)
+func (run *scenarioRun) setPeerLossRate(rate float64) {
+	for _, r := range run.relays {
+		r.setLossRate(rate)
 	}
 }
--- a/day/report.go
+++ b/day/report.go
@@ -16,212 +16,213 @@
 	"yardcleat.example/yardcleat/node"
 )
 
-// Report is what came of a day.
+// Report is the result of a scenario run.
 type Report struct {
 	Seconds               float64              `json:"seconds"`
 	ClientAttempts        int                  `json:"tries"`
-	Goodput               float64              `json:"goodput"` // answers within the aim, a second
+	Goodput               float64              `json:"goodput"` // responses within the latency objective, per second
 	Plans                 []OutcomeCounts      `json:"plans"`
 	Fronts                []OutcomeCounts      `json:"fronts"`
 	Classes               []LatencySummary     `json:"classes"`
-	ServerAttempts        int                  `json:"attempts"` // that reached servers
+	ServerAttempts        int                  `json:"attempts"` // attempts that servers received
 	CounterTotals         *CounterComparison   `json:"tally,omitempty"`
 	Rules                 []audit.RuleResult   `json:"rules"`
-	Margins               []audit.Margin       `json:"near"`  // how near each rule came to being broken
-	InFlight              []audit.InFlightPeak `json:"open"`  // of customers with a cap, the most out at once; the worst first
-	ServedWithinObjective float64              `json:"worth"` // answers served within their aim
+	Margins               []audit.Margin       `json:"near"`  // how much of the margin of each rule was used
+	InFlight              []audit.InFlightPeak `json:"open"`  // peak in-flight attempts of customers with an in-flight cap, highest first
+	ServedWithinObjective float64              `json:"worth"` // number of responses within the latency objective
 	Pauses                *PauseSummary        `json:"stops,omitempty"`
-	Errors                []string             `json:"errors"` // of the day itself
+	Errors                []string             `json:"errors"` // of the run itself, such as faults that could not be injected
 }
 
-// PauseSummary is what came of tries that a stop of their node met, and of those within
-// 5 s after it.
+// PauseSummary counts the requests that were in flight while their node was suspended, or were sent
+// during the suspension or within 5 s after it. Requests that were sent before the suspension and timed
+// out during it are left out.
 type PauseSummary struct {
 	Attempts            int `json:"tries"`
-	SentTooLate         int `json:"late"`     // attempts sent after their client had left
-	AvoidableRejections int `json:"needless"` // refused or failed for want of time, with 200 ms and more left
+	SentTooLate         int `json:"late"`     // attempts that arrived at a server after the client timeout
+	AvoidableRejections int `json:"needless"` // rejected or failed for lack of time, with more than 200 ms left
 	Served              int `json:"served"`
 }
 
-func (d *scenarioRun) summarizePauses() *PauseSummary {
-	const after, left = 5 * time.Second, 200 * time.Millisecond
-	out := &PauseSummary{}
-	met := map[string]*audit.RequestRecord{}
-	for i := range d.record.Requests {
-		t := &d.record.Requests[i]
-		for _, w := range d.record.Downtimes {
-			if w.Killed || w.Node != t.Node || t.TimesOutAt.Before(w.From) || t.SentAt.After(w.To.Add(after)) || t.TimesOutAt.Before(w.To) && t.SentAt.Before(w.From) {
+func (run *scenarioRun) summarizePauses() *PauseSummary {
+	const recovery, minRemaining = 5 * time.Second, 200 * time.Millisecond
+	summary := &PauseSummary{}
+	affected := map[string]*audit.RequestRecord{}
+	for i := range run.record.Requests {
+		request := &run.record.Requests[i]
+		for _, downtime := range run.record.Downtimes {
+			if downtime.Killed || downtime.Node != request.Node || request.TimesOutAt.Before(downtime.From) || request.SentAt.After(downtime.To.Add(recovery)) || request.TimesOutAt.Before(downtime.To) && request.SentAt.Before(downtime.From) {
 				continue
 			}
-			out.Attempts++
-			met[t.Trace] = t
+			summary.Attempts++
+			affected[request.Trace] = request
 			switch {
-			case t.Outcome == "served":
-				out.Served++
-			case t.Reason == string(node.ReasonNoTime) && t.TimesOutAt.Sub(t.RespondedAt) > left:
-				out.AvoidableRejections++
+			case request.Outcome == "served":
+				summary.Served++
+			case request.Reason == string(node.ReasonNoTime) && request.TimesOutAt.Sub(request.RespondedAt) > minRemaining:
+				summary.AvoidableRejections++
 			}
 			break
 		}
 	}
-	if len(met) == 0 {
+	if len(affected) == 0 {
 		return nil
 	}
-	for _, s := range d.record.Attempts {
-		if t := met[s.Trace]; t != nil && s.ArrivedAt.Sub(t.TimesOutAt) > d.record.Tolerance {
-			out.SentTooLate++
+	for _, attempt := range run.record.Attempts {
+		if request := affected[attempt.Trace]; request != nil && attempt.ArrivedAt.Sub(request.TimesOutAt) > run.record.Tolerance {
+			summary.SentTooLate++
 		}
 	}
-	return out
+	return summary
 }
 
-// Features names what the day reached: answers by front, class and reason, and
-// pairs of them with what went on.
+// Features returns the features that the run covered: the reasons of rejections and failures by plan
+// and by front, and how much of the margin of each rule was used, in tenths.
 func (r *Report) Features() []string {
-	var out []string
+	var features []string
 	for _, row := range append(slices.Clone(r.Plans), r.Fronts...) {
 		for reason := range row.Rejected {
-			out = append(out, row.Name+" refused "+reason)
+			features = append(features, row.Name+" refused "+reason)
 		}
 		for reason := range row.Failed {
-			out = append(out, row.Name+" failed "+reason)
+			features = append(features, row.Name+" failed "+reason)
 		}
 	}
-	for _, m := range r.Margins {
-		out = append(out, fmt.Sprintf("rule %d at %d tenths", m.Rule, int(min(m.Used, 1.2)*10)))
+	for _, margin := range r.Margins {
+		features = append(features, fmt.Sprintf("rule %d at %d tenths", margin.Rule, int(min(margin.Used, 1.2)*10)))
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(features)
+	return features
 }
 
-// CounterComparison compares the counter at the end with what servers received: units of
-// first attempts. What was sent and never arrived counts, too, so the counter may
-// be above.
+// CounterComparison compares the final totals of the shared counter with the units of the requests
+// that servers received, each counted once. The counter includes requests that were sent but
+// did not arrive, so its totals may be higher.
 type CounterComparison struct {
 	Received float64 `json:"arrived"`
 	Counted  float64 `json:"counted"`
-	Missing  float64 `json:"below"` // units missing, over customers that are below
+	Missing  float64 `json:"below"` // units, summed over the customers whose total is too low
 	Excess   float64 `json:"above"`
 }
 
-// OutcomeCounts counts tries by what came of them.
+// OutcomeCounts counts requests by outcome.
 type OutcomeCounts struct {
 	Name       string         `json:"name"`
 	Attempts   int            `json:"tries"`
 	Served     int            `json:"served"`
 	Rejected   map[string]int `json:"refused"` // by reason
 	Failed     map[string]int `json:"failed"`
-	NoResponse int            `json:"no_answer"` // the node was killed or stopped, or not reached
+	NoResponse int            `json:"no_answer"` // the node was killed, suspended or not reachable
 }
 
-// LatencySummary is of the answers served, in milliseconds.
+// LatencySummary summarizes the latency of the served requests of a class, in milliseconds.
 type LatencySummary struct {
 	Class           string  `json:"class"`
 	Served          int     `json:"served"`
-	WithinObjective float64 `json:"within_aim"` // share
+	WithinObjective float64 `json:"within_aim"` // fraction
 	P50             float64 `json:"p50_ms"`
 	P90             float64 `json:"p90_ms"`
 	P99             float64 `json:"p99_ms"`
 	Max             float64 `json:"max_ms"`
 }
 
-// Passed tells whether all rules were kept.
+// Passed reports whether no rule was violated and the run had no errors.
 func (r *Report) Passed() bool {
 	return len(r.Errors) == 0 && !slices.ContainsFunc(r.Rules, func(f audit.RuleResult) bool { return len(f.Violations) > 0 })
 }
 
-func (d *scenarioRun) newReport() *Report {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	r := &Report{Seconds: parseDuration(d.script.Length).Seconds(), ClientAttempts: len(d.record.Requests), ServerAttempts: len(d.record.Attempts)}
+func (run *scenarioRun) newReport() *Report {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	r := &Report{Seconds: toDuration(run.script.Length).Seconds(), ClientAttempts: len(run.record.Requests), ServerAttempts: len(run.record.Attempts)}
 	plans, fronts := map[string]*OutcomeCounts{}, map[string]*OutcomeCounts{}
-	good := 0
-	for _, c := range d.script.Classes {
-		h := hdrhistogram.New(1, 60_000_000, 3) // microseconds
-		in := 0
-		for _, t := range d.record.Requests {
-			if t.Class != c.Name || t.Outcome != "served" {
+	totalWithinObjective := 0
+	for _, class := range run.script.Classes {
+		histogram := hdrhistogram.New(1, 60_000_000, 3) // microseconds
+		withinObjective := 0
+		for _, request := range run.record.Requests {
+			if request.Class != class.Name || request.Outcome != "served" {
 				continue
 			}
-			took := t.RespondedAt.Sub(t.SentAt)
-			h.RecordValue(max(1, took.Microseconds()))
-			if took <= parseDuration(c.LatencyObjective) {
-				in++
+			latency := request.RespondedAt.Sub(request.SentAt)
+			histogram.RecordValue(max(1, latency.Microseconds()))
+			if latency <= toDuration(class.LatencyObjective) {
+				withinObjective++
 			}
 		}
-		good += in
-		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		n := int(h.TotalCount())
-		r.Classes = append(r.Classes, LatencySummary{c.Name, n, float64(in) / float64(max(1, n)), ms(50), ms(90), ms(99), ms(100)})
+		totalWithinObjective += withinObjective
+		milliseconds := func(q float64) float64 { return float64(histogram.ValueAtQuantile(q)) / 1000 }
+		n := int(histogram.TotalCount())
+		r.Classes = append(r.Classes, LatencySummary{class.Name, n, float64(withinObjective) / float64(max(1, n)), milliseconds(50), milliseconds(90), milliseconds(99), milliseconds(100)})
 	}
-	for i := range d.record.Requests {
-		t := &d.record.Requests[i]
-		countOutcome(plans, t.Plan, t)
-		countOutcome(fronts, t.Frontend, t)
+	for i := range run.record.Requests {
+		request := &run.record.Requests[i]
+		countOutcome(plans, request.Plan, request)
+		countOutcome(fronts, request.Frontend, request)
 	}
-	r.Goodput = float64(good) / r.Seconds
+	r.Goodput = float64(totalWithinObjective) / r.Seconds
 	r.Plans, r.Fronts = sortedOutcomeCounts(plans), sortedOutcomeCounts(fronts)
-	r.CounterTotals = d.compareCounter()
-	r.Rules = audit.Check(&d.record)
-	r.ServedWithinObjective = float64(good)
-	r.Pauses = d.summarizePauses()
-	cold := 0.0
-	for _, n := range d.coldServers {
-		cold = max(cold, n.PeakColdLoad())
+	r.CounterTotals = run.compareCounter()
+	r.Rules = audit.Check(&run.record)
+	r.ServedWithinObjective = float64(totalWithinObjective)
+	r.Pauses = run.summarizePauses()
+	peakColdLoad := 0.0
+	for _, n := range run.coldServers {
+		peakColdLoad = max(peakColdLoad, n.PeakColdLoad())
 	}
-	r.Margins = audit.Margins(&d.record, cold)
+	r.Margins = audit.Margins(&run.record, peakColdLoad)
 	caps := map[string]int{}
-	for _, p := range d.script.Plans {
-		caps[p.Name] = p.MaxInFlight
+	for _, plan := range run.script.Plans {
+		caps[plan.Name] = plan.MaxInFlight
 	}
-	r.InFlight = audit.InFlightPeaks(&d.record, caps)
+	r.InFlight = audit.InFlightPeaks(&run.record, caps)
 	r.InFlight = r.InFlight[:min(5, len(r.InFlight))]
-	for _, err := range d.errs {
+	for _, err := range run.errs {
 		r.Errors = append(r.Errors, err.Error())
 	}
 	return r
 }
 
-func (d *scenarioRun) compareCounter() *CounterComparison {
-	if len(d.counters) == 0 {
+func (run *scenarioRun) compareCounter() *CounterComparison {
+	if len(run.counters) == 0 {
 		return nil
 	}
-	arrived, counted := map[string]float64{}, map[string]float64{}
-	tries := map[string]*audit.RequestRecord{}
-	for i := range d.record.Requests {
-		tries[d.record.Requests[i].Trace] = &d.record.Requests[i]
+	received, counted := map[string]float64{}, map[string]float64{}
+	requests := map[string]*audit.RequestRecord{}
+	for i := range run.record.Requests {
+		requests[run.record.Requests[i].Trace] = &run.record.Requests[i]
 	}
 	seen := map[string]bool{}
-	for _, s := range d.record.Attempts {
-		if t := tries[s.Trace]; t != nil && !seen[s.Trace] {
+	for _, s := range run.record.Attempts {
+		if t := requests[s.Trace]; t != nil && !seen[s.Trace] {
 			seen[s.Trace] = true
-			arrived[t.Customer] += t.Units
+			received[t.Customer] += t.Units
 		}
 	}
-	for _, c := range d.counters {
+	for _, c := range run.counters {
 		for key, milli := range c.Totals("yt:{") {
 			name, _, _ := strings.Cut(strings.TrimPrefix(key, "yt:{"), "}")
 			counted[name] += float64(milli) / 1000
 		}
 	}
 	t := &CounterComparison{}
-	for _, who := range customers(d.script) {
-		a, c := arrived[who.Name], counted[who.Name]
+	for _, cust := range customers(run.script) {
+		a, c := received[cust.Name], counted[cust.Name]
 		t.Received, t.Counted = t.Received+a, t.Counted+c
 		t.Missing, t.Excess = t.Missing+max(0, a-c), t.Excess+max(0, c-a)
 	}
 	return t
 }
 
-func countOutcome(rows map[string]*OutcomeCounts, name string, t *audit.RequestRecord) {
+func countOutcome(rows map[string]*OutcomeCounts, name string, request *audit.RequestRecord) {
 	row := rows[name]
 	if row == nil {
 		row = &OutcomeCounts{Name: name, Rejected: map[string]int{}, Failed: map[string]int{}}
 		rows[name] = row
 	}
 	row.Attempts++
-	reason := cmp.Or(t.Reason, fmt.Sprint("status-", t.Status))
-	switch t.Outcome {
+	reason := cmp.Or(request.Reason, fmt.Sprint("status-", request.Status))
+	switch request.Outcome {
 	case "served":
 		row.Served++
 	case "refused":
@@ -245,13 +246,13 @@
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d tries in %.0f s, %d attempts at servers, %.1f answers within their aim a second\n\n",
 		r.ClientAttempts, r.Seconds, r.ServerAttempts, r.Goodput)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "plan or front\ttries\tserved\trefused\tfailed\tno answer\treasons")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "plan or front\ttries\tserved\trefused\tfailed\tno answer\treasons")
 	for _, row := range append(slices.Clone(r.Plans), r.Fronts...) {
-		refused, failed, why := 0, 0, ""
+		refused, failed, reasons := 0, 0, ""
 		for _, m := range []map[string]int{row.Rejected, row.Failed} {
 			for _, reason := range slices.Sorted(maps.Keys(m)) {
-				why += fmt.Sprintf("%s %d  ", reason, m[reason])
+				reasons += fmt.Sprintf("%s %d  ", reason, m[reason])
 			}
 		}
 		for _, n := range row.Rejected {
@@ -260,32 +261,32 @@
 		for _, n := range row.Failed {
 			failed += n
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", row.Name, row.Attempts, row.Served, refused, failed, row.NoResponse, why)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", row.Name, row.Attempts, row.Served, refused, failed, row.NoResponse, reasons)
 	}
-	fmt.Fprintln(t)
-	fmt.Fprintln(t, "class\tserved\twithin aim\tp50\tp90\tp99\tmax")
+	fmt.Fprintln(table)
+	fmt.Fprintln(table, "class\tserved\twithin aim\tp50\tp90\tp99\tmax")
 	for _, l := range r.Classes {
-		fmt.Fprintf(t, "%s\t%d\t%.1f%%\t%s\t%s\t%s\t%s\n", l.Class, l.Served, 100*l.WithinObjective, formatMilliseconds(l.P50), formatMilliseconds(l.P90), formatMilliseconds(l.P99), formatMilliseconds(l.Max))
+		fmt.Fprintf(table, "%s\t%d\t%.1f%%\t%s\t%s\t%s\t%s\n", l.Class, l.Served, 100*l.WithinObjective, formatMilliseconds(l.P50), formatMilliseconds(l.P90), formatMilliseconds(l.P99), formatMilliseconds(l.Max))
 	}
-	fmt.Fprintln(t)
-	fmt.Fprintln(t, "rule\tchecked\tbroken\tnearest to its edge")
+	fmt.Fprintln(table)
+	fmt.Fprintln(table, "rule\tchecked\tbroken\tnearest to its edge")
 	for i, f := range r.Rules {
-		near := ""
+		margin := ""
 		if i < len(r.Margins) {
-			near = fmt.Sprintf("%.2f", r.Margins[i].Used)
+			margin = fmt.Sprintf("%.2f", r.Margins[i].Used)
 		}
-		fmt.Fprintf(t, "%d %s\t%d\t%d\t%s\n", f.Rule, f.Name, f.Checked, len(f.Violations), near)
+		fmt.Fprintf(table, "%d %s\t%d\t%d\t%s\n", f.Rule, f.Name, f.Checked, len(f.Violations), margin)
 	}
-	t.Flush()
+	table.Flush()
 	if r.CounterTotals != nil {
 		fmt.Fprintf(w, "\ncounter: %.0f units, %.0f arrived at servers; %.0f missing, %.0f more (sent, not arrived)\n", r.CounterTotals.Counted,
 			r.CounterTotals.Received, r.CounterTotals.Missing, r.CounterTotals.Excess)
 	}
-	const most = 10
+	const maxShown = 10
 	for _, f := range r.Rules {
 		for i, b := range f.Violations {
-			if i == most {
-				fmt.Fprintf(w, "rule %d: and %d more\n", f.Rule, len(f.Violations)-most)
+			if i == maxShown {
+				fmt.Fprintf(w, "rule %d: and %d more\n", f.Rule, len(f.Violations)-maxShown)
 				break
 			}
 			fmt.Fprintf(w, "rule %d: %s\n", f.Rule, b)
--- a/day/run.go
+++ b/day/run.go
@@ -8,60 +8,60 @@
 	"time"
 )
 
-// Options is what Run takes beside a script.
+// Options holds the options of Run.
 type Options struct {
 	Environment Environment
-	Progress    func(string) // lines to show; nil: none
+	Progress    func(string) // receives progress lines; may be nil
 }
 
-// Run plays a script and reports.
-func Run(ctx context.Context, s *Script, o Options) (*Report, error) {
-	if o.Progress == nil {
-		o.Progress = func(string) {}
+// Run runs the scenario of a script, and returns its report.
+func Run(ctx context.Context, script *Script, options Options) (*Report, error) {
+	if options.Progress == nil {
+		options.Progress = func(string) {}
 	}
-	d := &scenarioRun{script: s, options: o, startedAt: time.Now(), relays: map[[2]int]*relay{}}
-	defer d.close()
-	if err := d.start(); err != nil {
+	run := &scenarioRun{script: script, options: options, startedAt: time.Now(), relays: map[[2]int]*relay{}}
+	defer run.close()
+	if err := run.start(); err != nil {
 		return nil, err
 	}
-	// Nodes need a moment to hear of each other.
+	// The nodes need some time to receive the first messages of their peers.
 	sleep(ctx, time.Second)
-	d.startedAt = time.Now()
-	callers := newClients(d)
-	var playing sync.WaitGroup
-	for _, f := range s.Faults {
-		playing.Go(func() {
-			if sleep(ctx, parseDuration(f.At)) {
-				d.runFault(ctx, f)
+	run.startedAt = time.Now()
+	clients := newClients(run)
+	var tasks sync.WaitGroup
+	for _, f := range script.Faults {
+		tasks.Go(func() {
+			if sleep(ctx, toDuration(f.At)) {
+				run.runFault(ctx, f)
 			}
 		})
 	}
-	playing.Go(func() { d.logOutcomeCounts(ctx, callers) })
-	callers.run(ctx, parseDuration(s.Length))
-	playing.Wait()
-	if len(d.counters) > 0 {
-		sleep(ctx, 5*time.Second) // the last totals are added
+	tasks.Go(func() { run.logOutcomeCounts(ctx, clients) })
+	clients.run(ctx, toDuration(script.Length))
+	tasks.Wait()
+	if len(run.counters) > 0 {
+		sleep(ctx, 5*time.Second) // until the nodes have added their last totals to the counter
 	}
-	for i, n := range d.nodes {
+	for i, n := range run.nodes {
 		if n == nil {
 			continue
 		}
 		if err := n.Drain(); err != nil {
-			d.errs = append(d.errs, fmt.Errorf("node %d at its end: %w", i, err))
+			run.errs = append(run.errs, fmt.Errorf("drain node %d: %w", i, err))
 		}
 	}
-	d.nodes = nil
-	callers.close()
-	d.mu.Lock()
-	d.record.Requests = callers.records
-	d.mu.Unlock()
+	run.nodes = nil
+	clients.close()
+	run.mu.Lock()
+	run.record.Requests = clients.records
+	run.mu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return d.newReport(), nil
+	return run.newReport(), nil
 }
 
-// sleep waits; false where the context ends first.
+// sleep waits for the duration. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/day/scenario.go
+++ b/day/scenario.go
@@ -18,7 +18,7 @@
 	"yardcleat.example/yardcleat/standin/proxy"
 )
 
-// scenarioRun is a day under way.
+// scenarioRun is a scenario in progress.
 type scenarioRun struct {
 	script            *Script
 	options           Options
@@ -32,26 +32,26 @@
 	discovery         *discovery.Server
 	discoveryAddress  string
 	authorizerAddress string
-	httpAddresses     []string // of the nodes, by number
+	httpAddresses     []string // by node number, as the addresses below
 	http2Addresses    []string
 	extAuthzAddresses []string
 	peerAddresses     []string
 	proxyAddresses    []string
 	nodeConfigs       [][]byte
-	clientNodes       atomic.Int64      // nodes that clients ask
+	clientNodes       atomic.Int64      // number of nodes that clients use
 	relays            map[[2]int]*relay // by sender and receiver
-	proxies           []*proxy.Server   // the proxies, by the node they ask
+	proxies           []*proxy.Server   // by node number
 
 	mu          sync.Mutex
-	nodes       []Node             // nil: a spare that does not run
-	roster      *membership.Roster // nil: the fleet does not change
+	nodes       []Node             // nil for a spare that does not run
+	roster      *membership.Roster // nil if the membership does not change
 	endpoints   []discovery.Endpoint
-	coldServers []*catalogue.Server // those that started cold
+	coldServers []*catalogue.Server // servers that started cold
 	record      audit.Record
 	errs        []error
 }
 
-// serverSlot is the place of one catalogue server, which may be taken and put back.
+// serverSlot is the identity of a catalogue server, which may be killed and started again.
 type serverSlot struct {
 	name    string
 	address string
@@ -59,150 +59,150 @@
 	server  *catalogue.Server
 }
 
-func (d *scenarioRun) close() {
-	d.mu.Lock()
-	nodes := d.nodes
-	d.mu.Unlock()
+func (run *scenarioRun) close() {
+	run.mu.Lock()
+	nodes := run.nodes
+	run.mu.Unlock()
 	for _, n := range nodes {
 		if n != nil {
 			n.Kill()
 		}
 	}
-	for i := len(d.closers) - 1; i >= 0; i-- {
-		d.closers[i]()
+	for i := len(run.closers) - 1; i >= 0; i-- {
+		run.closers[i]()
 	}
 }
 
-// serve opens an address for a stand-in.
-func (d *scenarioRun) serve(host, address string, serve func(net.Listener) error, kill func()) error {
-	l, err := d.options.Environment.Network(host).Listen(address)
+// serve listens on an address and runs a fake there until the scenario run is closed.
+func (run *scenarioRun) serve(host, address string, serve func(net.Listener) error, kill func()) error {
+	listener, err := run.options.Environment.Network(host).Listen(address)
 	if err != nil {
 		return err
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		serve(l)
+		serve(listener)
 	}()
-	d.closers = append(d.closers, func() {
+	run.closers = append(run.closers, func() {
 		kill()
 		<-done
 	})
 	return nil
 }
 
-func (d *scenarioRun) start() error {
+func (run *scenarioRun) start() error {
 	var err error
 	address := func() string {
-		a, e := d.options.Environment.NewAddress()
+		a, e := run.options.Environment.NewAddress()
 		if e != nil {
 			err = e
 		}
 		return a
 	}
-	s := d.script
-	d.record = audit.Record{Classes: map[string]audit.Class{}, Ceilings: map[string]audit.Ceiling{},
-		DrainGrace: parseDuration(s.Servers.DrainGrace), Tolerance: d.options.Environment.RecordTolerance()}
-	for _, c := range s.Classes {
-		d.record.Classes[c.Name] = audit.Class{Effect: c.Effect, DedupWindow: parseDuration(c.DedupWindow), GlobalDedup: c.DedupScope == "" || c.DedupScope == "all"}
+	script := run.script
+	run.record = audit.Record{Classes: map[string]audit.Class{}, Ceilings: map[string]audit.Ceiling{},
+		DrainGrace: toDuration(script.Servers.DrainGrace), Tolerance: run.options.Environment.RecordTolerance()}
+	for _, c := range script.Classes {
+		run.record.Classes[c.Name] = audit.Class{Effect: c.Effect, DedupWindow: toDuration(c.DedupWindow), GlobalDedup: c.DedupScope == "" || c.DedupScope == "all"}
 	}
-	for _, p := range s.Plans {
+	for _, p := range script.Plans {
 		if p.HardRate > 0 {
-			d.record.Ceilings[p.Name] = audit.Ceiling{Rate: p.HardRate, Burst: p.HardBurst, Slack: max(1, 0.1*p.HardBurst)}
+			run.record.Ceilings[p.Name] = audit.Ceiling{Rate: p.HardRate, Burst: p.HardBurst, Slack: max(1, 0.1*p.HardBurst)}
 		}
 	}
-	for i := range s.Servers.DedupScopes {
+	for i := range script.Servers.DedupScopes {
 		window := time.Duration(0)
-		for _, c := range s.Classes {
-			window = max(window, parseDuration(c.DedupWindow))
+		for _, c := range script.Classes {
+			window = max(window, toDuration(c.DedupWindow))
 		}
-		d.dedupScopes = append(d.dedupScopes, &catalogue.DedupScope{Name: fmt.Sprint("rack-", i), Window: window})
+		run.dedupScopes = append(run.dedupScopes, &catalogue.DedupScope{Name: fmt.Sprint("rack-", i), Window: window})
 	}
-	for i := range s.Servers.Count {
-		b := &serverSlot{name: fmt.Sprint("server-", i), address: address(), rack: i % s.Servers.DedupScopes}
-		d.servers = append(d.servers, b)
+	for i := range script.Servers.Count {
+		slot := &serverSlot{name: fmt.Sprint("server-", i), address: address(), rack: i % script.Servers.DedupScopes}
+		run.servers = append(run.servers, slot)
 		if err != nil {
 			return err
 		}
-		if err := d.startServer(b, false); err != nil {
+		if err := run.startServer(slot, false); err != nil {
 			return err
 		}
 	}
-	d.authorizer, d.authorizerAddress = authoriser.New(), address()
-	if err := d.serve("authoriser", d.authorizerAddress, d.authorizer.Serve, d.authorizer.Kill); err != nil {
+	run.authorizer, run.authorizerAddress = authoriser.New(), address()
+	if err := run.serve("authoriser", run.authorizerAddress, run.authorizer.Serve, run.authorizer.Kill); err != nil {
 		return err
 	}
-	if s.Counter != nil {
-		for range s.Counter.Shards {
+	if script.Counter != nil {
+		for range script.Counter.Shards {
 			c, a := counter.New(), address()
-			d.counters, d.counterAddresses = append(d.counters, c), append(d.counterAddresses, a)
-			if err := d.serve("counter", a, c.Serve, c.Kill); err != nil {
+			run.counters, run.counterAddresses = append(run.counters, c), append(run.counterAddresses, a)
+			if err := run.serve("counter", a, c.Serve, c.Kill); err != nil {
 				return err
 			}
 		}
 	}
-	d.discovery = discovery.New("catalogue", parseDuration(s.Servers.UpdateDelay), func(t audit.EndpointUpdate) {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.record.EndpointUpdates = append(d.record.EndpointUpdates, t)
+	run.discovery = discovery.New("catalogue", toDuration(script.Servers.UpdateDelay), func(update audit.EndpointUpdate) {
+		run.mu.Lock()
+		defer run.mu.Unlock()
+		run.record.EndpointUpdates = append(run.record.EndpointUpdates, update)
 	})
-	d.discoveryAddress = address()
-	if err := d.serve("discovery", d.discoveryAddress, d.discovery.Serve, d.discovery.Kill); err != nil {
+	run.discoveryAddress = address()
+	if err := run.serve("discovery", run.discoveryAddress, run.discovery.Serve, run.discovery.Kill); err != nil {
 		return err
 	}
-	d.discovery.SetEndpoints(d.endpoints)
-	total := s.Nodes + s.Spares
-	d.clientNodes.Store(int64(s.Nodes))
-	for range total {
-		d.httpAddresses, d.extAuthzAddresses = append(d.httpAddresses, address()), append(d.extAuthzAddresses, address())
-		d.peerAddresses, d.proxyAddresses = append(d.peerAddresses, address()), append(d.proxyAddresses, address())
-		d.http2Addresses = append(d.http2Addresses, address())
+	run.discovery.SetEndpoints(run.endpoints)
+	nodeCount := script.Nodes + script.Spares
+	run.clientNodes.Store(int64(script.Nodes))
+	for range nodeCount {
+		run.httpAddresses, run.extAuthzAddresses = append(run.httpAddresses, address()), append(run.extAuthzAddresses, address())
+		run.peerAddresses, run.proxyAddresses = append(run.peerAddresses, address()), append(run.proxyAddresses, address())
+		run.http2Addresses = append(run.http2Addresses, address())
 	}
 	if err != nil {
 		return err
 	}
-	if s.Spares > 0 {
-		d.roster = &membership.Roster{Epoch: 1}
-		for i := range s.Nodes {
-			d.roster.Nodes = append(d.roster.Nodes, membership.Node{Name: nodeName(i), Address: nodeName(i) + ":1"})
+	if script.Spares > 0 {
+		run.roster = &membership.Roster{Epoch: 1}
+		for i := range script.Nodes {
+			run.roster.Nodes = append(run.roster.Nodes, membership.Node{Name: nodeName(i), Address: nodeName(i) + ":1"})
 		}
 	}
-	for i := range total {
-		cfg, err := d.renderNodeConfig(i)
+	for i := range nodeCount {
+		cfg, err := run.renderNodeConfig(i)
 		if err != nil {
 			return err
 		}
-		d.nodeConfigs = append(d.nodeConfigs, cfg)
-		d.nodes = append(d.nodes, nil)
-		if i < s.Nodes {
-			if err := d.writeRoster(i); err != nil {
+		run.nodeConfigs = append(run.nodeConfigs, cfg)
+		run.nodes = append(run.nodes, nil)
+		if i < script.Nodes {
+			if err := run.writeRoster(i); err != nil {
 				return err
 			}
-			if d.nodes[i], err = d.options.Environment.StartNode(i, cfg); err != nil {
+			if run.nodes[i], err = run.options.Environment.StartNode(i, cfg); err != nil {
 				return err
 			}
 		}
-		d.proxies = append(d.proxies, nil)
-		if err := d.startProxy(i); err != nil {
+		run.proxies = append(run.proxies, nil)
+		if err := run.startProxy(i); err != nil {
 			return err
 		}
 	}
-	return d.waitUntilReady()
+	return run.waitUntilReady()
 }
 
-// waitUntilReady waits until every node takes connections.
-func (d *scenarioRun) waitUntilReady() error {
-	for i, a := range d.httpAddresses[:d.clientNodes.Load()] {
+// waitUntilReady waits until each node that clients use accepts connections.
+func (run *scenarioRun) waitUntilReady() error {
+	for i, address := range run.httpAddresses[:run.clientNodes.Load()] {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		for {
-			c, err := d.options.Environment.Network("clients").Dial(ctx, a)
+			conn, err := run.options.Environment.Network("clients").Dial(ctx, address)
 			if err == nil {
-				c.Close()
+				conn.Close()
 				break
 			}
 			if !sleep(ctx, 20*time.Millisecond) {
 				cancel()
-				return fmt.Errorf("node %d takes no connections: %w", i, err)
+				return fmt.Errorf("node %d accepts no connections: %w", i, err)
 			}
 		}
 		cancel()
@@ -210,71 +210,71 @@
 	return nil
 }
 
-// startProxy starts the proxy before a node.
-func (d *scenarioRun) startProxy(i int) error {
-	p, err := proxy.New(proxy.Options{Network: d.options.Environment.Network("proxy"), Gateway: d.extAuthzAddresses[i], DefaultTimeout: 5 * time.Second})
+// startProxy starts the proxy in front of a node.
+func (run *scenarioRun) startProxy(i int) error {
+	p, err := proxy.New(proxy.Options{Network: run.options.Environment.Network("proxy"), Gateway: run.extAuthzAddresses[i], DefaultTimeout: 5 * time.Second})
 	if err != nil {
 		return err
 	}
-	if err := d.serve("proxy", d.proxyAddresses[i], p.Serve, p.Kill); err != nil {
+	if err := run.serve("proxy", run.proxyAddresses[i], p.Serve, p.Kill); err != nil {
 		return err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.proxies[i] = p
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.proxies[i] = p
 	return nil
 }
 
-// startServer starts the server of a box, cold or long warm.
-func (d *scenarioRun) startServer(b *serverSlot, cold bool) error {
-	v := d.script.Servers
-	o := catalogue.Options{Name: b.name, DedupScope: d.dedupScopes[b.rack], Cores: v.Cores, QueueLength: v.QueueLength,
+// startServer starts the server of a slot, either cold or fully warm.
+func (run *scenarioRun) startServer(slot *serverSlot, cold bool) error {
+	settings := run.script.Servers
+	options := catalogue.Options{Name: slot.name, DedupScope: run.dedupScopes[slot.rack], Cores: settings.Cores, QueueLength: settings.QueueLength,
 		Record: func(s audit.AttemptRecord) {
-			d.mu.Lock()
-			defer d.mu.Unlock()
-			d.record.Attempts = append(d.record.Attempts, s)
+			run.mu.Lock()
+			defer run.mu.Unlock()
+			run.record.Attempts = append(run.record.Attempts, s)
 		},
 		OnColdOverload: func(f audit.ColdOverload) {
-			d.mu.Lock()
-			defer d.mu.Unlock()
-			d.record.ColdOverloads = append(d.record.ColdOverloads, f)
+			run.mu.Lock()
+			defer run.mu.Unlock()
+			run.record.ColdOverloads = append(run.record.ColdOverloads, f)
 		}}
 	if cold {
-		o.InitialCapacity, o.WarmupTime, o.ColdOverloadFactor, o.ColdOverloadTime = v.InitialCapacity, parseDuration(v.WarmupTime), v.ColdOverloadFactor, parseDuration(v.ColdOverloadTime)
+		options.InitialCapacity, options.WarmupTime, options.ColdOverloadFactor, options.ColdOverloadTime = settings.InitialCapacity, toDuration(settings.WarmupTime), settings.ColdOverloadFactor, toDuration(settings.ColdOverloadTime)
 	}
-	for _, c := range d.script.Classes {
-		o.Classes = append(o.Classes, catalogue.Class{Name: c.Name, Method: c.Method, PathPrefix: c.PathPrefix, Work: parseDuration(c.ServiceTime),
+	for _, c := range run.script.Classes {
+		options.Classes = append(options.Classes, catalogue.Class{Name: c.Name, Method: c.Method, PathPrefix: c.PathPrefix, Work: toDuration(c.ServiceTime),
 			IdempotentWithKey: c.Effect == "keyed"})
 	}
-	server := catalogue.New(o)
-	if err := d.serve(b.name, b.address, server.Serve, server.Kill); err != nil {
+	server := catalogue.New(options)
+	if err := run.serve(slot.name, slot.address, server.Serve, server.Kill); err != nil {
 		return err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	b.server = server
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	slot.server = server
 	if cold {
-		d.coldServers = append(d.coldServers, server)
+		run.coldServers = append(run.coldServers, server)
 	}
-	e := discovery.Endpoint{Name: b.name, Address: b.address, Zone: fmt.Sprint("room-", b.rack), Cell: b.rack}
+	endpoint := discovery.Endpoint{Name: slot.name, Address: slot.address, Zone: fmt.Sprint("room-", slot.rack), Cell: slot.rack}
 	if cold {
-		e.Started = time.Now()
+		endpoint.Started = time.Now()
 	}
-	d.endpoints = append(d.endpoints, e)
+	run.endpoints = append(run.endpoints, endpoint)
 	return nil
 }
 
-func (d *scenarioRun) logf(format string, args ...any) {
-	d.options.Progress(fmt.Sprintf("%5.1fs  ", time.Since(d.startedAt).Seconds()) + strings.TrimSpace(fmt.Sprintf(format, args...)))
+func (run *scenarioRun) logf(format string, args ...any) {
+	run.options.Progress(fmt.Sprintf("%5.1fs  ", time.Since(run.startedAt).Seconds()) + strings.TrimSpace(fmt.Sprintf(format, args...)))
 }
 
-func (d *scenarioRun) logOutcomeCounts(ctx context.Context, c *clients) {
-	for range int(parseDuration(d.script.Length) / (5 * time.Second)) {
+func (run *scenarioRun) logOutcomeCounts(ctx context.Context, c *clients) {
+	for range int(toDuration(run.script.Length) / (5 * time.Second)) {
 		if !sleep(ctx, 5*time.Second) {
 			return
 		}
-		n := c.outcomeCounts()
-		d.logf("%d tries, %d served, %d refused, %d failed, %d without an answer", n[""]+n["served"]+n["refused"]+n["failed"],
-			n["served"], n["refused"], n["failed"], n[""])
+		counts := c.outcomeCounts()
+		run.logf("%d tries, %d served, %d refused, %d failed, %d without an answer", counts[""]+counts["served"]+counts["refused"]+counts["failed"],
+			counts["served"], counts["refused"], counts["failed"], counts[""])
 	}
 }
--- a/day/script.go
+++ b/day/script.go
@@ -1,6 +1,7 @@
-// Package day plays a scripted day of trouble on real nodes: a fleet of
-// gateways, catalogue servers, authoriser, proxies and discovery, with clients
-// on both fronts, and checks the five rules from what passed.
+// Package day runs scripted fault scenarios against a fleet of gateways, as processes on loopback or in
+// virtual time. It simulates the clients, uses fakes of the catalogue servers, the authorizer, the
+// counter, the proxies and the discovery service, and checks the five rules from what clients got and
+// servers received.
 package day
 
 import (
@@ -18,26 +19,26 @@
 //go:embed scripts
 var scripts embed.FS
 
-// DefaultScript names the script that is played where none is given.
+// DefaultScript is the name of the built-in script that runs if none is given.
 const DefaultScript = "default"
 
-// ScriptNames lists the scripts that come with the program.
+// ScriptNames returns the names of the built-in scripts.
 func ScriptNames() []string {
-	list, err := scripts.ReadDir("scripts")
+	entries, err := scripts.ReadDir("scripts")
 	if err != nil {
-		panic(err) // they are in the program
+		panic(err) // the scripts are embedded
 	}
 	var names []string
-	for _, e := range list {
-		names = append(names, strings.TrimSuffix(e.Name(), ".hcl"))
+	for _, entry := range entries {
+		names = append(names, strings.TrimSuffix(entry.Name(), ".hcl"))
 	}
 	return names
 }
 
-// Source is the text of a script that comes with the program.
+// Source returns the text of a built-in script.
 func Source(name string) ([]byte, error) { return scripts.ReadFile("scripts/" + name + ".hcl") }
 
-// Load reads a script that comes with the program.
+// Load parses a built-in script.
 func Load(name string) (*Script, error) {
 	src, err := Source(name)
 	if err != nil {
@@ -46,13 +47,13 @@
 	return Parse(src, name+".hcl")
 }
 
-// Script is a day.
+// Script describes a scenario.
 type Script struct {
-	Extends               string          `hcl:"extends,optional"` // a script of the program, whose blocks and values come first
+	Extends               string          `hcl:"extends,optional"` // a built-in script, whose blocks and attributes are read first
 	Length                Duration        `hcl:"length"`
 	Seed                  int             `hcl:"seed,optional"`
 	Nodes                 int             `hcl:"nodes"`
-	Spares                int             `hcl:"spares,optional"` // nodes that may join; with any, the fleet is by roster
+	Spares                int             `hcl:"spares,optional"` // nodes that may join; if there are any, the nodes read a roster
 	PeerMessagesPerSecond float64         `hcl:"mail_per_second,optional"`
 	Servers               Servers         `hcl:"servers,block"`
 	Clients               Clients         `hcl:"clients,block"`
@@ -62,13 +63,13 @@
 	Customers             []CustomerGroup `hcl:"customers,block"`
 	Faults                []Fault         `hcl:"fault,block"`
 
-	blockRanges map[string][]hcl.Range // of blocks, by type, in order
+	blockRanges map[string][]hcl.Range // positions of the blocks, by type, in order
 }
 
-// Duration is a text such as "250ms".
+// Duration is a duration as text, such as "250ms".
 type Duration = string
 
-// Servers describes the catalogue servers and what discovery tells of them.
+// Servers describes the catalogue servers and the endpoint updates about them.
 type Servers struct {
 	Count              int      `hcl:"count"`
 	Cores              int      `hcl:"cores"`
@@ -88,31 +89,31 @@
 	CommandsPerSecond float64 `hcl:"calls_per_second"`
 }
 
-// Clients describes how clients behave.
+// Clients describes the behavior of the clients.
 type Clients struct {
 	Retries    int      `hcl:"retries"`
-	RetryDelay Duration `hcl:"wait"`           // before a retry
-	ProxyShare float64  `hcl:"proxied"`        // share of tries that come by the proxies
-	HTTP2Share float64  `hcl:"http2,optional"` // share that comes over HTTP/2; the rest over HTTP/1.1
+	RetryDelay Duration `hcl:"wait"`           // mean delay before a retry
+	ProxyShare float64  `hcl:"proxied"`        // fraction of requests sent through the proxies
+	HTTP2Share float64  `hcl:"http2,optional"` // fraction of requests sent over HTTP/2; the rest is sent over HTTP/1.1
 }
 
-// Class is a class of requests with the work it makes.
+// Class is a class of requests, with the work that a request takes.
 type Class struct {
 	Name             string   `hcl:"name,label"`
 	Method           string   `hcl:"method"`
-	PathPrefix       string   `hcl:"path"` // a prefix; an id follows
+	PathPrefix       string   `hcl:"path"` // followed by an ID
 	Effect           string   `hcl:"effect"`
 	DedupScope       string   `hcl:"group,optional"`
 	DedupWindow      Duration `hcl:"window,optional"`
 	LatencyObjective Duration `hcl:"aim"`
 	Deadline         Duration `hcl:"deadline"`
 	ServiceTime      Duration `hcl:"work"`
-	Share            float64  `hcl:"share"` // of all requests
+	Share            float64  `hcl:"share"` // fraction of all requests
 	Units            float64  `hcl:"units,optional"`
 	Authorisation    string   `hcl:"authorisation,optional"`
 }
 
-// Plan is a plan's quotas.
+// Plan is a plan with its quotas.
 type Plan struct {
 	Name        string  `hcl:"name,label"`
 	Rate        float64 `hcl:"rate"`
@@ -122,32 +123,32 @@
 	HardBurst   float64 `hcl:"hard_burst,optional"`
 }
 
-// CustomerGroup is some customers of one plan that ask alike.
+// CustomerGroup is a group of customers of one plan with equal demand.
 type CustomerGroup struct {
 	Name   string  `hcl:"name,label"`
 	Plan   string  `hcl:"plan"`
 	Count  int     `hcl:"count"`
-	Demand float64 `hcl:"use"` // units asked for, as a multiple of the plan's rate
+	Demand float64 `hcl:"use"` // as a multiple of the plan's rate
 }
 
-// Fault is one trouble.
+// Fault is one fault of a scenario.
 type Fault struct {
 	Kind     string   `hcl:"kind,label"`
 	At       Duration `hcl:"at"`
 	Duration Duration `hcl:"for,optional"`
-	Target   int      `hcl:"target,optional"` // number of the node or server, from 0
+	Target   int      `hcl:"target,optional"` // number of the node, server or shard of the counter, from 0
 	Argument string   `hcl:"arg,optional"`
 }
 
-// faultKinds of fault, with what their target and argument mean.
+// faultKinds describes the target and the argument of each kind of fault.
 var faultKinds = map[string]struct {
-	target string // node, server or ""
+	target string // node, server, part (a shard of the counter) or ""
 	arg    string
 }{
-	"node-kill":         {"node", ""},   // killed outright, started again after "for"
+	"node-kill":         {"node", ""},   // killed, and started again after "for"
 	"node-stop":         {"node", ""},   // SIGSTOP for "for"
-	"server-drain":      {"server", ""}, // told as draining; ended after "for"
-	"server-vanish":     {"server", ""}, // ended; discovery learns of it after "for"
+	"server-drain":      {"server", ""}, // marked as draining; killed and removed from the endpoint list after "for"
+	"server-vanish":     {"server", ""}, // killed; removed from the endpoint list after "for"
 	"server-return":     {"server", ""}, // started again, cold
 	"server-hang":       {"server", ""},
 	"server-half-close": {"server", ""},
@@ -157,50 +158,50 @@
 	"authoriser-slow":   {"", "duration"},
 	"authoriser-silent": {"", ""},
 	"counter-silent":    {"part", ""},
-	"counter-refuse":    {"part", ""}, // connections and calls
-	"counter-lose":      {"part", ""}, // does what it is told, and answers nothing
+	"counter-refuse":    {"part", ""}, // refuses connections and commands
+	"counter-lose":      {"part", ""}, // executes commands, but sends no replies
 	"counter-slow":      {"part", "duration"},
-	"counter-empty":     {"part", ""}, // an empty one in its place
+	"counter-empty":     {"part", ""}, // loses all data
 	"counter-save":      {"part", ""},
-	"counter-restore":   {"part", ""}, // what was saved
-	"counter-split":     {"part", ""}, // even nodes on one side, odd ones on the other
+	"counter-restore":   {"part", ""}, // returns to the saved data
+	"counter-split":     {"part", ""}, // nodes with even and odd numbers use separate copies
 	"counter-heal":      {"part", "first, second or both"},
 
-	"node-kill-start":  {"node", "duration"}, // killed again that long after it was started again
-	"server-reset":     {"server", ""},       // accepts, and resets what it has read
-	"server-twice":     {"server", ""},       // answers twice
-	"server-flap":      {"server", ""},       // taken off the list and put back after "for"; it runs on
-	"peers-cut":        {"node", "node"},     // what one node tells another is lost; the other way it is not
-	"proxy-kill":       {"node", ""},         // with the attempts it holds; back after "for"
-	"discovery-silent": {"", ""},             // changes are held back
-	"discovery-bad":    {"", ""},             // a list that can't be meant, and then the good one
-	"discovery-cut":    {"", ""},             // its streams end
-	"fleet-grow":       {"", "count"},        // so many spares join; the nodes hear of it over "for"
-	"fleet-shrink":     {"", "count"},        // so many of them leave again
-	"clock-set":        {"node", "duration"}, // the node's wall clock, by so much; back after "for"; in virtual time alone
+	"node-kill-start":  {"node", "duration"}, // killed, started after "for", and killed again after the argument
+	"server-reset":     {"server", ""},       // accepts connections, and resets them after reading a request
+	"server-twice":     {"server", ""},       // sends two responses to each request
+	"server-flap":      {"server", ""},       // removed from the endpoint list and added again after "for", but not stopped
+	"peers-cut":        {"node", "node"},     // messages from the target to the node in the argument are lost; those in the opposite direction are not
+	"proxy-kill":       {"node", ""},         // killed with the requests it holds; started again after "for"
+	"discovery-silent": {"", ""},             // updates are held back
+	"discovery-bad":    {"", ""},             // from then on, an invalid list is sent before each update
+	"discovery-cut":    {"", ""},             // all streams are closed
+	"fleet-grow":       {"", "count"},        // number of spares that join; the nodes get the roster one after another over "for"
+	"fleet-shrink":     {"", "count"},        // number of nodes that leave; the nodes get the roster as above
+	"clock-set":        {"node", "duration"}, // the node's wall clock is ahead by the argument until "for" has passed; in virtual time only
 }
 
-// Parse reads a script; the name is for messages.
+// Parse parses a script. The name is used in error messages.
 func Parse(src []byte, name string) (*Script, error) {
 	s := &Script{Seed: 1, PeerMessagesPerSecond: 200}
 	p := hclparse.NewParser()
-	own, diags := p.ParseHCL(src, name)
+	file, diags := p.ParseHCL(src, name)
 	if diags.HasErrors() {
 		return nil, errors.Join(diags.Errs()...)
 	}
-	files := []*hcl.File{own}
+	files := []*hcl.File{file}
 	var head struct {
 		Extends string   `hcl:"extends,optional"`
 		Rest    hcl.Body `hcl:",remain"`
 	}
-	diags = gohcl.DecodeBody(own.Body, nil, &head)
+	diags = gohcl.DecodeBody(file.Body, nil, &head)
 	if head.Extends != "" {
-		base, err := Source(head.Extends)
+		source, err := Source(head.Extends)
 		if err != nil {
-			return nil, fmt.Errorf("%s: extends %q; there are %s", name, head.Extends, strings.Join(ScriptNames(), ", "))
+			return nil, fmt.Errorf("%s: extends %q, which is not a built-in script; the built-in scripts are %s", name, head.Extends, strings.Join(ScriptNames(), ", "))
 		}
-		f, more := p.ParseHCL(base, head.Extends+".hcl")
-		files, diags = append([]*hcl.File{f}, files...), append(diags, more...)
+		baseFile, baseDiags := p.ParseHCL(source, head.Extends+".hcl")
+		files, diags = append([]*hcl.File{baseFile}, files...), append(diags, baseDiags...)
 	}
 	if diags = append(diags, gohcl.DecodeBody(hcl.MergeFiles(files), nil, s)...); diags.HasErrors() {
 		return nil, errors.Join(diags.Errs()...)
@@ -209,8 +210,8 @@
 	return s, s.validate(name)
 }
 
-// parseDuration reads a duration that was checked; "" is 0.
-func parseDuration(d Duration) time.Duration {
+// toDuration parses a valid duration; "" is 0.
+func toDuration(d Duration) time.Duration {
 	v, _ := time.ParseDuration(d)
 	return v
 }
--- a/day/validation_test.go
+++ b/day/validation_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A fault that can't happen is a mistake that names its file and line.
+// Invalid faults, and faults that are impossible in the state at their time, give errors with the
+// file and the line.
 func TestInvalidScripts(t *testing.T) {
 	for _, c := range []struct{ faults, want string }{
 		{`fault "server-return" {
@@ -68,7 +69,7 @@
 			t.Errorf("%v\nwant %s", err, c.want)
 		}
 	}
-	// A stopped node may be killed; a server gone may return; the same again later.
+	// A suspended node may be killed; a removed server may return, and be killed again later.
 	if _, err := Parse([]byte(`extends = "base"
 fault "node-stop" {
   at     = "1s"
