--- a/day/day_test.go
+++ b/day/day_test.go
@@ -53,7 +53,7 @@
 		served += row.Served
 	}
 	if served < r.ClientAttempts/3 {
-		t.Errorf("%d served of %d tries", served, r.ClientAttempts)
+		t.Errorf("%d of %d client attempts were served", served, r.ClientAttempts)
 	}
 }
 
@@ -116,7 +116,7 @@
 	for _, c := range []struct {
 		rule   int
 		what   string
-		defect func(*VirtualEnvironment)
+		mutate func(*VirtualEnvironment)
 		script []byte
 	}{
 		{1, "the client timeout is not read",
@@ -142,7 +142,7 @@
 			"rate = 100\n  burst = 100\n  open = 0"), scriptSource(t, DefaultScript)},
 	} {
 		t.Run(c.what, func(t *testing.T) {
-			r := runVirtual(t, c.script, c.defect)
+			r := runVirtual(t, c.script, c.mutate)
 			if len(r.Rules[c.rule-1].Violations) == 0 {
 				r.Write(t.Output())
 				t.Errorf("no violation of rule %d was found", c.rule)
--- a/day/report.go
+++ b/day/report.go
@@ -193,9 +193,9 @@
 		requests[run.record.Requests[i].Trace] = &run.record.Requests[i]
 	}
 	seen := map[string]bool{}
-	for _, s := range run.record.Attempts {
-		if t := requests[s.Trace]; t != nil && !seen[s.Trace] {
-			seen[s.Trace] = true
+	for _, attempt := range run.record.Attempts {
+		if t := requests[attempt.Trace]; t != nil && !seen[attempt.Trace] {
+			seen[attempt.Trace] = true
 			received[t.Customer] += t.Units
 		}
 	}
@@ -249,19 +249,19 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "plan or front\ttries\tserved\trefused\tfailed\tno answer\treasons")
 	for _, row := range append(slices.Clone(r.Plans), r.Fronts...) {
-		refused, failed, reasons := 0, 0, ""
+		rejected, failed, reasons := 0, 0, ""
 		for _, m := range []map[string]int{row.Rejected, row.Failed} {
 			for _, reason := range slices.Sorted(maps.Keys(m)) {
 				reasons += fmt.Sprintf("%s %d  ", reason, m[reason])
 			}
 		}
 		for _, n := range row.Rejected {
-			refused += n
+			rejected += n
 		}
 		for _, n := range row.Failed {
 			failed += n
 		}
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", row.Name, row.Attempts, row.Served, refused, failed, row.NoResponse, reasons)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", row.Name, row.Attempts, row.Served, rejected, failed, row.NoResponse, reasons)
 	}
 	fmt.Fprintln(table)
 	fmt.Fprintln(table, "class\tserved\twithin aim\tp50\tp90\tp99\tmax")
--- a/day/script.go
+++ b/day/script.go
@@ -184,23 +184,23 @@
 // Parse parses a script. The name is used in error messages.
 func Parse(src []byte, name string) (*Script, error) {
 	s := &Script{Seed: 1, PeerMessagesPerSecond: 200}
-	p := hclparse.NewParser()
-	file, diags := p.ParseHCL(src, name)
+	parser := hclparse.NewParser()
+	file, diags := parser.ParseHCL(src, name)
 	if diags.HasErrors() {
 		return nil, errors.Join(diags.Errs()...)
 	}
 	files := []*hcl.File{file}
-	var head struct {
+	var header struct {
 		Extends string   `hcl:"extends,optional"`
 		Rest    hcl.Body `hcl:",remain"`
 	}
-	diags = gohcl.DecodeBody(file.Body, nil, &head)
-	if head.Extends != "" {
-		source, err := Source(head.Extends)
+	diags = gohcl.DecodeBody(file.Body, nil, &header)
+	if header.Extends != "" {
+		source, err := Source(header.Extends)
 		if err != nil {
-			return nil, fmt.Errorf("%s: extends %q, which is not a built-in script; the built-in scripts are %s", name, head.Extends, strings.Join(ScriptNames(), ", "))
+			return nil, fmt.Errorf("%s: extends %q, which is not a built-in script; the built-in scripts are %s", name, header.Extends, strings.Join(ScriptNames(), ", "))
 		}
-		baseFile, baseDiags := p.ParseHCL(source, head.Extends+".hcl")
+		baseFile, baseDiags := parser.ParseHCL(source, header.Extends+".hcl")
 		files, diags = append([]*hcl.File{baseFile}, files...), append(diags, baseDiags...)
 	}
 	if diags = append(diags, gohcl.DecodeBody(hcl.MergeFiles(files), nil, s)...); diags.HasErrors() {
