--- a/cmd/yardcleat/hunt.go
+++ b/cmd/yardcleat/hunt.go
@@ -101,7 +101,7 @@
 }
 
 func (h *faultSearch) newJob(scenario hunt.Scenario) virtual.Job {
-	return virtual.Job{Source: scenario.Script.Format(), Seed: scenario.Seed, NoTimestamps: scenario.NoReceiveTimestamps, Mutation: h.mutation}
+	return virtual.Job{Source: scenario.Script.Format(), Seed: scenario.Seed, NoTimestamps: scenario.NoTimestamps, Mutation: h.mutation}
 }
 
 // evaluate returns the outcome of a scenario, and a message about each violation. Errors, and a
@@ -245,7 +245,7 @@
 		return nil
 	}
 	text := fmt.Sprintf("# Found by lab hunt --seed %d; play it with --seed %d", h.seed, smallest.Seed)
-	if smallest.NoReceiveTimestamps {
+	if smallest.NoTimestamps {
 		text += " --no-stamps"
 	}
 	for _, message := range messages {
--- a/cmd/yardcleat/stalls.go
+++ b/cmd/yardcleat/stalls.go
@@ -62,7 +62,7 @@
 									return
 								}
 								if stops := result.Report.Pauses; stops != nil {
-									sums[i].Attempts, sums[i].SentTooLate = sums[i].Attempts+stops.Attempts, sums[i].SentTooLate+stops.SentTooLate
+									sums[i].Requests, sums[i].SentTooLate = sums[i].Requests+stops.Requests, sums[i].SentTooLate+stops.SentTooLate
 									sums[i].AvoidableRejections, sums[i].Served = sums[i].AvoidableRejections+stops.AvoidableRejections, sums[i].Served+stops.Served
 								}
 							})
@@ -74,8 +74,8 @@
 					}
 					for i, way := range virtual.PauseStrategies {
 						s := sums[i]
-						fmt.Fprintf(table, "| %v\t| %s\t| %s\t| %d\t| %d\t| %d (%s%%)\t| %d\t|\n", length, front.name, way, s.Attempts, s.SentTooLate, s.AvoidableRejections,
-							strconv.FormatFloat(100*float64(s.AvoidableRejections)/float64(max(1, s.Attempts)), 'f', 1, 64), s.Served)
+						fmt.Fprintf(table, "| %v\t| %s\t| %s\t| %d\t| %d\t| %d (%s%%)\t| %d\t|\n", length, front.name, way, s.Requests, s.SentTooLate, s.AvoidableRejections,
+							strconv.FormatFloat(100*float64(s.AvoidableRejections)/float64(max(1, s.Requests)), 'f', 1, 64), s.Served)
 					}
 				}
 			}
--- a/config/config.go
+++ b/config/config.go
@@ -160,17 +160,17 @@
 // Limits bounds the messages and connections that the gateway accepts and sets its timeouts.
 // Memory and file descriptors limit how far the values can be raised.
 type Limits struct {
-	MaxLineBytes    int           // length of a request line or header line; 256 B to 1 MiB, default 8 KiB
-	MaxHeaderFields int           // header fields of a message; 8 to 10,000, default 100
-	MaxHeaderBytes  int           // size of a message's header; 1 KiB to 16 MiB, default 32 KiB
-	MaxRequestBody  int64         // bytes of a request's body; 0 to 1 GiB, default 1 MiB
-	MaxResponseBody int64         // bytes of the body of a server's response; 0 to 1 GiB, default 8 MiB
-	HeaderTimeout   time.Duration // from a request's first byte to the end of its header; 1 ms to 1 h, default 5 s
-	BodyTimeout     time.Duration // from a request's first byte to the end of its body; 1 ms to 1 h, default 10 s
-	IdleTimeout     time.Duration // idle timeout of a client's connection; 1 ms to 24 h, default 5 min
-	WriteTimeout    time.Duration // for a client to receive a response; 1 ms to 1 h, default 10 s
-	MaxConnections  int           // client connections per listener; 1 to 1e6, default 20,000
-	MaxStreams      int           // concurrent streams on one HTTP/2 connection; 1 to 100,000, default 100
+	MaxLineBytes         int           // length of a request line or header line; 256 B to 1 MiB, default 8 KiB
+	MaxHeaderFields      int           // header fields of a message; 8 to 10,000, default 100
+	MaxHeaderBytes       int           // size of a message's header; 1 KiB to 16 MiB, default 32 KiB
+	MaxRequestBody       int64         // bytes of a request's body; 0 to 1 GiB, default 1 MiB
+	MaxResponseBody      int64         // bytes of the body of a server's response; 0 to 1 GiB, default 8 MiB
+	HeaderTimeout        time.Duration // from a request's first byte to the end of its header; 1 ms to 1 h, default 5 s
+	BodyTimeout          time.Duration // from a request's first byte to the end of its body; 1 ms to 1 h, default 10 s
+	IdleTimeout          time.Duration // idle timeout of a client's connection; 1 ms to 24 h, default 5 min
+	WriteTimeout         time.Duration // for a client to receive a response; 1 ms to 1 h, default 10 s
+	MaxConnections       int           // client connections per listener; 1 to 1e6, default 20,000
+	MaxConcurrentStreams int           // concurrent streams on one HTTP/2 connection; 1 to 100,000, default 100
 	// FrameBudget is the number of resets, pings, settings and empty frames that one HTTP/2
 	// connection may send in a burst; a tenth of it is refilled per second. 10 to 1e6,
 	// default 200.
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -52,8 +52,8 @@
 	for _, row := range r.Plans {
 		served += row.Served
 	}
-	if served < r.ClientAttempts/3 {
-		t.Errorf("%d of %d client attempts were served", served, r.ClientAttempts)
+	if served < r.Requests/3 {
+		t.Errorf("%d of %d client attempts were served", served, r.Requests)
 	}
 }
 
--- a/day/golden_test.go
+++ b/day/golden_test.go
@@ -13,17 +13,17 @@
 
 // The report that `day --json` prints has exactly these fields.
 func TestReportHasGoldenJSON(t *testing.T) {
-	row := OutcomeCounts{Name: "basic", Attempts: 5, Served: 2, Rejected: map[string]int{"quota": 1}, Failed: map[string]int{"server-late": 1}, NoResponse: 1}
+	row := OutcomeCounts{Name: "basic", Requests: 5, Served: 2, Rejected: map[string]int{"quota": 1}, Failed: map[string]int{"server-late": 1}, NoResponse: 1}
 	for _, c := range []struct {
 		name   string
 		report Report
 		golden string
 	}{
-		{"all fields set", Report{Seconds: 30.5, ClientAttempts: 5, Goodput: 1.5, Plans: []OutcomeCounts{row}, Fronts: []OutcomeCounts{{Name: "http1"}},
+		{"all fields set", Report{Seconds: 30.5, Requests: 5, Goodput: 1.5, Plans: []OutcomeCounts{row}, Fronts: []OutcomeCounts{{Name: "http1"}},
 			Classes:        []LatencySummary{{Class: "lookup", Served: 2, WithinObjective: 0.5, P50: 1.5, P90: 2.5, P99: 3.5, Max: 4.5}},
 			ServerAttempts: 4, CounterTotals: &CounterComparison{Received: 4, Counted: 5, Missing: 1, Excess: 2},
 			Rules: []audit.RuleResult{{Rule: 1, Name: "n", Checked: 7, Violations: []string{"b"}}}, Margins: []audit.Margin{{Rule: 1, Used: 0.5}},
-			InFlight: []audit.InFlightPeak{{Customer: "c", Peak: 3, Cap: 4}}, ServedWithinObjective: 2, Pauses: &PauseSummary{Attempts: 4, SentTooLate: 1, AvoidableRejections: 2, Served: 3},
+			InFlight: []audit.InFlightPeak{{Customer: "c", Peak: 3, Cap: 4}}, ServedWithinObjective: 2, Pauses: &PauseSummary{Requests: 4, SentTooLate: 1, AvoidableRejections: 2, Served: 3},
 			Errors: []string{"e"}},
 			`{"seconds":30.5,"tries":5,"goodput":1.5,` +
 				`"plans":[{"name":"basic","tries":5,"served":2,"refused":{"quota":1},"failed":{"server-late":1},"no_answer":1}],` +
--- a/day/report.go
+++ b/day/report.go
@@ -19,7 +19,7 @@
 // Report is the result of a scenario run.
 type Report struct {
 	Seconds               float64              `json:"seconds"`
-	ClientAttempts        int                  `json:"tries"`
+	Requests              int                  `json:"tries"`
 	Goodput               float64              `json:"goodput"` // responses within the latency objective, per second
 	Plans                 []OutcomeCounts      `json:"plans"`
 	Fronts                []OutcomeCounts      `json:"fronts"`
@@ -38,7 +38,7 @@
 // during the suspension or within 5 s after it. Requests that were sent before the suspension and timed
 // out during it are left out.
 type PauseSummary struct {
-	Attempts            int `json:"tries"`
+	Requests            int `json:"tries"`
 	SentTooLate         int `json:"late"`     // attempts that arrived at a server after the client timeout
 	AvoidableRejections int `json:"needless"` // rejected or failed for lack of time, with more than 200 ms left
 	Served              int `json:"served"`
@@ -54,7 +54,7 @@
 			if downtime.Killed || downtime.Node != request.Node || request.TimesOutAt.Before(downtime.From) || request.SentAt.After(downtime.To.Add(recovery)) || request.TimesOutAt.Before(downtime.To) && request.SentAt.Before(downtime.From) {
 				continue
 			}
-			summary.Attempts++
+			summary.Requests++
 			affected[request.Trace] = request
 			switch {
 			case request.Outcome == "served":
@@ -108,7 +108,7 @@
 // OutcomeCounts counts requests by outcome.
 type OutcomeCounts struct {
 	Name       string         `json:"name"`
-	Attempts   int            `json:"tries"`
+	Requests   int            `json:"tries"`
 	Served     int            `json:"served"`
 	Rejected   map[string]int `json:"refused"` // by reason
 	Failed     map[string]int `json:"failed"`
@@ -134,7 +134,7 @@
 func (run *scenarioRun) newReport() *Report {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	r := &Report{Seconds: toDuration(run.script.Length).Seconds(), ClientAttempts: len(run.record.Requests), ServerAttempts: len(run.record.Attempts)}
+	r := &Report{Seconds: toDuration(run.script.Length).Seconds(), Requests: len(run.record.Requests), ServerAttempts: len(run.record.Attempts)}
 	plans, fronts := map[string]*OutcomeCounts{}, map[string]*OutcomeCounts{}
 	totalWithinObjective := 0
 	for _, class := range run.script.Classes {
@@ -220,7 +220,7 @@
 		row = &OutcomeCounts{Name: name, Rejected: map[string]int{}, Failed: map[string]int{}}
 		rows[name] = row
 	}
-	row.Attempts++
+	row.Requests++
 	reason := cmp.Or(request.Reason, fmt.Sprint("status-", request.Status))
 	switch request.Outcome {
 	case "served":
@@ -245,7 +245,7 @@
 // Write prints the report as tables.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d tries in %.0f s, %d attempts at servers, %.1f answers within their aim a second\n\n",
-		r.ClientAttempts, r.Seconds, r.ServerAttempts, r.Goodput)
+		r.Requests, r.Seconds, r.ServerAttempts, r.Goodput)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "plan or front\ttries\tserved\trefused\tfailed\tno answer\treasons")
 	for _, row := range append(slices.Clone(r.Plans), r.Fronts...) {
@@ -261,7 +261,7 @@
 		for _, n := range row.Failed {
 			failed += n
 		}
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", row.Name, row.Attempts, row.Served, rejected, failed, row.NoResponse, reasons)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", row.Name, row.Requests, row.Served, rejected, failed, row.NoResponse, reasons)
 	}
 	fmt.Fprintln(table)
 	fmt.Fprintln(table, "class\tserved\twithin aim\tp50\tp90\tp99\tmax")
--- a/day/virtual/virtual_test.go
+++ b/day/virtual/virtual_test.go
@@ -26,7 +26,7 @@
 		if scenario.Script.Validate() != nil {
 			continue // a fault has a target node beyond the reduced fleet
 		}
-		result := Run(t, Job{Source: scenario.Script.Format(), Seed: scenario.Seed, NoTimestamps: scenario.NoReceiveTimestamps})
+		result := Run(t, Job{Source: scenario.Script.Format(), Seed: scenario.Seed, NoTimestamps: scenario.NoTimestamps})
 		if result.Error != "" || !result.Report.Passed() {
 			t.Errorf("a rule was violated or the run failed: %s: %s", scenario.Summary(), result.Error)
 			if result.Report != nil {
--- a/edgenode/discovery/watch.go
+++ b/edgenode/discovery/watch.go
@@ -17,7 +17,7 @@
 type Options struct {
 	Network network.Network
 	Address string       // host:port of discovery
-	Logger  *slog.Logger // gets one warning for each series of failed polls
+	Log     *slog.Logger // gets one warning for each series of failed polls
 	Deliver func(List)   // called synchronously from the goroutine of Watch
 }
 
@@ -57,7 +57,7 @@
 			return
 		}
 		if !w.failing {
-			w.Logger.Warn("discovery poll failed; retrying with backoff", "address", w.Address, "error", err)
+			w.Log.Warn("discovery poll failed; retrying with backoff", "address", w.Address, "error", err)
 			w.failing = true
 		}
 		select {
--- a/edgenode/discovery/watch_test.go
+++ b/edgenode/discovery/watch_test.go
@@ -93,7 +93,7 @@
 			case <-ctx.Done(): // the test has ended and no longer receives
 			}
 		}
-		Watch(ctx, Options{Network: n, Address: address, Logger: slog.New(slog.DiscardHandler), Deliver: deliver})
+		Watch(ctx, Options{Network: n, Address: address, Log: slog.New(slog.DiscardHandler), Deliver: deliver})
 	}()
 	t.Cleanup(func() { cancel(); <-done })
 	return got
@@ -264,7 +264,7 @@
 		got, done := make(chan List, 1), make(chan struct{})
 		go func() {
 			defer close(done)
-			Watch(ctx, Options{Network: observedNetwork{read: read}, Address: d.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
+			Watch(ctx, Options{Network: observedNetwork{read: read}, Address: d.listener.Addr().String(), Log: slog.New(slog.DiscardHandler), Deliver: func(l List) { got <- l }})
 		}()
 		for i := 1; i < len(text); i++ {
 			select {
@@ -308,7 +308,7 @@
 	var got []List
 	go func() {
 		defer close(done)
-		Watch(ctx, Options{Network: network.OS{}, Address: d.listener.Addr().String(), Logger: slog.New(slog.DiscardHandler), Deliver: func(l List) { got = append(got, l) }})
+		Watch(ctx, Options{Network: network.OS{}, Address: d.listener.Addr().String(), Log: slog.New(slog.DiscardHandler), Deliver: func(l List) { got = append(got, l) }})
 	}()
 	<-pollReceived
 	cancel()
--- a/edgenode/edge.go
+++ b/edgenode/edge.go
@@ -83,7 +83,7 @@
 	e.closers.Add(clock.Close)
 	options := node.Options{
 		Settings:       cfg.Policy,
-		Logger:         logger,
+		Log:            logger,
 		ResponseMargin: responseMargin,
 		TimeOrigin:     origin,
 		Clock:          clock,
--- a/edgenode/endpoints.go
+++ b/edgenode/endpoints.go
@@ -65,7 +65,7 @@
 	options := discovery.Options{
 		Network: e.network,
 		Address: address,
-		Logger:  e.logger,
+		Log:     e.logger,
 		Deliver: e.applyWatchedList,
 	}
 	e.stopWatch = background.Go(ctx, func(ctx context.Context) { discovery.Watch(ctx, options) })
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -45,7 +45,7 @@
 		n, err := node.New(node.Options{Settings: policy.Settings{Gateways: 1, Resolution: time.Millisecond,
 			Plans:   []policy.Plan{{Name: "p"}},
 			Classes: []policy.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second}}},
-			Logger: slog.New(slog.NewTextHandler(&log, nil)), MaxUnanswered: 10, SendToPeer: func(int, []byte) {}, Upstream: silentUpstream{}})
+			Log: slog.New(slog.NewTextHandler(&log, nil)), MaxUnanswered: 10, SendToPeer: func(int, []byte) {}, Upstream: silentUpstream{}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -110,7 +110,7 @@
 		MaxHeaderFields:      limits.MaxHeaderFields,
 		MaxRequestBody:       limits.MaxRequestBody,
 		MaxBufferedBodyBytes: maxBufferedBodies * max(limits.MaxRequestBody, minBufferedBodyBytes),
-		MaxConcurrentStreams: limits.MaxStreams,
+		MaxConcurrentStreams: limits.MaxConcurrentStreams,
 		FrameBudget:          limits.FrameBudget,
 		HeaderTimeout:        limits.HeaderTimeout,
 		BodyTimeout:          limits.BodyTimeout,
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -68,7 +68,7 @@
 	return node.Options{
 		Settings:       g.cfg.Settings(),
 		Seed:           g.options.Seed,
-		Logger:         g.options.Log,
+		Log:            g.options.Log,
 		Upstream:       g.newUpstream(clock),
 		ResponseMargin: g.cfg.Limits.ResponseMargin,
 		MaxUnanswered:  g.cfg.Limits.MaxUnanswered,
@@ -182,18 +182,18 @@
 		return nil
 	}
 	transport, err := peer.Listen(peer.Options{
-		Network:     g.options.Network,
-		Listen:      p.Listen,
-		Addresses:   p.Addresses,
-		SelfIndex:   g.cfg.Number,
-		Keys:        peer.NewKeyring(p.Keys, p.KeyFile, g.options.Log),
-		Incarnation: incarnation,
-		Freshness:   p.MaxMessageAge,
-		Rate:        p.MessagesPerSecond,
-		Log:         g.options.Log,
-		WallClock:   g.options.WallClock,
-		Deliver:     g.receivePeerMessage,
-		Restarted:   g.peerRestarted,
+		Network:           g.options.Network,
+		Listen:            p.Listen,
+		Addresses:         p.Addresses,
+		SelfIndex:         g.cfg.Number,
+		Keys:              peer.NewKeyring(p.Keys, p.KeyFile, g.options.Log),
+		Incarnation:       incarnation,
+		MaxMessageAge:     p.MaxMessageAge,
+		MessagesPerSecond: p.MessagesPerSecond,
+		Log:               g.options.Log,
+		WallClock:         g.options.WallClock,
+		Deliver:           g.receivePeerMessage,
+		Restarted:         g.peerRestarted,
 	})
 	if err != nil {
 		return err
--- a/lab/hunt/sampler.go
+++ b/lab/hunt/sampler.go
@@ -17,9 +17,9 @@
 
 // Scenario is a script to run, with the conditions of the run.
 type Scenario struct {
-	Script              *day.Script
-	Seed                uint64 // of the random numbers of the network and the nodes
-	NoReceiveTimestamps bool   // the kernel gives no receive timestamps
+	Script       *day.Script
+	Seed         uint64 // of the random numbers of the network and the nodes
+	NoTimestamps bool   // the kernel gives no receive timestamps
 }
 
 // Limits bounds the scenarios that are generated.
@@ -145,7 +145,7 @@
 	for remaining := s.intWithin(s.limits.Faults); remaining > 0; remaining-- {
 		s.addFault(script)
 	}
-	return Scenario{Script: script, Seed: 1 + s.rng.Uint64N(1<<32), NoReceiveTimestamps: s.rng.IntN(4) == 0}
+	return Scenario{Script: script, Seed: 1 + s.rng.Uint64N(1<<32), NoTimestamps: s.rng.IntN(4) == 0}
 }
 
 // drawWorkload draws the servers, the listener protocols, the load and the client retries.
--- a/node/authorization.go
+++ b/node/authorization.go
@@ -43,7 +43,7 @@
 		case authz.ScheduleTick:
 			n.timerWheel.Add(n.now+action.After, func() { n.executeAuthorization(n.options.AuthorizationDecider.Tick(n.wallTime())) })
 		case authz.LogWarning:
-			n.options.Logger.Warn(action.Text, "address", action.Address)
+			n.options.Log.Warn(action.Text, "address", action.Address)
 		}
 	}
 }
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -117,7 +117,7 @@
 		n.release(r)
 		return
 	}
-	n.options.Logger.Warn("policy returned no decision before the deadline", "trace", r.request.Trace, "class", r.request.Class)
+	n.options.Log.Warn("policy returned no decision before the deadline", "trace", r.request.Trace, "class", r.request.Class)
 	n.queuePolicyEvent(policy.ClientDisconnected{ID: r.id})
 	response := FinalResponse{Kind: Failed, Reason: ReasonNoTime}
 	if r.attempts.count == 0 {
--- a/node/logging.go
+++ b/node/logging.go
@@ -16,7 +16,7 @@
 // logFinalResponse writes the log line of a final response. The operators' documentation
 // lists its keys and the values of answer and reason.
 func (n *Node) logFinalResponse(request *Request, response FinalResponse, details responseLogDetails) {
-	if !n.options.Logger.Enabled(n.logContext, slog.LevelInfo) {
+	if !n.options.Log.Enabled(n.logContext, slog.LevelInfo) {
 		return
 	}
 	attrs := []slog.Attr{
@@ -36,7 +36,7 @@
 	if details.detail != "" {
 		attrs = append(attrs, slog.String("detail", details.detail))
 	}
-	n.options.Logger.LogAttrs(n.logContext, slog.LevelInfo, "answer", attrs...)
+	n.options.Log.LogAttrs(n.logContext, slog.LevelInfo, "answer", attrs...)
 }
 
 // loggedKind returns the kind of a response as logged. Unlike ResponseKind, it distinguishes
--- a/node/loop.go
+++ b/node/loop.go
@@ -88,7 +88,7 @@
 	pauses := n.options.Clock.Pauses()
 	sinceLastReading := now - n.now
 	if pauses != n.pausesHandled || sinceLastReading > n.options.Pause.MinPause {
-		n.options.Logger.Warn("process was paused; reading sockets before handling requests",
+		n.options.Log.Warn("process was paused; reading sockets before handling requests",
 			"duration", max(sinceLastReading, n.pausedTimeSince(n.pauseCheckedAt, now)))
 		n.pausesHandled = pauses
 		n.barrier.Raise(now)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -32,7 +32,7 @@
 			Plans:      []policy.Plan{{Name: "basic"}},
 			Classes:    []policy.Class{{Name: "read", LatencyObjective: time.Second, Deadline: time.Second}},
 		},
-		Logger:        slog.New(slog.DiscardHandler),
+		Log:           slog.New(slog.DiscardHandler),
 		MaxUnanswered: 10,
 		UsageRecorder: usage,
 	})
@@ -190,7 +190,7 @@
 func TestPauseIsLoggedWithItsLength(t *testing.T) {
 	n := newNode(t, nil)
 	var log bytes.Buffer
-	n.options.Logger = slog.New(slog.NewTextHandler(&log, nil))
+	n.options.Log = slog.New(slog.NewTextHandler(&log, nil))
 	clock := &pausedClock{now: time.Second}
 	n.options.Clock = clock
 	n.detectPause()
--- a/node/options.go
+++ b/node/options.go
@@ -19,9 +19,9 @@
 	// servers in the same order, so that they load each server at the same time.
 	Seed uint64
 
-	// Logger receives one line for each final response, at level Info, and the events that
+	// Log receives one line for each final response, at level Info, and the events that
 	// operators need to know of.
-	Logger *slog.Logger
+	Log *slog.Logger
 
 	// Upstream makes the attempts. Nil: every request must be Proxied.
 	Upstream Upstream
--- a/node/policy.go
+++ b/node/policy.go
@@ -85,7 +85,7 @@
 // requests fail, and a new policy starts as it would after a restart of the process, with
 // the current endpoint list.
 func (n *Node) restartPolicy(event policy.Event, cause error) {
-	n.options.Logger.Error("policy panicked; failing all requests and restarting policy",
+	n.options.Log.Error("policy panicked; failing all requests and restarting policy",
 		"event", fmt.Sprintf("%T", event), "panic", cause)
 	n.failAll(ReasonInternal, detailPolicyPanicked)
 	n.seed++
@@ -148,7 +148,7 @@
 	case policy.SendPeerMessage:
 		n.sendPeerMessage(action)
 	case policy.Log:
-		n.options.Logger.Info(action.Text, "from", "policy")
+		n.options.Log.Info(action.Text, "from", "policy")
 	}
 }
 
--- a/node/policy_panic_test.go
+++ b/node/policy_panic_test.go
@@ -55,7 +55,7 @@
 				{Name: "checked", LatencyObjective: time.Second, Deadline: time.Second},
 			},
 		},
-		Logger:        slog.New(slog.DiscardHandler),
+		Log:           slog.New(slog.DiscardHandler),
 		MaxUnanswered: 10,
 		Upstream:      f.upstream,
 		AuthorizationDecider: authz.New(authz.Settings{Addresses: 1, Timeout: time.Second, MaxInFlight: 8,
--- a/peer/authenticated_transport.go
+++ b/peer/authenticated_transport.go
@@ -20,17 +20,17 @@
 
 // Options configures an AuthenticatedTransport.
 type Options struct {
-	Network     network.Network
-	Listen      string
-	Addresses   map[int]string // of the other nodes, by number
-	SelfIndex   int
-	Keys        *Keyring
-	Incarnation uint64
-	Freshness   time.Duration
-	Rate        float64 // messages accepted per second
-	Log         *slog.Logger
-	WallClock   func() time.Time // nil: time.Now
-	Deliver     func(from int, data []byte)
+	Network           network.Network
+	Listen            string
+	Addresses         map[int]string // of the other nodes, by number
+	SelfIndex         int
+	Keys              *Keyring
+	Incarnation       uint64
+	MaxMessageAge     time.Duration
+	MessagesPerSecond float64 // messages accepted per second
+	Log               *slog.Logger
+	WallClock         func() time.Time // nil: time.Now
+	Deliver           func(from int, data []byte)
 
 	// Restarted is called with the number of a peer before its first message is delivered, and
 	// again before the first message of each later process with that number. It may be nil.
@@ -148,7 +148,7 @@
 }
 
 func (t *AuthenticatedTransport) receive() {
-	filter := NewPacketFilter(t.options.SelfIndex, len(t.options.Addresses)+1, t.options.Incarnation, t.options.Freshness, t.options.Rate)
+	filter := NewPacketFilter(t.options.SelfIndex, len(t.options.Addresses)+1, t.options.Incarnation, t.options.MaxMessageAge, t.options.MessagesPerSecond)
 	processes := knownProcesses{}
 	var loggedAt [packetStatusCount]time.Time
 	buf := make([]byte, headerSize+MaxPayload+macSize+1)
--- a/peer/packet_test.go
+++ b/peer/packet_test.go
@@ -141,7 +141,7 @@
 		delivered := 0
 		open := func(host, addr string, me int, inc uint64, w io.Writer) *AuthenticatedTransport {
 			m, err := Listen(Options{Network: memory.Host(host), Listen: addr, Addresses: map[int]string{1 - me: map[int]string{0: "a:1", 1: "b:1"}[1-me]},
-				SelfIndex: me, Keys: NewKeyring([][]byte{key}, "", slog.New(slog.DiscardHandler)), Incarnation: inc, Freshness: time.Second, Rate: 1000, Log: slog.New(slog.NewTextHandler(w, nil)),
+				SelfIndex: me, Keys: NewKeyring([][]byte{key}, "", slog.New(slog.DiscardHandler)), Incarnation: inc, MaxMessageAge: time.Second, MessagesPerSecond: 1000, Log: slog.New(slog.NewTextHandler(w, nil)),
 				Deliver: func(int, []byte) {
 					mu.Lock()
 					defer mu.Unlock()
@@ -155,7 +155,7 @@
 		a := open("a", "a:1", 0, 1, &log)
 		b1, b2 := open("b", "b:1", 1, 1, io.Discard), open("c", "c:1", 1, 2, io.Discard)
 		foreign, err := Listen(Options{Network: memory.Host("d"), Listen: "d:1", Addresses: map[int]string{0: "a:1"}, SelfIndex: 1,
-			Keys: NewKeyring([][]byte{bytes.Repeat([]byte{9}, 32)}, "", slog.New(slog.DiscardHandler)), Incarnation: 9, Freshness: time.Second, Rate: 1000, Log: slog.New(slog.DiscardHandler)})
+			Keys: NewKeyring([][]byte{bytes.Repeat([]byte{9}, 32)}, "", slog.New(slog.DiscardHandler)), Incarnation: 9, MaxMessageAge: time.Second, MessagesPerSecond: 1000, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -214,7 +214,7 @@
 			}
 			m, err := Listen(Options{Network: memory.Host(addresses[n]), Listen: addresses[n], Addresses: others, SelfIndex: n,
 				Keys:        NewKeyring(old, filepath.Join(dir, fmt.Sprint(n)), slog.New(slog.DiscardHandler)),
-				Incarnation: 1, Freshness: time.Second, Rate: 1000, Log: slog.New(slog.DiscardHandler),
+				Incarnation: 1, MaxMessageAge: time.Second, MessagesPerSecond: 1000, Log: slog.New(slog.DiscardHandler),
 				Deliver: func(from int, _ []byte) {
 					mu.Lock()
 					defer mu.Unlock()
