--- a/audit/check.go
+++ b/audit/check.go
@@ -207,7 +207,7 @@
 	return since, unavailable
 }
 
-// checkColdOverloads checks that no server overloaded while cold. Each attempt is a case.
+// checkColdOverloads checks that no server was overloaded while cold. Each attempt counts as a case.
 func (c *checker) checkColdOverloads(result *RuleResult) {
 	result.Checked = len(c.record.Attempts)
 	for _, overload := range c.record.ColdOverloads {
--- a/audit/margin.go
+++ b/audit/margin.go
@@ -60,15 +60,15 @@
 
 // InFlightPeak is the highest number of attempts that a customer had in flight over all servers, and
 // the in-flight cap of its plan. Gateways enforce the caps from load reports, so that a peak may
-// exceed its cap: caps are no hard ceilings.
+// exceed its cap: caps are not hard ceilings.
 type InFlightPeak struct {
 	Customer string `json:"customer"`
 	Peak     int    `json:"most"`
 	Cap      int    `json:"cap"`
 }
 
-// InFlightPeaks returns the peak of each customer whose plan has an in-flight cap, highest first.
-// caps is by plan.
+// InFlightPeaks returns the peak of each customer whose plan has an in-flight cap, highest first. The
+// keys of caps are plan names.
 func InFlightPeaks(r *Record, caps map[string]int) []InFlightPeak {
 	type change struct {
 		at    time.Time
--- a/audit/records.go
+++ b/audit/records.go
@@ -9,7 +9,7 @@
 type RequestRecord struct {
 	Trace       string // request ID, unique to the record
 	Node        int
-	Frontend    string
+	Frontend    string // http, http2 or proxy
 	Customer    string
 	Plan        string
 	Class       string
@@ -40,7 +40,7 @@
 	Responded    bool      `json:"Answered"`
 }
 
-// EndpointUpdate is the discovery service's record of a server's state that it sent to a node.
+// EndpointUpdate is the discovery service's record of an update about one server that it sent to a node.
 type EndpointUpdate struct {
 	Node        int       `json:"Node"`
 	Server      string    `json:"Server"`
@@ -48,7 +48,7 @@
 	Unavailable bool      `json:"Down"` // draining or removed; false if running
 }
 
-// ColdOverload is the record of a server that overloaded while cold.
+// ColdOverload is the record of a server that was overloaded while cold.
 type ColdOverload struct {
 	Server string    `json:"Server"`
 	At     time.Time `json:"At"`
@@ -85,5 +85,5 @@
 	Classes        map[string]Class
 	Ceilings       map[string]Ceiling // by plan
 	DrainGrace     time.Duration      // how long a node may send to a server after the update that made it unavailable
-	Tolerance      time.Duration      // accepted difference between the times of corresponding records
+	Tolerance      time.Duration      // accepted time difference between records of different components
 }
--- a/cmd/yardcleat/hunt.go
+++ b/cmd/yardcleat/hunt.go
@@ -104,17 +104,17 @@
 	return virtual.Job{Source: scenario.Script.Format(), Seed: scenario.Seed, NoTimestamps: scenario.NoTimestamps, Mutation: h.mutation}
 }
 
-// evaluate returns the outcome of a scenario, and a message about each violation. Errors, and a
-// scenario that did not run to its end, count as violations of rule 0.
+// evaluate returns the outcome of a scenario, and a message for each violated rule and each error. Errors,
+// and a scenario that did not run to its end, count as violations of rule 0.
 func evaluate(result virtual.Result) (outcome hunt.Outcome, messages []string) {
 	if result.Error != "" {
 		return hunt.Outcome{ViolatedRules: []int{0}}, []string{result.Error}
 	}
 	outcome = hunt.Outcome{Features: result.Features, Margins: result.Report.Margins, ServedWithinObjective: result.Report.ServedWithinObjective}
-	for _, finding := range result.Report.Rules {
-		if len(finding.Violations) > 0 {
-			outcome.ViolatedRules = append(outcome.ViolatedRules, finding.Rule)
-			messages = append(messages, fmt.Sprintf("rule %d, %d times: %s", finding.Rule, len(finding.Violations), finding.Violations[0]))
+	for _, rule := range result.Report.Rules {
+		if len(rule.Violations) > 0 {
+			outcome.ViolatedRules = append(outcome.ViolatedRules, rule.Rule)
+			messages = append(messages, fmt.Sprintf("rule %d, %d times: %s", rule.Rule, len(rule.Violations), rule.Violations[0]))
 		}
 	}
 	if len(result.Report.Errors) > 0 {
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// shrinkAndSave shrinks a scenario that violated a rule, and saves it. Of each rule only the first
-// few violations are shrunk and saved, since later ones are likely to have the same cause.
+// shrinkAndSave shrinks a scenario that violated a rule, and saves it. Only the first few scenarios for each
+// rule are shrunk and saved, since later ones are likely to have the same cause.
 func (h *faultSearch) shrinkAndSave(ctx context.Context, scenario hunt.Scenario, outcome hunt.Outcome, messages []string) error {
 	rule := outcome.ViolatedRules[0]
 	const maxShrunkPerRule = 3
--- a/cmd/yardcleat/stalls.go
+++ b/cmd/yardcleat/stalls.go
@@ -13,7 +13,7 @@
 	"yardcleat.example/yardcleat/day/virtual"
 )
 
-// stallsCommand compares ways of handling a pause of a node.
+// stallsCommand returns the command that compares strategies for handling a pause of a node.
 func stallsCommand() *cobra.Command {
 	var seeds int
 	var lengths []time.Duration
@@ -41,7 +41,7 @@
 					var mu sync.Mutex
 					var wait sync.WaitGroup
 					var failed error
-					for i, way := range virtual.PauseStrategies {
+					for i, strategy := range virtual.PauseStrategies {
 						for seed := range seeds {
 							wait.Go(func() {
 								s, err := day.Load("base")
@@ -51,19 +51,19 @@
 								s.Nodes, s.Length, s.Seed = 2, (length + 12*time.Second).String(), seed+1
 								s.Clients.ProxyShare, s.Clients.HTTP2Share, s.Clients.Retries = front.proxied, front.http2, 0
 								s.Faults = []day.Fault{{Kind: "node-stop", At: "4s", Duration: length.String()}}
-								result, err := pool.Run(cmd.Context(), virtual.Job{Source: s.Format(), Seed: uint64(seed + 1), PauseStrategy: way})
+								result, err := pool.Run(cmd.Context(), virtual.Job{Source: s.Format(), Seed: uint64(seed + 1), PauseStrategy: strategy})
 								mu.Lock()
 								defer mu.Unlock()
 								if err == nil && result.Error != "" {
-									err = fmt.Errorf("%s, %v, %s: %s", front.name, length, way, result.Error)
+									err = fmt.Errorf("%s, %v, %s: %s", front.name, length, strategy, result.Error)
 								}
 								if err != nil {
 									failed = err
 									return
 								}
-								if stops := result.Report.Pauses; stops != nil {
-									sums[i].Requests, sums[i].SentTooLate = sums[i].Requests+stops.Requests, sums[i].SentTooLate+stops.SentTooLate
-									sums[i].AvoidableRejections, sums[i].Served = sums[i].AvoidableRejections+stops.AvoidableRejections, sums[i].Served+stops.Served
+								if pauses := result.Report.Pauses; pauses != nil {
+									sums[i].Requests, sums[i].SentTooLate = sums[i].Requests+pauses.Requests, sums[i].SentTooLate+pauses.SentTooLate
+									sums[i].AvoidableRejections, sums[i].Served = sums[i].AvoidableRejections+pauses.AvoidableRejections, sums[i].Served+pauses.Served
 								}
 							})
 						}
@@ -72,9 +72,9 @@
 					if failed != nil {
 						return failed
 					}
-					for i, way := range virtual.PauseStrategies {
+					for i, strategy := range virtual.PauseStrategies {
 						s := sums[i]
-						fmt.Fprintf(table, "| %v\t| %s\t| %s\t| %d\t| %d\t| %d (%s%%)\t| %d\t|\n", length, front.name, way, s.Requests, s.SentTooLate, s.AvoidableRejections,
+						fmt.Fprintf(table, "| %v\t| %s\t| %s\t| %d\t| %d\t| %d (%s%%)\t| %d\t|\n", length, front.name, strategy, s.Requests, s.SentTooLate, s.AvoidableRejections,
 							strconv.FormatFloat(100*float64(s.AvoidableRejections)/float64(max(1, s.Requests)), 'f', 1, 64), s.Served)
 					}
 				}
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -53,7 +53,7 @@
 		served += row.Served
 	}
 	if served < r.Requests/3 {
-		t.Errorf("%d of %d client attempts were served", served, r.Requests)
+		t.Errorf("%d of %d requests were served", served, r.Requests)
 	}
 }
 
--- a/day/environment.go
+++ b/day/environment.go
@@ -22,7 +22,7 @@
 
 // Environment provides the network, files and nodes of a scenario run.
 type Environment interface {
-	// Network returns the network that a host uses: a fake, a relay, or the clients.
+	// Network returns the network of a host. The hosts are the fakes, the relays and the clients.
 	Network(host string) network.Network
 	// NewAddress returns an unused address.
 	NewAddress() (string, error)
@@ -30,14 +30,14 @@
 	NodeDir(node int) (string, error)
 	// StartNode starts a node with the given configuration.
 	StartNode(node int, hcl []byte) (Node, error)
-	// RecordTolerance returns the accepted difference between the times of corresponding records.
+	// RecordTolerance returns the accepted time difference between records of different components.
 	RecordTolerance() time.Duration
 }
 
 // Node is a node that the scenario run controls.
 type Node interface {
 	Kill()                 // ends the node immediately
-	Suspend(time.Duration) // suspends the node for the given time, and returns after it
+	Suspend(time.Duration) // suspends the node for the given time, and returns when it runs again
 	Drain() error          // asks the node to drain, and waits until it has ended
 }
 
@@ -137,41 +137,41 @@
 }
 
 // Network returns a host of the in-memory network.
-func (b *VirtualEnvironment) Network(host string) network.Network { return b.Memory.Host(host) }
+func (e *VirtualEnvironment) Network(host string) network.Network { return e.Memory.Host(host) }
 
 // RecordTolerance returns a tolerance that covers the latency of the in-memory network.
-func (b *VirtualEnvironment) RecordTolerance() time.Duration { return 5 * time.Millisecond }
+func (e *VirtualEnvironment) RecordTolerance() time.Duration { return 5 * time.Millisecond }
 
-// NewAddress returns an address on a host of its own.
-func (b *VirtualEnvironment) NewAddress() (string, error) {
-	b.hostCount++
-	return fmt.Sprintf("10.0.%d.%d:80", b.hostCount/256, b.hostCount%256), nil
+// NewAddress returns an address on a new host.
+func (e *VirtualEnvironment) NewAddress() (string, error) {
+	e.hostCount++
+	return fmt.Sprintf("10.0.%d.%d:80", e.hostCount/256, e.hostCount%256), nil
 }
 
 // NodeDir creates and returns a directory below TempDir.
-func (b *VirtualEnvironment) NodeDir(node int) (string, error) {
-	dir := filepath.Join(b.TempDir, fmt.Sprint("node-", node))
+func (e *VirtualEnvironment) NodeDir(node int) (string, error) {
+	dir := filepath.Join(e.TempDir, fmt.Sprint("node-", node))
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
 // SetWallClock sets how far a node's wall clock is ahead.
-func (b *VirtualEnvironment) SetWallClock(node int, ahead time.Duration) { b.ahead.Store(node, ahead) }
+func (e *VirtualEnvironment) SetWallClock(node int, ahead time.Duration) { e.ahead.Store(node, ahead) }
 
 // StartNode starts a gateway in this process, on a host of its own.
-func (b *VirtualEnvironment) StartNode(number int, hcl []byte) (Node, error) {
-	if b.EditConfig != nil {
-		hcl = b.EditConfig(hcl)
+func (e *VirtualEnvironment) StartNode(number int, hcl []byte) (Node, error) {
+	if e.EditConfig != nil {
+		hcl = e.EditConfig(hcl)
 	}
 	cfg, err := config.Parse(hcl, fmt.Sprintf("node-%d.hcl", number))
 	if err != nil {
 		return nil, err
 	}
-	b.Seed++
-	host := b.Memory.Host(fmt.Sprint("node-", number))
-	log := slog.New(slog.NewTextHandler(b.Log, &slog.HandlerOptions{Level: cfg.LogLevel})).With("node", number)
-	g, err := gateway.Start(cfg, gateway.Options{Network: host, Log: log, Seed: b.Seed, TransformEndpoints: b.TransformEndpoints, WrapUpstream: b.WrapUpstream, Pause: b.Pause,
+	e.Seed++
+	host := e.Memory.Host(fmt.Sprint("node-", number))
+	log := slog.New(slog.NewTextHandler(e.Log, &slog.HandlerOptions{Level: cfg.LogLevel})).With("node", number)
+	g, err := gateway.Start(cfg, gateway.Options{Network: host, Log: log, Seed: e.Seed, TransformEndpoints: e.TransformEndpoints, WrapUpstream: e.WrapUpstream, Pause: e.Pause,
 		WallClock: func() time.Time {
-			stored, _ := b.ahead.Load(number)
+			stored, _ := e.ahead.Load(number)
 			offset, _ := stored.(time.Duration)
 			return time.Now().Add(offset)
 		}})
--- a/day/faults.go
+++ b/day/faults.go
@@ -24,7 +24,8 @@
 	run.logf("%s %d %s is over", f.Kind, f.Target, f.Argument)
 }
 
-// injectFault injects a fault into the component that the kind of the fault begins with.
+// injectFault injects a fault into the component named by the first word of its kind, such as the node in
+// "node-kill".
 func (run *scenarioRun) injectFault(ctx context.Context, f Fault) error {
 	component, action, _ := strings.Cut(f.Kind, "-")
 	switch component {
--- a/day/fleet_changes.go
+++ b/day/fleet_changes.go
@@ -79,7 +79,7 @@
 		return err
 	}
 	if len(members) < oldSize {
-		run.clientNodes.Store(int64(len(members))) // clients stop using the nodes before they leave
+		run.clientNodes.Store(int64(len(members))) // clients stop using the nodes before the nodes leave
 	}
 	order := rand.New(rand.NewPCG(uint64(run.script.Seed), r.Epoch)).Perm(max(oldSize, len(members)))
 	for _, i := range order {
--- a/day/report.go
+++ b/day/report.go
@@ -128,7 +128,7 @@
 
 // Passed reports whether no rule was violated and the run had no errors.
 func (r *Report) Passed() bool {
-	return len(r.Errors) == 0 && !slices.ContainsFunc(r.Rules, func(f audit.RuleResult) bool { return len(f.Violations) > 0 })
+	return len(r.Errors) == 0 && !slices.ContainsFunc(r.Rules, func(result audit.RuleResult) bool { return len(result.Violations) > 0 })
 }
 
 func (run *scenarioRun) newReport() *Report {
@@ -167,8 +167,8 @@
 	r.ServedWithinObjective = float64(totalWithinObjective)
 	r.Pauses = run.summarizePauses()
 	peakColdLoad := 0.0
-	for _, n := range run.coldServers {
-		peakColdLoad = max(peakColdLoad, n.PeakColdLoad())
+	for _, server := range run.coldServers {
+		peakColdLoad = max(peakColdLoad, server.PeakColdLoad())
 	}
 	r.Margins = audit.Margins(&run.record, peakColdLoad)
 	caps := map[string]int{}
@@ -194,9 +194,9 @@
 	}
 	seen := map[string]bool{}
 	for _, attempt := range run.record.Attempts {
-		if t := requests[attempt.Trace]; t != nil && !seen[attempt.Trace] {
+		if request := requests[attempt.Trace]; request != nil && !seen[attempt.Trace] {
 			seen[attempt.Trace] = true
-			received[t.Customer] += t.Units
+			received[request.Customer] += request.Units
 		}
 	}
 	for _, c := range run.counters {
@@ -205,13 +205,13 @@
 			counted[name] += float64(milli) / 1000
 		}
 	}
-	t := &CounterComparison{}
+	totals := &CounterComparison{}
 	for _, cust := range customers(run.script) {
-		a, c := received[cust.Name], counted[cust.Name]
-		t.Received, t.Counted = t.Received+a, t.Counted+c
-		t.Missing, t.Excess = t.Missing+max(0, a-c), t.Excess+max(0, c-a)
+		r, c := received[cust.Name], counted[cust.Name]
+		totals.Received, totals.Counted = totals.Received+r, totals.Counted+c
+		totals.Missing, totals.Excess = totals.Missing+max(0, r-c), totals.Excess+max(0, c-r)
 	}
-	return t
+	return totals
 }
 
 func countOutcome(rows map[string]*OutcomeCounts, name string, request *audit.RequestRecord) {
@@ -270,12 +270,12 @@
 	}
 	fmt.Fprintln(table)
 	fmt.Fprintln(table, "rule\tchecked\tbroken\tnearest to its edge")
-	for i, f := range r.Rules {
+	for i, result := range r.Rules {
 		margin := ""
 		if i < len(r.Margins) {
 			margin = fmt.Sprintf("%.2f", r.Margins[i].Used)
 		}
-		fmt.Fprintf(table, "%d %s\t%d\t%d\t%s\n", f.Rule, f.Name, f.Checked, len(f.Violations), margin)
+		fmt.Fprintf(table, "%d %s\t%d\t%d\t%s\n", result.Rule, result.Name, result.Checked, len(result.Violations), margin)
 	}
 	table.Flush()
 	if r.CounterTotals != nil {
@@ -283,13 +283,13 @@
 			r.CounterTotals.Received, r.CounterTotals.Missing, r.CounterTotals.Excess)
 	}
 	const maxShown = 10
-	for _, f := range r.Rules {
-		for i, b := range f.Violations {
+	for _, result := range r.Rules {
+		for i, violation := range result.Violations {
 			if i == maxShown {
-				fmt.Fprintf(w, "rule %d: and %d more\n", f.Rule, len(f.Violations)-maxShown)
+				fmt.Fprintf(w, "rule %d: and %d more\n", result.Rule, len(result.Violations)-maxShown)
 				break
 			}
-			fmt.Fprintf(w, "rule %d: %s\n", f.Rule, b)
+			fmt.Fprintf(w, "rule %d: %s\n", result.Rule, violation)
 		}
 	}
 	for _, e := range r.Errors {
--- a/day/scenario.go
+++ b/day/scenario.go
@@ -32,7 +32,7 @@
 	discovery         *discovery.Server
 	discoveryAddress  string
 	authorizerAddress string
-	httpAddresses     []string // by node number, as the addresses below
+	httpAddresses     []string // by node number, like the addresses below
 	http2Addresses    []string
 	extAuthzAddresses []string
 	peerAddresses     []string
@@ -53,10 +53,10 @@
 
 // serverSlot is the identity of a catalogue server, which may be killed and started again.
 type serverSlot struct {
-	name    string
-	address string
-	rack    int
-	server  *catalogue.Server
+	name       string
+	address    string
+	dedupScope int
+	server     *catalogue.Server
 }
 
 func (run *scenarioRun) close() {
@@ -119,7 +119,7 @@
 		run.dedupScopes = append(run.dedupScopes, &catalogue.DedupScope{Name: fmt.Sprint("rack-", i), Window: window})
 	}
 	for i := range script.Servers.Count {
-		slot := &serverSlot{name: fmt.Sprint("server-", i), address: address(), rack: i % script.Servers.DedupScopes}
+		slot := &serverSlot{name: fmt.Sprint("server-", i), address: address(), dedupScope: i % script.Servers.DedupScopes}
 		run.servers = append(run.servers, slot)
 		if err != nil {
 			return err
@@ -228,16 +228,16 @@
 // startServer starts the server of a slot, either cold or fully warm.
 func (run *scenarioRun) startServer(slot *serverSlot, cold bool) error {
 	settings := run.script.Servers
-	options := catalogue.Options{Name: slot.name, DedupScope: run.dedupScopes[slot.rack], Cores: settings.Cores, QueueLength: settings.QueueLength,
-		Record: func(s audit.AttemptRecord) {
+	options := catalogue.Options{Name: slot.name, DedupScope: run.dedupScopes[slot.dedupScope], Cores: settings.Cores, QueueLength: settings.QueueLength,
+		Record: func(attempt audit.AttemptRecord) {
 			run.mu.Lock()
 			defer run.mu.Unlock()
-			run.record.Attempts = append(run.record.Attempts, s)
+			run.record.Attempts = append(run.record.Attempts, attempt)
 		},
-		OnColdOverload: func(f audit.ColdOverload) {
+		OnColdOverload: func(overload audit.ColdOverload) {
 			run.mu.Lock()
 			defer run.mu.Unlock()
-			run.record.ColdOverloads = append(run.record.ColdOverloads, f)
+			run.record.ColdOverloads = append(run.record.ColdOverloads, overload)
 		}}
 	if cold {
 		options.InitialCapacity, options.WarmupTime, options.ColdOverloadFactor, options.ColdOverloadTime = settings.InitialCapacity, toDuration(settings.WarmupTime), settings.ColdOverloadFactor, toDuration(settings.ColdOverloadTime)
@@ -256,7 +256,7 @@
 	if cold {
 		run.coldServers = append(run.coldServers, server)
 	}
-	endpoint := discovery.Endpoint{Name: slot.name, Address: slot.address, Zone: fmt.Sprint("room-", slot.rack), Cell: slot.rack}
+	endpoint := discovery.Endpoint{Name: slot.name, Address: slot.address, Zone: fmt.Sprint("room-", slot.dedupScope), Cell: slot.dedupScope}
 	if cold {
 		endpoint.Started = time.Now()
 	}
--- a/day/script.go
+++ b/day/script.go
@@ -1,7 +1,7 @@
-// Package day runs scripted fault scenarios against a fleet of gateways, as processes on loopback or in
-// virtual time. It simulates the clients, uses fakes of the catalogue servers, the authorizer, the
-// counter, the proxies and the discovery service, and checks the five rules from what clients got and
-// servers received.
+// Package day runs scripted fault scenarios against a fleet of gateways, which run as processes on loopback
+// or in virtual time. It simulates the clients, and uses fakes of the catalogue servers, the authorizer, the
+// counter, the proxies and the discovery service. It checks the five rules against the responses that clients
+// received and the attempts that servers received.
 package day
 
 import (
@@ -146,7 +146,7 @@
 	arg    string
 }{
 	"node-kill":         {"node", ""},   // killed, and started again after "for"
-	"node-stop":         {"node", ""},   // SIGSTOP for "for"
+	"node-stop":         {"node", ""},   // suspended for "for"; a process with SIGSTOP
 	"server-drain":      {"server", ""}, // marked as draining; killed and removed from the endpoint list after "for"
 	"server-vanish":     {"server", ""}, // killed; removed from the endpoint list after "for"
 	"server-return":     {"server", ""}, // started again, cold
--- a/day/validation.go
+++ b/day/validation.go
@@ -44,7 +44,7 @@
 	c.errs = append(c.errs, fmt.Errorf("%s: %s", place, fmt.Sprintf(format, args...)))
 }
 
-// checkDuration checks an optional duration; "" means that it is not set.
+// checkDuration checks an optional duration; "" means that it is not set. Only an argument may be negative.
 func (c *validator) checkDuration(block string, i int, what string, d Duration) {
 	if v, err := time.ParseDuration(d); d != "" && (err != nil || v < 0 && what != "arg") {
 		c.addError(block, i, "%s: %q is not a duration such as \"250ms\"", what, d)
@@ -141,8 +141,8 @@
 // MembershipChangeTime is how long a membership change may take after all nodes have read the roster.
 const MembershipChangeTime = 4 * time.Second
 
-// checkOrder goes through the faults in order of time and tracks the states that they cause. A fault
-// that is impossible in the state at its time is an error.
+// checkOrder replays the faults in order of time, and tracks the states of nodes, proxies and servers. A
+// fault that is impossible in the state at its time is an error.
 func (c *validator) checkOrder() {
 	type state struct {
 		status      string        // empty if running
--- a/day/virtual/mutations.go
+++ b/day/virtual/mutations.go
@@ -15,23 +15,23 @@
 	"yardcleat.example/yardcleat/policy"
 )
 
-// mutations configure a scenario so that its gateways lack a defence, by name. They show whether the
-// rules detect the missing defence.
+// mutations holds, by name, the functions that remove a defence from the gateways of a scenario. They show
+// whether the rules detect that the defence is missing.
 var mutations = map[string]func(*day.VirtualEnvironment){
 	// Rule 1.
 	"patience-not-read": editConfig("clients {", "clients {\n patience_header = \"x-none\""),
-	"stalls-not-seen": func(b *day.VirtualEnvironment) {
-		b.Pause = pauseStrategies[PauseStrategies[0]].settings
+	"stalls-not-seen": func(env *day.VirtualEnvironment) {
+		env.Pause = pauseStrategySettings[PauseStrategies[0]].settings
 		// Withdrawing the unsent attempts of disconnected clients would prevent most of the
 		// violations, so that defence is removed as well.
-		b.WrapUpstream = func(u node.Upstream) node.Upstream { return withdrawalIgnoringUpstream{u} }
+		env.WrapUpstream = func(u node.Upstream) node.Upstream { return withdrawalIgnoringUpstream{u} }
 	},
 	// Rule 2.
 	"keyed-taken-for-safe":  editConfig(`effect = "keyed"`, `effect = "safe"`),
 	"unsafe-taken-for-safe": editConfig(`effect = "unsafe"`, `effect = "safe"`),
 	"group-too-wide":        editConfig(`group = "cell"`, `group = "all"`),
-	"window-too-long": func(b *day.VirtualEnvironment) {
-		b.EditConfig = func(cfg []byte) []byte { return shortDedupWindows.ReplaceAll(cfg, []byte(`window = "20s"`)) }
+	"window-too-long": func(env *day.VirtualEnvironment) {
+		env.EditConfig = func(cfg []byte) []byte { return shortDedupWindows.ReplaceAll(cfg, []byte(`window = "20s"`)) }
 	},
 	// Rule 3.
 	"drains-not-heard": editEndpoints(func(s *node.Endpoint) { s.State = policy.Running }),
@@ -54,15 +54,15 @@
 
 func (withdrawalIgnoringAttempt) Withdraw() bool { return false }
 
-// PauseStrategies lists the compared strategies for the time after a pause of the process. They
+// PauseStrategies lists the strategies that "lab stalls" compares for handling a pause of the process. They
 // differ in whether all sockets are drained before anything is sent ("read first"), and in the
 // arrival time assumed for the bytes read: the time of the read, an estimate from the pause ("age by
 // the gap"), or the network's timestamp ("age by stamps"). With "nothing" pauses are not detected.
 var PauseStrategies = []string{"nothing", "read first", "age by the gap", "age by stamps", "read first, age by the gap",
 	"read first, age by stamps"}
 
-// pauseStrategies are the settings of each strategy, and whether the network gives no timestamps.
-var pauseStrategies = func() map[string]struct {
+// pauseStrategySettings holds the settings of each strategy, and whether the network gives no timestamps.
+var pauseStrategySettings = func() map[string]struct {
 	settings     pause.Settings
 	noTimestamps bool
 } {
@@ -89,15 +89,15 @@
 
 // editConfig returns a mutation that replaces text in the configuration of each node.
 func editConfig(old, new string) func(*day.VirtualEnvironment) {
-	return func(b *day.VirtualEnvironment) {
-		b.EditConfig = func(cfg []byte) []byte { return bytes.ReplaceAll(cfg, []byte(old), []byte(new)) }
+	return func(env *day.VirtualEnvironment) {
+		env.EditConfig = func(cfg []byte) []byte { return bytes.ReplaceAll(cfg, []byte(old), []byte(new)) }
 	}
 }
 
 // editEndpoints returns a mutation that changes each endpoint that a node receives.
 func editEndpoints(change func(*node.Endpoint)) func(*day.VirtualEnvironment) {
-	return func(b *day.VirtualEnvironment) {
-		b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
+	return func(env *day.VirtualEnvironment) {
+		env.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 			for i := range list {
 				change(&list[i])
 			}
@@ -107,7 +107,7 @@
 }
 
 // applyMutation applies the mutation of the given name. An empty name is none.
-func applyMutation(b *day.VirtualEnvironment, name string) error {
+func applyMutation(env *day.VirtualEnvironment, name string) error {
 	if name == "" {
 		return nil
 	}
@@ -115,6 +115,6 @@
 	if !ok {
 		return fmt.Errorf("unknown defect %q; the defects are %s", name, strings.Join(Mutations(), ", "))
 	}
-	apply(b)
+	apply(env)
 	return nil
 }
--- a/day/virtual/virtual.go
+++ b/day/virtual/virtual.go
@@ -1,5 +1,5 @@
-// Package virtual runs scenarios in virtual time outside of tests. A worker process runs scripts one
-// after another in testing/synctest bubbles; a pool of workers uses all cores.
+// Package virtual runs scenarios in virtual time outside of tests. A worker process runs scenarios
+// one after another in testing/synctest bubbles; a pool of workers uses all cores.
 package virtual
 
 import (
@@ -37,7 +37,7 @@
 type Result struct {
 	Report   *day.Report `json:"report,omitempty"`
 	Features []string    `json:"features,omitempty"` // features that the scenario reached; see day.Report.Features
-	Error    string      `json:"error,omitempty"`    // error of the script or the run, or output of a panic
+	Error    string      `json:"error,omitempty"`    // error of the script or the run, a timeout, or the output of a panic
 	Stacks   string      `json:"stacks,omitempty"`   // goroutine stacks of a worker that exceeded the time limit
 }
 
@@ -61,13 +61,13 @@
 			result.Error = err.Error()
 			return
 		}
-		if strategy, ok := pauseStrategies[job.PauseStrategy]; ok {
+		if strategy, ok := pauseStrategySettings[job.PauseStrategy]; ok {
 			env.Pause, memory.NoTimestamps = strategy.settings, strategy.noTimestamps
 		}
 		if result.Report, err = day.Run(context.Background(), script, day.Options{Environment: env}); err != nil {
 			result.Error = err.Error()
 		}
-		time.Sleep(time.Minute) // the remaining timers of closed components expire
+		time.Sleep(time.Minute) // lets the remaining timers of closed components expire
 	})
 	if result.Report != nil {
 		result.Features = append(result.Report.Features(), messages.list()...)
@@ -157,8 +157,8 @@
 	stderr *truncatedBuffer
 }
 
-// truncatedBuffer keeps the beginning of the standard error output of a worker. Of a panic the
-// beginning is the most informative part.
+// truncatedBuffer keeps the beginning of the standard error output of a worker, since the beginning of a
+// panic message is its most informative part.
 type truncatedBuffer struct {
 	mu      sync.Mutex
 	content []byte
@@ -221,8 +221,8 @@
 	delete(p.workers, w)
 }
 
-// Run runs one scenario. If the worker panics or exceeds the timeout, the Error of the result says
-// so. The returned error is for failures that are not caused by the scenario.
+// Run runs one scenario. If the worker panics or exceeds the timeout, this is reported in the Error field
+// of the result. The returned error is for failures that are not caused by the scenario.
 func (p *Pool) Run(ctx context.Context, job Job) (Result, error) {
 	w, err := p.acquireWorker()
 	if err != nil {
--- a/lab/hunt/generator.go
+++ b/lab/hunt/generator.go
@@ -10,7 +10,7 @@
 
 // Outcome is the outcome of a scenario.
 type Outcome struct {
-	Features              []string // reasons, states and messages that the scenario reached
+	Features              []string // features that the scenario reached, such as reasons of rejections and log messages
 	Margins               []audit.Margin
 	ViolatedRules         []int   // 0 stands for errors, or a scenario that did not run to its end
 	ServedWithinObjective float64 // requests served within their latency objective
@@ -22,7 +22,7 @@
 	guided  bool
 	seen    map[string]int // features and pairs, with the number of scenarios that reached them
 	corpus  []corpusEntry
-	margins [6]float64 // highest margin of each rule so far; 1 is the limit of the rule
+	margins [6]float64 // highest used margin of each rule so far, by rule number; more than 1 is a violation
 }
 
 // corpusEntry is a scenario from which variants are made.
@@ -38,12 +38,12 @@
 	return &Generator{sampler: sampler{rng: rand.New(rand.NewPCG(seed, 0x6875_6e74)), base: base, limits: limits}, guided: guided, seen: map[string]int{}}
 }
 
-// freshShare is the fraction of new scenarios, rather than variants, in a guided search.
-const freshShare = 0.35
+// newScenarioFraction is the fraction of new scenarios, rather than variants, in a guided search.
+const newScenarioFraction = 0.35
 
 // Next returns the next scenario to run.
 func (g *Generator) Next() Scenario {
-	if !g.guided || len(g.corpus) == 0 || g.sampler.rng.Float64() < freshShare {
+	if !g.guided || len(g.corpus) == 0 || g.sampler.rng.Float64() < newScenarioFraction {
 		return g.sampler.scenario()
 	}
 	var totalWeight float64
@@ -109,7 +109,7 @@
 }
 
 // Coverage returns the number of distinct features and pairs reached, and the highest
-// margin of each rule, from rule 1 on.
+// used margin of each rule, from rule 1 on.
 func (g *Generator) Coverage() (features int, margins []float64) { return len(g.seen), g.margins[1:] }
 
 // InteractionCost compares the value of a scenario with all its faults to the value expected
--- a/lab/hunt/generator_test.go
+++ b/lab/hunt/generator_test.go
@@ -30,7 +30,7 @@
 	return scenarios
 }
 
-// Every generated scenario passes the script check, is unchanged after its script was written
+// Every generated scenario passes validation, is unchanged after its script was written
 // and parsed, and depends on the seed alone. All kinds of fault are generated.
 func TestScenarios(t *testing.T) {
 	kinds := map[string]bool{}
--- a/lab/hunt/sampler.go
+++ b/lab/hunt/sampler.go
@@ -1,7 +1,7 @@
 // Package hunt searches for fault scenarios that violate a rule. It generates scenarios
 // from a grammar of faults, guided by the features that earlier scenarios reached, and
-// shrinks a scenario that violates a rule while it still does. It has no I/O: the caller
-// runs the scenarios and passes their outcomes in.
+// shrinks a scenario that violates a rule to a smaller one that still violates it. It does
+// no I/O: the caller runs the scenarios and passes their outcomes in.
 package hunt
 
 import (
@@ -54,7 +54,7 @@
 	return func(s *sampler, _ *day.Script) string { return s.logUniform(shortest, longest).String() }
 }
 
-// grammar lists the faults that scenarios are drawn from. The weights favour faults that delay state.
+// grammar lists the faults that scenarios are drawn from. The weights favour faults that delay updates of state.
 var grammar = []faultTemplate{
 	{"node-kill", 3, 100 * time.Millisecond, 3 * time.Second, nil},
 	{"node-kill-start", 1, 100 * time.Millisecond, time.Second, durationBetween(time.Millisecond, 300*time.Millisecond)},
@@ -148,7 +148,7 @@
 	return Scenario{Script: script, Seed: 1 + s.rng.Uint64N(1<<32), NoTimestamps: s.rng.IntN(4) == 0}
 }
 
-// drawWorkload draws the servers, the listener protocols, the load and the client retries.
+// drawWorkload draws the servers, the listener protocols, the dedup windows, the load and the client retries.
 func (s *sampler) drawWorkload(script *day.Script) {
 	script.Servers.Count = 4 + s.rng.IntN(7)
 	switch s.rng.IntN(4) {
@@ -162,7 +162,7 @@
 	script.Servers.Cores, script.Servers.QueueLength, script.Servers.InitialCapacity, script.Servers.UpdateDelay = s.base.Servers.Cores, s.base.Servers.QueueLength,
 		s.base.Servers.InitialCapacity, s.base.Servers.UpdateDelay
 	if s.rng.IntN(4) == 0 {
-		// Few servers, all busy, with a low initial share in slow start.
+		// Few servers, all busy, with a low initial capacity when cold.
 		script.Servers.Count, script.Servers.Cores, script.Servers.QueueLength, script.Servers.InitialCapacity, script.Servers.UpdateDelay = 3, 4, 40, 0.05, "50ms"
 	}
 	for i := range script.Classes {
@@ -210,12 +210,12 @@
 		fault.Target = earlier.Target
 	}
 	if template.kind == "server-return" && s.rng.IntN(8) > 0 {
-		s.aimReturn(script, &fault)
+		s.targetRemovedServer(script, &fault)
 		return fault
 	}
 	if template.kind == "fleet-shrink" && script.Spares > 0 {
 		for _, earlier := range script.Faults {
-			if earlier.Kind == "fleet-grow" { // removes the nodes that joined
+			if earlier.Kind == "fleet-grow" { // the fault removes the nodes that joined
 				at, _ := time.ParseDuration(earlier.At)
 				duration, _ := time.ParseDuration(earlier.Duration)
 				fault.At, fault.Argument = s.formatTime(at+duration+day.MembershipChangeTime+s.logUniform(50*time.Millisecond, 4*time.Second)), earlier.Argument
@@ -245,8 +245,9 @@
 	return fault
 }
 
-// aimReturn aims a server-return fault at a server that an earlier fault removed.
-func (s *sampler) aimReturn(script *day.Script, fault *day.Fault) {
+// targetRemovedServer sets the target and the time of a server-return fault, so that it starts a server that
+// an earlier fault removed.
+func (s *sampler) targetRemovedServer(script *day.Script, fault *day.Fault) {
 	var removals []day.Fault
 	for _, removal := range script.Faults {
 		if removal.Kind == "server-drain" || removal.Kind == "server-vanish" {
@@ -254,7 +255,7 @@
 		}
 	}
 	if len(removals) == 0 {
-		return // the script check rejects this fault, and another is drawn
+		return // validation of the script rejects this fault, and another is drawn
 	}
 	removal := removals[s.rng.IntN(len(removals))]
 	at, _ := time.ParseDuration(removal.At)
@@ -266,7 +267,7 @@
 	return max(0, offset).Round(10 * time.Millisecond).String()
 }
 
-// addFault adds a fault that the script check accepts. It returns false if it found none.
+// addFault adds a fault with which the script is still valid. It returns false if it found none.
 func (s *sampler) addFault(script *day.Script) bool {
 	for range 8 {
 		script.Faults = append(script.Faults, s.drawFault(script))
@@ -278,7 +279,7 @@
 	return false
 }
 
-// vary returns a copy of a scenario with one to three changes.
+// vary returns a copy of a scenario with one to three changes, or a new scenario if none of the copies is valid.
 func (s *sampler) vary(scenario Scenario) Scenario {
 	for range 20 {
 		variant := scenario
--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -8,7 +8,7 @@
 	"yardcleat.example/yardcleat/day"
 )
 
-// Shrinker makes a scenario that violates a rule smaller while it still does. The caller
+// Shrinker reduces a scenario that violates a rule to a smaller one that still violates it. The caller
 // runs the scenario that Next returns, and passes to Report whether it violated the rule,
 // until Next returns false.
 type Shrinker struct {
@@ -81,7 +81,7 @@
 	return smaller
 }
 
-// reduceFleet makes a fleet smaller, and aims faults of removed nodes at remaining ones.
+// reduceFleet makes a fleet smaller, and redirects the faults of removed nodes to remaining ones.
 func reduceFleet(script *day.Script, nodes int) {
 	script.Nodes = nodes
 	for i := range script.Faults {
--- a/lab/quota.go
+++ b/lab/quota.go
@@ -1,6 +1,6 @@
-// Package lab runs experiments on policy and usage in simulated time. It simulates
-// whole fleets under faults, and compares them with simpler methods that users might
-// choose instead. Equal seeds give equal results.
+// Package lab runs experiments on packages policy and usage in simulated time. It
+// simulates fleets under faults, and compares their quota enforcement with simpler
+// methods that users might choose instead. Equal seeds give equal results.
 package lab
 
 import (
@@ -21,8 +21,8 @@
 
 // Methods of quota enforcement.
 const (
-	CounterFailOpen   Method = "counter asked, fails open"   // a counter call for each request; admitted if the counter does not respond
-	CounterFailClosed Method = "counter asked, fails closed" // likewise; rejected if the counter does not respond
+	CounterFailOpen   Method = "counter asked, fails open"   // one counter call per request; a request is admitted if the counter does not respond
+	CounterFailClosed Method = "counter asked, fails closed" // one counter call per request; a request is rejected if the counter does not respond
 	EvenShares        Method = "even parts"                  // a fixed share for each node, without a counter
 	ReportsOnly       Method = "reports"                     // package policy, with load reports between nodes
 	ReportsAndTracker Method = "reports and tally"           // package policy, with external usage levels from package usage
@@ -48,9 +48,9 @@
 	FleetDoubledByRestart Fault = "doubled by restarts"
 	FleetHalvedByRestart  Fault = "halved by restarts"
 
-	resizeReadTime    = 2 * time.Second        // within which each node reads the announcement
-	resizeConfirmTime = 500 * time.Millisecond // within which each node then learns that all have read it
-	resizeSettleTime  = 3 * time.Second        // after the reads, until the change has ended on all nodes
+	resizeReadTime    = 2 * time.Second        // each node reads the announcement within this time
+	resizeConfirmTime = 500 * time.Millisecond // each node is then notified within this time that all have read it
+	resizeSettleTime  = 3 * time.Second        // time from the reads until the change has ended on all nodes
 )
 
 // Experiment describes one run.
@@ -70,7 +70,7 @@
 	OverCeiling      float64 // admitted beyond the hard ceiling, mean over all customers
 	WorstOverQuota   float64 // highest value of one customer
 	WorstOverCeiling float64
-	Shortfall        float64 // units fewer than a single counter without faults would admit, as a fraction of those
+	Shortfall        float64 // units that a single counter without faults would also have admitted, as a fraction of all that it would admit
 	CounterError     float64 // deviation of the counter at the end, as a fraction of the forwarded units; -1: no counter
 }
 
@@ -294,7 +294,7 @@
 	}
 	n := f.nodes[(c.firstNode+offset)%f.size]
 	if n.down {
-		return // dropped: a client's retry at another node is a request of its own
+		return // the request is dropped; a client's retry at another node counts as a separate request
 	}
 	if c.reference.take(f.now, 1) && f.now >= faultStart {
 		c.referenceUnits++
@@ -444,7 +444,7 @@
 }
 
 // sendMessage delivers a peer message after messageDelay, or loses it. A node accepts
-// messagesPerSecond and drops the rest.
+// messagesPerSecond messages per second and drops the rest.
 func (f *fleet) sendMessage(from *instance, to int, receive func(*instance)) {
 	if f.rng.Float64() < f.lossRate {
 		return
@@ -586,7 +586,7 @@
 }
 
 // resize changes the fleet's size. Requests arrive at added nodes only after the change
-// has ended on all nodes, and no longer at removed nodes from its start on.
+// has ended on all nodes, and stop arriving at removed nodes when the change starts.
 func (f *fleet) resize(fault Fault) {
 	oldSize := f.experiment.Nodes
 	size := 2 * oldSize
