--- a/day/day_test.go
+++ b/day/day_test.go
@@ -103,8 +103,8 @@
 // Each mutation removes one defence from the nodes. The audit must detect violations of its rule.
 func TestMutations(t *testing.T) {
 	edit := func(old, new string) func(*VirtualEnvironment) {
-		return func(b *VirtualEnvironment) {
-			b.EditConfig = func(cfg []byte) []byte {
+		return func(env *VirtualEnvironment) {
+			env.EditConfig = func(cfg []byte) []byte {
 				out := bytes.ReplaceAll(cfg, []byte(old), []byte(new))
 				if bytes.Equal(out, cfg) {
 					t.Errorf("%q is not in the configuration", old)
@@ -122,16 +122,16 @@
 		{1, "the client timeout is not read",
 			edit("clients {", "clients {\n patience_header = \"x-none\""), scriptSource(t, DefaultScript)},
 		{2, "requests that are idempotent with a key are treated as idempotent", edit(`effect = "keyed"`, `effect = "safe"`), scriptSource(t, DefaultScript)},
-		{3, "draining servers are treated as running", func(b *VirtualEnvironment) {
-			b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
+		{3, "draining servers are treated as running", func(env *VirtualEnvironment) {
+			env.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
 					list[i].State = policy.Running
 				}
 				return list
 			}
 		}, scriptSource(t, DefaultScript)},
-		{4, "cold servers are treated as warm", func(b *VirtualEnvironment) {
-			b.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
+		{4, "cold servers are treated as warm", func(env *VirtualEnvironment) {
+			env.TransformEndpoints = func(list []node.Endpoint) []node.Endpoint {
 				for i := range list {
 					list[i].StartTime = time.Time{}
 				}
@@ -171,8 +171,9 @@
 	}
 }
 
-// With each fault of the counter, no rule is violated, no request waits for the counter, and its final
-// totals contain all that arrived at servers, except for what a killed node had not stored.
+// With each fault of the counter, no rule is violated, so that no request waits for the counter for too long.
+// The final totals of the counter contain the units that servers received, except for at most 3%, which a
+// killed node had not stored.
 func TestCounterFaults(t *testing.T) {
 	for _, name := range ScriptNames() {
 		if !strings.HasPrefix(name, "counter-") {
@@ -193,10 +194,10 @@
 }
 
 // Nodes are suspended at overlapping times. Requests that arrived during a suspension are not forwarded
-// for clients that have left, both with and without receive timestamps of the kernel.
+// if their clients have timed out or disconnected, both with and without receive timestamps of the kernel.
 func TestNodePauses(t *testing.T) {
 	for _, timestamps := range []bool{true, false} {
-		r := runVirtual(t, scriptSource(t, "stops"), func(b *VirtualEnvironment) { b.Memory.NoTimestamps = !timestamps })
+		r := runVirtual(t, scriptSource(t, "stops"), func(env *VirtualEnvironment) { env.Memory.NoTimestamps = !timestamps })
 		if !r.Passed() {
 			r.Write(t.Output())
 			t.Errorf("receive timestamps %v: a rule was violated", timestamps)
@@ -208,7 +209,7 @@
 // three nodes complete each membership change.
 func TestMembershipChanges(t *testing.T) {
 	var logs bytes.Buffer
-	r := runVirtual(t, scriptSource(t, "fleet"), func(b *VirtualEnvironment) { b.Log = &logs })
+	r := runVirtual(t, scriptSource(t, "fleet"), func(env *VirtualEnvironment) { env.Log = &logs })
 	if !r.Passed() {
 		r.Write(t.Output())
 		t.Error("a rule was violated")
