--- a/lab/hunt/shrink.go
+++ b/lab/hunt/shrink.go
@@ -73,9 +73,7 @@
 	}
 	for i, fault := range best.Script.Faults {
 		if duration, _ := time.ParseDuration(fault.Duration); duration >= 200*time.Millisecond {
-			change(func(script *day.Script) {
-				script.Faults[i].Duration = (duration / 2).Round(10 * time.Millisecond).String()
-			})
+			change(func(s *day.Script) { s.Faults[i].Duration = (duration / 2).Round(10 * time.Millisecond).String() })
 		}
 	}
 	return smaller
