--- a/cmd/yardcleat/stalls.go
+++ b/cmd/yardcleat/stalls.go
@@ -20,7 +20,7 @@
 	c := &cobra.Command{Use: "stalls", Short: "Compare ways of handling a pause of a node", Args: cobra.NoArgs,
 		Long: "Run scenarios with one pause (stop) in virtual time, for each listener protocol (front) alone and each way of\n" +
 			"reading and dating the requests that arrived during the pause. The table counts the requests (tries) in progress\n" +
-			"during the pause or sent within 5 s after it: late are attempts sent after their client had disconnected;\n" +
+			"during the pause or sent within 5 s after it: late are attempts that arrived at a server after the client timeout;\n" +
 			"needless are requests rejected or failed for lack of time although more than 200 ms were left.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			pool, err := newWorkerPool()
